--- a/internal/feedrun/feeds.go
+++ b/internal/feedrun/feeds.go
@@ -224,7 +224,7 @@
 }
 
 func limitsOf(feed decl.Feed) sample.Limits {
-	return sample.Limits{Versions: int64(feed.StalenessBound), Age: feed.StalenessTime}
+	return sample.Limits{MaxVersionLag: int64(feed.StalenessBound), MaxAge: feed.StalenessTime}
 }
 
 // Pull answers a trainer's pull, here or at the feed's owner. While none can be
--- a/internal/feedrun/poison.go
+++ b/internal/feedrun/poison.go
@@ -49,5 +49,5 @@
 		"feed": r.feed.Name, "sample": r.id.Name(r.owner.deployment, r.feed.Name),
 	})
 	r.owner.counter("given_up").Inc(1)
-	return sample.Sample{ID: r.id, Prompt: r.prompt, Began: time.Now(), Failed: string(wire.ReasonQuarantined)}
+	return sample.Sample{ID: r.id, Prompt: r.prompt, FirstTokenAt: time.Now(), Failed: string(wire.ReasonQuarantined)}
 }
--- a/internal/feedrun/run.go
+++ b/internal/feedrun/run.go
@@ -222,7 +222,7 @@
 	if len(reply.Tokens) > 0 && r.began.IsZero() {
 		r.began = time.Now()
 	}
-	_ = r.builder.Read(reply) // told by finish
+	_ = r.builder.Add(reply) // told by finish
 	r.tokens.Append(reply.Tokens)
 }
 
@@ -234,11 +234,11 @@
 		return sample.Sample{}, err
 	}
 	return sample.Sample{
-		ID:       r.id,
-		Prompt:   r.prompt,
-		Text:     r.tokens.String(),
-		Segments: segments,
-		Began:    r.began,
+		ID:           r.id,
+		Prompt:       r.prompt,
+		Text:         r.tokens.String(),
+		Segments:     segments,
+		FirstTokenAt: r.began,
 	}, nil
 }
 
--- a/internal/lab/rollout/generation.go
+++ b/internal/lab/rollout/generation.go
@@ -147,7 +147,7 @@
 	for _, j := range l.engines[i].Step(l.time.Now()) {
 		delete(l.places, j.ID)
 		l.planner.Complete(feedName, j.ID, j.Tokens)
-		l.deliver(handover.Completed{Sample: sample.Sample{ID: j.ID, Segments: j.Segments, Began: j.Began}})
+		l.deliver(handover.Completed{Sample: sample.Sample{ID: j.ID, Segments: j.Segments, FirstTokenAt: j.Began}})
 	}
 	l.wake(i)
 }
--- a/internal/lab/rollout/node.go
+++ b/internal/lab/rollout/node.go
@@ -150,7 +150,7 @@
 		segments = segments[:len(segments)-1]
 	}
 	w.runs = append(w.runs, run{versions: truth})
-	return sample.Sample{ID: id, Text: fmt.Sprint(len(w.runs) - 1), Segments: segments, Began: w.time.Now()}, nil
+	return sample.Sample{ID: id, Text: fmt.Sprint(len(w.runs) - 1), Segments: segments, FirstTokenAt: w.time.Now()}, nil
 }
 
 func (w *world) oldEngine() int64 {
@@ -197,5 +197,5 @@
 			offset += len(told)
 		}
 	}
-	return b.Read(wire.ReadReply{Offset: offset, Tokens: make([]string, len(told)), Versions: told})
+	return b.Add(wire.ReadReply{Offset: offset, Tokens: make([]string, len(told)), Versions: told})
 }
--- a/internal/lab/rollout/pipeline.go
+++ b/internal/lab/rollout/pipeline.go
@@ -91,7 +91,7 @@
 	}
 	l.active = make([]bool, s.engines)
 	l.loading = make([]bool, s.engines)
-	l.client = handover.NewClient(handover.Position{}, s.limits.Versions)
+	l.client = handover.NewClient(handover.Position{}, s.limits.MaxVersionLag)
 	l.elect(1)
 	return l
 }
@@ -229,7 +229,7 @@
 		return
 	}
 	behind := l.version - s.OldestVersion()
-	age := l.time.Now().Sub(s.Began)
+	age := l.time.Now().Sub(s.FirstTokenAt)
 	l.result.samples++
 	l.result.versions += behind
 	l.result.versionMax = max(l.result.versionMax, behind)
--- a/internal/lab/rollout/scenario.go
+++ b/internal/lab/rollout/scenario.go
@@ -87,7 +87,7 @@
 		},
 		longest:   2048,
 		lotSize:   64,
-		limits:    sample.Limits{Versions: 2},
+		limits:    sample.Limits{MaxVersionLag: 2},
 		train:     60 * time.Second,
 		swapFirst: 500 * time.Millisecond,
 		swapEach:  100 * time.Millisecond,
@@ -121,7 +121,7 @@
 // sequential is the scenario without run-ahead: each step alone, from its
 // demand to its last sample.
 func (s scenario) sequential() scenario {
-	s.limits.Versions = 0
+	s.limits.MaxVersionLag = 0
 	s.train = time.Millisecond
 	s.swapFirst = 0
 	s.swapEach = 0
@@ -140,7 +140,7 @@
 func (s *scenario) lowerBound(step int64) time.Duration {
 	total, longest := 0, 0
 	for slot := range s.shape.Slots() {
-		n := s.length(s.shape.At(step, slot))
+		n := s.length(s.shape.IDAt(step, slot))
 		total += n
 		longest = max(longest, n)
 	}
--- a/internal/lab/rollout/schedule.go
+++ b/internal/lab/rollout/schedule.go
@@ -115,7 +115,7 @@
 		cfg: handover.Config{
 			Shape:   shape,
 			LotSize: 1 + rng.IntN(4),
-			Limits:  sample.Limits{Versions: versionsBound},
+			Limits:  sample.Limits{MaxVersionLag: versionsBound},
 			Retry:   40 * time.Millisecond,
 			Record:  5 * time.Millisecond,
 		},
--- a/internal/lab/rollout/shares.go
+++ b/internal/lab/rollout/shares.go
@@ -86,7 +86,7 @@
 	m.entries[name].SetFeed(policy.Feed{Name: name, Shape: shape, Share: share, WeightIdle: 1, MaxTokens: m.longest})
 	d := policy.Demand{Feed: name}
 	for slot := range shape.Slots() {
-		d.Current = append(d.Current, shape.At(0, slot))
+		d.Current = append(d.Current, shape.IDAt(0, slot))
 	}
 	m.entries[name].SetDemand(m.time.Now(), d)
 	m.plan()
--- a/internal/lab/rollout/wallclock.go
+++ b/internal/lab/rollout/wallclock.go
@@ -57,14 +57,14 @@
 	}
 	for slot := range shape.Slots() {
 		var b labels.Builder
-		if err := b.Read(read); err != nil {
+		if err := b.Add(read); err != nil {
 			return nil, err
 		}
 		segments, err := b.Finish(benchTokens, nil)
 		if err != nil {
 			return nil, err
 		}
-		samples = append(samples, sample.Sample{ID: shape.At(0, slot), Segments: segments, Began: time.Unix(0, 0)})
+		samples = append(samples, sample.Sample{ID: shape.IDAt(0, slot), Segments: segments, FirstTokenAt: time.Unix(0, 0)})
 	}
 	return samples, nil
 }
@@ -87,7 +87,7 @@
 
 func servingOwner(shape sample.Shape) *benchOwner {
 	o := &benchOwner{
-		state:  handover.New(handover.Config{Shape: shape, LotSize: benchLot, Limits: sample.Limits{Versions: 1}}, "bench", 1),
+		state:  handover.New(handover.Config{Shape: shape, LotSize: benchLot, Limits: sample.Limits{MaxVersionLag: 1}}, "bench", 1),
 		client: handover.NewClient(handover.Position{}, 1),
 	}
 	o.step(handover.Tick{})
--- a/internal/policy/handover/handover_test.go
+++ b/internal/policy/handover/handover_test.go
@@ -39,7 +39,7 @@
 var config = handover.Config{
 	Shape:   sample.Shape{Groups: 2, Size: 2},
 	LotSize: 2,
-	Limits:  sample.Limits{Versions: 2},
+	Limits:  sample.Limits{MaxVersionLag: 2},
 	Retry:   time.Second,
 }
 
@@ -97,7 +97,7 @@
 func (f *feed) complete(version int64, ids ...sample.ID) {
 	for _, id := range ids {
 		segments := []wire.Segment{{Version: version, From: 0, To: 1}}
-		f.step(handover.Completed{Sample: sample.Sample{ID: id, Segments: segments, Began: f.now}})
+		f.step(handover.Completed{Sample: sample.Sample{ID: id, Segments: segments, FirstTokenAt: f.now}})
 	}
 }
 
@@ -175,8 +175,8 @@
 	})
 
 	It("drops samples past the age that the feed declares", func() {
-		config.Limits.Age = time.Minute
-		defer func() { config.Limits.Age = 0 }()
+		config.Limits.MaxAge = time.Minute
+		defer func() { config.Limits.MaxAge = 0 }()
 		f := take(kv, 1)
 		f.completeAll(1)
 		f.pass(2 * time.Minute)
--- a/internal/policy/handover/owner.go
+++ b/internal/policy/handover/owner.go
@@ -252,7 +252,7 @@
 	shape := o.truth.ShapeOf(step)
 	var missing []sample.ID
 	for index := range shape.PerGroup() {
-		id := shape.At(step, group*shape.PerGroup()+index)
+		id := shape.IDAt(step, group*shape.PerGroup()+index)
 		if !o.pool.has(id) && o.needs(id) {
 			missing = append(missing, id)
 		}
--- a/internal/policy/handover/serve.go
+++ b/internal/policy/handover/serve.go
@@ -141,8 +141,8 @@
 	if va != vb {
 		return va < vb
 	}
-	if !a.Began.Equal(b.Began) {
-		return a.Began.Before(b.Began)
+	if !a.FirstTokenAt.Equal(b.FirstTokenAt) {
+		return a.FirstTokenAt.Before(b.FirstTokenAt)
 	}
 	return shape.Slot(a.ID) < shape.Slot(b.ID)
 }
--- a/internal/policy/labels/labels.go
+++ b/internal/policy/labels/labels.go
@@ -29,9 +29,9 @@
 	failed   error
 }
 
-// Read takes the tokens of one read of the current stream. A repeated read is
+// Add takes the tokens of one read of the current stream. A repeated read is
 // checked against what the first one said.
-func (b *Builder) Read(r wire.ReadReply) error {
+func (b *Builder) Add(r wire.ReadReply) error {
 	if b.failed != nil {
 		return b.failed
 	}
--- a/internal/policy/labels/labels_test.go
+++ b/internal/policy/labels/labels_test.go
@@ -24,8 +24,8 @@
 	BeforeEach(func() { b = &labels.Builder{} })
 
 	It("splits at a swap in the middle of a read and takes repeated reads once", func() {
-		Expect(b.Read(read(0, 4, 4, 5))).To(Succeed())
-		Expect(b.Read(read(1, 4, 5, 5, 6))).To(Succeed())
+		Expect(b.Add(read(0, 4, 4, 5))).To(Succeed())
+		Expect(b.Add(read(1, 4, 5, 5, 6))).To(Succeed())
 		Expect(b.Finish(5, []wire.Segment{{Version: 4, From: 0, To: 2}})).To(Equal([]wire.Segment{
 			{Version: 4, From: 0, To: 2}, {Version: 5, From: 2, To: 4}, {Version: 6, From: 4, To: 5},
 		}))
@@ -35,19 +35,19 @@
 		// The first engine dies after five tokens of which three reached us; an
 		// engine of an older version goes on after the third. Tokens four and
 		// five of the dead engine are in no text and must be in no label.
-		Expect(b.Read(read(0, 7, 7, 8, 8, 8))).To(Succeed())
+		Expect(b.Add(read(0, 7, 7, 8, 8, 8))).To(Succeed())
 		Expect(b.Resume(3)).To(Succeed())
-		Expect(b.Read(read(0, 6, 6))).To(Succeed())
+		Expect(b.Add(read(0, 6, 6))).To(Succeed())
 		Expect(b.Finish(5, []wire.Segment{{Version: 6, From: 0, To: 2}})).To(Equal([]wire.Segment{
 			{Version: 7, From: 0, To: 2}, {Version: 8, From: 2, To: 3}, {Version: 6, From: 3, To: 5},
 		}))
 	})
 
 	It("takes an imported cache whose version the segments hold", func() {
-		Expect(b.Read(read(0, 7))).To(Succeed())
+		Expect(b.Add(read(0, 7))).To(Succeed())
 		Expect(b.Resume(1)).To(Succeed())
 		Expect(b.Import(7)).To(Succeed())
-		Expect(b.Read(read(0, 8))).To(Succeed())
+		Expect(b.Add(read(0, 8))).To(Succeed())
 		Expect(b.Finish(2, nil)).To(HaveLen(2))
 	})
 
@@ -61,22 +61,22 @@
 			}
 			Expect(err).To(MatchError(want))
 			Expect(b.Segments()).To(BeNil())
-			Expect(b.Read(read(0, 1))).To(MatchError(want), "a later read must not mend it")
+			Expect(b.Add(read(0, 1))).To(MatchError(want), "a later read must not mend it")
 		},
-		Entry("a gap", labels.ErrGap, func() error { return b.Read(read(1, 4)) }),
+		Entry("a gap", labels.ErrGap, func() error { return b.Add(read(1, 4)) }),
 		Entry("a resume past what was read", labels.ErrGap, func() error { return b.Resume(1) }),
 		Entry("a missing end", labels.ErrGap,
-			func() error { return b.Read(read(0, 4)) }, func() error { _, err := b.Finish(2, nil); return err }),
-		Entry("a token without version", labels.ErrUnattributed, func() error { return b.Read(read(0, 4, 0)) }),
+			func() error { return b.Add(read(0, 4)) }, func() error { _, err := b.Finish(2, nil); return err }),
+		Entry("a token without version", labels.ErrUnattributed, func() error { return b.Add(read(0, 4, 0)) }),
 		Entry("fewer versions than tokens", labels.ErrUnattributed,
-			func() error { return b.Read(wire.ReadReply{Tokens: []string{"a"}}) }),
+			func() error { return b.Add(wire.ReadReply{Tokens: []string{"a"}}) }),
 		Entry("a second report that differs", labels.ErrConflict,
-			func() error { return b.Read(read(0, 4)) }, func() error { return b.Read(read(0, 5)) }),
+			func() error { return b.Add(read(0, 4)) }, func() error { return b.Add(read(0, 5)) }),
 		Entry("a final answer that differs", labels.ErrConflict,
-			func() error { return b.Read(read(0, 4)) },
+			func() error { return b.Add(read(0, 4)) },
 			func() error { _, err := b.Finish(1, []wire.Segment{{Version: 3, From: 0, To: 1}}); return err }),
 		Entry("a prompt's cache of another version", labels.ErrForeignCache,
-			func() error { return b.Import(3) }, func() error { return b.Read(read(0, 4)) }),
+			func() error { return b.Import(3) }, func() error { return b.Add(read(0, 4)) }),
 		Entry("a cache of unknown version", labels.ErrForeignCache, func() error { return b.Import(0) }),
 		Entry("an empty sample", labels.ErrEmpty, func() error { _, err := b.Finish(0, nil); return err }),
 	)
--- a/internal/policy/rollout/place.go
+++ b/internal/policy/rollout/place.go
@@ -190,14 +190,14 @@
 // tooEarly tells whether a sample begun now would be past the feed's age limit
 // when the trainer comes for the next step.
 func (s *Scheduler) tooEarly(now time.Time, f *feed) bool {
-	if f.Limits.Age == 0 || f.train == 0 {
+	if f.Limits.MaxAge == 0 || f.train == 0 {
 		return false
 	}
 	comes := now.Add(f.train)
 	if f.demand.Training {
 		comes = f.held.Add(f.train)
 	}
-	return comes.Sub(now) > f.Limits.Age
+	return comes.Sub(now) > f.Limits.MaxAge
 }
 
 // choose returns the engine for a candidate: of those with room whose version
@@ -206,7 +206,7 @@
 func (s *Scheduler) choose(now time.Time, f *feed, c candidate) *engine {
 	var best *engine
 	for _, e := range s.engines {
-		if s.room(e) <= 0 || c.version-e.Version > f.Limits.Versions || s.waitsForSwap(now, f, c, e) {
+		if s.room(e) <= 0 || c.version-e.Version > f.Limits.MaxVersionLag || s.waitsForSwap(now, f, c, e) {
 			continue
 		}
 		if best == nil || s.better(f, c, e, best) {
--- a/internal/policy/rollout/rollout_test.go
+++ b/internal/policy/rollout/rollout_test.go
@@ -42,7 +42,7 @@
 	var s *rollout.Scheduler
 	feed := rollout.Feed{
 		Name: "f", Shape: sample.Shape{Groups: 4, Size: 2}, Classes: 2, Share: 1,
-		WeightIdle: 4, WeightStaleness: 1, Limits: sample.Limits{Versions: 1}, MaxTokens: 1000,
+		WeightIdle: 4, WeightStaleness: 1, Limits: sample.Limits{MaxVersionLag: 1}, MaxTokens: 1000,
 	}
 	engines := func(versions ...int64) []rollout.Engine {
 		var all []rollout.Engine
@@ -120,7 +120,7 @@
 		strict.WeightStaleness = 1000
 		Expect(train(strict)).To(BeZero())
 		bound := feed
-		bound.Limits.Versions = 0
+		bound.Limits.MaxVersionLag = 0
 		Expect(train(bound)).To(BeZero(), "a sample begun early would be too old")
 	})
 
--- a/internal/policy/rollout/scheduler.go
+++ b/internal/policy/rollout/scheduler.go
@@ -389,7 +389,7 @@
 	o := outlook{
 		idle:      f.WeightIdle,
 		staleness: f.WeightStaleness,
-		bound:     f.Limits.Versions,
+		bound:     f.Limits.MaxVersionLag,
 		train:     f.train.Seconds(),
 		rate:      rate,
 		token:     s.options.Pace.Token(slots).Seconds(),
--- a/internal/policy/sample/sample.go
+++ b/internal/policy/sample/sample.go
@@ -14,8 +14,8 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// ErrName is returned for a name that is not a sample's.
-var ErrName = errors.New("sample: not a sample's name")
+// ErrInvalidName is returned for a name that is not a sample's.
+var ErrInvalidName = errors.New("sample: not a sample's name")
 
 // ID is a sample of one feed.
 type ID struct {
@@ -42,13 +42,13 @@
 	rest, found := strings.CutPrefix(name, deployment+"/"+feed+"/")
 	parts := strings.Split(rest, "/")
 	if !found || len(parts) != 3 {
-		return ID{}, errors.Wrap(ErrName, name)
+		return ID{}, errors.Wrap(ErrInvalidName, name)
 	}
 	step, errStep := strconv.ParseInt(parts[0], 10, 64)
 	group, errGroup := strconv.ParseInt(parts[1], 10, 64)
 	index, errIndex := strconv.ParseInt(parts[2], 10, 32)
 	if errStep != nil || errGroup != nil || errIndex != nil {
-		return ID{}, errors.Wrap(ErrName, name)
+		return ID{}, errors.Wrap(ErrInvalidName, name)
 	}
 	return ID{Step: step, Group: group, Index: int32(index)}, nil
 }
@@ -78,20 +78,20 @@
 	return int(id.Group)*s.PerGroup() + int(id.Index)
 }
 
-// At returns the sample at a slot of a step.
-func (s Shape) At(step int64, slot int) ID {
+// IDAt returns the sample at a slot of a step.
+func (s Shape) IDAt(step int64, slot int) ID {
 	return ID{Step: step, Group: int64(slot / s.PerGroup()), Index: int32(slot % s.PerGroup())}
 }
 
 // Sample is one complete, scored sample, or the word that it cannot be made.
 type Sample struct {
-	ID       ID
-	Prompt   string
-	Text     string
-	Segments []wire.Segment // in order, without gaps, from token 0
-	Score    float64
-	Began    time.Time // when its first token was generated
-	Failed   string    // why it cannot be made; it has no text then. Empty: it is whole
+	ID           ID
+	Prompt       string
+	Text         string
+	Segments     []wire.Segment // in order, without gaps, from token 0
+	Score        float64
+	FirstTokenAt time.Time // when its first token was generated
+	Failed       string    // why it cannot be made; it has no text then. Empty: it is whole
 }
 
 // OldestVersion returns the lowest weight version that produced a token. Nothing
@@ -111,17 +111,17 @@
 
 // Limits is how old a sample may be when a trainer takes it.
 type Limits struct {
-	Versions int64         // behind the trainer's own version
-	Age      time.Duration // since its first token; 0: no limit
+	MaxVersionLag int64         // behind the trainer's own version
+	MaxAge        time.Duration // since its first token; 0: no limit
 }
 
 // Fresh tells whether a trainer at version may take s at now.
 func (l Limits) Fresh(s Sample, version int64, now time.Time) bool {
-	if version-s.OldestVersion() > l.Versions {
+	if version-s.OldestVersion() > l.MaxVersionLag {
 		return false
 	}
 	if s.Failed != "" {
 		return true
 	}
-	return l.Age == 0 || now.Sub(s.Began) <= l.Age
+	return l.MaxAge == 0 || now.Sub(s.FirstTokenAt) <= l.MaxAge
 }
