--- a/internal/policy/labels/labels.go
+++ b/internal/policy/labels/labels.go
@@ -1,7 +1,7 @@
-// Package labels tells which weight version produced each token of a sample.
-// It believes only what the engine reports with the tokens. A sample of which
-// any token cannot be attributed is refused with the reason; it is then run
-// again under the same id.
+// Package labels determines which weight version generated each token of a
+// sample. It relies only on the versions that the engine reports with the tokens.
+// A sample with a token that cannot be attributed to a version is rejected with
+// the reason; the caller then generates it again under the same ID.
 package labels
 
 import (
@@ -10,52 +10,53 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Reasons why a sample has no labels.
+// Errors that reject a sample.
 var (
 	ErrGap          = errors.New("labels: tokens are missing")
 	ErrConflict     = errors.New("labels: two reports of a token differ")
 	ErrUnattributed = errors.New("labels: a token has no version")
-	ErrForeignCache = errors.New("labels: imported KV cache of an unknown or unlabelled version")
+	ErrForeignCache = errors.New("labels: the version of an imported KV cache is unknown or generated no token")
 	ErrEmpty        = errors.New("labels: no tokens")
 )
 
 // Builder builds the segments of one sample from the reads of its streams.
-// The zero value is ready. After an error every call returns that error.
+// The zero value is ready for use. After an error, every call that can fail
+// returns that error.
 type Builder struct {
-	segments []wire.Segment // adjacent ones differ in version; no gaps
-	base     int            // token at which the stream being read begins
-	next     int            // first token not yet read
-	cache    int64          // version of an imported KV cache not yet seen in a token
-	failed   error
+	segments     []wire.Segment // without gaps; adjacent segments differ in version
+	streamStart  int            // sample index of the current stream's first token
+	nextToken    int            // sample index of the first token not yet read
+	cacheVersion int64          // version of an imported KV cache that no token has followed yet; 0 if none
+	firstErr     error
 }
 
-// Add takes the tokens of one read of the current stream. A repeated read is
-// checked against what the first one said.
+// Add adds the tokens of one read of the current stream. Tokens that were read
+// before are checked against the versions that the first read reported.
 func (b *Builder) Add(r wire.ReadReply) error {
-	if b.failed != nil {
-		return b.failed
+	if b.firstErr != nil {
+		return b.firstErr
 	}
 	if len(r.Versions) != len(r.Tokens) {
 		return b.fail(ErrUnattributed)
 	}
-	at := b.base + r.Offset
-	if at > b.next || r.Offset < 0 {
+	start := b.streamStart + r.Offset
+	if start > b.nextToken || r.Offset < 0 {
 		return b.fail(ErrGap)
 	}
 	for i, version := range r.Versions {
-		if err := b.token(at+i, version); err != nil {
+		if err := b.addToken(start+i, version); err != nil {
 			return b.fail(err)
 		}
 	}
 	return nil
 }
 
-func (b *Builder) token(at int, version int64) error {
+func (b *Builder) addToken(index int, version int64) error {
 	if version <= 0 {
 		return ErrUnattributed
 	}
-	if at < b.next {
-		if b.versionOf(at) != version {
+	if index < b.nextToken {
+		if b.versionAt(index) != version {
 			return ErrConflict
 		}
 		return nil
@@ -67,55 +68,55 @@
 	if last >= 0 && b.segments[last].Version == version {
 		b.segments[last].To++
 	} else {
-		b.segments = append(b.segments, wire.Segment{Version: version, From: at, To: at + 1})
+		b.segments = append(b.segments, wire.Segment{Version: version, From: index, To: index + 1})
 	}
-	b.next++
+	b.nextToken++
 	return nil
 }
 
-// checkCache settles an imported cache at the first token after it. A cache of
-// prompt tokens computed by another version shapes every token after it without
-// being in any segment: the sample would look fresher than it is. With a token
-// of the cache's version in the segments the oldest version stays right.
+// checkCache validates an imported KV cache when the first token after it
+// arrives. A cache that another version computed influences every later token
+// without appearing in a segment, so the sample would look fresher than it is. If
+// a segment has the cache's version, the sample's oldest version is still correct.
 func (b *Builder) checkCache(version int64) error {
-	cache := b.cache
-	b.cache = 0
-	if cache == 0 || cache == version {
+	cacheVersion := b.cacheVersion
+	b.cacheVersion = 0
+	if cacheVersion == 0 || cacheVersion == version {
 		return nil
 	}
 	for _, segment := range b.segments {
-		if segment.Version == cache {
+		if segment.Version == cacheVersion {
 			return nil
 		}
 	}
 	return ErrForeignCache
 }
 
-func (b *Builder) versionOf(at int) int64 {
+func (b *Builder) versionAt(index int) int64 {
 	for _, segment := range b.segments {
-		if at >= segment.From && at < segment.To {
+		if index >= segment.From && index < segment.To {
 			return segment.Version
 		}
 	}
 	return 0
 }
 
-// Resume begins another stream that goes on after the first tokens tokens. What
-// was read beyond them belongs to the stream given up and is dropped.
+// Resume starts a new stream that continues after the first tokens tokens. Later
+// tokens belong to the abandoned stream and are dropped.
 func (b *Builder) Resume(tokens int) error {
-	if b.failed != nil {
-		return b.failed
+	if b.firstErr != nil {
+		return b.firstErr
 	}
-	if tokens < 0 || tokens > b.next {
+	if tokens < 0 || tokens > b.nextToken {
 		return b.fail(ErrGap)
 	}
-	b.base = tokens
-	b.next = tokens
-	b.cut(tokens)
+	b.streamStart = tokens
+	b.nextToken = tokens
+	b.truncate(tokens)
 	return nil
 }
 
-func (b *Builder) cut(tokens int) {
+func (b *Builder) truncate(tokens int) {
 	for i, segment := range b.segments {
 		if segment.From >= tokens {
 			b.segments = b.segments[:i]
@@ -127,54 +128,55 @@
 	}
 }
 
-// Import tells that the current stream goes on from a KV cache that an engine
-// exported while it ran version; 0 if it did not say.
+// Import records that the current stream continues from a KV cache that an engine
+// exported while it served version. A version of 0 means that the engine did not
+// report one, which is an error.
 func (b *Builder) Import(version int64) error {
-	if b.failed != nil {
-		return b.failed
+	if b.firstErr != nil {
+		return b.firstErr
 	}
 	if version <= 0 {
 		return b.fail(ErrForeignCache)
 	}
-	b.cache = version
+	b.cacheVersion = version
 	return nil
 }
 
-// Tokens returns how many tokens were read.
-func (b *Builder) Tokens() int { return b.next }
+// Tokens returns the number of tokens read.
+func (b *Builder) Tokens() int { return b.nextToken }
 
-// Segments returns the labels read so far; nil after an error.
+// Segments returns the segments built so far, or nil after an error.
 func (b *Builder) Segments() []wire.Segment {
-	if b.failed != nil {
+	if b.firstErr != nil {
 		return nil
 	}
 	return append([]wire.Segment(nil), b.segments...)
 }
 
-// Finish returns the labels of the complete sample of tokens tokens. reported
-// are the segments of the engine's own final answer, if it gave any; they are
-// of the last stream and count from its beginning.
+// Finish returns the segments of a complete sample of tokens tokens. It checks
+// them against reported, the segments in the engine's final response, if it
+// contained any; these cover the last stream and count from its first token.
 func (b *Builder) Finish(tokens int, reported []wire.Segment) ([]wire.Segment, error) {
-	if b.failed != nil {
-		return nil, b.failed
+	if b.firstErr != nil {
+		return nil, b.firstErr
 	}
 	switch {
 	case tokens == 0:
 		return nil, b.fail(ErrEmpty)
-	case tokens != b.next:
+	case tokens != b.nextToken:
 		return nil, b.fail(ErrGap)
 	}
 	for _, segment := range reported {
-		if !b.agrees(segment) {
+		if !b.matches(segment) {
 			return nil, b.fail(ErrConflict)
 		}
 	}
 	return b.Segments(), nil
 }
 
-func (b *Builder) agrees(reported wire.Segment) bool {
-	from, to := reported.From+b.base, reported.To+b.base
-	if from < b.base || to > b.next {
+func (b *Builder) matches(reported wire.Segment) bool {
+	from, to := reported.From+b.streamStart, reported.To+b.streamStart
+	if from < b.streamStart || to > b.nextToken {
 		return false
 	}
 	for _, segment := range b.segments {
@@ -187,7 +189,7 @@
 }
 
 func (b *Builder) fail(err error) error {
-	b.failed = err
+	b.firstErr = err
 	b.segments = nil
 	return err
 }
--- a/internal/policy/labels/labels_test.go
+++ b/internal/policy/labels/labels_test.go
@@ -23,7 +23,7 @@
 	var b *labels.Builder
 	BeforeEach(func() { b = &labels.Builder{} })
 
-	It("splits at a swap in the middle of a read and takes repeated reads once", func() {
+	It("starts a segment at a version swap within a read and ignores repeated tokens", func() {
 		Expect(b.Add(read(0, 4, 4, 5))).To(Succeed())
 		Expect(b.Add(read(1, 4, 5, 5, 6))).To(Succeed())
 		Expect(b.Finish(5, []wire.Segment{{Version: 4, From: 0, To: 2}})).To(Equal([]wire.Segment{
@@ -31,10 +31,10 @@
 		}))
 	})
 
-	It("keeps the labels of what was delivered when another engine goes on", func() {
-		// The first engine dies after five tokens of which three reached us; an
-		// engine of an older version goes on after the third. Tokens four and
-		// five of the dead engine are in no text and must be in no label.
+	It("keeps the labels of delivered tokens when another engine resumes the sample", func() {
+		// The first engine fails after five tokens, of which three are delivered. An
+		// engine with an older version resumes after the third. Tokens four and
+		// five of the failed engine are not in the text and must not be labelled.
 		Expect(b.Add(read(0, 7, 7, 8, 8, 8))).To(Succeed())
 		Expect(b.Resume(3)).To(Succeed())
 		Expect(b.Add(read(0, 6, 6))).To(Succeed())
@@ -43,7 +43,7 @@
 		}))
 	})
 
-	It("takes an imported cache whose version the segments hold", func() {
+	It("accepts an imported cache whose version has a segment", func() {
 		Expect(b.Add(read(0, 7))).To(Succeed())
 		Expect(b.Resume(1)).To(Succeed())
 		Expect(b.Import(7)).To(Succeed())
@@ -51,7 +51,7 @@
 		Expect(b.Finish(2, nil)).To(HaveLen(2))
 	})
 
-	DescribeTable("refuses what cannot be attributed",
+	DescribeTable("rejects tokens that cannot be attributed",
 		func(want error, steps ...func() error) {
 			var err error
 			for _, step := range steps {
@@ -61,23 +61,23 @@
 			}
 			Expect(err).To(MatchError(want))
 			Expect(b.Segments()).To(BeNil())
-			Expect(b.Add(read(0, 1))).To(MatchError(want), "a later read must not mend it")
+			Expect(b.Add(read(0, 1))).To(MatchError(want), "a later read must not clear the error")
 		},
 		Entry("a gap", labels.ErrGap, func() error { return b.Add(read(1, 4)) }),
-		Entry("a resume past what was read", labels.ErrGap, func() error { return b.Resume(1) }),
-		Entry("a missing end", labels.ErrGap,
+		Entry("a resume past the tokens read", labels.ErrGap, func() error { return b.Resume(1) }),
+		Entry("missing final tokens", labels.ErrGap,
 			func() error { return b.Add(read(0, 4)) }, func() error { _, err := b.Finish(2, nil); return err }),
-		Entry("a token without version", labels.ErrUnattributed, func() error { return b.Add(read(0, 4, 0)) }),
+		Entry("a token without a version", labels.ErrUnattributed, func() error { return b.Add(read(0, 4, 0)) }),
 		Entry("fewer versions than tokens", labels.ErrUnattributed,
 			func() error { return b.Add(wire.ReadReply{Tokens: []string{"a"}}) }),
-		Entry("a second report that differs", labels.ErrConflict,
+		Entry("a repeated read with another version", labels.ErrConflict,
 			func() error { return b.Add(read(0, 4)) }, func() error { return b.Add(read(0, 5)) }),
-		Entry("a final answer that differs", labels.ErrConflict,
+		Entry("a final response with another version", labels.ErrConflict,
 			func() error { return b.Add(read(0, 4)) },
 			func() error { _, err := b.Finish(1, []wire.Segment{{Version: 3, From: 0, To: 1}}); return err }),
-		Entry("a prompt's cache of another version", labels.ErrForeignCache,
+		Entry("a prompt cache of another version", labels.ErrForeignCache,
 			func() error { return b.Import(3) }, func() error { return b.Add(read(0, 4)) }),
-		Entry("a cache of unknown version", labels.ErrForeignCache, func() error { return b.Import(0) }),
+		Entry("a cache of an unknown version", labels.ErrForeignCache, func() error { return b.Import(0) }),
 		Entry("an empty sample", labels.ErrEmpty, func() error { _, err := b.Finish(0, nil); return err }),
 	)
 })
--- a/internal/policy/sample/sample.go
+++ b/internal/policy/sample/sample.go
@@ -1,6 +1,6 @@
-// Package sample names the samples of a trainer feed. An id follows from the
-// feed's shape alone, so that a second run of the same sample is the same
-// sample whoever starts it.
+// Package sample defines the samples of a trainer feed and their IDs. An ID is
+// derived from the feed's shape alone, so that a sample which is generated a
+// second time keeps its ID whichever process starts it.
 package sample
 
 import (
@@ -14,17 +14,19 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// ErrInvalidName is returned for a name that is not a sample's.
-var ErrInvalidName = errors.New("sample: not a sample's name")
+// ErrInvalidName is returned by Parse for a string that is not a sample name of
+// the given feed.
+var ErrInvalidName = errors.New("sample: invalid sample name")
 
-// ID is a sample of one feed.
+// ID identifies a sample within one feed.
 type ID struct {
 	Step  int64
 	Group int64
 	Index int32 // within the group
 }
 
-// Name returns the id as trainers see it: deployment/feed/step/group/index.
+// Name returns the sample name that trainers see:
+// deployment/feed/step/group/index.
 func (id ID) Name(deployment, feed string) string {
 	var b strings.Builder
 	b.WriteString(deployment)
@@ -37,7 +39,8 @@
 	return b.String()
 }
 
-// Parse reads a name of the given feed; the error is ErrName.
+// Parse parses a sample name of the given feed. It returns ErrInvalidName for any
+// other string.
 func Parse(name, deployment, feed string) (ID, error) {
 	rest, found := strings.CutPrefix(name, deployment+"/"+feed+"/")
 	parts := strings.Split(rest, "/")
@@ -53,24 +56,27 @@
 	return ID{Step: step, Group: group, Index: int32(index)}, nil
 }
 
-// Shape is how many samples a step has. Spare samples are run beyond Size so
-// that a group need not wait for its longest; Size of them are handed over.
+// Shape is the number of samples in a step. Each group generates Spare samples in
+// addition to Size, so that it does not have to wait for its longest sample; Size
+// samples of a group are handed over to the trainer.
 type Shape struct {
 	Groups int `json:"groups"`
 	Size   int `json:"size"`
 	Spare  int `json:"spare,omitempty"`
 }
 
-// PerGroup returns the samples run for a group, spare ones included.
+// PerGroup returns the number of samples generated for a group, spare samples
+// included.
 func (s Shape) PerGroup() int { return s.Size + s.Spare }
 
-// Slots returns the samples run for a step, spare ones included.
+// Slots returns the number of samples generated for a step, spare samples
+// included.
 func (s Shape) Slots() int { return s.Groups * s.PerGroup() }
 
-// Needed returns the samples handed over for a step.
+// Needed returns the number of samples handed over for a step.
 func (s Shape) Needed() int { return s.Groups * s.Size }
 
-// Slot returns the place of id within its step, or -1 if the shape has none.
+// Slot returns the index of id within its step, or -1 if id is outside the shape.
 func (s Shape) Slot(id ID) int {
 	if id.Group < 0 || id.Group >= int64(s.Groups) || id.Index < 0 || int(id.Index) >= s.PerGroup() {
 		return -1
@@ -78,24 +84,26 @@
 	return int(id.Group)*s.PerGroup() + int(id.Index)
 }
 
-// IDAt returns the sample at a slot of a step.
+// IDAt returns the ID of the sample at a slot of a step.
 func (s Shape) IDAt(step int64, slot int) ID {
 	return ID{Step: step, Group: int64(slot / s.PerGroup()), Index: int32(slot % s.PerGroup())}
 }
 
-// Sample is one complete, scored sample, or the word that it cannot be made.
+// Sample is a complete, scored sample, or the report that the sample cannot be
+// generated.
 type Sample struct {
 	ID           ID
 	Prompt       string
 	Text         string
 	Segments     []wire.Segment // in order, without gaps, from token 0
 	Score        float64
-	FirstTokenAt time.Time // when its first token was generated
-	Failed       string    // why it cannot be made; it has no text then. Empty: it is whole
+	FirstTokenAt time.Time
+	Failed       string // why the sample cannot be generated, in which case Text is empty; empty if the sample is complete
 }
 
-// OldestVersion returns the lowest weight version that produced a token. Nothing
-// of a sample that cannot be made is old.
+// OldestVersion returns the lowest weight version that generated a token. It
+// returns math.MaxInt64 for a sample that cannot be generated, which never counts
+// as stale.
 func (s Sample) OldestVersion() int64 {
 	if s.Failed != "" {
 		return math.MaxInt64
@@ -109,13 +117,13 @@
 	return oldest
 }
 
-// Limits is how old a sample may be when a trainer takes it.
+// Limits bounds the staleness of a sample at the time a trainer takes it.
 type Limits struct {
-	MaxVersionLag int64         // behind the trainer's own version
-	MaxAge        time.Duration // since its first token; 0: no limit
+	MaxVersionLag int64         // weight versions behind the trainer's version
+	MaxAge        time.Duration // since the first token; 0 means no limit
 }
 
-// Fresh tells whether a trainer at version may take s at now.
+// Fresh reports whether a trainer whose weights are at version may take s at now.
 func (l Limits) Fresh(s Sample, version int64, now time.Time) bool {
 	if version-s.OldestVersion() > l.MaxVersionLag {
 		return false
