--- a/internal/agentless/batchrun/guard.go
+++ b/internal/agentless/batchrun/guard.go
@@ -95,7 +95,7 @@
 	owner *Owner
 
 	mu    sync.Mutex
-	watch *standby.Watch
+	watch *standby.FailureDetector
 	jobs  map[string]*guardedJob
 }
 
@@ -115,7 +115,7 @@
 }
 
 func newGuard(o *Owner) *Guard {
-	return &Guard{RunFor: defaultRunFor, owner: o, watch: standby.NewWatch(), jobs: map[string]*guardedJob{}}
+	return &Guard{RunFor: defaultRunFor, owner: o, watch: standby.NewFailureDetector(), jobs: map[string]*guardedJob{}}
 }
 
 // take takes in that this process stands by for a job.
@@ -208,12 +208,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.expire(now)
-	g.watch.Keep(now, g.owners())
-	for _, name := range g.watch.Pings(now) {
+	g.watch.Retain(now, g.owners())
+	for _, name := range g.watch.DuePings(now) {
 		args := g.asked(name)
 		g.owner.runs.Go(func() error { g.ping(ctx, name, args); return nil })
 	}
-	for _, name := range g.watch.Doubts(now) {
+	for _, name := range g.watch.DueIndirectPings(now) {
 		g.owner.runs.Go(func() error { g.ask(ctx, name); return nil })
 	}
 	if !g.owner.Switches.On(mechanism.TakeOver) {
@@ -270,10 +270,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
-		g.watch.Failed(name)
+		g.watch.RecordFailure(name)
 		return
 	}
-	g.watch.Heard(time.Now(), name)
+	g.watch.RecordContact(time.Now(), name)
 	for id, from := range args.Listed {
 		if j := g.jobs[id]; j != nil && j.owner == name {
 			g.takeState(j, from, reply.Jobs[id])
@@ -308,9 +308,9 @@
 	defer g.mu.Unlock()
 	switch {
 	case known && answers:
-		g.watch.Heard(time.Now(), name)
+		g.watch.RecordContact(time.Now(), name)
 	case known:
-		g.watch.Unreached(time.Now(), name)
+		g.watch.RecordIndirectFailure(time.Now(), name)
 	}
 }
 
--- a/internal/policy/standby/standby.go
+++ b/internal/policy/standby/standby.go
@@ -15,68 +15,68 @@
 )
 
 const (
-	// pingEvery is how often an owner is asked whether it lives.
-	pingEvery = 300 * time.Millisecond
-	// lostAfter is how long an owner is silent before it is taken for lost. One that was
+	// pingInterval is how often an owner is asked whether it lives.
+	pingInterval = 300 * time.Millisecond
+	// silenceTimeout is how long an owner is silent before it is taken for lost. One that was
 	// killed and is back by then goes on by itself, with all its texts.
-	lostAfter = 1200 * time.Millisecond
-	// leastPings is how many calls in a row must have failed besides, as this process may
+	silenceTimeout = 1200 * time.Millisecond
+	// minFailedPings is how many calls in a row must have failed besides, as this process may
 	// have been the one that stood still.
-	leastPings = 3
-	// verdictFor is how long it counts that no other process reaches the owner.
-	verdictFor = time.Second
+	minFailedPings = 3
+	// indirectFailureTTL is how long it counts that no other process reaches the owner.
+	indirectFailureTTL = time.Second
 )
 
-// Watch watches the owners of jobs. It is not safe for concurrent use.
-type Watch struct {
+// FailureDetector watches the owners of jobs. It is not safe for concurrent use.
+type FailureDetector struct {
 	owners map[string]*owner
 }
 
 type owner struct {
-	heard   time.Time
-	asked   time.Time // last ping
-	failed  int       // pings in a row
-	alone   time.Time // when others last said that it does not answer them; zero: none did
-	witness time.Time // when others were last asked
+	lastAnswer          time.Time
+	lastPing            time.Time // last ping
+	failedPings         int       // pings in a row
+	lastIndirectFailure time.Time // when others last said that it does not answer them; zero: none did
+	lastIndirectPing    time.Time // when others were last asked
 }
 
-// NewWatch returns a watch of nobody.
-func NewWatch() *Watch { return &Watch{owners: map[string]*owner{}} }
+// NewFailureDetector returns a watch of nobody.
+func NewFailureDetector() *FailureDetector { return &FailureDetector{owners: map[string]*owner{}} }
 
-// Keep watches these owners and no others. One that is new counts as heard now.
-func (w *Watch) Keep(now time.Time, names []string) {
+// Retain watches these owners and no others. One that is new counts as heard now.
+func (w *FailureDetector) Retain(now time.Time, names []string) {
 	maps.DeleteFunc(w.owners, func(name string, _ *owner) bool { return !slices.Contains(names, name) })
 	for _, name := range names {
 		if w.owners[name] == nil {
-			w.owners[name] = &owner{heard: now, asked: now}
+			w.owners[name] = &owner{lastAnswer: now, lastPing: now}
 		}
 	}
 }
 
-// Pings returns the owners that are to be asked now, and notes that they were.
-func (w *Watch) Pings(now time.Time) []string {
+// DuePings returns the owners that are to be asked now, and notes that they were.
+func (w *FailureDetector) DuePings(now time.Time) []string {
 	return w.due(func(o *owner) bool {
-		if now.Sub(o.asked) < pingEvery {
+		if now.Sub(o.lastPing) < pingInterval {
 			return false
 		}
-		o.asked = now
+		o.lastPing = now
 		return true
 	})
 }
 
-// Doubts returns the owners about which others are to be asked now, and notes that they
+// DueIndirectPings returns the owners about which others are to be asked now, and notes that they
 // were.
-func (w *Watch) Doubts(now time.Time) []string {
+func (w *FailureDetector) DueIndirectPings(now time.Time) []string {
 	return w.due(func(o *owner) bool {
-		if !o.silent(now) || now.Sub(o.witness) < pingEvery {
+		if !o.silent(now) || now.Sub(o.lastIndirectPing) < pingInterval {
 			return false
 		}
-		o.witness = now
+		o.lastIndirectPing = now
 		return true
 	})
 }
 
-func (w *Watch) due(is func(*owner) bool) []string {
+func (w *FailureDetector) due(is func(*owner) bool) []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(w.owners)) {
 		if is(w.owners[name]) {
@@ -87,33 +87,33 @@
 }
 
 func (o *owner) silent(now time.Time) bool {
-	return now.Sub(o.heard) >= lostAfter && o.failed >= leastPings
+	return now.Sub(o.lastAnswer) >= silenceTimeout && o.failedPings >= minFailedPings
 }
 
-// Heard notes that an owner answered this process, or another one.
-func (w *Watch) Heard(now time.Time, name string) {
+// RecordContact notes that an owner answered this process, or another one.
+func (w *FailureDetector) RecordContact(now time.Time, name string) {
 	if o := w.owners[name]; o != nil {
-		o.heard, o.failed, o.alone = now, 0, time.Time{}
+		o.lastAnswer, o.failedPings, o.lastIndirectFailure = now, 0, time.Time{}
 	}
 }
 
-// Failed notes that an owner did not answer a ping.
-func (w *Watch) Failed(name string) {
+// RecordFailure notes that an owner did not answer a ping.
+func (w *FailureDetector) RecordFailure(name string) {
 	if o := w.owners[name]; o != nil {
-		o.failed++
+		o.failedPings++
 	}
 }
 
-// Unreached notes that another process answered that the owner does not answer it
+// RecordIndirectFailure notes that another process answered that the owner does not answer it
 // either. Without such a word it may be this process that reaches nobody.
-func (w *Watch) Unreached(now time.Time, name string) {
+func (w *FailureDetector) RecordIndirectFailure(now time.Time, name string) {
 	if o := w.owners[name]; o != nil {
-		o.alone = now
+		o.lastIndirectFailure = now
 	}
 }
 
 // Lost tells whether an owner is lost.
-func (w *Watch) Lost(now time.Time, name string) bool {
+func (w *FailureDetector) Lost(now time.Time, name string) bool {
 	o := w.owners[name]
-	return o != nil && o.silent(now) && !o.alone.IsZero() && now.Sub(o.alone) < verdictFor
+	return o != nil && o.silent(now) && !o.lastIndirectFailure.IsZero() && now.Sub(o.lastIndirectFailure) < indirectFailureTTL
 }
