--- a/internal/policy/standby/standby.go
+++ b/internal/policy/standby/standby.go
@@ -1,11 +1,12 @@
-// Package standby decides when a process that stands by for the jobs of another takes
-// them for its own. It does no input or output and keeps no time.
+// Package standby decides when the standby of a job owner takes over the owner's jobs. It
+// performs no I/O and reads no clock; callers pass the time.
 //
-// The load that it answers: an owner is lost while a step of its trainer is half done.
-// Its registration lapses seconds later, and more if the store is away meanwhile, and a
-// step has only a few seconds to spare. But an owner that answers nobody here may be well
-// elsewhere: a second owner beside it would run its items twice. So the standby asks the
-// owner itself, and then others whether it answers them.
+// An owner may fail while a step of its trainer is half done. Its registration expires
+// seconds later, or later still if the store is unavailable at the time, and a step has
+// only a few seconds to spare. On the other hand, an owner that does not answer this
+// process may still be running and reachable from others, and a second owner would run
+// its items twice. The standby therefore pings the owner directly, and then asks other
+// processes whether the owner answers them (an indirect ping).
 package standby
 
 import (
@@ -15,47 +16,48 @@
 )
 
 const (
-	// pingInterval is how often an owner is asked whether it lives.
+	// pingInterval is the time between pings of an owner, and between indirect pings.
 	pingInterval = 300 * time.Millisecond
-	// silenceTimeout is how long an owner is silent before it is taken for lost. One that was
-	// killed and is back by then goes on by itself, with all its texts.
+	// silenceTimeout is how long an owner must be silent before it can count as lost. An owner
+	// that was killed and has restarted by then continues its jobs itself, with all its texts.
 	silenceTimeout = 1200 * time.Millisecond
-	// minFailedPings is how many calls in a row must have failed besides, as this process may
-	// have been the one that stood still.
+	// minFailedPings is how many consecutive pings must have failed in addition to
+	// silenceTimeout, as this process may itself have been suspended during that time.
 	minFailedPings = 3
-	// indirectFailureTTL is how long it counts that no other process reaches the owner.
+	// indirectFailureTTL is how long a failed indirect ping remains valid.
 	indirectFailureTTL = time.Second
 )
 
-// FailureDetector watches the owners of jobs. It is not safe for concurrent use.
+// FailureDetector detects failed owners of jobs. It is not safe for concurrent use.
 type FailureDetector struct {
 	owners map[string]*owner
 }
 
 type owner struct {
 	lastAnswer          time.Time
-	lastPing            time.Time // last ping
-	failedPings         int       // pings in a row
-	lastIndirectFailure time.Time // when others last said that it does not answer them; zero: none did
-	lastIndirectPing    time.Time // when others were last asked
+	lastPing            time.Time
+	failedPings         int       // consecutive
+	lastIndirectFailure time.Time // when another process last reported the owner unreachable; zero if none did
+	lastIndirectPing    time.Time
 }
 
-// NewFailureDetector returns a watch of nobody.
+// NewFailureDetector returns a detector that monitors no owners.
 func NewFailureDetector() *FailureDetector { return &FailureDetector{owners: map[string]*owner{}} }
 
-// Retain watches these owners and no others. One that is new counts as heard now.
-func (w *FailureDetector) Retain(now time.Time, names []string) {
-	maps.DeleteFunc(w.owners, func(name string, _ *owner) bool { return !slices.Contains(names, name) })
+// Retain makes names the set of monitored owners. A new owner is treated as if it had
+// answered at now.
+func (d *FailureDetector) Retain(now time.Time, names []string) {
+	maps.DeleteFunc(d.owners, func(name string, _ *owner) bool { return !slices.Contains(names, name) })
 	for _, name := range names {
-		if w.owners[name] == nil {
-			w.owners[name] = &owner{lastAnswer: now, lastPing: now}
+		if d.owners[name] == nil {
+			d.owners[name] = &owner{lastAnswer: now, lastPing: now}
 		}
 	}
 }
 
-// DuePings returns the owners that are to be asked now, and notes that they were.
-func (w *FailureDetector) DuePings(now time.Time) []string {
-	return w.due(func(o *owner) bool {
+// DuePings returns the owners to ping now and records the pings as sent.
+func (d *FailureDetector) DuePings(now time.Time) []string {
+	return d.due(func(o *owner) bool {
 		if now.Sub(o.lastPing) < pingInterval {
 			return false
 		}
@@ -64,10 +66,10 @@
 	})
 }
 
-// DueIndirectPings returns the owners about which others are to be asked now, and notes that they
-// were.
-func (w *FailureDetector) DueIndirectPings(now time.Time) []string {
-	return w.due(func(o *owner) bool {
+// DueIndirectPings returns the owners that other processes are to be asked about now, and
+// records the indirect pings as sent.
+func (d *FailureDetector) DueIndirectPings(now time.Time) []string {
+	return d.due(func(o *owner) bool {
 		if !o.silent(now) || now.Sub(o.lastIndirectPing) < pingInterval {
 			return false
 		}
@@ -76,10 +78,10 @@
 	})
 }
 
-func (w *FailureDetector) due(is func(*owner) bool) []string {
+func (d *FailureDetector) due(isDue func(*owner) bool) []string {
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(w.owners)) {
-		if is(w.owners[name]) {
+	for _, name := range slices.Sorted(maps.Keys(d.owners)) {
+		if isDue(d.owners[name]) {
 			names = append(names, name)
 		}
 	}
@@ -90,30 +92,31 @@
 	return now.Sub(o.lastAnswer) >= silenceTimeout && o.failedPings >= minFailedPings
 }
 
-// RecordContact notes that an owner answered this process, or another one.
-func (w *FailureDetector) RecordContact(now time.Time, name string) {
-	if o := w.owners[name]; o != nil {
+// RecordContact records that an owner answered this process or another one.
+func (d *FailureDetector) RecordContact(now time.Time, name string) {
+	if o := d.owners[name]; o != nil {
 		o.lastAnswer, o.failedPings, o.lastIndirectFailure = now, 0, time.Time{}
 	}
 }
 
-// RecordFailure notes that an owner did not answer a ping.
-func (w *FailureDetector) RecordFailure(name string) {
-	if o := w.owners[name]; o != nil {
+// RecordFailure records that an owner did not answer a ping.
+func (d *FailureDetector) RecordFailure(name string) {
+	if o := d.owners[name]; o != nil {
 		o.failedPings++
 	}
 }
 
-// RecordIndirectFailure notes that another process answered that the owner does not answer it
-// either. Without such a word it may be this process that reaches nobody.
-func (w *FailureDetector) RecordIndirectFailure(now time.Time, name string) {
-	if o := w.owners[name]; o != nil {
+// RecordIndirectFailure records that another process cannot reach the owner either. Without
+// such a report, this process may be the one that is disconnected.
+func (d *FailureDetector) RecordIndirectFailure(now time.Time, name string) {
+	if o := d.owners[name]; o != nil {
 		o.lastIndirectFailure = now
 	}
 }
 
-// Lost tells whether an owner is lost.
-func (w *FailureDetector) Lost(now time.Time, name string) bool {
-	o := w.owners[name]
+// Lost reports whether an owner has failed: it has not answered for silenceTimeout, at least
+// minFailedPings consecutive pings failed, and another process recently failed to reach it.
+func (d *FailureDetector) Lost(now time.Time, name string) bool {
+	o := d.owners[name]
 	return o != nil && o.silent(now) && !o.lastIndirectFailure.IsZero() && now.Sub(o.lastIndirectFailure) < indirectFailureTTL
 }
