--- a/internal/agentless/batchrun/itemrun.go
+++ b/internal/agentless/batchrun/itemrun.go
@@ -127,8 +127,8 @@
 // awaited tells whether a step waits for the run, as of the last look at all jobs.
 func (r *itemRun) awaited(rest float64, spare bool) bool {
 	load := r.owner.surveyed.Load()
-	view := schedule.Job{Age: time.Since(r.job.job.Spec.Submitted).Seconds(), Pace: r.pace.recent()}
-	return load != nil && load.Awaits(&view, rest, spare)
+	view := schedule.Job{Age: time.Since(r.job.job.Spec.Submitted).Seconds(), EventSeconds: r.pace.recent()}
+	return load != nil && load.IsCritical(&view, rest, spare)
 }
 
 // tooSlow tells whether the item would be done sooner elsewhere. An engine that
--- a/internal/agentless/batchrun/loads.go
+++ b/internal/agentless/batchrun/loads.go
@@ -69,7 +69,7 @@
 			delete(l.byName, from)
 			continue
 		}
-		sum.Join(t.load)
+		sum.Merge(t.load)
 	}
 	return sum
 }
--- a/internal/agentless/batchrun/starts.go
+++ b/internal/agentless/batchrun/starts.go
@@ -55,10 +55,10 @@
 		views = append(views, view)
 		r.jobs = append(r.jobs, openJob{ownedJob: j, view: view})
 	}
-	r.own = schedule.Survey(views)
+	r.own = schedule.TotalLoad(views)
 	r.load = r.own
 	if o.Switches.On(mechanism.ShareLoad) {
-		r.load.Join(o.loads.others(now))
+		r.load.Merge(o.loads.others(now))
 	}
 	return r
 }
@@ -70,7 +70,7 @@
 		view.Due = spec.Due.Sub(spec.Submitted).Seconds()
 	}
 	if route := table.Match(spec.Host, spec.Items[0].Path); route != nil {
-		view.Pace, _ = o.Directory.Pace(routes.Service(route, spec.Items[0].ID))
+		view.EventSeconds, _ = o.Directory.Pace(routes.Service(route, spec.Items[0].ID))
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -83,12 +83,12 @@
 func (r *round) next() (*openJob, batch.Candidate, bool) {
 	var jobs []*openJob
 	var items []batch.Candidate
-	var waiting []schedule.Waiting
+	var waiting []schedule.Candidate
 	for i := range r.jobs {
 		job := &r.jobs[i]
 		if item, found := job.candidate(r.now); found {
 			jobs, items = append(jobs, job), append(items, item)
-			waiting = append(waiting, schedule.Waiting{Job: &job.view, Rest: item.Rest, Spare: item.Spare})
+			waiting = append(waiting, schedule.Candidate{Job: &job.view, RemainingWork: item.Rest, Spare: item.Spare})
 		}
 	}
 	chosen := schedule.Choose(waiting)
@@ -142,10 +142,10 @@
 		return endpoints.Placement{}
 	}
 	weight := r.load.Weight(&j.view, c.Rest, c.Spare)
-	p := endpoints.Placement{Rest: c.Rest, Weight: weight, Heavy: weight >= schedule.Heavy}
+	p := endpoints.Placement{Rest: c.Rest, Weight: weight, Heavy: weight >= schedule.CriticalWeight}
 	if r.owner.Switches.On(mechanism.KeepNarrow) {
 		_, engines := r.owner.Directory.Pace(service)
-		p.Narrow = r.load.Narrow(&j.view, engines)
+		p.Narrow = r.load.CriticalBatchLimit(&j.view, engines)
 	}
 	return p
 }
--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -242,18 +242,18 @@
 	views := make([]schedule.Job, len(w.open))
 	for i, j := range w.open {
 		work, longest := j.Work()
-		views[i] = schedule.Job{Age: w.now.Sub(j.asked).Seconds(), Work: work, Longest: longest, Pace: pace}
+		views[i] = schedule.Job{Age: w.now.Sub(j.asked).Seconds(), Work: work, Longest: longest, EventSeconds: pace}
 	}
-	load := schedule.Survey(views)
+	load := schedule.TotalLoad(views)
 	w.survey = load
 	blocked := make([]bool, len(w.open))
 	for {
-		var waiting []schedule.Waiting
+		var waiting []schedule.Candidate
 		var from []int
 		var items []batch.Candidate
 		for i, j := range w.open {
 			if item, found := j.Next(w.now); found && !blocked[i] {
-				waiting = append(waiting, schedule.Waiting{Job: &views[i], Rest: item.Rest, Spare: item.Spare})
+				waiting = append(waiting, schedule.Candidate{Job: &views[i], RemainingWork: item.Rest, Spare: item.Spare})
 				from, items = append(from, i), append(items, item)
 			}
 		}
@@ -270,7 +270,7 @@
 	request := endpoints.Request{Now: w.now, Model: model, MinVersion: 1, Within: true, Tried: w.notYet(j)}
 	if !w.decisions.ByLoad {
 		weight := load.Weight(view, item.Rest, item.Spare)
-		request.Placement = endpoints.Placement{Rest: item.Rest, Weight: weight, Heavy: weight >= schedule.Heavy, Narrow: load.Narrow(view, w.load.Engines)}
+		request.Placement = endpoints.Placement{Rest: item.Rest, Weight: weight, Heavy: weight >= schedule.CriticalWeight, Narrow: load.CriticalBatchLimit(view, w.load.Engines)}
 	}
 	engine := w.set.Pick(request)
 	if engine == nil {
@@ -342,8 +342,8 @@
 func (w *world) roomier(r *run) bool {
 	request := endpoints.Request{Now: w.now, Model: model, MinVersion: 1, Tried: w.notYet(r.job)}
 	request.Rest = r.job.Rest(r.item)
-	view := schedule.Job{Age: w.now.Sub(r.job.asked).Seconds(), Pace: w.set.TypicalPace()}
-	if !w.decisions.MoveAny && !w.survey.Awaits(&view, request.Rest, r.job.Spare(r.item)) {
+	view := schedule.Job{Age: w.now.Sub(r.job.asked).Seconds(), EventSeconds: w.set.TypicalPace()}
+	if !w.decisions.MoveAny && !w.survey.IsCritical(&view, request.Rest, r.job.Spare(r.item)) {
 		return false
 	}
 	return w.set.Roomier(request, r.engine, moveGain)
--- a/internal/policy/schedule/schedule.go
+++ b/internal/policy/schedule/schedule.go
@@ -14,10 +14,10 @@
 import "math"
 
 const (
-	// AssumedPace is the time of an event in seconds until runs have shown it.
-	AssumedPace = 0.03
-	// Heavy is the weight from which a run is one that its step waits for.
-	Heavy = 0.5
+	// DefaultEventSeconds is the time of an event in seconds until runs have shown it.
+	DefaultEventSeconds = 0.03
+	// CriticalWeight is the weight from which a run is one that its step waits for.
+	CriticalWeight = 0.5
 	// weightPower has the weight fall off fast below the longest: an item of half
 	// its time has weight 1/4 and may be twice as long as expected without being
 	// waited for.
@@ -41,11 +41,11 @@
 
 // Job is what is known of one open job. Times are in seconds.
 type Job struct {
-	Age     float64 // since it was submitted
-	Work    float64 // events that its texts are expected to have yet
-	Longest float64 // of the text that its trainer waits for longest
-	Pace    float64 // seconds that an event takes; 0: not known
-	Due     float64 // from its submission until it is due; 0: not known
+	Age          float64 // since it was submitted
+	Work         float64 // events that its texts are expected to have yet
+	Longest      float64 // of the text that its trainer waits for longest
+	EventSeconds float64 // seconds that an event takes; 0: not known
+	Due          float64 // from its submission until it is due; 0: not known
 }
 
 // patience is how long after its submission the job's items yield to heavy runs.
@@ -57,10 +57,10 @@
 }
 
 func (j *Job) pace() float64 {
-	if j.Pace > 0 {
-		return j.Pace
+	if j.EventSeconds > 0 {
+		return j.EventSeconds
 	}
-	return AssumedPace
+	return DefaultEventSeconds
 }
 
 // Projected returns how long after its submission a step would be whole if it
@@ -74,8 +74,8 @@
 	Longest   float64 // events of the text that any trainer waits for longest
 }
 
-// Survey sums up the open jobs.
-func Survey(jobs []Job) Load {
+// TotalLoad sums up the open jobs.
+func TotalLoad(jobs []Job) Load {
 	l := Load{}
 	for i := range jobs {
 		j := &jobs[i]
@@ -88,9 +88,9 @@
 	return l
 }
 
-// Join adds another process's load, whose jobs run at the same engines. A trainer
+// Merge adds another process's load, whose jobs run at the same engines. A trainer
 // with time to spare then yields to one without, whoever owns their jobs.
-func (l *Load) Join(other Load) {
+func (l *Load) Merge(other Load) {
 	l.Work += other.Work
 	l.Longest = max(l.Longest, other.Longest)
 	l.Projected = max(l.Projected, other.Projected)
@@ -106,18 +106,18 @@
 	return math.Pow(min(1, j.Projected(rest)/l.Projected), weightPower)
 }
 
-// Awaits tells whether some step waits for a run's end. Others may as well stay
+// IsCritical tells whether some step waits for a run's end. Others may as well stay
 // where they are: a move that ends a text sooner than its step needs it gains
 // nobody anything, and costs a connection and the tokens read in again.
-func (l *Load) Awaits(j *Job, rest float64, spare bool) bool {
-	return l.Weight(j, rest, spare) >= Heavy
+func (l *Load) IsCritical(j *Job, rest float64, spare bool) bool {
+	return l.Weight(j, rest, spare) >= CriticalWeight
 }
 
-// Narrow returns how many requests an engine with a heavy run may have for one
+// CriticalBatchLimit returns how many requests an engine with a heavy run may have for one
 // that is not heavy to start there too: somewhat more than each of the engines
 // has if the work is spread evenly over the time of the longest text. 0 stands for
 // any number: the item's job has waited long enough.
-func (l *Load) Narrow(j *Job, engines int) int {
+func (l *Load) CriticalBatchLimit(j *Job, engines int) int {
 	if j.Age >= j.patience() {
 		return 0
 	}
@@ -127,21 +127,21 @@
 	return max(leastNarrow, int(math.Ceil(narrowMargin*l.Work/l.Longest/float64(engines))))
 }
 
-// Waiting is the item of one job that should start next.
-type Waiting struct {
-	Job   *Job
-	Rest  float64 // events that its text is expected to have yet
-	Spare bool    // its trainer can do without it
+// Candidate is the item of one job that should start next.
+type Candidate struct {
+	Job           *Job
+	RemainingWork float64 // events that its text is expected to have yet
+	Spare         bool    // its trainer can do without it
 }
 
 // Choose returns which item of several jobs starts next: the one whose step would
 // be whole last, were it to start now, and only then those that trainers can do
 // without. -1 if there are none.
-func Choose(waiting []Waiting) int {
+func Choose(waiting []Candidate) int {
 	chosen, latest := -1, 0.0
 	for i := range waiting {
 		w := &waiting[i]
-		projected := w.Job.Projected(w.Rest)
+		projected := w.Job.Projected(w.RemainingWork)
 		if chosen < 0 || waiting[chosen].Spare && !w.Spare || waiting[chosen].Spare == w.Spare && projected > latest {
 			chosen, latest = i, projected
 		}
--- a/internal/policy/schedule/schedule_test.go
+++ b/internal/policy/schedule/schedule_test.go
@@ -10,41 +10,41 @@
 var _ = Describe("the weight of a run", func() {
 	// Two trainers: one's step is one second old and waits for 160 events, the
 	// other's has just come and waits for 80.
-	long := schedule.Job{Age: 1, Work: 3000, Longest: 160, Pace: 0.035}
-	short := schedule.Job{Age: 0, Work: 1400, Longest: 80, Pace: 0.035}
+	long := schedule.Job{Age: 1, Work: 3000, Longest: 160, EventSeconds: 0.035}
+	short := schedule.Job{Age: 0, Work: 1400, Longest: 80, EventSeconds: 0.035}
 
 	It("is 1 for what some step waits for longest, and falls off fast below", func() {
-		load := schedule.Survey([]schedule.Job{long, short})
+		load := schedule.TotalLoad([]schedule.Job{long, short})
 		Expect(load.Weight(&long, 160, false)).To(BeNumerically("==", 1))
-		Expect(load.Weight(&short, 80, false)).To(BeNumerically("<", schedule.Heavy))
+		Expect(load.Weight(&short, 80, false)).To(BeNumerically("<", schedule.CriticalWeight))
 		Expect(load.Weight(&short, 5, false)).To(BeNumerically("<", 0.01))
 	})
 
 	It("grows with its step's age, so that a short item which waited long is not passed over", func() {
-		load := schedule.Survey([]schedule.Job{long, short})
-		old := schedule.Job{Age: 6, Work: 50, Longest: 10, Pace: 0.035}
-		Expect(load.Weight(&old, 10, false)).To(BeNumerically(">", schedule.Heavy))
+		load := schedule.TotalLoad([]schedule.Job{long, short})
+		old := schedule.Job{Age: 6, Work: 50, Longest: 10, EventSeconds: 0.035}
+		Expect(load.Weight(&old, 10, false)).To(BeNumerically(">", schedule.CriticalWeight))
 	})
 
 	It("is none for what the trainer can do without, and while nothing is open", func() {
-		load := schedule.Survey([]schedule.Job{long})
+		load := schedule.TotalLoad([]schedule.Job{long})
 		Expect(load.Weight(&long, 160, true)).To(BeZero())
-		empty := schedule.Survey(nil)
+		empty := schedule.TotalLoad(nil)
 		Expect(empty.Weight(&long, 160, false)).To(BeZero())
 	})
 
 	It("tells which runs a step waits for", func() {
-		load := schedule.Survey([]schedule.Job{long, short})
-		Expect(load.Awaits(&long, 150, false)).To(BeTrue())
-		Expect(load.Awaits(&long, 60, false)).To(BeFalse(), "done in a fraction of the step's time")
-		Expect(load.Awaits(&long, 160, true)).To(BeFalse(), "the trainer can do without it")
-		none := schedule.Survey(nil)
-		Expect(none.Awaits(&long, 160, false)).To(BeFalse())
+		load := schedule.TotalLoad([]schedule.Job{long, short})
+		Expect(load.IsCritical(&long, 150, false)).To(BeTrue())
+		Expect(load.IsCritical(&long, 60, false)).To(BeFalse(), "done in a fraction of the step's time")
+		Expect(load.IsCritical(&long, 160, true)).To(BeFalse(), "the trainer can do without it")
+		none := schedule.TotalLoad(nil)
+		Expect(none.IsCritical(&long, 160, false)).To(BeFalse())
 	})
 
 	It("does not depend on paces before they are known", func() {
 		unknown := schedule.Job{Work: 3000, Longest: 160}
-		load := schedule.Survey([]schedule.Job{unknown})
+		load := schedule.TotalLoad([]schedule.Job{unknown})
 		Expect(load.Weight(&unknown, 160, false)).To(BeNumerically("==", 1))
 	})
 })
@@ -57,48 +57,48 @@
 		// nearly idle. Items of another step, and those that their trainer can do
 		// without, weigh nothing beside it; they start all the same.
 		stuck := schedule.Job{Age: 30, Work: 160, Longest: 160}
-		load := schedule.Survey([]schedule.Job{stuck, {Age: 5, Work: 100, Longest: 20}})
-		Expect(load.Narrow(&schedule.Job{Age: 3.9}, 9)).To(Equal(2))
-		Expect(load.Narrow(&schedule.Job{Age: 4}, 9)).To(BeZero())
+		load := schedule.TotalLoad([]schedule.Job{stuck, {Age: 5, Work: 100, Longest: 20}})
+		Expect(load.CriticalBatchLimit(&schedule.Job{Age: 3.9}, 9)).To(Equal(2))
+		Expect(load.CriticalBatchLimit(&schedule.Job{Age: 4}, 9)).To(BeZero())
 	})
 
 	It("bounds items for half of the time that their step has, however long that is", func() {
 		stuck := schedule.Job{Age: 300, Work: 160, Longest: 160}
-		load := schedule.Survey([]schedule.Job{stuck})
+		load := schedule.TotalLoad([]schedule.Job{stuck})
 		const minutes = 28 * 60.0
-		Expect(load.Narrow(&schedule.Job{Age: minutes/2 - 1, Due: minutes}, 9)).To(Equal(2))
-		Expect(load.Narrow(&schedule.Job{Age: minutes / 2, Due: minutes}, 9)).To(BeZero())
-		Expect(load.Narrow(&schedule.Job{Age: 1, Due: 2}, 9)).To(BeZero())
+		Expect(load.CriticalBatchLimit(&schedule.Job{Age: minutes/2 - 1, Due: minutes}, 9)).To(Equal(2))
+		Expect(load.CriticalBatchLimit(&schedule.Job{Age: minutes / 2, Due: minutes}, 9)).To(BeZero())
+		Expect(load.CriticalBatchLimit(&schedule.Job{Age: 1, Due: 2}, 9)).To(BeZero())
 	})
 
 	It("is somewhat more than the work needs if it is spread over the longest text's time", func() {
-		load := schedule.Survey([]schedule.Job{{Work: 3000, Longest: 160}, {Work: 1400, Longest: 80}})
-		Expect(load.Narrow(fresh, 9)).To(Equal(5)) // 1.5 x 4,400 / 160 / 9 = 4.6
+		load := schedule.TotalLoad([]schedule.Job{{Work: 3000, Longest: 160}, {Work: 1400, Longest: 80}})
+		Expect(load.CriticalBatchLimit(fresh, 9)).To(Equal(5)) // 1.5 x 4,400 / 160 / 9 = 4.6
 	})
 
 	It("leaves room under a light load, and where nothing is known", func() {
-		light := schedule.Survey([]schedule.Job{{Work: 100, Longest: 90}})
-		Expect(light.Narrow(fresh, 9)).To(Equal(2))
-		Expect(light.Narrow(fresh, 0)).To(Equal(2))
-		empty := schedule.Survey(nil)
-		Expect(empty.Narrow(fresh, 9)).To(Equal(2))
+		light := schedule.TotalLoad([]schedule.Job{{Work: 100, Longest: 90}})
+		Expect(light.CriticalBatchLimit(fresh, 9)).To(Equal(2))
+		Expect(light.CriticalBatchLimit(fresh, 0)).To(Equal(2))
+		empty := schedule.TotalLoad(nil)
+		Expect(empty.CriticalBatchLimit(fresh, 9)).To(Equal(2))
 	})
 })
 
 var _ = Describe("the item that starts next", func() {
-	old := &schedule.Job{Age: 4, Pace: 0.035}
-	fresh := &schedule.Job{Age: 0, Pace: 0.035}
+	old := &schedule.Job{Age: 4, EventSeconds: 0.035}
+	fresh := &schedule.Job{Age: 0, EventSeconds: 0.035}
 
 	It("is that whose step would be whole last, were it to start now", func() {
 		// A step that is four seconds old waits for 20 events (4.7 s), one that has just
 		// come for 160 (5.6 s); once the long ones run, the older step goes first.
-		Expect(schedule.Choose([]schedule.Waiting{{Job: old, Rest: 20}, {Job: fresh, Rest: 160}})).To(Equal(1))
-		Expect(schedule.Choose([]schedule.Waiting{{Job: old, Rest: 20}, {Job: fresh, Rest: 100}})).To(Equal(0))
+		Expect(schedule.Choose([]schedule.Candidate{{Job: old, RemainingWork: 20}, {Job: fresh, RemainingWork: 160}})).To(Equal(1))
+		Expect(schedule.Choose([]schedule.Candidate{{Job: old, RemainingWork: 20}, {Job: fresh, RemainingWork: 100}})).To(Equal(0))
 	})
 
 	It("is one that a trainer can do without only if there is no other", func() {
-		Expect(schedule.Choose([]schedule.Waiting{{Job: old, Rest: 160, Spare: true}, {Job: fresh, Rest: 1}})).To(Equal(1))
-		Expect(schedule.Choose([]schedule.Waiting{{Job: old, Rest: 160, Spare: true}, {Job: fresh, Rest: 170, Spare: true}})).To(Equal(0))
+		Expect(schedule.Choose([]schedule.Candidate{{Job: old, RemainingWork: 160, Spare: true}, {Job: fresh, RemainingWork: 1}})).To(Equal(1))
+		Expect(schedule.Choose([]schedule.Candidate{{Job: old, RemainingWork: 160, Spare: true}, {Job: fresh, RemainingWork: 170, Spare: true}})).To(Equal(0))
 		Expect(schedule.Choose(nil)).To(Equal(-1))
 	})
 })
