--- a/internal/policy/schedule/schedule.go
+++ b/internal/policy/schedule/schedule.go
@@ -1,80 +1,80 @@
-// Package schedule weighs the items of all jobs that one process runs against
-// each other: what starts first, how much a run's end matters, and how many
-// requests an engine may run beside a run that matters. It does no input or
-// output and keeps no time.
+// Package schedule ranks the items of all jobs that one process runs: which item starts
+// next, how much the completion of a run matters, and how many requests an engine may run
+// beside a critical one. It performs no I/O and reads no clock.
 //
-// The load that it answers: steps of a hundred items and more arrive at once,
-// every few seconds, at engines that generate an event a third slower in a full
-// batch than alone. A trainer waits for the longest text of its step, five times
-// as long as the mean, while the others are done in a fraction of its time. So
-// the step's time is the longest texts' number of events times the pace of their
-// engines, and the others only need to be out of their way.
+// The workload: steps of a hundred items and more arrive at once, every few seconds, at
+// engines that take a third longer per event in a full batch than alone. A trainer waits
+// for the longest text of its step, which is five times as long as the mean, while the
+// other texts complete in a fraction of that time. The duration of a step is therefore the
+// number of events of its longest texts times the time per event of their engines; the
+// other items only need to stay out of the way.
 package schedule
 
 import "math"
 
 const (
-	// DefaultEventSeconds is the time of an event in seconds until runs have shown it.
+	// DefaultEventSeconds is the time per event until runs have been measured.
 	DefaultEventSeconds = 0.03
-	// CriticalWeight is the weight from which a run is one that its step waits for.
+	// CriticalWeight is the weight from which a run is critical: its step waits for it.
 	CriticalWeight = 0.5
-	// weightPower has the weight fall off fast below the longest: an item of half
-	// its time has weight 1/4 and may be twice as long as expected without being
-	// waited for.
-	weightPower = 2
-	// spareWeight is the weight of items that the trainer can do without.
+	// weightExponent makes the weight drop quickly for runs shorter than the longest: an item
+	// that takes half as long has weight 1/4, and may take twice as long as expected without
+	// delaying its step.
+	weightExponent = 2
+	// spareWeight is the weight of items that the trainer does not need.
 	spareWeight = 0.0
-	// narrowMargin is how many times the width that the work needs on average an
-	// engine with a heavy run may have: with less, short items wait so long that those
-	// which turn out long hold up the step; with much more the limit has no effect.
-	narrowMargin = 1.5
-	// patienceShare of the time that a step has is how long after its submission its
-	// items yield to heavy runs. Items that never start hold their step up as well,
-	// though engines have room: those that a trainer can do without, and those beside
-	// a step that an old fault has made late.
-	patienceShare = 0.5
-	// assumedDue is the time in seconds that a step has if nobody says.
-	assumedDue = 8.0
-	// leastNarrow keeps room for the short items of a light load.
-	leastNarrow = 2
+	// batchLimitMargin is the factor between the average batch size that the work needs and
+	// the batch limit of an engine with a critical run. With a lower factor, short items wait
+	// so long that those which turn out to be long delay the step; with a much higher one
+	// the limit has no effect.
+	batchLimitMargin = 1.5
+	// yieldShare is the share of a step's time until due during which its items yield to
+	// critical runs. Items that never start delay their step as well, even though engines have
+	// capacity: items that the trainer does not need, and items that run beside a step that an
+	// earlier fault has delayed.
+	yieldShare = 0.5
+	// defaultDueSeconds is the time that a step has if its job has no due time.
+	defaultDueSeconds = 8.0
+	// minBatchLimit keeps capacity for short items under a light load.
+	minBatchLimit = 2
 )
 
-// Job is what is known of one open job. Times are in seconds.
+// Job is the state of one open job. Times are in seconds.
 type Job struct {
-	Age          float64 // since it was submitted
-	Work         float64 // events that its texts are expected to have yet
-	Longest      float64 // of the text that its trainer waits for longest
-	EventSeconds float64 // seconds that an event takes; 0: not known
-	Due          float64 // from its submission until it is due; 0: not known
+	Age          float64 // since its submission
+	Work         float64 // expected remaining events of its texts
+	Longest      float64 // expected remaining events of the longest text that its trainer waits for
+	EventSeconds float64 // time per event; 0 if unknown
+	Due          float64 // from its submission until it is due; 0 if unknown
 }
 
-// patience is how long after its submission the job's items yield to heavy runs.
-func (j *Job) patience() float64 {
+// yieldSeconds returns how long after its submission the job's items yield to critical runs.
+func (j *Job) yieldSeconds() float64 {
 	if j.Due > 0 {
-		return patienceShare * j.Due
+		return yieldShare * j.Due
 	}
-	return patienceShare * assumedDue
+	return yieldShare * defaultDueSeconds
 }
 
-func (j *Job) pace() float64 {
+func (j *Job) eventSeconds() float64 {
 	if j.EventSeconds > 0 {
 		return j.EventSeconds
 	}
 	return DefaultEventSeconds
 }
 
-// Projected returns how long after its submission a step would be whole if it
-// waited for nothing but a text with so many events to come.
-func (j *Job) Projected(rest float64) float64 { return j.Age + rest*j.pace() }
+// Projected returns how many seconds after its submission the job's step would be complete
+// if it waited only for a text with the given number of remaining events.
+func (j *Job) Projected(remaining float64) float64 { return j.Age + remaining*j.eventSeconds() }
 
-// Load is the load of a process's open jobs, or of several processes'.
+// Load is the load of the open jobs of one or several processes.
 type Load struct {
-	Projected float64 // seconds of the step that is expected to take longest
-	Work      float64 // events that all texts are expected to have yet
-	Longest   float64 // events of the text that any trainer waits for longest
+	Projected float64 // seconds from submission to completion of the step that is expected to take longest
+	Work      float64 // expected remaining events of all texts
+	Longest   float64 // expected remaining events of the longest text that a trainer waits for
 }
 
-// TotalLoad sums up the open jobs.
+// TotalLoad returns the load of the given jobs.
 func TotalLoad(jobs []Job) Load {
 	l := Load{}
 	for i := range jobs {
@@ -88,61 +88,61 @@
 	return l
 }
 
-// Merge adds another process's load, whose jobs run at the same engines. A trainer
-// with time to spare then yields to one without, whoever owns their jobs.
+// Merge adds the load of another process whose jobs run at the same engines. A trainer
+// with time to spare then yields to one without, whichever processes own their jobs.
 func (l *Load) Merge(other Load) {
 	l.Work += other.Work
 	l.Longest = max(l.Longest, other.Longest)
 	l.Projected = max(l.Projected, other.Projected)
 }
 
-// Weight returns how much it matters when a run ends that has so many events to
-// come: 1 for the one that some step waits for longest, little for one that is
-// done long before.
-func (l *Load) Weight(j *Job, rest float64, spare bool) float64 {
+// Weight returns, from 0 to 1, how much the completion time of a run with the given number
+// of remaining events matters: 1 for the run that determines when the longest step ends,
+// close to 0 for a run that completes long before.
+func (l *Load) Weight(j *Job, remaining float64, spare bool) float64 {
 	if spare || l.Projected <= 0 {
 		return spareWeight
 	}
-	return math.Pow(min(1, j.Projected(rest)/l.Projected), weightPower)
+	return math.Pow(min(1, j.Projected(remaining)/l.Projected), weightExponent)
 }
 
-// IsCritical tells whether some step waits for a run's end. Others may as well stay
-// where they are: a move that ends a text sooner than its step needs it gains
-// nobody anything, and costs a connection and the tokens read in again.
-func (l *Load) IsCritical(j *Job, rest float64, spare bool) bool {
-	return l.Weight(j, rest, spare) >= CriticalWeight
+// IsCritical reports whether a step waits for the run to complete. Other runs should stay
+// at their engine: completing a text before its step needs it gains nothing, while a move
+// costs a connection and the prefill of the tokens so far.
+func (l *Load) IsCritical(j *Job, remaining float64, spare bool) bool {
+	return l.Weight(j, remaining, spare) >= CriticalWeight
 }
 
-// CriticalBatchLimit returns how many requests an engine with a heavy run may have for one
-// that is not heavy to start there too: somewhat more than each of the engines
-// has if the work is spread evenly over the time of the longest text. 0 stands for
-// any number: the item's job has waited long enough.
+// CriticalBatchLimit returns the number of requests at an engine with a critical run below
+// which a run that is not critical may start there too: somewhat more than each engine has
+// if the work is spread evenly over the time of the longest text. 0 means no limit: the
+// item's job has waited long enough.
 func (l *Load) CriticalBatchLimit(j *Job, engines int) int {
-	if j.Age >= j.patience() {
+	if j.Age >= j.yieldSeconds() {
 		return 0
 	}
 	if l.Longest <= 0 || engines <= 0 {
-		return leastNarrow
+		return minBatchLimit
 	}
-	return max(leastNarrow, int(math.Ceil(narrowMargin*l.Work/l.Longest/float64(engines))))
+	return max(minBatchLimit, int(math.Ceil(batchLimitMargin*l.Work/l.Longest/float64(engines))))
 }
 
-// Candidate is the item of one job that should start next.
+// Candidate is the item of one job that should start next within that job.
 type Candidate struct {
 	Job           *Job
-	RemainingWork float64 // events that its text is expected to have yet
-	Spare         bool    // its trainer can do without it
+	RemainingWork float64 // expected remaining events of its text
+	Spare         bool    // its trainer does not need it
 }
 
-// Choose returns which item of several jobs starts next: the one whose step would
-// be whole last, were it to start now, and only then those that trainers can do
-// without. -1 if there are none.
-func Choose(waiting []Candidate) int {
+// Choose returns the index of the candidate that starts next: the one whose step would
+// complete last if it started now. Spare items come after all others. It returns -1 if
+// there are no candidates.
+func Choose(candidates []Candidate) int {
 	chosen, latest := -1, 0.0
-	for i := range waiting {
-		w := &waiting[i]
-		projected := w.Job.Projected(w.RemainingWork)
-		if chosen < 0 || waiting[chosen].Spare && !w.Spare || waiting[chosen].Spare == w.Spare && projected > latest {
+	for i := range candidates {
+		c := &candidates[i]
+		projected := c.Job.Projected(c.RemainingWork)
+		if chosen < 0 || candidates[chosen].Spare && !c.Spare || candidates[chosen].Spare == c.Spare && projected > latest {
 			chosen, latest = i, projected
 		}
 	}
--- a/internal/policy/schedule/schedule_test.go
+++ b/internal/policy/schedule/schedule_test.go
@@ -7,62 +7,62 @@
 	"siskinloom.example/siskinloom/internal/policy/schedule"
 )
 
-var _ = Describe("the weight of a run", func() {
-	// Two trainers: one's step is one second old and waits for 160 events, the
-	// other's has just come and waits for 80.
+var _ = Describe("Load.Weight", func() {
+	// Two trainers: the step of one is one second old and waits for 160 events, the
+	// step of the other has just been submitted and waits for 80.
 	long := schedule.Job{Age: 1, Work: 3000, Longest: 160, EventSeconds: 0.035}
 	short := schedule.Job{Age: 0, Work: 1400, Longest: 80, EventSeconds: 0.035}
 
-	It("is 1 for what some step waits for longest, and falls off fast below", func() {
+	It("is 1 for the run that ends the longest step and drops quickly for shorter runs", func() {
 		load := schedule.TotalLoad([]schedule.Job{long, short})
 		Expect(load.Weight(&long, 160, false)).To(BeNumerically("==", 1))
 		Expect(load.Weight(&short, 80, false)).To(BeNumerically("<", schedule.CriticalWeight))
 		Expect(load.Weight(&short, 5, false)).To(BeNumerically("<", 0.01))
 	})
 
-	It("grows with its step's age, so that a short item which waited long is not passed over", func() {
+	It("grows with the age of the step, so that a short item that waited long becomes critical", func() {
 		load := schedule.TotalLoad([]schedule.Job{long, short})
 		old := schedule.Job{Age: 6, Work: 50, Longest: 10, EventSeconds: 0.035}
 		Expect(load.Weight(&old, 10, false)).To(BeNumerically(">", schedule.CriticalWeight))
 	})
 
-	It("is none for what the trainer can do without, and while nothing is open", func() {
+	It("is 0 for spare items and for an empty load", func() {
 		load := schedule.TotalLoad([]schedule.Job{long})
 		Expect(load.Weight(&long, 160, true)).To(BeZero())
 		empty := schedule.TotalLoad(nil)
 		Expect(empty.Weight(&long, 160, false)).To(BeZero())
 	})
 
-	It("tells which runs a step waits for", func() {
+	It("determines which runs are critical", func() {
 		load := schedule.TotalLoad([]schedule.Job{long, short})
 		Expect(load.IsCritical(&long, 150, false)).To(BeTrue())
-		Expect(load.IsCritical(&long, 60, false)).To(BeFalse(), "done in a fraction of the step's time")
-		Expect(load.IsCritical(&long, 160, true)).To(BeFalse(), "the trainer can do without it")
+		Expect(load.IsCritical(&long, 60, false)).To(BeFalse(), "it completes in a fraction of the step's time")
+		Expect(load.IsCritical(&long, 160, true)).To(BeFalse(), "the trainer does not need it")
 		none := schedule.TotalLoad(nil)
 		Expect(none.IsCritical(&long, 160, false)).To(BeFalse())
 	})
 
-	It("does not depend on paces before they are known", func() {
+	It("does not need a measured time per event", func() {
 		unknown := schedule.Job{Work: 3000, Longest: 160}
 		load := schedule.TotalLoad([]schedule.Job{unknown})
 		Expect(load.Weight(&unknown, 160, false)).To(BeNumerically("==", 1))
 	})
 })
 
-var _ = Describe("the width beside a run that matters", func() {
+var _ = Describe("Load.CriticalBatchLimit", func() {
 	fresh := &schedule.Job{}
 
-	It("bounds nothing for items that have waited for four seconds", func() {
-		// A trainer's step hangs on one text for half a minute, at engines that are
-		// nearly idle. Items of another step, and those that their trainer can do
-		// without, weigh nothing beside it; they start all the same.
+	It("does not limit items that have waited for four seconds", func() {
+		// A trainer's step waits for one text for half a minute while the engines are
+		// nearly idle. Items of another step and spare items have almost no weight
+		// beside it; they must start nevertheless.
 		stuck := schedule.Job{Age: 30, Work: 160, Longest: 160}
 		load := schedule.TotalLoad([]schedule.Job{stuck, {Age: 5, Work: 100, Longest: 20}})
 		Expect(load.CriticalBatchLimit(&schedule.Job{Age: 3.9}, 9)).To(Equal(2))
 		Expect(load.CriticalBatchLimit(&schedule.Job{Age: 4}, 9)).To(BeZero())
 	})
 
-	It("bounds items for half of the time that their step has, however long that is", func() {
+	It("limits items for half of the time until their step is due, however long that is", func() {
 		stuck := schedule.Job{Age: 300, Work: 160, Longest: 160}
 		load := schedule.TotalLoad([]schedule.Job{stuck})
 		const minutes = 28 * 60.0
@@ -71,12 +71,12 @@
 		Expect(load.CriticalBatchLimit(&schedule.Job{Age: 1, Due: 2}, 9)).To(BeZero())
 	})
 
-	It("is somewhat more than the work needs if it is spread over the longest text's time", func() {
+	It("is somewhat more than the work needs if it is spread over the time of the longest text", func() {
 		load := schedule.TotalLoad([]schedule.Job{{Work: 3000, Longest: 160}, {Work: 1400, Longest: 80}})
 		Expect(load.CriticalBatchLimit(fresh, 9)).To(Equal(5)) // 1.5 x 4,400 / 160 / 9 = 4.6
 	})
 
-	It("leaves room under a light load, and where nothing is known", func() {
+	It("leaves capacity under a light load and when no load is known", func() {
 		light := schedule.TotalLoad([]schedule.Job{{Work: 100, Longest: 90}})
 		Expect(light.CriticalBatchLimit(fresh, 9)).To(Equal(2))
 		Expect(light.CriticalBatchLimit(fresh, 0)).To(Equal(2))
@@ -85,18 +85,18 @@
 	})
 })
 
-var _ = Describe("the item that starts next", func() {
+var _ = Describe("Choose", func() {
 	old := &schedule.Job{Age: 4, EventSeconds: 0.035}
 	fresh := &schedule.Job{Age: 0, EventSeconds: 0.035}
 
-	It("is that whose step would be whole last, were it to start now", func() {
+	It("returns the item whose step would complete last if it started now", func() {
 		// A step that is four seconds old waits for 20 events (4.7 s), one that has just
-		// come for 160 (5.6 s); once the long ones run, the older step goes first.
+		// been submitted for 160 (5.6 s); once the long texts run, the older step goes first.
 		Expect(schedule.Choose([]schedule.Candidate{{Job: old, RemainingWork: 20}, {Job: fresh, RemainingWork: 160}})).To(Equal(1))
 		Expect(schedule.Choose([]schedule.Candidate{{Job: old, RemainingWork: 20}, {Job: fresh, RemainingWork: 100}})).To(Equal(0))
 	})
 
-	It("is one that a trainer can do without only if there is no other", func() {
+	It("returns a spare item only if there is no other item", func() {
 		Expect(schedule.Choose([]schedule.Candidate{{Job: old, RemainingWork: 160, Spare: true}, {Job: fresh, RemainingWork: 1}})).To(Equal(1))
 		Expect(schedule.Choose([]schedule.Candidate{{Job: old, RemainingWork: 160, Spare: true}, {Job: fresh, RemainingWork: 170, Spare: true}})).To(Equal(0))
 		Expect(schedule.Choose(nil)).To(Equal(-1))
