--- a/internal/agentless/batchrun/adopt.go
+++ b/internal/agentless/batchrun/adopt.go
@@ -149,9 +149,9 @@
 // of its model; the owner's lock is held.
 func (o *Owner) configure(job *batch.Job) {
 	job.Configure(batch.Options{
-		AsListed:    !o.Switches.On(mechanism.LongestFirst),
-		NoSpare:     !o.Switches.On(mechanism.SpareLast),
-		GroupsAlone: !o.Switches.On(mechanism.WholeSteps),
+		SubmissionOrder: !o.Switches.On(mechanism.LongestFirst),
+		NoSpare:         !o.Switches.On(mechanism.SpareLast),
+		WriteByGroup:    !o.Switches.On(mechanism.WholeSteps),
 	})
 	if !o.Switches.On(mechanism.LearnLengths) {
 		return
@@ -161,13 +161,13 @@
 		seen = newSharedLengths()
 		o.seen[job.Spec.Model] = seen
 	}
-	job.Learn(seen)
+	job.SetEstimator(seen)
 }
 
 // resume has a job that is taken on go on from the texts that there are of its
 // items; the owner's lock is held.
 func (o *Owner) resume(owned *ownedJob, texts *batch.Texts) (items int) {
-	items, made := owned.job.Resume(texts)
+	items, made := owned.job.ResumeTexts(texts)
 	if items > 0 {
 		o.stats.kept.Inc(int64(items))
 		o.stats.events.Inc(int64(made))
@@ -187,7 +187,7 @@
 	made.mu.Lock()
 	defer made.mu.Unlock()
 	made.job.Close()
-	return owned.job.Inherit(made.job)
+	return owned.job.MergeStandby(made.job)
 }
 
 func (o *Owner) begin(ctx context.Context, id string, mark int64, loaded loadedJob) {
--- a/internal/agentless/batchrun/answer.go
+++ b/internal/agentless/batchrun/answer.go
@@ -15,7 +15,7 @@
 	defer timer.Stop()
 	for {
 		j.mu.Lock()
-		results, news, closed := j.job.Readable(args.From), j.readers, j.job.Closed()
+		results, news, closed := j.job.DurableResults(args.From), j.readers, j.job.Closed()
 		total := j.job.Total()
 		j.mu.Unlock()
 		if closed {
@@ -55,7 +55,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	body, found := j.job.Body(args.Item)
-	if !found || !j.job.Unlisted(args.Item) {
+	if !found || !j.job.IsUnlisted(args.Item) {
 		return BodyReply{Owned: !j.job.Closed()}
 	}
 	return BodyReply{Owned: true, Found: true, Body: body}
--- a/internal/agentless/batchrun/commit.go
+++ b/internal/agentless/batchrun/commit.go
@@ -106,7 +106,7 @@
 	if j.job.Closed() || !j.job.WriteDue(now) {
 		return chunk{}, false
 	}
-	c.position, c.results = j.job.Undurable()
+	c.position, c.results = j.job.PendingResults()
 	c.results = firstChunk(c.results)
 	c.unsettled, j.sent = j.sent, true
 	return c, true
@@ -185,8 +185,8 @@
 func (o *Owner) durable(j *ownedJob, position int, results []batch.Result) {
 	j.mu.Lock()
 	now := time.Now()
-	j.job.Durable(now, position+len(results))
-	step, whole := j.job.StepWhole(now)
+	j.job.MarkDurable(now, position+len(results))
+	step, whole := j.job.StepCompleted(now)
 	close(j.readers)
 	j.readers = make(chan struct{})
 	finished := j.job.Finished()
@@ -212,12 +212,12 @@
 
 // noteStep says what a whole step's time consisted of.
 func (o *Owner) noteStep(j *ownedJob, t *batch.Timeline) {
-	o.stats.step.Update(t.Took)
+	o.stats.step.Update(t.Elapsed)
 	spec := j.job.Spec
 	events.StepWhole.Log(o.Log, logrus.Fields{
-		"job": j.id, "model": spec.Model, "step": spec.Step, "ms": t.Took.Milliseconds(), "half_begun_ms": t.HalfBegun.Milliseconds(),
-		"last_begun_ms": t.LastBegun.Milliseconds(), "request": t.LastItem, "events": t.LastEvents, "began_ms": t.LastBegan.Milliseconds(),
-		"runs": t.LastRuns, "endpoint": t.LastEngine,
+		"job": j.id, "model": spec.Model, "step": spec.Step, "ms": t.Elapsed.Milliseconds(), "half_begun_ms": t.HalfStarted.Milliseconds(),
+		"last_begun_ms": t.AllStarted.Milliseconds(), "request": t.LastItem, "events": t.LastItemEvents, "began_ms": t.LastItemStarted.Milliseconds(),
+		"runs": t.LastItemRuns, "endpoint": t.LastItemEngine,
 	})
 }
 
--- a/internal/agentless/batchrun/copies_test.go
+++ b/internal/agentless/batchrun/copies_test.go
@@ -54,7 +54,7 @@
 	}
 	copied := func(p *process) func() int {
 		return func() int {
-			_, events := batch.NewJob(spec("j", 3), nil).Resume(p.owner.Texts.Load(context.Background(), "j"))
+			_, events := batch.NewJob(spec("j", 3), nil).ResumeTexts(p.owner.Texts.Load(context.Background(), "j"))
 			return events
 		}
 	}
@@ -96,7 +96,7 @@
 		start("p")
 		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		Eventually(func() int {
-			_, events := batch.NewJob(spec("j", 3), nil).Resume(onDisk().Load(context.Background(), "j"))
+			_, events := batch.NewJob(spec("j", 3), nil).ResumeTexts(onDisk().Load(context.Background(), "j"))
 			return events
 		}).WithTimeout(patience).Should(Equal(3 * made))
 		processes[0].stop()
--- a/internal/agentless/batchrun/export_test.go
+++ b/internal/agentless/batchrun/export_test.go
@@ -62,7 +62,7 @@
 	}
 	j.run.mu.Lock()
 	defer j.run.mu.Unlock()
-	_, results := j.run.job.Undurable()
+	_, results := j.run.job.PendingResults()
 	return len(results)
 }
 
--- a/internal/agentless/batchrun/guard.go
+++ b/internal/agentless/batchrun/guard.go
@@ -55,7 +55,7 @@
 	for id, from := range args.Listed {
 		if j := s.owner.find(id); j != nil {
 			j.mu.Lock()
-			reply.Jobs[id] = GuardedState{Mark: j.mark, Listed: j.job.Listed(from)}
+			reply.Jobs[id] = GuardedState{Mark: j.mark, Listed: j.job.ListedItems(from)}
 			j.mu.Unlock()
 		}
 	}
@@ -360,7 +360,7 @@
 	g.owner.mu.Lock()
 	g.owner.configure(job)
 	g.owner.mu.Unlock()
-	items, made := job.Resume(g.owner.Texts.Load(ctx, j.id))
+	items, made := job.ResumeTexts(g.owner.Texts.Load(ctx, j.id))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.jobs[j.id] != j {
--- a/internal/agentless/batchrun/itemrun.go
+++ b/internal/agentless/batchrun/itemrun.go
@@ -34,7 +34,7 @@
 type itemRun struct {
 	owner *Owner
 	job   *ownedJob
-	start batch.Start
+	start batch.RunStart
 	pick  *directory.Pick
 	began time.Time
 	made  int // events
@@ -42,11 +42,11 @@
 }
 
 // engineFor returns what an item asks of its engine.
-func engineFor(spec *batch.Spec, start batch.Start, now time.Time) endpoints.Request {
-	return endpoints.Request{Now: now, Model: spec.Model, MinVersion: spec.MinVersion, Version: start.Single, Within: true}
+func engineFor(spec *batch.Spec, start batch.RunStart, now time.Time) endpoints.Request {
+	return endpoints.Request{Now: now, Model: spec.Model, MinVersion: spec.MinVersion, Version: start.RequiredVersion, Within: true}
 }
 
-func (r *itemRun) generate() (batch.RunEnd, endpoints.Outcome, error) {
+func (r *itemRun) generate() (batch.RunOutcome, endpoints.Outcome, error) {
 	ctx, cancel := context.WithCancelCause(r.job.ctx)
 	defer cancel(nil)
 	silence := time.AfterFunc(firstEventLimit, func() { cancel(errFellSilent) })
@@ -63,7 +63,7 @@
 }
 
 // read takes in events until the stream ends or the run is better ended.
-func (r *itemRun) read(ctx context.Context, in *dispatch.Events, silence *time.Timer) (batch.RunEnd, endpoints.Outcome, error) {
+func (r *itemRun) read(ctx context.Context, in *dispatch.Events, silence *time.Timer) (batch.RunOutcome, endpoints.Outcome, error) {
 	for {
 		event, err := in.Next()
 		if errors.Is(err, io.EOF) {
@@ -74,13 +74,13 @@
 		}
 		silence.Reset(gapLimit)
 		if !r.take(event) {
-			return batch.RunOffVersion, endpoints.Dropped, errors.Errorf("event %d of version %d does not continue the text", event.ID, event.Version)
+			return batch.RunVersionMismatch, endpoints.Dropped, errors.Errorf("event %d of version %d does not continue the text", event.ID, event.Version)
 		}
 		if r.tooSlow() {
-			return batch.RunMoved, endpoints.Answered, errTooSlow
+			return batch.RunCancelledToMove, endpoints.Answered, errTooSlow
 		}
 		if r.crowded() {
-			return batch.RunMoved, endpoints.Answered, errCrowded
+			return batch.RunCancelledToMove, endpoints.Answered, errCrowded
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	r.pace.event(time.Now())
 	r.job.mu.Lock()
 	defer r.job.mu.Unlock()
-	if !r.job.job.Event(r.start.Index, event.ID, event.Data, event.Version) {
+	if !r.job.job.AddEvent(r.start.Index, event.ID, event.Data, event.Version) {
 		return false
 	}
 	r.owner.sinksOf(r.job).event(r.job, r.job.job.Spec.Items[r.start.Index].ID, event.ID, event.Data, event.Version)
@@ -118,7 +118,7 @@
 	}
 	request := engineFor(r.job.job.Spec, r.start, time.Now())
 	r.job.mu.Lock()
-	request.Rest = r.job.job.Rest(r.start.Index)
+	request.Rest = r.job.job.RemainingWork(r.start.Index)
 	spare := r.job.job.Spare(r.start.Index)
 	r.job.mu.Unlock()
 	return r.awaited(request.Rest, spare) && r.pick.Roomier(request, moveGain)
@@ -173,7 +173,7 @@
 // the engine's speed.
 func (p *pace) observed() (float64, bool) { return p.mean, p.gaps >= paceEvents }
 
-func itemRequest(spec *batch.Spec, start batch.Start) *dispatch.Request {
+func itemRequest(spec *batch.Spec, start batch.RunStart) *dispatch.Request {
 	item := &spec.Items[start.Index]
 	header := http.Header{}
 	for _, pair := range item.Header {
@@ -187,15 +187,15 @@
 	// the preempted model's steps were the ones that came late.
 	return &dispatch.Request{
 		ID: item.ID, Method: http.MethodPost, Target: item.Path, Host: spec.Host, Header: header, Body: item.Body,
-		Left: left, Resume: start.After, Version: start.Single, Urgency: -1, Customer: spec.Customer,
+		Left: left, Resume: start.ResumeAfter, Version: start.RequiredVersion, Urgency: -1, Customer: spec.Customer,
 	}
 }
 
 // refusedRun weighs an answer that is no stream of events.
-func refusedRun(a *dispatch.Answer, start batch.Start) (batch.RunEnd, endpoints.Outcome, bool) {
+func refusedRun(a *dispatch.Answer, start batch.RunStart) (batch.RunOutcome, endpoints.Outcome, bool) {
 	switch {
-	case a.Replaced && start.Single != 0:
-		return batch.RunOffVersion, endpoints.Refused, true
+	case a.Replaced && start.RequiredVersion != 0:
+		return batch.RunVersionMismatch, endpoints.Refused, true
 	case a.Replaced:
 		return batch.RunRefused, endpoints.Replaced, true
 	case a.NotRun:
@@ -205,21 +205,21 @@
 	case a.Status == http.StatusInternalServerError:
 		return batch.RunFailed, endpoints.Answered, true
 	case a.Status != http.StatusOK || a.Encoded || !a.Signed:
-		return batch.RunBroke, endpoints.Broke, true
+		return batch.RunInterrupted, endpoints.Broke, true
 	}
 	return 0, 0, false
 }
 
-func brokenRun(ctx context.Context, err error) (batch.RunEnd, endpoints.Outcome, error) {
+func brokenRun(ctx context.Context, err error) (batch.RunOutcome, endpoints.Outcome, error) {
 	var send *upstream.SendError
 	switch {
 	case errors.Is(context.Cause(ctx), errFellSilent):
-		return batch.RunBroke, endpoints.Unreached, errFellSilent
+		return batch.RunInterrupted, endpoints.Unreached, errFellSilent
 	case ctx.Err() != nil:
-		return batch.RunBroke, endpoints.Dropped, err
+		return batch.RunInterrupted, endpoints.Dropped, err
 	case errors.As(err, &send) && !send.Sent:
 		return batch.RunRefused, endpoints.Unreached, err
 	default:
-		return batch.RunBroke, endpoints.Broke, err
+		return batch.RunInterrupted, endpoints.Broke, err
 	}
 }
--- a/internal/agentless/batchrun/lengths.go
+++ b/internal/agentless/batchrun/lengths.go
@@ -10,10 +10,10 @@
 // under its own lock, learn from each other.
 type sharedLengths struct {
 	mu      sync.Mutex
-	lengths *batch.Lengths
+	lengths *batch.LengthEstimator
 }
 
-func newSharedLengths() *sharedLengths { return &sharedLengths{lengths: batch.NewLengths()} }
+func newSharedLengths() *sharedLengths { return &sharedLengths{lengths: batch.NewLengthEstimator()} }
 
 // Observe implements batch.Estimator.
 func (s *sharedLengths) Observe(item *batch.Item, events int64) {
@@ -22,9 +22,9 @@
 	s.lengths.Observe(item, events)
 }
 
-// Rest implements batch.Estimator.
-func (s *sharedLengths) Rest(item *batch.Item, made int64) float64 {
+// RemainingWork implements batch.Estimator.
+func (s *sharedLengths) RemainingWork(item *batch.Item, made int64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lengths.Rest(item, made)
+	return s.lengths.RemainingWork(item, made)
 }
--- a/internal/agentless/batchrun/owner.go
+++ b/internal/agentless/batchrun/owner.go
@@ -225,7 +225,7 @@
 
 // kept returns the durable results of a job that has ended; mu is held.
 func (j *ownedJob) kept() *keptResults {
-	return &keptResults{id: j.id, submitted: j.job.Spec.Submitted, total: j.job.Total(), results: slices.Clone(j.job.Readable(0))}
+	return &keptResults{id: j.id, submitted: j.job.Spec.Submitted, total: j.job.Total(), results: slices.Clone(j.job.DurableResults(0))}
 }
 
 func (o *Owner) keep(results *keptResults) {
--- a/internal/agentless/batchrun/reading.go
+++ b/internal/agentless/batchrun/reading.go
@@ -300,7 +300,7 @@
 	}
 	job := batch.NewJob(spec, listed)
 	body, known := job.Body(item)
-	if !known || !job.Unlisted(item) {
+	if !known || !job.IsUnlisted(item) {
 		return nil, ErrNoJob
 	}
 	return body, nil
--- a/internal/agentless/batchrun/runs.go
+++ b/internal/agentless/batchrun/runs.go
@@ -36,7 +36,7 @@
 )
 
 // run has one engine generate an item's text from where it stands.
-func (o *Owner) run(j *ownedJob, start batch.Start, pick *directory.Pick) {
+func (o *Owner) run(j *ownedJob, start batch.RunStart, pick *directory.Pick) {
 	r := &itemRun{owner: o, job: j, start: start, pick: pick, began: time.Now()}
 	how, outcome, err := r.generate()
 	now := time.Now()
@@ -45,7 +45,7 @@
 	}
 	pick.End(now, outcome, now.Sub(r.began), float64(r.made))
 	j.mu.Lock()
-	j.job.Ended(now, start.Index, how, pick.ID)
+	j.job.RunEnded(now, start.Index, how, pick.ID)
 	o.sinksOf(j).ended(j, start.Index, how)
 	j.mu.Unlock()
 	if j.ctx.Err() == nil {
@@ -56,17 +56,17 @@
 
 var runEnds = [...]string{"complete", "broke", "refused", "failed", "impossible", "off-version", "moved"}
 
-func (o *Owner) noteRun(r *itemRun, how batch.RunEnd, took time.Duration, err error) {
+func (o *Owner) noteRun(r *itemRun, how batch.RunOutcome, took time.Duration, err error) {
 	switch how {
-	case batch.RunBroke:
+	case batch.RunInterrupted:
 		o.stats.broken.Inc(1)
-	case batch.RunMoved:
+	case batch.RunCancelledToMove:
 		o.stats.moved.Inc(1)
 	}
 	spec := r.job.job.Spec
 	fields := logrus.Fields{
 		"job": r.job.id, "request": spec.Items[r.start.Index].ID, "endpoint": r.pick.ID, "end": runEnds[how], "events": r.made,
-		"after_event": r.start.After, "version": r.pick.Versions[spec.Model], "ms": took.Milliseconds(),
+		"after_event": r.start.ResumeAfter, "version": r.pick.Versions[spec.Model], "ms": took.Milliseconds(),
 	}
 	if err != nil {
 		fields["error"] = err.Error()
@@ -91,7 +91,7 @@
 		scorer := j.job.Spec.Items[i].Scorer
 		route := table.Match(scorer.Host, scorer.Path)
 		if route == nil {
-			o.scored(j, now, i, batch.ScoreUnsettled, "", 0)
+			o.scored(j, now, i, batch.ScoreRetryable, "", 0)
 			return
 		}
 		request := endpoints.Request{Now: now, Within: true, Background: true}
@@ -100,23 +100,23 @@
 		}
 		pick := o.Directory.Pick(routes.Service(route, scorer.ID), request)
 		if pick == nil {
-			o.scored(j, now, i, batch.ScoreUnsettled, "", route.MaxAttempts)
+			o.scored(j, now, i, batch.ScoreRetryable, "", route.MaxAttempts)
 			return
 		}
 		j.mu.Lock()
-		j.job.ScoringAt(i, pick.ID)
+		j.job.SetScoringEndpoint(i, pick.ID)
 		j.mu.Unlock()
 		o.runs.Go(func() error { o.score(j, i, pick, route.MaxAttempts); return nil })
 	}
 }
 
-func (o *Owner) scored(j *ownedJob, now time.Time, i int, how batch.ScoreEnd, score string, attempts int) {
+func (o *Owner) scored(j *ownedJob, now time.Time, i int, how batch.ScoreOutcome, score string, attempts int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if made := j.job.Made(i); how == batch.ScoreGiven && made > 0 { // no other call was faster
+	if made := j.job.EventCount(i); how == batch.ScoreGiven && made > 0 { // no other call was faster
 		o.sinksOf(j).scored(j, j.job.Spec.Items[i].ID, made, score)
 	}
-	j.job.Scored(now, i, how, score, attempts)
+	j.job.ScoringEnded(now, i, how, score, attempts)
 }
 
 func (o *Owner) score(j *ownedJob, i int, pick *directory.Pick, attempts int) {
@@ -139,27 +139,27 @@
 	o.kick()
 }
 
-func (o *Owner) askScorer(j *ownedJob, scorer *batch.Scorer, pick *directory.Pick) (batch.ScoreEnd, endpoints.Outcome, string, error) {
+func (o *Owner) askScorer(j *ownedJob, scorer *batch.Scorer, pick *directory.Pick) (batch.ScoreOutcome, endpoints.Outcome, string, error) {
 	ctx, cancel := context.WithTimeout(j.ctx, scoreLimit)
 	defer cancel()
 	request := &dispatch.Request{ID: scorer.ID, Method: http.MethodPost, Target: scorer.Path, Host: scorer.Host, Header: http.Header{}, Body: scorer.Body, Left: scoreLimit, Urgency: -1}
 	answer, err := o.Sender.Send(ctx, &pick.Endpoint, request)
 	if err != nil {
-		return batch.ScoreUnsettled, unreachedOrBroke(j.ctx, err), "", err
+		return batch.ScoreRetryable, unreachedOrBroke(j.ctx, err), "", err
 	}
 	defer func() { _ = answer.Body.Close() }()
 	_, err = io.Copy(io.Discard, answer.Body)
 	switch {
 	case answer.NotRun:
-		return batch.ScoreUnsettled, endpoints.Refused, "", nil
+		return batch.ScoreRetryable, endpoints.Refused, "", nil
 	case answer.Replaced:
-		return batch.ScoreUnsettled, endpoints.Replaced, "", nil
+		return batch.ScoreRetryable, endpoints.Replaced, "", nil
 	case err != nil:
-		return batch.ScoreUnsettled, endpoints.Broke, "", err
+		return batch.ScoreRetryable, endpoints.Broke, "", err
 	case answer.Status == http.StatusInternalServerError:
 		return batch.ScoreFailed, endpoints.Answered, "", nil
 	case answer.Status >= http.StatusMultipleChoices || !answer.Signed || answer.Encoded:
-		return batch.ScoreUnsettled, endpoints.Broke, "", errors.Errorf("status %d", answer.Status)
+		return batch.ScoreRetryable, endpoints.Broke, "", errors.Errorf("status %d", answer.Status)
 	}
 	return batch.ScoreGiven, endpoints.Answered, answer.Seal, nil
 }
--- a/internal/agentless/batchrun/sinks.go
+++ b/internal/agentless/batchrun/sinks.go
@@ -39,13 +39,13 @@
 }
 
 // ended notes what the end of a run made of an item's text.
-func (s sinks) ended(j *ownedJob, i int, how batch.RunEnd) {
-	item, made := j.job.Spec.Items[i].ID, j.job.Made(i)
+func (s sinks) ended(j *ownedJob, i int, how batch.RunOutcome) {
+	item, made := j.job.Spec.Items[i].ID, j.job.EventCount(i)
 	for _, g := range s {
 		switch {
 		case how == batch.RunComplete && made > 0:
 			g.Complete(j.id, j.mark, item, made)
-		case how == batch.RunFailed, how == batch.RunOffVersion:
+		case how == batch.RunFailed, how == batch.RunVersionMismatch:
 			g.Restart(j.id, j.mark, item)
 		}
 	}
--- a/internal/agentless/batchrun/starts.go
+++ b/internal/agentless/batchrun/starts.go
@@ -75,7 +75,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.job.Expire(now)
-	view.Work, view.Longest = j.job.Work()
+	view.Work, view.Longest = j.job.TotalRemainingWork()
 	return view
 }
 
@@ -88,7 +88,7 @@
 		job := &r.jobs[i]
 		if item, found := job.candidate(r.now); found {
 			jobs, items = append(jobs, job), append(items, item)
-			waiting = append(waiting, schedule.Candidate{Job: &job.view, RemainingWork: item.Rest, Spare: item.Spare})
+			waiting = append(waiting, schedule.Candidate{Job: &job.view, RemainingWork: item.RemainingWork, Spare: item.Spare})
 		}
 	}
 	chosen := schedule.Choose(waiting)
@@ -113,7 +113,7 @@
 // of its job waits too, as it has more time.
 func (r *round) start(j *openJob, c batch.Candidate) {
 	j.mu.Lock()
-	start := j.job.Begin(c.Index)
+	start := j.job.StartRun(c.Index)
 	j.mu.Unlock()
 	item := &j.job.Spec.Items[c.Index]
 	route := r.table.Match(j.job.Spec.Host, item.Path)
@@ -131,7 +131,7 @@
 		return
 	}
 	j.mu.Lock()
-	j.job.Started(r.now, c.Index)
+	j.job.RunPlaced(r.now, c.Index)
 	j.mu.Unlock()
 	r.owner.runs.Go(func() error { r.owner.run(j.ownedJob, start, pick); return nil })
 }
@@ -141,8 +141,8 @@
 	if !r.owner.Switches.On(mechanism.ByDelay) {
 		return endpoints.Placement{}
 	}
-	weight := r.load.Weight(&j.view, c.Rest, c.Spare)
-	p := endpoints.Placement{Rest: c.Rest, Weight: weight, Heavy: weight >= schedule.CriticalWeight}
+	weight := r.load.Weight(&j.view, c.RemainingWork, c.Spare)
+	p := endpoints.Placement{Rest: c.RemainingWork, Weight: weight, Heavy: weight >= schedule.CriticalWeight}
 	if r.owner.Switches.On(mechanism.KeepNarrow) {
 		_, engines := r.owner.Directory.Pace(service)
 		p.Narrow = r.load.CriticalBatchLimit(&j.view, engines)
@@ -156,9 +156,9 @@
 	j.job.Postpone(i, until)
 }
 
-func (o *Owner) pickEngine(service string, start batch.Start, request endpoints.Request) *directory.Pick {
-	if start.Last != "" {
-		request.Tried = []string{start.Last}
+func (o *Owner) pickEngine(service string, start batch.RunStart, request endpoints.Request) *directory.Pick {
+	if start.PreviousEngine != "" {
+		request.Tried = []string{start.PreviousEngine}
 		if pick := o.Directory.Pick(service, request); pick != nil {
 			return pick
 		}
--- a/internal/agentless/textlog/files.go
+++ b/internal/agentless/textlog/files.go
@@ -176,14 +176,14 @@
 
 // Drop implements journal.Dropper.
 func (d dropped) Drop(err error) {
-	d.texts.Sever()
+	d.texts.Freeze()
 	d.bad(d.name, err)
 }
 
 // read joins what one file holds to the texts. A text that a file before it holds
 // is not continued but begun anew.
 func read(job, name string, raw []byte, texts *batch.Texts, bad func(string, error)) {
-	texts.Sever()
+	texts.Freeze()
 	in := journal.NewReader(bytes.NewReader(raw), dropped{name, texts, bad}, false, true)
 	for record := 0; ; record++ {
 		r, err := in.Next()
@@ -204,7 +204,7 @@
 		}
 		var parts []batch.TextPart
 		if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&parts); err != nil {
-			texts.Sever()
+			texts.Freeze()
 			bad(place, err)
 			continue
 		}
--- a/internal/agentless/textlog/fuzz_test.go
+++ b/internal/agentless/textlog/fuzz_test.go
@@ -61,6 +61,6 @@
 				t.Fatalf("part of %s from %d with %d events and %d versions", part.Item, part.First, len(part.Events), len(part.Versions))
 			}
 		}
-		batch.NewJob(spec(3), nil).Resume(texts)
+		batch.NewJob(spec(3), nil).ResumeTexts(texts)
 	})
 }
--- a/internal/agentless/textlog/textlog_test.go
+++ b/internal/agentless/textlog/textlog_test.go
@@ -69,10 +69,10 @@
 			scored.Items[i].Scorer = &batch.Scorer{ID: "s"} // a whole text still waits
 		}
 		job := batch.NewJob(scored, nil)
-		job.Resume(l.Load(context.Background(), "job"))
+		job.ResumeTexts(l.Load(context.Background(), "job"))
 		made := make([]int64, 3)
 		for i := range made {
-			made[i] = job.Made(i)
+			made[i] = job.EventCount(i)
 		}
 		return made
 	}
@@ -142,8 +142,8 @@
 		l.Complete("job", 7, "i0", 2)
 		settled(l)
 		job := batch.NewJob(spec(1), nil)
-		job.Resume(l.Load(context.Background(), "job"))
-		_, results := job.Undurable()
+		job.ResumeTexts(l.Load(context.Background(), "job"))
+		_, results := job.PendingResults()
 		Expect(results).To(HaveLen(1))
 		Expect(string(results[0].Output)).To(Equal("e1\ne2"))
 	})
@@ -161,8 +161,8 @@
 		scored := spec(1)
 		scored.Items[0].Scorer = &batch.Scorer{ID: "s"}
 		job := batch.NewJob(scored, nil)
-		job.Resume(l.Load(context.Background(), "job"))
-		_, results := job.Undurable()
+		job.ResumeTexts(l.Load(context.Background(), "job"))
+		_, results := job.PendingResults()
 		Expect(results).To(HaveLen(1))
 		Expect(results[0].Score).To(Equal("sealed"))
 	})
@@ -253,7 +253,7 @@
 			}
 		}
 		job := batch.NewJob(spec(1), nil)
-		items, _ := job.Resume(open().Load(context.Background(), "other"))
+		items, _ := job.ResumeTexts(open().Load(context.Background(), "other"))
 		Expect(items).To(BeZero())
 	})
 
--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -107,7 +107,7 @@
 	runs      []*run
 	open      []*job
 	trainers  []*trainer
-	lengths   *batch.Lengths
+	lengths   *batch.LengthEstimator
 	survey    schedule.Load // as of the last dispatch
 }
 
@@ -121,7 +121,7 @@
 
 // Replay plays the load.
 func Replay(load Load, decisions Decisions) []Outcome {
-	w := &world{load: load, decisions: decisions, random: rand.New(rand.NewPCG(load.Seed, 11)), start: time.Unix(1000, 0), set: endpoints.NewSet("owner"), lengths: batch.NewLengths()}
+	w := &world{load: load, decisions: decisions, random: rand.New(rand.NewPCG(load.Seed, 11)), start: time.Unix(1000, 0), set: endpoints.NewSet("owner"), lengths: batch.NewLengthEstimator()}
 	w.now = w.start
 	for i := range load.Engines {
 		w.set.Put(deployment.Endpoint{ID: fmt.Sprintf("e%03d", i), Slots: load.Slots, Versions: map[string]int64{model: 1}})
@@ -201,7 +201,7 @@
 		}
 	}
 	j.Job = batch.NewJob(spec, nil)
-	j.Learn(w.lengths)
+	j.SetEstimator(w.lengths)
 	t.Bound = append(t.Bound, time.Duration(needed(j, t.Trainer))*w.load.Event)
 	return j
 }
@@ -241,7 +241,7 @@
 	pace := w.set.TypicalPace()
 	views := make([]schedule.Job, len(w.open))
 	for i, j := range w.open {
-		work, longest := j.Work()
+		work, longest := j.TotalRemainingWork()
 		views[i] = schedule.Job{Age: w.now.Sub(j.asked).Seconds(), Work: work, Longest: longest, EventSeconds: pace}
 	}
 	load := schedule.TotalLoad(views)
@@ -253,7 +253,7 @@
 		var items []batch.Candidate
 		for i, j := range w.open {
 			if item, found := j.Next(w.now); found && !blocked[i] {
-				waiting = append(waiting, schedule.Candidate{Job: &views[i], RemainingWork: item.Rest, Spare: item.Spare})
+				waiting = append(waiting, schedule.Candidate{Job: &views[i], RemainingWork: item.RemainingWork, Spare: item.Spare})
 				from, items = append(from, i), append(items, item)
 			}
 		}
@@ -269,15 +269,15 @@
 func (w *world) startRun(j *job, view *schedule.Job, item batch.Candidate, load *schedule.Load) bool {
 	request := endpoints.Request{Now: w.now, Model: model, MinVersion: 1, Within: true, Tried: w.notYet(j)}
 	if !w.decisions.ByLoad {
-		weight := load.Weight(view, item.Rest, item.Spare)
-		request.Placement = endpoints.Placement{Rest: item.Rest, Weight: weight, Heavy: weight >= schedule.CriticalWeight, Narrow: load.CriticalBatchLimit(view, w.load.Engines)}
+		weight := load.Weight(view, item.RemainingWork, item.Spare)
+		request.Placement = endpoints.Placement{Rest: item.RemainingWork, Weight: weight, Heavy: weight >= schedule.CriticalWeight, Narrow: load.CriticalBatchLimit(view, w.load.Engines)}
 	}
 	engine := w.set.Pick(request)
 	if engine == nil {
 		return false
 	}
-	start := j.Begin(item.Index)
-	w.runs = append(w.runs, &run{job: j, item: item.Index, engine: engine, placed: request.Placement, total: j.lengths[item.Index], made: start.After})
+	start := j.StartRun(item.Index)
+	w.runs = append(w.runs, &run{job: j, item: item.Index, engine: engine, placed: request.Placement, total: j.lengths[item.Index], made: start.ResumeAfter})
 	return true
 }
 
@@ -316,7 +316,7 @@
 // proceed lets a run make events, and tells whether it ended.
 func (w *world) proceed(r *run) bool {
 	if r.job.whole {
-		w.end(r, batch.RunBroke)
+		w.end(r, batch.RunInterrupted)
 		return true
 	}
 	r.left -= tick
@@ -326,13 +326,13 @@
 		r.left += event
 		r.made++
 		r.engine.Pace(event.Seconds())
-		r.job.Event(r.item, r.made, nil, 1)
+		r.job.AddEvent(r.item, r.made, nil, 1)
 		if r.made >= r.total {
 			w.end(r, batch.RunComplete)
 			return true
 		}
 		if !w.decisions.NoMoves && r.made%moveEvery == 0 && w.roomier(r) {
-			w.end(r, batch.RunMoved)
+			w.end(r, batch.RunCancelledToMove)
 			return true
 		}
 	}
@@ -341,7 +341,7 @@
 
 func (w *world) roomier(r *run) bool {
 	request := endpoints.Request{Now: w.now, Model: model, MinVersion: 1, Tried: w.notYet(r.job)}
-	request.Rest = r.job.Rest(r.item)
+	request.Rest = r.job.RemainingWork(r.item)
 	view := schedule.Job{Age: w.now.Sub(r.job.asked).Seconds(), EventSeconds: w.set.TypicalPace()}
 	if !w.decisions.MoveAny && !w.survey.IsCritical(&view, request.Rest, r.job.Spare(r.item)) {
 		return false
@@ -349,19 +349,19 @@
 	return w.set.Roomier(request, r.engine, moveGain)
 }
 
-func (w *world) end(r *run, how batch.RunEnd) {
-	if how == batch.RunMoved {
+func (w *world) end(r *run, how batch.RunOutcome) {
+	if how == batch.RunCancelledToMove {
 		w.trainers[r.job.trainer].Moves++
 	}
 	r.engine.Quit(&r.placed)
 	r.engine.End(w.now, endpoints.Answered, time.Second, 0)
-	r.job.Ended(w.now, r.item, how, "")
+	r.job.RunEnded(w.now, r.item, how, "")
 }
 
 // finish takes in that a step may be whole.
 func (w *world) finish(j *job) {
 	t := w.trainers[j.trainer]
-	if j.WholeGroups() < t.Want {
+	if j.CompleteGroups() < t.Want {
 		return
 	}
 	whole := wholeGroups(j, t.Trainer)
@@ -390,7 +390,7 @@
 		whole[g] = true
 	}
 	for i := range j.lengths {
-		if j.Rest(i) > 0 {
+		if j.RemainingWork(i) > 0 {
 			whole[i/t.GroupSize] = false
 		}
 	}
--- a/internal/policy/batch/batch_test.go
+++ b/internal/policy/batch/batch_test.go
@@ -23,15 +23,15 @@
 }
 
 // nextStart begins the item that comes next, if one does.
-func nextStart(j *batch.Job, now time.Time) (batch.Start, bool) {
+func nextStart(j *batch.Job, now time.Time) (batch.RunStart, bool) {
 	next, ok := j.Next(now)
 	if !ok {
-		return batch.Start{}, false
+		return batch.RunStart{}, false
 	}
-	return j.Begin(next.Index), true
+	return j.StartRun(next.Index), true
 }
 
-func begin(j *batch.Job, now time.Time) batch.Start {
+func begin(j *batch.Job, now time.Time) batch.RunStart {
 	s, ok := nextStart(j, now)
 	ExpectWithOffset(1, ok).To(BeTrue())
 	return s
@@ -39,7 +39,7 @@
 
 func write(j *batch.Job, i int, from, to, version int64) {
 	for id := from; id <= to; id++ {
-		ExpectWithOffset(1, j.Event(i, id, []byte(fmt.Sprintf("e%d", id)), version)).To(BeTrue())
+		ExpectWithOffset(1, j.AddEvent(i, id, []byte(fmt.Sprintf("e%d", id)), version)).To(BeTrue())
 	}
 }
 
@@ -51,12 +51,12 @@
 		j := batch.NewJob(spec(1), nil)
 		first := begin(j, start)
 		write(j, first.Index, 1, 2, 3)
-		j.Ended(start, first.Index, batch.RunBroke, "e1")
+		j.RunEnded(start, first.Index, batch.RunInterrupted, "e1")
 		again := begin(j, start.Add(time.Second))
-		Expect(again).To(Equal(batch.Start{Index: 0, After: 2, Last: "e1"}))
+		Expect(again).To(Equal(batch.RunStart{Index: 0, ResumeAfter: 2, PreviousEngine: "e1"}))
 		write(j, again.Index, 3, 4, 4)
-		j.Ended(start, again.Index, batch.RunComplete, "e2")
-		_, results := j.Undurable()
+		j.RunEnded(start, again.Index, batch.RunComplete, "e2")
+		_, results := j.PendingResults()
 		Expect(results).To(Equal([]batch.Result{{Item: "i0", State: batch.Completed, Output: []byte("e1\ne2\ne3\ne4"), Versions: []int64{3, 4}}}))
 	})
 
@@ -66,21 +66,21 @@
 		spec := spec(6)
 		spec.WantGroups = 3
 		j := batch.NewJob(spec, nil)
-		j.Configure(batch.Options{GroupsAlone: true})
+		j.Configure(batch.Options{WriteByGroup: true})
 		finish := func(i int) {
 			begin(j, start)
 			write(j, i, 1, 1, 3)
-			j.Ended(start, i, batch.RunComplete, "e1")
+			j.RunEnded(start, i, batch.RunComplete, "e1")
 		}
 		Expect(j.WriteDue(start)).To(BeFalse(), "nothing is there")
 		finish(0)
 		Expect(j.WriteDue(start)).To(BeFalse(), "its group is not whole")
 		Expect(j.WriteDue(start.Add(900 * time.Millisecond))).To(BeFalse())
 		Expect(j.WriteDue(start.Add(time.Second))).To(BeTrue(), "an owner that dies loses no more")
-		j.Durable(start, 1)
+		j.MarkDurable(start, 1)
 		finish(1)
 		Expect(j.WriteDue(start.Add(time.Second))).To(BeTrue(), "the first group is whole")
-		j.Durable(start, 2)
+		j.MarkDurable(start, 2)
 		finish(2)
 		Expect(j.WriteDue(start.Add(2*time.Second))).To(BeFalse(), "the wait begins anew")
 	})
@@ -97,14 +97,14 @@
 			now = now.Add(after)
 			s := begin(j, now)
 			write(j, s.Index, 1, 1, 3)
-			j.Ended(now, s.Index, batch.RunComplete, "e1")
+			j.RunEnded(now, s.Index, batch.RunComplete, "e1")
 		}
 		finish(0)
 		Expect(j.WriteDue(now)).To(BeFalse(), "nothing is whole")
 		finish(time.Second)
 		Expect(j.WriteDue(now)).To(BeFalse(), "a group is whole, the step is not")
 		Expect(j.WriteDue(start.Add(2*time.Second))).To(BeTrue(), "an owner that dies loses no more")
-		j.Durable(start.Add(2*time.Second), 2)
+		j.MarkDurable(start.Add(2*time.Second), 2)
 		finish(1500 * time.Millisecond)
 		finish(0)
 		Expect(j.WriteDue(now)).To(BeTrue(), "the step is whole")
@@ -119,7 +119,7 @@
 		for range 2 {
 			s := begin(j, start)
 			write(j, s.Index, 1, 1, 3)
-			j.Ended(start, s.Index, batch.RunComplete, "e1")
+			j.RunEnded(start, s.Index, batch.RunComplete, "e1")
 		}
 		Expect(j.WriteDue(spec.Due.Add(-time.Second))).To(BeFalse())
 		Expect(j.WriteDue(spec.Due.Add(-400 * time.Millisecond))).To(BeTrue())
@@ -131,26 +131,26 @@
 		spec := spec(4)
 		spec.WantGroups = 2
 		j := batch.NewJob(spec, nil)
-		run := func(began, ended time.Duration, how batch.RunEnd) {
+		run := func(began, ended time.Duration, how batch.RunOutcome) {
 			s := begin(j, start.Add(began))
-			j.Started(start.Add(began), s.Index)
-			write(j, s.Index, s.After+1, s.After+1, 3)
-			j.Ended(start.Add(ended), s.Index, how, "e")
+			j.RunPlaced(start.Add(began), s.Index)
+			write(j, s.Index, s.ResumeAfter+1, s.ResumeAfter+1, 3)
+			j.RunEnded(start.Add(ended), s.Index, how, "e")
 		}
 		run(0, time.Second, batch.RunComplete)
 		run(0, time.Second, batch.RunComplete)
 		run(0, time.Second, batch.RunComplete)
-		_, whole := j.StepWhole(start.Add(time.Second))
+		_, whole := j.StepCompleted(start.Add(time.Second))
 		Expect(whole).To(BeFalse())
-		run(2*time.Second, 3*time.Second, batch.RunMoved)
+		run(2*time.Second, 3*time.Second, batch.RunCancelledToMove)
 		run(3*time.Second, 5*time.Second, batch.RunComplete)
-		t, whole := j.StepWhole(start.Add(5 * time.Second))
+		t, whole := j.StepCompleted(start.Add(5 * time.Second))
 		Expect(whole).To(BeTrue())
 		Expect(t).To(Equal(batch.Timeline{
-			Took: 5 * time.Second, HalfBegun: 0, LastBegun: 2 * time.Second,
-			LastItem: "i3", LastEvents: 2, LastBegan: 2 * time.Second, LastRuns: 2, LastEngine: "e",
+			Elapsed: 5 * time.Second, HalfStarted: 0, AllStarted: 2 * time.Second,
+			LastItem: "i3", LastItemEvents: 2, LastItemStarted: 2 * time.Second, LastItemRuns: 2, LastItemEngine: "e",
 		}))
-		_, again := j.StepWhole(start.Add(6 * time.Second))
+		_, again := j.StepCompleted(start.Add(6 * time.Second))
 		Expect(again).To(BeFalse())
 	})
 
@@ -158,10 +158,10 @@
 		j := batch.NewJob(spec(1), nil)
 		s := begin(j, start)
 		write(j, s.Index, 1, 1, 3)
-		Expect(j.Event(s.Index, 3, nil, 3)).To(BeFalse())
-		Expect(j.Event(s.Index, 1, nil, 3)).To(BeFalse())
-		Expect(j.Event(s.Index, 2, nil, 2)).To(BeFalse())
-		Expect(j.Event(s.Index, 2, nil, 3)).To(BeTrue())
+		Expect(j.AddEvent(s.Index, 3, nil, 3)).To(BeFalse())
+		Expect(j.AddEvent(s.Index, 1, nil, 3)).To(BeFalse())
+		Expect(j.AddEvent(s.Index, 2, nil, 2)).To(BeFalse())
+		Expect(j.AddEvent(s.Index, 2, nil, 3)).To(BeTrue())
 	})
 
 	It("keeps one version for a text where the route asks for it", func() {
@@ -170,11 +170,11 @@
 		j := batch.NewJob(one, nil)
 		s := begin(j, start)
 		write(j, s.Index, 1, 1, 3)
-		Expect(j.Event(s.Index, 2, nil, 4)).To(BeFalse())
-		j.Ended(start, s.Index, batch.RunBroke, "e1")
-		Expect(begin(j, start.Add(time.Second)).Single).To(Equal(int64(3)))
-		j.Ended(start, s.Index, batch.RunOffVersion, "e2")
-		Expect(begin(j, start.Add(2*time.Second))).To(Equal(batch.Start{Index: 0, Last: "e2"}), "no engine has that version any more: anew")
+		Expect(j.AddEvent(s.Index, 2, nil, 4)).To(BeFalse())
+		j.RunEnded(start, s.Index, batch.RunInterrupted, "e1")
+		Expect(begin(j, start.Add(time.Second)).RequiredVersion).To(Equal(int64(3)))
+		j.RunEnded(start, s.Index, batch.RunVersionMismatch, "e2")
+		Expect(begin(j, start.Add(2*time.Second))).To(Equal(batch.RunStart{Index: 0, PreviousEngine: "e2"}), "no engine has that version any more: anew")
 	})
 
 	It("gives an item up after the failures that its route allows, and not for refusals or breaks", func() {
@@ -182,31 +182,31 @@
 		now := start
 		for range 5 {
 			s := begin(j, now)
-			j.Ended(now, s.Index, batch.RunRefused, "e1")
+			j.RunEnded(now, s.Index, batch.RunRefused, "e1")
 			now = now.Add(time.Second)
 			s = begin(j, now)
-			j.Ended(now, s.Index, batch.RunBroke, "e1")
+			j.RunEnded(now, s.Index, batch.RunInterrupted, "e1")
 			now = now.Add(time.Second)
 		}
 		for range 2 {
 			s := begin(j, now)
-			j.Ended(now, s.Index, batch.RunFailed, "e1")
+			j.RunEnded(now, s.Index, batch.RunFailed, "e1")
 		}
-		_, results := j.Undurable()
+		_, results := j.PendingResults()
 		Expect(results).To(Equal([]batch.Result{{Item: "i0", State: batch.Aborted}}))
 	})
 
 	It("gives an impossible item up at once, and every item at the end of its time", func() {
 		j := batch.NewJob(spec(3), nil)
-		j.Ended(start, begin(j, start).Index, batch.RunImpossible, "e1")
-		_, results := j.Undurable()
+		j.RunEnded(start, begin(j, start).Index, batch.RunImpossible, "e1")
+		_, results := j.PendingResults()
 		Expect(results).To(HaveLen(1))
 		Expect(j.Expire(start.Add(39 * time.Second))).To(BeFalse())
 		Expect(j.Expire(start.Add(40 * time.Second))).To(BeTrue())
-		_, results = j.Undurable()
+		_, results = j.PendingResults()
 		Expect(results).To(HaveLen(3))
 		Expect(j.Finished()).To(BeFalse(), "nothing is durable yet")
-		j.Durable(start, 3)
+		j.MarkDurable(start, 3)
 		Expect(j.Finished()).To(BeTrue())
 	})
 
@@ -218,16 +218,16 @@
 		for range 2 {
 			s := begin(j, start)
 			write(j, s.Index, 1, 1, 3)
-			j.Ended(start, s.Index, batch.RunComplete, "e1")
+			j.RunEnded(start, s.Index, batch.RunComplete, "e1")
 		}
-		Expect(j.Readable(0)).To(BeEmpty())
-		_, results := j.Undurable()
-		j.Durable(start, 1)
-		Expect(j.Readable(0)).To(Equal(results[:1]))
-		Expect(j.Readable(1)).To(BeEmpty())
+		Expect(j.DurableResults(0)).To(BeEmpty())
+		_, results := j.PendingResults()
+		j.MarkDurable(start, 1)
+		Expect(j.DurableResults(0)).To(Equal(results[:1]))
+		Expect(j.DurableResults(1)).To(BeEmpty())
 
 		successor := batch.NewJob(spec(2), results[:1])
-		Expect(successor.Readable(0)).To(Equal(results[:1]))
+		Expect(successor.DurableResults(0)).To(Equal(results[:1]))
 		s := begin(successor, start)
 		Expect(successor.Spec.Items[s.Index].ID).NotTo(Equal(results[0].Item))
 		_, more := nextStart(successor, start)
@@ -251,24 +251,24 @@
 		_, _, ok := j.NextScore(start, 0)
 		Expect(ok).To(BeFalse(), "the text is not whole")
 		write(j, s.Index, 1, 1, 3)
-		j.Ended(start, s.Index, batch.RunComplete, "e1")
+		j.RunEnded(start, s.Index, batch.RunComplete, "e1")
 		i, last, ok := j.NextScore(start, 0)
 		Expect(ok).To(BeTrue())
 		Expect(last).To(BeEmpty())
-		j.ScoringAt(i, "p1")
-		j.Scored(start, i, batch.ScoreFailed, "", 3)
+		j.SetScoringEndpoint(i, "p1")
+		j.ScoringEnded(start, i, batch.ScoreFailed, "", 3)
 		i, last, ok = j.NextScore(start, 0)
 		Expect(ok).To(BeTrue())
 		Expect(last).To(Equal("p1"))
-		j.Scored(start, i, batch.ScoreUnsettled, "", 3)
+		j.ScoringEnded(start, i, batch.ScoreRetryable, "", 3)
 		_, _, ok = j.NextScore(start, 0)
 		Expect(ok).To(BeFalse(), "a pause follows")
 		for range 2 {
 			i, _, ok = j.NextScore(start.Add(time.Second), 0)
 			Expect(ok).To(BeTrue())
-			j.Scored(start.Add(time.Second), i, batch.ScoreFailed, "", 3)
+			j.ScoringEnded(start.Add(time.Second), i, batch.ScoreFailed, "", 3)
 		}
-		_, results := j.Undurable()
+		_, results := j.PendingResults()
 		Expect(results).To(Equal([]batch.Result{{Item: "i0", State: batch.Aborted}}))
 	})
 
@@ -279,7 +279,7 @@
 		j := batch.NewJob(scored, nil)
 		s := begin(j, start)
 		write(j, s.Index, 1, 1, 3)
-		j.Ended(start, s.Index, batch.RunComplete, "e1")
+		j.RunEnded(start, s.Index, batch.RunComplete, "e1")
 		return j
 	}
 	// asked counts the scoring calls that are made at a moment.
@@ -298,26 +298,26 @@
 		// its step up for 1.2 s.
 		j := written()
 		Expect(asked(j, start, 0)).To(Equal(1))
-		j.Scored(start, 0, batch.ScoreFailed, "", 4)
+		j.ScoringEnded(start, 0, batch.ScoreFailed, "", 4)
 		Expect(asked(j, start, 0)).To(Equal(3))
 		for range 3 {
-			_, results := j.Undurable()
+			_, results := j.PendingResults()
 			Expect(results).To(BeEmpty())
-			j.Scored(start, 0, batch.ScoreFailed, "", 4)
+			j.ScoringEnded(start, 0, batch.ScoreFailed, "", 4)
 		}
-		_, results := j.Undurable()
+		_, results := j.PendingResults()
 		Expect(results).To(Equal([]batch.Result{{Item: "i0", State: batch.Aborted}}))
 	})
 
 	It("takes the first score of several calls, and lists the item once", func() {
 		j := written()
 		Expect(asked(j, start, 0)).To(Equal(1))
-		j.Scored(start, 0, batch.ScoreFailed, "", 4)
+		j.ScoringEnded(start, 0, batch.ScoreFailed, "", 4)
 		Expect(asked(j, start, 0)).To(Equal(3))
-		j.Scored(start, 0, batch.ScoreFailed, "", 4)
-		j.Scored(start, 0, batch.ScoreGiven, "seal", 4)
-		j.Scored(start, 0, batch.ScoreGiven, "other", 4)
-		_, results := j.Undurable()
+		j.ScoringEnded(start, 0, batch.ScoreFailed, "", 4)
+		j.ScoringEnded(start, 0, batch.ScoreGiven, "seal", 4)
+		j.ScoringEnded(start, 0, batch.ScoreGiven, "other", 4)
+		_, results := j.PendingResults()
 		Expect(results).To(HaveLen(1))
 		Expect(results[0].Score).To(Equal("seal"))
 	})
@@ -329,9 +329,9 @@
 		Expect(asked(j, start.Add(400*time.Millisecond), patience)).To(BeZero())
 		Expect(asked(j, start.Add(500*time.Millisecond), patience)).To(Equal(1))
 		Expect(asked(j, start.Add(5*time.Second), patience)).To(BeZero())
-		j.Scored(start, 0, batch.ScoreUnsettled, "", 4)
-		j.Scored(start, 0, batch.ScoreGiven, "seal", 4)
-		_, results := j.Undurable()
+		j.ScoringEnded(start, 0, batch.ScoreRetryable, "", 4)
+		j.ScoringEnded(start, 0, batch.ScoreGiven, "seal", 4)
+		_, results := j.PendingResults()
 		Expect(results).To(HaveLen(1))
 	})
 
@@ -340,14 +340,14 @@
 		body, found := j.Body("i0")
 		Expect(found).To(BeTrue())
 		Expect(body).To(Equal([]byte{0}))
-		Expect(j.Unlisted("i0")).To(BeTrue())
+		Expect(j.IsUnlisted("i0")).To(BeTrue())
 		s := begin(j, start)
 		write(j, s.Index, 1, 1, 3)
-		j.Ended(start, s.Index, batch.RunComplete, "e1")
-		Expect(j.Unlisted("i0")).To(BeTrue(), "decided is not listed")
-		j.Durable(start, 1)
-		Expect(j.Unlisted("i0")).To(BeFalse())
-		Expect(j.Unlisted("nobody")).To(BeFalse())
+		j.RunEnded(start, s.Index, batch.RunComplete, "e1")
+		Expect(j.IsUnlisted("i0")).To(BeTrue(), "decided is not listed")
+		j.MarkDurable(start, 1)
+		Expect(j.IsUnlisted("i0")).To(BeFalse())
+		Expect(j.IsUnlisted("nobody")).To(BeFalse())
 	})
 
 	It("refuses a job without items, with an item without id, or with two of one id", func() {
@@ -372,30 +372,30 @@
 	now := start
 	for step := 0; step < 2000 && !j.Finished(); step++ {
 		now = now.Add(10 * time.Millisecond)
-		if n, pending := j.Undurable(); len(pending) > 0 && random.IntN(3) == 0 {
-			j.Durable(start, n+1+random.IntN(len(pending)))
+		if n, pending := j.PendingResults(); len(pending) > 0 && random.IntN(3) == 0 {
+			j.MarkDurable(start, n+1+random.IntN(len(pending)))
 		}
 		if random.IntN(40) == 0 {
-			j = batch.NewJob(s, append([]batch.Result(nil), j.Readable(0)...)) // its owner died
+			j = batch.NewJob(s, append([]batch.Result(nil), j.DurableResults(0)...)) // its owner died
 		}
 		run, ok := nextStart(j, now)
 		if !ok {
 			continue
 		}
-		next := run.After + 1
+		next := run.ResumeAfter + 1
 		for next <= 5 && random.IntN(5) > 0 {
-			Expect(j.Event(run.Index, next, []byte(fmt.Sprintf("e%d", next)), 3+int64(random.IntN(2)))).To(BeTrue())
+			Expect(j.AddEvent(run.Index, next, []byte(fmt.Sprintf("e%d", next)), 3+int64(random.IntN(2)))).To(BeTrue())
 			next++
 		}
-		how := batch.RunBroke
+		how := batch.RunInterrupted
 		if next > 5 {
 			how = batch.RunComplete
 		}
-		j.Ended(now, run.Index, how, "e")
+		j.RunEnded(now, run.Index, how, "e")
 	}
 	Expect(j.Finished()).To(BeTrue(), "seed %d", seed)
 	seen := map[string]bool{}
-	for _, r := range j.Readable(0) {
+	for _, r := range j.DurableResults(0) {
 		Expect(seen[r.Item]).To(BeFalse(), "seed %d", seed)
 		seen[r.Item] = true
 		Expect(string(r.Output)).To(Equal("e1\ne2\ne3\ne4\ne5"), "seed %d", seed)
--- a/internal/policy/batch/inherit.go
+++ b/internal/policy/batch/inherit.go
@@ -1,10 +1,10 @@
 package batch
 
-// Listed returns the items whose results are durable, in the order of their positions,
+// ListedItems returns the items whose results are durable, in the order of their positions,
 // from a position on.
-func (j *Job) Listed(from int) []string {
+func (j *Job) ListedItems(from int) []string {
 	var items []string
-	for _, r := range j.Readable(from) {
+	for _, r := range j.DurableResults(from) {
 		items = append(items, r.Item)
 	}
 	return items
@@ -20,9 +20,9 @@
 	return NewJob(spec, durable)
 }
 
-// Inherit takes over what a standby made of the same job meanwhile: results of items that
+// MergeStandby takes over what a standby made of the same job meanwhile: results of items that
 // are not decided here, and the texts under way. It returns how many items these are.
-func (j *Job) Inherit(from *Job) int {
+func (j *Job) MergeStandby(from *Job) int {
 	items := 0
 	for _, r := range from.decided[from.listed:] {
 		if i, found := j.byID[r.Item]; found && j.items[i].phase == waiting && j.usable(r) {
@@ -30,7 +30,7 @@
 			items++
 		}
 	}
-	resumed, _ := j.Resume(from.Texts())
+	resumed, _ := j.ResumeTexts(from.Texts())
 	return items + resumed
 }
 
--- a/internal/policy/batch/inherit_test.go
+++ b/internal/policy/batch/inherit_test.go
@@ -15,42 +15,42 @@
 	spec := &batch.Spec{ID: "j", MinVersion: 3, MaxAttempts: 2, Items: []batch.Item{{ID: "listed"}, {ID: "done"}, {ID: "half"}, {ID: "failed", Scorer: scored}, {ID: "new"}}}
 
 	// generate has an item make so many events.
-	generate := func(j *batch.Job, i int, events int64, how batch.RunEnd) {
-		j.Begin(i)
+	generate := func(j *batch.Job, i int, events int64, how batch.RunOutcome) {
+		j.StartRun(i)
 		for n := int64(1); n <= events; n++ {
-			ExpectWithOffset(1, j.Event(i, n, []byte("e"), 3)).To(BeTrue())
+			ExpectWithOffset(1, j.AddEvent(i, n, []byte("e"), 3)).To(BeTrue())
 		}
-		j.Ended(now, i, how, "e")
+		j.RunEnded(now, i, how, "e")
 	}
 
 	It("goes on at its next owner with all that was made, and lists it after what was listed", func() {
 		standby := batch.NewStandbyJob(spec, []string{"listed"})
 		generate(standby, 1, 2, batch.RunComplete)
-		generate(standby, 2, 1, batch.RunBroke)
+		generate(standby, 2, 1, batch.RunInterrupted)
 		generate(standby, 3, 1, batch.RunComplete)
 		for range 2 {
 			later := now.Add(time.Hour)
 			i, _, found := standby.NextScore(later, 0)
 			Expect(found).To(BeTrue())
-			standby.Scored(later, i, batch.ScoreFailed, "", 2)
+			standby.ScoringEnded(later, i, batch.ScoreFailed, "", 2)
 		}
 		owner := batch.NewJob(spec, []batch.Result{{Item: "listed", Output: []byte("before")}})
-		Expect(owner.Inherit(standby)).To(Equal(3))
-		position, results := owner.Undurable()
+		Expect(owner.MergeStandby(standby)).To(Equal(3))
+		position, results := owner.PendingResults()
 		Expect(position).To(Equal(1))
 		Expect(results).To(HaveLen(2))
 		Expect(results[0].Item).To(Equal("done"))
 		Expect(results[1]).To(Equal(batch.Result{Item: "failed", State: batch.Aborted}))
-		Expect(owner.Begin(2).After).To(Equal(int64(1)))
-		Expect(owner.Begin(4).After).To(BeZero())
+		Expect(owner.StartRun(2).ResumeAfter).To(Equal(int64(1)))
+		Expect(owner.StartRun(4).ResumeAfter).To(BeZero())
 	})
 
 	It("lists nothing twice that its owner listed before it was lost", func() {
 		standby := batch.NewStandbyJob(spec, nil)
 		generate(standby, 1, 2, batch.RunComplete)
 		owner := batch.NewJob(spec, []batch.Result{{Item: "done", Output: []byte("its owner's")}})
-		Expect(owner.Inherit(standby)).To(BeZero())
-		_, results := owner.Undurable()
+		Expect(owner.MergeStandby(standby)).To(BeZero())
+		_, results := owner.PendingResults()
 		Expect(results).To(BeEmpty())
 	})
 
@@ -59,6 +59,6 @@
 		generate(standby, 1, 2, batch.RunComplete)
 		newer := *spec
 		newer.MinVersion = 4
-		Expect(batch.NewJob(&newer, nil).Inherit(standby)).To(BeZero())
+		Expect(batch.NewJob(&newer, nil).MergeStandby(standby)).To(BeZero())
 	})
 })
--- a/internal/policy/batch/job.go
+++ b/internal/policy/batch/job.go
@@ -66,9 +66,9 @@
 
 // Options change how a job is run. The zero value is how it is usually run.
 type Options struct {
-	AsListed    bool // items start as they are listed, not the longest first
-	NoSpare     bool // no group starts after the others
-	GroupsAlone bool // results are written when their group is whole, not their step
+	SubmissionOrder bool // items start as they are listed, not the longest first
+	NoSpare         bool // no group starts after the others
+	WriteByGroup    bool // results are written when their group is whole, not their step
 }
 
 // Configure sets the job's options before anything of it is started.
@@ -95,7 +95,7 @@
 	}
 	j.listed = len(j.decided)
 	j.spare = spareGroups(spec)
-	j.Learn(NewLengths())
+	j.SetEstimator(NewLengthEstimator())
 	return j
 }
 
@@ -121,9 +121,9 @@
 	j.decided = append(j.decided, r)
 }
 
-// Event takes in one event of a run. False means that the run does not
+// AddEvent takes in one event of a run. False means that the run does not
 // continue the text and must be ended.
-func (j *Job) Event(i int, id int64, data []byte, version int64) bool {
+func (j *Job) AddEvent(i int, id int64, data []byte, version int64) bool {
 	it := &j.items[i]
 	if it.phase != running || id != it.lastEvent+1 || version < j.Spec.MinVersion {
 		return false
@@ -140,22 +140,22 @@
 	return true
 }
 
-// RunEnd is how a run ended.
-type RunEnd int
+// RunOutcome is how a run ended.
+type RunOutcome int
 
 // The ends of runs.
 const (
-	RunComplete   RunEnd = iota // the stream ended after its last event
-	RunBroke                    // it broke off, or its engine fell silent
-	RunRefused                  // it certainly did not run
-	RunFailed                   // the engine answered that it failed
-	RunImpossible               // the engine answered that the item can never be done
-	RunOffVersion               // its weights do not fit the text so far
-	RunMoved                    // this side ended it, as others would be faster
+	RunComplete        RunOutcome = iota // the stream ended after its last event
+	RunInterrupted                       // it broke off, or its engine fell silent
+	RunRefused                           // it certainly did not run
+	RunFailed                            // the engine answered that it failed
+	RunImpossible                        // the engine answered that the item can never be done
+	RunVersionMismatch                   // its weights do not fit the text so far
+	RunCancelledToMove                   // this side ended it, as others would be faster
 )
 
-// Ended takes in the end of an item's run at an engine.
-func (j *Job) Ended(now time.Time, i int, how RunEnd, engine string) {
+// RunEnded takes in the end of an item's run at an engine.
+func (j *Job) RunEnded(now time.Time, i int, how RunOutcome, engine string) {
 	it := &j.items[i]
 	if it.phase != running {
 		return
@@ -167,12 +167,12 @@
 	case RunComplete:
 		j.lengths.Observe(&j.Spec.Items[i], it.lastEvent)
 		j.textComplete(i)
-	case RunMoved:
-	case RunBroke:
+	case RunCancelledToMove:
+	case RunInterrupted:
 		it.notBefore = now.Add(failedPause)
 	case RunRefused:
 		it.notBefore = now.Add(refusedPause)
-	case RunOffVersion:
+	case RunVersionMismatch:
 		it.restart()
 		it.notBefore = now.Add(failedPause)
 	case RunFailed:
@@ -247,8 +247,8 @@
 	return j.Spec.Items[i].Body, true
 }
 
-// Unlisted tells whether the item is part of the job and has no durable result.
-func (j *Job) Unlisted(id string) bool {
+// IsUnlisted tells whether the item is part of the job and has no durable result.
+func (j *Job) IsUnlisted(id string) bool {
 	if _, found := j.byID[id]; !found {
 		return false
 	}
--- a/internal/policy/batch/lengths.go
+++ b/internal/policy/batch/lengths.go
@@ -24,11 +24,11 @@
 	outlivedShare = 0.5
 )
 
-// Lengths learns how long texts turn out against their submitters' estimates,
+// LengthEstimator learns how long texts turn out against their submitters' estimates,
 // and from it how much of a text is left. An estimate may be right at the median
 // and still be twice too short for one text in twelve, so that a text which has
 // outlived its own is likely to be a long one. It is not safe for concurrent use.
-type Lengths struct {
+type LengthEstimator struct {
 	ratios  []float64 // events for each estimated token, of the last texts
 	texts   []float64 // events of the last texts, for items without an estimate
 	next    int       // place of the next text in both
@@ -39,14 +39,14 @@
 // Estimator tells how much of a text is left, and learns from complete ones.
 type Estimator interface {
 	Observe(item *Item, events int64)
-	Rest(item *Item, made int64) float64
+	RemainingWork(item *Item, made int64) float64
 }
 
-// NewLengths returns an estimator that has seen nothing.
-func NewLengths() *Lengths { return &Lengths{} }
+// NewLengthEstimator returns an estimator that has seen nothing.
+func NewLengthEstimator() *LengthEstimator { return &LengthEstimator{} }
 
 // Observe takes in the events of a complete text.
-func (l *Lengths) Observe(item *Item, events int64) {
+func (l *LengthEstimator) Observe(item *Item, events int64) {
 	if events <= 0 {
 		return
 	}
@@ -64,9 +64,9 @@
 	l.next = (l.next + 1) % lengthWindow
 }
 
-// Rest returns how many events a text is expected to have yet after those made;
+// RemainingWork returns how many events a text is expected to have yet after those made;
 // at least 1.
-func (l *Lengths) Rest(item *Item, made int64) float64 {
+func (l *LengthEstimator) RemainingWork(item *Item, made int64) float64 {
 	most := l.most(item)
 	if len(l.ratios) < fewTexts {
 		return max(1, min(most, float64(item.LengthHint)/assumedEventTokens)-float64(made))
@@ -89,7 +89,7 @@
 }
 
 // most returns the most events that an item's text may have.
-func (l *Lengths) most(item *Item) float64 {
+func (l *LengthEstimator) most(item *Item) float64 {
 	if item.MaxTokens <= 0 {
 		return float64(1 << 20)
 	}
@@ -100,7 +100,7 @@
 }
 
 // eventsPerToken is the median of the ratios, as estimates are right at theirs.
-func (l *Lengths) eventsPerToken() float64 {
+func (l *LengthEstimator) eventsPerToken() float64 {
 	if l.median == 0 {
 		l.ordered = append(l.ordered[:0], l.ratios...)
 		slices.Sort(l.ordered)
--- a/internal/policy/batch/lengths_test.go
+++ b/internal/policy/batch/lengths_test.go
@@ -14,8 +14,8 @@
 var _ = Describe("the expected rest of a text", func() {
 	// The load: estimates that are right at the median and log-normal around it, at
 	// any tokens an event, as of any deployment.
-	learn := func(eventTokens, spread float64) *batch.Lengths {
-		l := batch.NewLengths()
+	learn := func(eventTokens, spread float64) *batch.LengthEstimator {
+		l := batch.NewLengthEstimator()
 		errors := distuv.LogNormal{Sigma: spread, Src: rand.NewPCG(5, 7)}
 		for i := range 300 {
 			hint := 100 + 40*(i%50)
@@ -27,7 +27,7 @@
 	DescribeTable("follows estimates once texts have ended, whatever an event holds",
 		func(eventTokens float64) {
 			l := learn(eventTokens, 0.5)
-			rest := l.Rest(&batch.Item{LengthHint: 1000}, 0)
+			rest := l.RemainingWork(&batch.Item{LengthHint: 1000}, 0)
 			mean := 1000 / eventTokens * math.Exp(0.5*0.5/2)
 			Expect(rest).To(BeNumerically("~", mean, 0.2*mean))
 		},
@@ -36,33 +36,33 @@
 	It("is long for a text that has outlived its estimate", func() {
 		l := learn(50, 0.5)
 		item := &batch.Item{LengthHint: 1000} // 20 events at the median
-		Expect(l.Rest(item, 30)).To(BeNumerically(">", 8), "one that has outlived its estimate by half")
-		Expect(l.Rest(item, 200)).To(BeNumerically("~", 100, 1), "one that has outlived all that was seen")
+		Expect(l.RemainingWork(item, 30)).To(BeNumerically(">", 8), "one that has outlived its estimate by half")
+		Expect(l.RemainingWork(item, 200)).To(BeNumerically("~", 100, 1), "one that has outlived all that was seen")
 	})
 
 	It("never exceeds what the item's text may have", func() {
 		l := learn(50, 0.5)
 		item := &batch.Item{LengthHint: 1_000_000, MaxTokens: 5000} // about 100 events
-		Expect(l.Rest(item, 0)).To(BeNumerically("~", 100, 15))
-		Expect(l.Rest(item, 95)).To(BeNumerically("<", 20))
-		Expect(l.Rest(item, 5000)).To(BeNumerically("==", 1))
+		Expect(l.RemainingWork(item, 0)).To(BeNumerically("~", 100, 15))
+		Expect(l.RemainingWork(item, 95)).To(BeNumerically("<", 20))
+		Expect(l.RemainingWork(item, 5000)).To(BeNumerically("==", 1))
 	})
 
 	It("is the mean of the texts seen for items without an estimate", func() {
-		l := batch.NewLengths()
+		l := batch.NewLengthEstimator()
 		for range 20 {
 			l.Observe(&batch.Item{}, 10)
 			l.Observe(&batch.Item{}, 30)
 		}
-		Expect(l.Rest(&batch.Item{}, 0)).To(BeNumerically("~", 20, 0.1))
-		Expect(l.Rest(&batch.Item{}, 15)).To(BeNumerically("~", 15, 0.1))
+		Expect(l.RemainingWork(&batch.Item{}, 0)).To(BeNumerically("~", 20, 0.1))
+		Expect(l.RemainingWork(&batch.Item{}, 15)).To(BeNumerically("~", 15, 0.1))
 	})
 
 	DescribeTable("is sane for absurd estimates, before and after texts have ended",
 		func(item batch.Item) {
-			for _, l := range []*batch.Lengths{batch.NewLengths(), learn(50, 0.5)} {
+			for _, l := range []*batch.LengthEstimator{batch.NewLengthEstimator(), learn(50, 0.5)} {
 				for _, made := range []int64{0, 1, 1000, math.MaxInt32} {
-					rest := l.Rest(&item, made)
+					rest := l.RemainingWork(&item, made)
 					Expect(rest).To(BeNumerically(">=", 1))
 					Expect(math.IsInf(rest, 0) || math.IsNaN(rest)).To(BeFalse())
 				}
--- a/internal/policy/batch/score.go
+++ b/internal/policy/batch/score.go
@@ -46,22 +46,22 @@
 	return 0, "", false
 }
 
-// ScoringAt notes the endpoint of the call that NextScore counted.
-func (j *Job) ScoringAt(i int, endpoint string) { j.items[i].scores.at = endpoint }
+// SetScoringEndpoint notes the endpoint of the call that NextScore counted.
+func (j *Job) SetScoringEndpoint(i int, endpoint string) { j.items[i].scores.at = endpoint }
 
-// ScoreEnd is how a scoring call ended.
-type ScoreEnd int
+// ScoreOutcome is how a scoring call ended.
+type ScoreOutcome int
 
 // The ends of scoring calls.
 const (
-	ScoreGiven     ScoreEnd = iota
-	ScoreFailed             // the scorer answered that it failed
-	ScoreUnsettled          // no whole answer came, or the call was refused
+	ScoreGiven     ScoreOutcome = iota
+	ScoreFailed                 // the scorer answered that it failed
+	ScoreRetryable              // no whole answer came, or the call was refused
 )
 
-// Scored takes in the end of a scoring call. attempts is how many answers of
+// ScoringEnded takes in the end of a scoring call. attempts is how many answers of
 // failure the scorer's route allows.
-func (j *Job) Scored(now time.Time, i int, how ScoreEnd, score string, attempts int) {
+func (j *Job) ScoringEnded(now time.Time, i int, how ScoreOutcome, score string, attempts int) {
 	it := &j.items[i]
 	if it.phase != scoring {
 		return // another call settled it
@@ -78,7 +78,7 @@
 			j.abort(i)
 			return
 		}
-	case ScoreUnsettled:
+	case ScoreRetryable:
 		it.notBefore = now.Add(refusedPause)
 	}
 	if it.scores.underWay == 0 {
--- a/internal/policy/batch/start.go
+++ b/internal/policy/batch/start.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Start is a run to be started.
-type Start struct {
-	Index  int
-	After  int64  // resume after this event; 0: from the start
-	Last   string // engine of the run before, to be avoided
-	Single int64  // the only version that may go on with the text; 0: any
+// RunStart is a run to be started.
+type RunStart struct {
+	Index           int
+	ResumeAfter     int64  // resume after this event; 0: from the start
+	PreviousEngine  string // engine of the run before, to be avoided
+	RequiredVersion int64  // the only version that may go on with the text; 0: any
 }
 
 // Candidate is the item of a job that should start next.
 type Candidate struct {
-	Index int
-	Rest  float64 // events that its text is expected to have yet
-	Spare bool    // its group is one that the trainer can do without
+	Index         int
+	RemainingWork float64 // events that its text is expected to have yet
+	Spare         bool    // its group is one that the trainer can do without
 }
 
-// Learn has the job estimate its texts by what is known of lengths, and add to it.
-func (j *Job) Learn(l Estimator) {
+// SetEstimator has the job estimate its texts by what is known of lengths, and add to it.
+func (j *Job) SetEstimator(l Estimator) {
 	j.lengths = l
 	for i := range j.items {
 		j.estimate(i)
@@ -26,7 +26,7 @@
 }
 
 func (j *Job) estimate(i int) {
-	j.items[i].rest = j.lengths.Rest(&j.Spec.Items[i], j.items[i].lastEvent)
+	j.items[i].rest = j.lengths.RemainingWork(&j.Spec.Items[i], j.items[i].lastEvent)
 }
 
 // Next returns the item to start next: of a group that is waited for before one
@@ -46,11 +46,11 @@
 	if best < 0 {
 		return Candidate{}, false
 	}
-	return Candidate{Index: best, Rest: j.items[best].rest, Spare: j.Spare(best)}, true
+	return Candidate{Index: best, RemainingWork: j.items[best].rest, Spare: j.Spare(best)}, true
 }
 
 func (j *Job) before(a, b int) bool {
-	if j.options.AsListed {
+	if j.options.SubmissionOrder {
 		return a < b
 	}
 	if j.Spare(a) != j.Spare(b) {
@@ -65,13 +65,13 @@
 // Spare tells whether the trainer can do without an item.
 func (j *Job) Spare(i int) bool { return j.spare[j.Spec.Items[i].Group] }
 
-// Begin marks a waiting item as running.
-func (j *Job) Begin(i int) Start {
+// StartRun marks a waiting item as running.
+func (j *Job) StartRun(i int) RunStart {
 	it := &j.items[i]
 	it.phase = running
-	start := Start{Index: i, After: it.lastEvent, Last: it.lastAt}
+	start := RunStart{Index: i, ResumeAfter: it.lastEvent, PreviousEngine: it.lastAt}
 	if j.Spec.SingleVersion && len(it.versions) > 0 {
-		start.Single = it.versions[0]
+		start.RequiredVersion = it.versions[0]
 	}
 	return start
 }
@@ -85,9 +85,9 @@
 	}
 }
 
-// Rest returns the events that an item's text is expected to have yet; 0 if it
+// RemainingWork returns the events that an item's text is expected to have yet; 0 if it
 // is complete.
-func (j *Job) Rest(i int) float64 {
+func (j *Job) RemainingWork(i int) float64 {
 	it := &j.items[i]
 	if it.phase != waiting && it.phase != running {
 		return 0
@@ -96,9 +96,9 @@
 	return it.rest
 }
 
-// Work returns the events that the job's texts are expected to have yet, and
+// TotalRemainingWork returns the events that the job's texts are expected to have yet, and
 // those of the longest that its trainer waits for.
-func (j *Job) Work() (sum, longest float64) {
+func (j *Job) TotalRemainingWork() (sum, longest float64) {
 	if j.closed {
 		return 0, 0
 	}
--- a/internal/policy/batch/texts.go
+++ b/internal/policy/batch/texts.go
@@ -71,10 +71,10 @@
 	}
 }
 
-// Sever notes that parts were lost here: texts so far stand, and parts that come
+// Freeze notes that parts were lost here: texts so far stand, and parts that come
 // later count only for texts that are begun anew. A later part may continue
 // another run's text of the same length.
-func (t *Texts) Sever() {
+func (t *Texts) Freeze() {
 	for _, text := range t.byItem {
 		text.severed = true
 	}
@@ -108,19 +108,19 @@
 	return texts
 }
 
-// Made returns how many events of an item's text there are; 0 if it ended.
-func (j *Job) Made(i int) int64 {
+// EventCount returns how many events of an item's text there are; 0 if it ended.
+func (j *Job) EventCount(i int) int64 {
 	if j.items[i].phase == ended {
 		return 0
 	}
 	return j.items[i].lastEvent
 }
 
-// Resume has the job's waiting items go on from texts that were kept of it, and
+// ResumeTexts has the job's waiting items go on from texts that were kept of it, and
 // returns how many items and events that were. A text that the job may not use,
 // as its weights are too old or, where one version is wanted, are several, is
 // passed over.
-func (j *Job) Resume(texts *Texts) (items, events int) {
+func (j *Job) ResumeTexts(texts *Texts) (items, events int) {
 	for i := range j.items {
 		text := texts.byItem[j.Spec.Items[i].ID]
 		it := &j.items[i]
--- a/internal/policy/batch/write.go
+++ b/internal/policy/batch/write.go
@@ -20,15 +20,15 @@
 	dueMargin = 500 * time.Millisecond
 )
 
-// Undurable returns the results that are decided and not yet durable, with the
+// PendingResults returns the results that are decided and not yet durable, with the
 // position of the first.
-func (j *Job) Undurable() (position int, results []Result) {
+func (j *Job) PendingResults() (position int, results []Result) {
 	return j.listed, j.decided[j.listed:]
 }
 
 // WriteDue tells whether the undurable results should be written now.
 func (j *Job) WriteDue(now time.Time) bool {
-	_, results := j.Undurable()
+	_, results := j.PendingResults()
 	if len(results) == 0 {
 		return false
 	}
@@ -46,14 +46,14 @@
 
 // waitsForStep tells whether the trainer has no use yet for what is undurable.
 func (j *Job) waitsForStep(now time.Time) bool {
-	if j.options.GroupsAlone || j.whole >= j.Spec.WantGroups {
+	if j.options.WriteByGroup || j.whole >= j.Spec.WantGroups {
 		return false
 	}
 	return j.Spec.Due.IsZero() || now.Before(j.Spec.Due.Add(-dueMargin))
 }
 
-// WholeGroups returns how many groups have a result for each of their items.
-func (j *Job) WholeGroups() int { return j.whole }
+// CompleteGroups returns how many groups have a result for each of their items.
+func (j *Job) CompleteGroups() int { return j.whole }
 
 // lastWritten is when results were last written, or else when the first came.
 func (j *Job) lastWritten() time.Time {
@@ -69,15 +69,15 @@
 	})
 }
 
-// Durable notes that the first n results are durable; readers may see them.
-func (j *Job) Durable(now time.Time, n int) {
+// MarkDurable notes that the first n results are durable; readers may see them.
+func (j *Job) MarkDurable(now time.Time, n int) {
 	j.listed = max(j.listed, n)
 	j.unwrittenSince = time.Time{}
 	j.written = now
 }
 
-// Readable returns the durable results from a position on.
-func (j *Job) Readable(from int) []Result {
+// DurableResults returns the durable results from a position on.
+func (j *Job) DurableResults(from int) []Result {
 	if from >= j.listed {
 		return nil
 	}
