--- a/internal/policy/batch/batch_test.go
+++ b/internal/policy/batch/batch_test.go
@@ -22,8 +22,8 @@
 	return s
 }
 
-// nextStart begins the item that comes next, if one does.
-func nextStart(j *batch.Job, now time.Time) (batch.RunStart, bool) {
+// startNext starts the next item, if there is one.
+func startNext(j *batch.Job, now time.Time) (batch.RunStart, bool) {
 	next, ok := j.Next(now)
 	if !ok {
 		return batch.RunStart{}, false
@@ -32,7 +32,7 @@
 }
 
 func begin(j *batch.Job, now time.Time) batch.RunStart {
-	s, ok := nextStart(j, now)
+	s, ok := startNext(j, now)
 	ExpectWithOffset(1, ok).To(BeTrue())
 	return s
 }
@@ -43,10 +43,10 @@
 	}
 }
 
-var _ = Describe("a batch job", func() {
-	It("joins the events of broken and resumed runs into one text with all their versions", func() {
-		// An engine resets the stream after two events. The item goes on at another
-		// engine after the second event, under newer weights; the trainer must see
+var _ = Describe("Job", func() {
+	It("joins the events of interrupted and resumed runs into one text with all their versions", func() {
+		// An engine resets the stream after two events. The item resumes at another
+		// engine after the second event, with newer weights; the trainer must see
 		// each event once and both versions.
 		j := batch.NewJob(spec(1), nil)
 		first := begin(j, start)
@@ -60,9 +60,9 @@
 		Expect(results).To(Equal([]batch.Result{{Item: "i0", State: batch.Completed, Output: []byte("e1\ne2\ne3\ne4"), Versions: []int64{3, 4}}}))
 	})
 
-	It("has results written when a group is whole, others after a second, where steps are not waited for", func() {
-		// The load: a step of many groups, whose items end one by one. Each write is
-		// a call to the store; the trainer takes whole groups only.
+	It("with WriteByGroup, writes results when a group is complete, and others after a second", func() {
+		// The workload: a step of many groups whose items end one by one. Each write is
+		// a call to the store, and the trainer only uses complete groups.
 		spec := spec(6)
 		spec.WantGroups = 3
 		j := batch.NewJob(spec, nil)
@@ -72,23 +72,23 @@
 			write(j, i, 1, 1, 3)
 			j.RunEnded(start, i, batch.RunComplete, "e1")
 		}
-		Expect(j.WriteDue(start)).To(BeFalse(), "nothing is there")
+		Expect(j.WriteDue(start)).To(BeFalse(), "there are no results")
 		finish(0)
-		Expect(j.WriteDue(start)).To(BeFalse(), "its group is not whole")
+		Expect(j.WriteDue(start)).To(BeFalse(), "its group is not complete")
 		Expect(j.WriteDue(start.Add(900 * time.Millisecond))).To(BeFalse())
-		Expect(j.WriteDue(start.Add(time.Second))).To(BeTrue(), "an owner that dies loses no more")
+		Expect(j.WriteDue(start.Add(time.Second))).To(BeTrue(), "bounds the work lost with a failed owner")
 		j.MarkDurable(start, 1)
 		finish(1)
-		Expect(j.WriteDue(start.Add(time.Second))).To(BeTrue(), "the first group is whole")
+		Expect(j.WriteDue(start.Add(time.Second))).To(BeTrue(), "the first group is complete")
 		j.MarkDurable(start, 2)
 		finish(2)
-		Expect(j.WriteDue(start.Add(2*time.Second))).To(BeFalse(), "the wait begins anew")
+		Expect(j.WriteDue(start.Add(2*time.Second))).To(BeFalse(), "the delay starts again")
 	})
 
-	It("has results written when the trainer's step is whole, or two seconds after the last", func() {
-		// The load: three groups of two, of which the trainer waits for two. Its read
-		// is answered by the first result there is, and the next one comes half a
-		// second later: results that trickle in make it read a whole step late.
+	It("writes results when the step is complete, or two seconds after the last write", func() {
+		// The workload: three groups of two, of which the trainer waits for two. A read
+		// returns as soon as there is a result, and the trainer reads again half a second
+		// later: if results were written one by one, it would get the complete step late.
 		spec := spec(6)
 		spec.WantGroups = 2
 		j := batch.NewJob(spec, nil)
@@ -100,19 +100,19 @@
 			j.RunEnded(now, s.Index, batch.RunComplete, "e1")
 		}
 		finish(0)
-		Expect(j.WriteDue(now)).To(BeFalse(), "nothing is whole")
+		Expect(j.WriteDue(now)).To(BeFalse(), "no group is complete")
 		finish(time.Second)
-		Expect(j.WriteDue(now)).To(BeFalse(), "a group is whole, the step is not")
-		Expect(j.WriteDue(start.Add(2*time.Second))).To(BeTrue(), "an owner that dies loses no more")
+		Expect(j.WriteDue(now)).To(BeFalse(), "a group is complete, the step is not")
+		Expect(j.WriteDue(start.Add(2*time.Second))).To(BeTrue(), "bounds the work lost with a failed owner")
 		j.MarkDurable(start.Add(2*time.Second), 2)
 		finish(1500 * time.Millisecond)
 		finish(0)
-		Expect(j.WriteDue(now)).To(BeTrue(), "the step is whole")
+		Expect(j.WriteDue(now)).To(BeTrue(), "the step is complete")
 	})
 
-	It("has whole groups written as they come once the step is about to be late", func() {
-		// The step's last text hangs at a slow engine. What the trainer can use is
-		// readable when it is due.
+	It("writes complete groups one by one shortly before the step is due", func() {
+		// The last text of the step is delayed by a slow engine. The complete groups, which
+		// the trainer can use, must be readable when the step is due.
 		spec := spec(6)
 		spec.WantGroups = 3
 		j := batch.NewJob(spec, nil)
@@ -125,27 +125,28 @@
 		Expect(j.WriteDue(spec.Due.Add(-400 * time.Millisecond))).To(BeTrue())
 	})
 
-	It("says once what a whole step's time consisted of", func() {
-		// Four items of two groups, both waited for. The last to end began late and was
-		// moved once: that is what an operator asks of a trainer that idles.
+	It("returns the timeline of a completed step once", func() {
+		// Four items in two groups, both of which the trainer waits for. The last item to
+		// end started late and was moved once, which explains to an operator why the trainer
+		// was idle.
 		spec := spec(4)
 		spec.WantGroups = 2
 		j := batch.NewJob(spec, nil)
-		run := func(began, ended time.Duration, how batch.RunOutcome) {
-			s := begin(j, start.Add(began))
-			j.RunPlaced(start.Add(began), s.Index)
+		run := func(started, ended time.Duration, how batch.RunOutcome) {
+			s := begin(j, start.Add(started))
+			j.RunPlaced(start.Add(started), s.Index)
 			write(j, s.Index, s.ResumeAfter+1, s.ResumeAfter+1, 3)
 			j.RunEnded(start.Add(ended), s.Index, how, "e")
 		}
 		run(0, time.Second, batch.RunComplete)
 		run(0, time.Second, batch.RunComplete)
 		run(0, time.Second, batch.RunComplete)
-		_, whole := j.StepCompleted(start.Add(time.Second))
-		Expect(whole).To(BeFalse())
+		_, complete := j.StepCompleted(start.Add(time.Second))
+		Expect(complete).To(BeFalse())
 		run(2*time.Second, 3*time.Second, batch.RunCancelledToMove)
 		run(3*time.Second, 5*time.Second, batch.RunComplete)
-		t, whole := j.StepCompleted(start.Add(5 * time.Second))
-		Expect(whole).To(BeTrue())
+		t, complete := j.StepCompleted(start.Add(5 * time.Second))
+		Expect(complete).To(BeTrue())
 		Expect(t).To(Equal(batch.Timeline{
 			Elapsed: 5 * time.Second, HalfStarted: 0, AllStarted: 2 * time.Second,
 			LastItem: "i3", LastItemEvents: 2, LastItemStarted: 2 * time.Second, LastItemRuns: 2, LastItemEngine: "e",
@@ -154,7 +155,7 @@
 		Expect(again).To(BeFalse())
 	})
 
-	It("takes no event out of order, twice, or of weights that are too old", func() {
+	It("rejects events that are out of order, repeated, or of too old a weight version", func() {
 		j := batch.NewJob(spec(1), nil)
 		s := begin(j, start)
 		write(j, s.Index, 1, 1, 3)
@@ -164,7 +165,7 @@
 		Expect(j.AddEvent(s.Index, 2, nil, 3)).To(BeTrue())
 	})
 
-	It("keeps one version for a text where the route asks for it", func() {
+	It("generates a text with a single version if the route requires it", func() {
 		one := spec(1)
 		one.SingleVersion = true
 		j := batch.NewJob(one, nil)
@@ -174,10 +175,10 @@
 		j.RunEnded(start, s.Index, batch.RunInterrupted, "e1")
 		Expect(begin(j, start.Add(time.Second)).RequiredVersion).To(Equal(int64(3)))
 		j.RunEnded(start, s.Index, batch.RunVersionMismatch, "e2")
-		Expect(begin(j, start.Add(2*time.Second))).To(Equal(batch.RunStart{Index: 0, PreviousEngine: "e2"}), "no engine has that version any more: anew")
+		Expect(begin(j, start.Add(2*time.Second))).To(Equal(batch.RunStart{Index: 0, PreviousEngine: "e2"}), "restarts, as no engine has that version any more")
 	})
 
-	It("gives an item up after the failures that its route allows, and not for refusals or breaks", func() {
+	It("aborts an item after the failures that its route allows, but not after refusals or interruptions", func() {
 		j := batch.NewJob(spec(1), nil)
 		now := start
 		for range 5 {
@@ -196,7 +197,7 @@
 		Expect(results).To(Equal([]batch.Result{{Item: "i0", State: batch.Aborted}}))
 	})
 
-	It("gives an impossible item up at once, and every item at the end of its time", func() {
+	It("aborts an impossible item at once, and every item when the job expires", func() {
 		j := batch.NewJob(spec(3), nil)
 		j.RunEnded(start, begin(j, start).Index, batch.RunImpossible, "e1")
 		_, results := j.PendingResults()
@@ -210,10 +211,10 @@
 		Expect(j.Finished()).To(BeTrue())
 	})
 
-	It("shows readers only what is durable, at the same positions after a restart", func() {
-		// The owner dies after it decided two results of which one is durable. Its
-		// successor lists the durable one first and makes the other anew: a reader
-		// that saw position 0 finds the same there.
+	It("returns only durable results, at the same positions after a restart", func() {
+		// The owner fails after it decided two results, of which one is durable. Its
+		// successor lists the durable one first and generates the other again, so that a
+		// reader that has seen position 0 finds the same result there.
 		j := batch.NewJob(spec(2), nil)
 		for range 2 {
 			s := begin(j, start)
@@ -230,26 +231,26 @@
 		Expect(successor.DurableResults(0)).To(Equal(results[:1]))
 		s := begin(successor, start)
 		Expect(successor.Spec.Items[s.Index].ID).NotTo(Equal(results[0].Item))
-		_, more := nextStart(successor, start)
+		_, more := startNext(successor, start)
 		Expect(more).To(BeFalse())
 	})
 
 	It("starts nothing once it is closed", func() {
 		j := batch.NewJob(spec(2), nil)
 		j.Close()
-		_, ok := nextStart(j, start)
+		_, ok := startNext(j, start)
 		Expect(ok).To(BeFalse())
 		_, found := j.Body("i0")
 		Expect(found).To(BeFalse())
 	})
 
-	It("scores a text when it is whole, elsewhere after a failure, and gives up after the allowed failures", func() {
+	It("scores a complete text, reports the endpoint of a failed call, and aborts the item after the allowed failures", func() {
 		scored := spec(1)
 		scored.Items[0].Scorer = &batch.Scorer{ID: "s"}
 		j := batch.NewJob(scored, nil)
 		s := begin(j, start)
 		_, _, ok := j.NextScore(start, 0)
-		Expect(ok).To(BeFalse(), "the text is not whole")
+		Expect(ok).To(BeFalse(), "the text is not complete")
 		write(j, s.Index, 1, 1, 3)
 		j.RunEnded(start, s.Index, batch.RunComplete, "e1")
 		i, last, ok := j.NextScore(start, 0)
@@ -262,7 +263,7 @@
 		Expect(last).To(Equal("p1"))
 		j.ScoringEnded(start, i, batch.ScoreRetryable, "", 3)
 		_, _, ok = j.NextScore(start, 0)
-		Expect(ok).To(BeFalse(), "a pause follows")
+		Expect(ok).To(BeFalse(), "a backoff follows")
 		for range 2 {
 			i, _, ok = j.NextScore(start.Add(time.Second), 0)
 			Expect(ok).To(BeTrue())
@@ -272,8 +273,8 @@
 		Expect(results).To(Equal([]batch.Result{{Item: "i0", State: batch.Aborted}}))
 	})
 
-	// written returns a job whose only text wants its score.
-	written := func() *batch.Job {
+	// generatedJob returns a job whose only text is complete and not yet scored.
+	generatedJob := func() *batch.Job {
 		scored := spec(1)
 		scored.Items[0].Scorer = &batch.Scorer{ID: "s"}
 		j := batch.NewJob(scored, nil)
@@ -282,24 +283,24 @@
 		j.RunEnded(start, s.Index, batch.RunComplete, "e1")
 		return j
 	}
-	// asked counts the scoring calls that are made at a moment.
-	asked := func(j *batch.Job, now time.Time, patience time.Duration) int {
+	// scoringCalls returns the number of scoring calls that start at the given time.
+	scoringCalls := func(j *batch.Job, now time.Time, hedgeDelay time.Duration) int {
 		n := 0
 		for {
-			if _, _, ok := j.NextScore(now, patience); !ok {
+			if _, _, ok := j.NextScore(now, hedgeDelay); !ok {
 				return n
 			}
 			n++
 		}
 	}
 
-	It("makes all scoring calls that are left at once after the first failure", func() {
-		// A scorer that always fails takes 0.3 s a call: one after the other, its item holds
-		// its step up for 1.2 s.
-		j := written()
-		Expect(asked(j, start, 0)).To(Equal(1))
+	It("makes all remaining scoring calls concurrently after the first failure", func() {
+		// A scorer that always fails takes 0.3 s per call: if the calls were made one after
+		// the other, the item would delay its step by 1.2 s.
+		j := generatedJob()
+		Expect(scoringCalls(j, start, 0)).To(Equal(1))
 		j.ScoringEnded(start, 0, batch.ScoreFailed, "", 4)
-		Expect(asked(j, start, 0)).To(Equal(3))
+		Expect(scoringCalls(j, start, 0)).To(Equal(3))
 		for range 3 {
 			_, results := j.PendingResults()
 			Expect(results).To(BeEmpty())
@@ -309,11 +310,11 @@
 		Expect(results).To(Equal([]batch.Result{{Item: "i0", State: batch.Aborted}}))
 	})
 
-	It("takes the first score of several calls, and lists the item once", func() {
-		j := written()
-		Expect(asked(j, start, 0)).To(Equal(1))
+	It("uses the first score of concurrent calls, and lists the item once", func() {
+		j := generatedJob()
+		Expect(scoringCalls(j, start, 0)).To(Equal(1))
 		j.ScoringEnded(start, 0, batch.ScoreFailed, "", 4)
-		Expect(asked(j, start, 0)).To(Equal(3))
+		Expect(scoringCalls(j, start, 0)).To(Equal(3))
 		j.ScoringEnded(start, 0, batch.ScoreFailed, "", 4)
 		j.ScoringEnded(start, 0, batch.ScoreGiven, "seal", 4)
 		j.ScoringEnded(start, 0, batch.ScoreGiven, "other", 4)
@@ -322,20 +323,20 @@
 		Expect(results[0].Score).To(Equal("seal"))
 	})
 
-	It("joins a scoring call that takes long by one other", func() {
-		j := written()
-		patience := 500 * time.Millisecond
-		Expect(asked(j, start, patience)).To(Equal(1))
-		Expect(asked(j, start.Add(400*time.Millisecond), patience)).To(BeZero())
-		Expect(asked(j, start.Add(500*time.Millisecond), patience)).To(Equal(1))
-		Expect(asked(j, start.Add(5*time.Second), patience)).To(BeZero())
+	It("hedges a slow scoring call with one other", func() {
+		j := generatedJob()
+		hedgeDelay := 500 * time.Millisecond
+		Expect(scoringCalls(j, start, hedgeDelay)).To(Equal(1))
+		Expect(scoringCalls(j, start.Add(400*time.Millisecond), hedgeDelay)).To(BeZero())
+		Expect(scoringCalls(j, start.Add(500*time.Millisecond), hedgeDelay)).To(Equal(1))
+		Expect(scoringCalls(j, start.Add(5*time.Second), hedgeDelay)).To(BeZero())
 		j.ScoringEnded(start, 0, batch.ScoreRetryable, "", 4)
 		j.ScoringEnded(start, 0, batch.ScoreGiven, "seal", 4)
 		_, results := j.PendingResults()
 		Expect(results).To(HaveLen(1))
 	})
 
-	It("gives the body of an item until it is listed", func() {
+	It("returns the body of an item, which stays unlisted until its result is durable", func() {
 		j := batch.NewJob(spec(1), nil)
 		body, found := j.Body("i0")
 		Expect(found).To(BeTrue())
@@ -344,28 +345,28 @@
 		s := begin(j, start)
 		write(j, s.Index, 1, 1, 3)
 		j.RunEnded(start, s.Index, batch.RunComplete, "e1")
-		Expect(j.IsUnlisted("i0")).To(BeTrue(), "decided is not listed")
+		Expect(j.IsUnlisted("i0")).To(BeTrue(), "a decided result is not listed yet")
 		j.MarkDurable(start, 1)
 		Expect(j.IsUnlisted("i0")).To(BeFalse())
 		Expect(j.IsUnlisted("nobody")).To(BeFalse())
 	})
 
-	It("refuses a job without items, with an item without id, or with two of one id", func() {
+	It("rejects a job without items, with an item without ID, or with a duplicate ID", func() {
 		Expect((&batch.Spec{}).Check()).To(MatchError(batch.ErrNoItems))
 		Expect((&batch.Spec{Items: []batch.Item{{}}}).Check()).To(MatchError(batch.ErrNoID))
 		Expect((&batch.Spec{Items: []batch.Item{{ID: "a"}, {ID: "a"}}}).Check()).To(MatchError(batch.ErrDuplicate))
 		Expect(spec(2).Check()).To(Succeed())
 	})
 
-	It("keeps every text whole and once through random ends, breaks and restarts", func() {
+	It("generates every text completely and once despite random interruptions and owner restarts", func() {
 		for seed := range uint64(200) {
-			playRandomly(seed)
+			runRandomly(seed)
 		}
 	})
 })
 
-// playRandomly runs a job under drawn ends of runs and checks every text.
-func playRandomly(seed uint64) {
+// runRandomly runs a job with random interruptions and restarts, and checks every text.
+func runRandomly(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	s := spec(4)
 	j := batch.NewJob(s, nil)
@@ -376,9 +377,9 @@
 			j.MarkDurable(start, n+1+random.IntN(len(pending)))
 		}
 		if random.IntN(40) == 0 {
-			j = batch.NewJob(s, append([]batch.Result(nil), j.DurableResults(0)...)) // its owner died
+			j = batch.NewJob(s, append([]batch.Result(nil), j.DurableResults(0)...)) // its owner failed
 		}
-		run, ok := nextStart(j, now)
+		run, ok := startNext(j, now)
 		if !ok {
 			continue
 		}
@@ -403,7 +404,7 @@
 	Expect(seen).To(HaveLen(4))
 }
 
-var _ = Describe("the order of starts", func() {
+var _ = Describe("Job.Next", func() {
 	grouped := func(hints ...int) *batch.Spec {
 		s := &batch.Spec{}
 		for i, h := range hints {
@@ -415,7 +416,7 @@
 		j := batch.NewJob(s, nil)
 		var order []string
 		for {
-			run, ok := nextStart(j, start)
+			run, ok := startNext(j, start)
 			if !ok {
 				return strings.Join(order, " ")
 			}
@@ -423,15 +424,15 @@
 		}
 	}
 
-	It("starts long items first, and last the groups that the trainer can do without", func() {
-		// Four groups, of which the trainer waits for three. The one with the longest
-		// item would hold the step up; it starts last and may stay unfinished.
+	It("starts long items first, and spare groups last", func() {
+		// Four groups, of which the trainer waits for three. The group with the longest
+		// item would delay the step, so it starts last and may stay unfinished.
 		s := grouped(10, 20, 30, 5, 50, 900, 40, 60)
 		s.WantGroups = 3
 		Expect(starts(s)).To(Equal("7 6 2 1 0 3 5 4"))
 	})
 
-	It("never holds back the first half of the awaited groups, which may have been carried over", func() {
+	It("never treats the first WantGroups/2 groups as spare, as they may have been carried over", func() {
 		s := grouped(900, 20, 30, 5, 50, 60, 40, 60)
 		s.WantGroups = 3
 		Expect(strings.HasPrefix(starts(s), "0 ")).To(BeTrue())
--- a/internal/policy/batch/job.go
+++ b/internal/policy/batch/job.go
@@ -11,67 +11,67 @@
 const (
 	waiting phase = iota
 	running
-	written // the text is complete and wants its score
+	generated // the text is complete and is to be scored
 	scoring
-	ended // its result is decided
+	ended // the result is decided
 )
 
 const (
-	// refusedPause is the wait after an engine had no room: about the time in
-	// which one of its slots comes free.
-	refusedPause = 40 * time.Millisecond
-	// failedPause is the wait after a run broke off, so that an engine which
-	// resets every connection does not take all of the owner's time.
-	failedPause = 20 * time.Millisecond
+	// refusalBackoff is the delay after an engine or a scorer refused a request: about the
+	// time until one of an engine's slots becomes free.
+	refusalBackoff = 40 * time.Millisecond
+	// interruptionBackoff is the delay after a run was interrupted, so that an engine which
+	// resets every connection does not take up all of the owner's time.
+	interruptionBackoff = 20 * time.Millisecond
 )
 
 type itemState struct {
 	phase         phase
-	notBefore     time.Time
-	failures      int // answers that the item failed
-	scores        scores
+	notBefore     time.Time // earliest time of the next run or scoring call
+	failures      int       // runs that the engine reported as failed
+	scoringCalls  scoringCalls
 	text          [][]byte // data of the events so far
 	lastEvent     int64
-	versions      []int64   // that generated an event, in order of appearance
-	eventVersions []int64   // that generated the event at the same place of the text
-	rest          float64   // events that are expected yet
-	lastAt        string    // engine of the last run
-	firstRun      time.Time // when its first run began
+	versions      []int64   // distinct weight versions of the events, in order of appearance
+	eventVersions []int64   // weight version of each event in text
+	remaining     float64   // expected number of remaining events
+	lastEngine    string    // engine of the last run
+	firstRunAt    time.Time // when the first run was placed on an engine
 	runs          int
 }
 
-// Job is a batch job under way. It is not safe for concurrent use.
+// Job is the state of an open batch job. It is not safe for concurrent use.
 type Job struct {
-	Spec    *Spec
-	items   []itemState
-	byID    map[string]int
-	groups  map[string]*group
-	spare   map[string]bool // groups that the trainer can do without
-	lengths Estimator
-	options Options
+	Spec      *Spec
+	items     []itemState
+	byID      map[string]int
+	groups    map[string]*group
+	spare     map[string]bool // groups that the trainer does not need
+	estimator Estimator
+	options   Options
 
 	decided        []Result  // results in the order of their positions
-	listed         int       // of them, known to be durable
-	unwrittenSince time.Time // since when some of them wait to be written; zero: none, or not looked at
-	written        time.Time // when some of them were last found durable
-	left           int       // items that are not ended
-	whole          int       // groups without an item that is not ended
+	durableCount   int       // number of leading decided results known to be durable
+	pendingSince   time.Time // since when results wait to be written, as noticed by WriteDue; zero if none
+	lastWriteAt    time.Time // when results were last marked durable
+	unfinished     int       // items that have no result yet
+	completeGroups int       // groups in which every item has a result
 	closed         bool
-	noted          bool // that the step is whole
+	stepReported   bool // StepCompleted has returned the timeline
 }
 
 type group struct {
-	left int
+	unfinished int // items that have no result yet
 }
 
-// Options change how a job is run. The zero value is how it is usually run.
+// Options change how a job is run. The zero value is the default behaviour.
 type Options struct {
-	SubmissionOrder bool // items start as they are listed, not the longest first
-	NoSpare         bool // no group starts after the others
-	WriteByGroup    bool // results are written when their group is whole, not their step
+	SubmissionOrder bool // items start in the order of the submission, not the longest first
+	NoSpare         bool // no group is treated as spare and started after the others
+	WriteByGroup    bool // results are written when their group is complete, not when their step is
 }
 
-// Configure sets the job's options before anything of it is started.
+// Configure sets the job's options. It must be called before any item is started.
 func (j *Job) Configure(o Options) {
 	j.options = o
 	if o.NoSpare {
@@ -79,50 +79,50 @@
 	}
 }
 
-// NewJob starts a job with the results that are already durable.
+// NewJob returns a job whose results in durable are already known to be durable.
 func NewJob(spec *Spec, durable []Result) *Job {
-	j := &Job{Spec: spec, items: make([]itemState, len(spec.Items)), byID: map[string]int{}, groups: map[string]*group{}, left: len(spec.Items)}
+	j := &Job{Spec: spec, items: make([]itemState, len(spec.Items)), byID: map[string]int{}, groups: map[string]*group{}, unfinished: len(spec.Items)}
 	for i := range spec.Items {
 		j.byID[spec.Items[i].ID] = i
 		name := spec.Items[i].Group
 		if j.groups[name] == nil {
 			j.groups[name] = &group{}
 		}
-		j.groups[name].left++
+		j.groups[name].unfinished++
 	}
 	for _, r := range durable {
-		j.take(r)
+		j.addDurable(r)
 	}
-	j.listed = len(j.decided)
+	j.durableCount = len(j.decided)
 	j.spare = spareGroups(spec)
 	j.SetEstimator(NewLengthEstimator())
 	return j
 }
 
-func (j *Job) take(r Result) {
+func (j *Job) addDurable(r Result) {
 	if i, found := j.byID[r.Item]; found {
-		j.end(i, r)
+		j.finish(i, r)
 	}
 }
 
-func (j *Job) end(i int, r Result) {
+func (j *Job) finish(i int, r Result) {
 	it := &j.items[i]
 	if it.phase == ended {
 		return
 	}
 	it.phase = ended
 	it.text, it.eventVersions = nil, nil
-	j.left--
+	j.unfinished--
 	g := j.groups[j.Spec.Items[i].Group]
-	g.left--
-	if g.left == 0 {
-		j.whole++
+	g.unfinished--
+	if g.unfinished == 0 {
+		j.completeGroups++
 	}
 	j.decided = append(j.decided, r)
 }
 
-// AddEvent takes in one event of a run. False means that the run does not
-// continue the text and must be ended.
+// AddEvent adds one event of a run to the item's text. It returns false if the event
+// does not continue the text, in which case the caller must end the run.
 func (j *Job) AddEvent(i int, id int64, data []byte, version int64) bool {
 	it := &j.items[i]
 	if it.phase != running || id != it.lastEvent+1 || version < j.Spec.MinVersion {
@@ -140,44 +140,45 @@
 	return true
 }
 
-// RunOutcome is how a run ended.
+// RunOutcome is the way in which a run of an item ended.
 type RunOutcome int
 
-// The ends of runs.
+// The outcomes of runs.
 const (
 	RunComplete        RunOutcome = iota // the stream ended after its last event
-	RunInterrupted                       // it broke off, or its engine fell silent
-	RunRefused                           // it certainly did not run
-	RunFailed                            // the engine answered that it failed
-	RunImpossible                        // the engine answered that the item can never be done
-	RunVersionMismatch                   // its weights do not fit the text so far
-	RunCancelledToMove                   // this side ended it, as others would be faster
+	RunInterrupted                       // the stream broke off, or the engine stopped responding
+	RunRefused                           // the run certainly did not start
+	RunFailed                            // the engine reported a failure
+	RunImpossible                        // the engine reported that the item can never be generated
+	RunVersionMismatch                   // the engine's weight version cannot continue the text so far
+	RunCancelledToMove                   // this process cancelled the run, as other engines are faster
 )
 
-// RunEnded takes in the end of an item's run at an engine.
+// RunEnded records that an item's run at an engine ended. The item is then scored,
+// retried or aborted, or gets its result.
 func (j *Job) RunEnded(now time.Time, i int, how RunOutcome, engine string) {
 	it := &j.items[i]
 	if it.phase != running {
 		return
 	}
 	it.phase = waiting
-	it.lastAt = engine
+	it.lastEngine = engine
 	defer j.estimate(i)
 	switch how {
 	case RunComplete:
-		j.lengths.Observe(&j.Spec.Items[i], it.lastEvent)
-		j.textComplete(i)
+		j.estimator.Observe(&j.Spec.Items[i], it.lastEvent)
+		j.finishText(i)
 	case RunCancelledToMove:
 	case RunInterrupted:
-		it.notBefore = now.Add(failedPause)
+		it.notBefore = now.Add(interruptionBackoff)
 	case RunRefused:
-		it.notBefore = now.Add(refusedPause)
+		it.notBefore = now.Add(refusalBackoff)
 	case RunVersionMismatch:
-		it.restart()
-		it.notBefore = now.Add(failedPause)
+		it.resetText()
+		it.notBefore = now.Add(interruptionBackoff)
 	case RunFailed:
 		it.failures++
-		it.restart()
+		it.resetText()
 		if it.failures >= max(1, j.Spec.MaxAttempts) {
 			j.abort(i)
 		}
@@ -186,17 +187,17 @@
 	}
 }
 
-func (it *itemState) restart() {
+func (it *itemState) resetText() {
 	it.text, it.lastEvent, it.versions, it.eventVersions = nil, 0, nil, nil
 }
 
-func (j *Job) textComplete(i int) {
+func (j *Job) finishText(i int) {
 	it := &j.items[i]
 	if len(it.text) == 0 {
-		it.restart() // an empty stream is no text
+		it.resetText() // a stream without events does not count as a text
 		return
 	}
-	it.phase = written
+	it.phase = generated
 	if j.Spec.Items[i].Scorer == nil {
 		j.complete(i, "")
 	}
@@ -204,41 +205,42 @@
 
 func (j *Job) complete(i int, score string) {
 	it := &j.items[i]
-	j.end(i, Result{Item: j.Spec.Items[i].ID, State: Completed, Output: bytes.Join(it.text, []byte("\n")), Versions: slices.Clone(it.versions), Score: score})
+	j.finish(i, Result{Item: j.Spec.Items[i].ID, State: Completed, Output: bytes.Join(it.text, []byte("\n")), Versions: slices.Clone(it.versions), Score: score})
 }
 
 func (j *Job) abort(i int) {
-	j.end(i, Result{Item: j.Spec.Items[i].ID, State: Aborted})
+	j.finish(i, Result{Item: j.Spec.Items[i].ID, State: Aborted})
 }
 
-// Expire gives up what has not begun to be scored once the items' time is over,
-// and tells whether anything changed.
+// Expire aborts every item without a result once the job has expired. It reports
+// whether it aborted any.
 func (j *Job) Expire(now time.Time) bool {
 	if j.closed || j.Spec.Expires.IsZero() || now.Before(j.Spec.Expires) {
 		return false
 	}
-	before := j.left
+	before := j.unfinished
 	for i := range j.items {
 		if j.items[i].phase != ended {
 			j.abort(i)
 		}
 	}
-	return j.left != before
+	return j.unfinished != before
 }
 
 // Total returns the number of items.
 func (j *Job) Total() int { return len(j.items) }
 
-// Finished tells whether every item has its durable result.
-func (j *Job) Finished() bool { return j.left == 0 && j.listed == len(j.decided) }
+// Finished reports whether every item has a durable result.
+func (j *Job) Finished() bool { return j.unfinished == 0 && j.durableCount == len(j.decided) }
 
-// Close ends the job: nothing more starts.
+// Close closes the job: no further run or scoring call starts.
 func (j *Job) Close() { j.closed = true }
 
-// Closed tells whether the job was ended.
+// Closed reports whether the job was closed.
 func (j *Job) Closed() bool { return j.closed }
 
-// Body returns an unlisted item's body.
+// Body returns the body of an item. It returns false if the job has no such item or
+// is closed.
 func (j *Job) Body(id string) ([]byte, bool) {
 	i, found := j.byID[id]
 	if !found || j.closed {
@@ -247,12 +249,12 @@
 	return j.Spec.Items[i].Body, true
 }
 
-// IsUnlisted tells whether the item is part of the job and has no durable result.
+// IsUnlisted reports whether the item is part of the job and has no durable result.
 func (j *Job) IsUnlisted(id string) bool {
 	if _, found := j.byID[id]; !found {
 		return false
 	}
-	for _, r := range j.decided[:j.listed] {
+	for _, r := range j.decided[:j.durableCount] {
 		if r.Item == id {
 			return false
 		}
@@ -260,7 +262,8 @@
 	return true
 }
 
-// Counts tells how many items are in each stage, for logs and metrics.
+// Counts returns, for logs and metrics, the number of items that wait for a run, that run,
+// whose text is complete but not scored, and that have a result.
 func (j *Job) Counts() (wait, run, score, done int) {
 	for i := range j.items {
 		switch j.items[i].phase {
@@ -268,7 +271,7 @@
 			wait++
 		case running:
 			run++
-		case written, scoring:
+		case generated, scoring:
 			score++
 		case ended:
 			done++
--- a/internal/policy/batch/jobid.go
+++ b/internal/policy/batch/jobid.go
@@ -2,18 +2,20 @@
 
 import "strings"
 
-// ownerSign stands between a customer's name and a job's ID.
-const ownerSign = "!"
+// customerSeparator separates the customer's name from the job's ID.
+const customerSeparator = "!"
 
-// segment escapes a name for use in one segment of a key, without the sign.
-var segment = strings.NewReplacer("%", "%25", "/", "%2F", ownerSign, "%21")
+// segmentEscaper escapes a name for use in one segment of a key, including any
+// customerSeparator in it.
+var segmentEscaper = strings.NewReplacer("%", "%25", "/", "%2F", customerSeparator, "%21")
 
-// JobID names a job of a customer by the ID that its submitter gave it. Two customers'
-// jobs never have one name, so that nobody reaches another's, and the name is one
-// segment of a path. The customer is empty where there are none.
+// JobID returns the unique ID of a customer's job with the ID that its submitter chose.
+// Jobs of different customers never have the same ID, so that no customer can access
+// another's job, and the ID is a single segment of a path. The customer is empty in a
+// deployment without customers.
 func JobID(customer, id string) string {
 	if customer == "" {
-		return segment.Replace(id)
+		return segmentEscaper.Replace(id)
 	}
-	return segment.Replace(customer) + ownerSign + segment.Replace(id)
+	return segmentEscaper.Replace(customer) + customerSeparator + segmentEscaper.Replace(id)
 }
--- a/internal/policy/batch/jobid_test.go
+++ b/internal/policy/batch/jobid_test.go
@@ -7,9 +7,9 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-var _ = Describe("a job's name", func() {
-	It("is one for one customer and ID, and one segment of a path", func() {
-		// Whoever chooses IDs, or customers' names, must not reach a job of another.
+var _ = Describe("JobID", func() {
+	It("is unique per customer and ID, and a single path segment", func() {
+		// No choice of IDs or customer names may give access to another customer's job.
 		names := map[string]string{}
 		for _, customer := range []string{"", "a", "a!b", "a/b", "é"} {
 			for _, id := range []string{"", "j", "b!j", "a!j", "/j", "../j", "%21", "\x00"} {
@@ -21,7 +21,7 @@
 		}
 	})
 
-	It("is the ID as it was given where there are no customers", func() {
+	It("is the submitted ID if there are no customers", func() {
 		Expect(batch.JobID("", "7c41e09b52d6a3f8")).To(Equal("7c41e09b52d6a3f8"))
 	})
 })
--- a/internal/policy/batch/spec.go
+++ b/internal/policy/batch/spec.go
@@ -1,7 +1,7 @@
-// Package batch decides the course of a batch job: which item starts next,
-// whether a broken run is resumed or begun anew, when an item is given up, and
-// in which order results are listed. Messages go in and decisions come out;
-// there is no input, output or clock.
+// Package batch implements the state machine of a batch job: which item starts
+// next, whether an interrupted run is resumed or restarted, when an item is
+// aborted, and in which order results are listed. It performs no I/O and reads no
+// clock: callers report what happened and ask for decisions.
 package batch
 
 import (
@@ -13,34 +13,34 @@
 // Spec is a batch job as it was submitted. It does not change.
 type Spec struct {
 	ID            string
-	Customer      string // on whose behalf; empty: nobody's
-	Host          string // of the route that it came by
+	Customer      string // on whose behalf it was submitted; empty if there is none
+	Host          string // of the route on which it was submitted
 	Step          int64
 	Model         string
 	MinVersion    int64 // oldest weight version that may generate a token
-	SingleVersion bool  // one version for an item's whole text
-	WantGroups    int   // groups that its trainer waits for; 0: no groups
-	MaxAttempts   int
-	Priority      int // of the route, 0 is the highest
+	SingleVersion bool  // all tokens of an item must come from the same version
+	WantGroups    int   // number of groups that the trainer waits for; 0 if it does not use groups
+	MaxAttempts   int   // failed runs after which an item is aborted
+	Priority      int   // of the route; 0 is the highest
 	Submitted     time.Time
-	Due           time.Time // results are due
-	Expires       time.Time // items may be given up
+	Due           time.Time // when the results are due
+	Expires       time.Time // when unfinished items are aborted; zero for never
 	Items         []Item
 }
 
-// Item is one sample to be generated.
+// Item is one sample to generate.
 type Item struct {
 	ID         string
 	Path       string
-	Header     [][2]string // passed on to the engine
+	Header     [][2]string // forwarded to the engine
 	Body       []byte
 	Group      string
-	LengthHint int // estimated output tokens; 0: unknown
-	MaxTokens  int // most output tokens that may come; 0: unknown
-	Scorer     *Scorer
+	LengthHint int     // estimated number of output tokens; 0 if unknown
+	MaxTokens  int     // limit of output tokens; 0 if unknown
+	Scorer     *Scorer // nil if the text is not scored
 }
 
-// Scorer is the request that scores a finished text.
+// Scorer is the request that scores a complete text.
 type Scorer struct {
 	ID   string
 	Host string
@@ -48,7 +48,7 @@
 	Body []byte
 }
 
-// State of a result.
+// State is the state of a result.
 type State int
 
 // The states of results.
@@ -57,7 +57,7 @@
 	Aborted
 )
 
-// Result is an item's listed outcome.
+// Result is the final result of an item.
 type Result struct {
 	Item     string
 	State    State
@@ -66,14 +66,14 @@
 	Score    string
 }
 
-// Errors of a submission.
+// Errors of Spec.Check.
 var (
 	ErrNoItems   = errors.New("batch: a job needs items")
 	ErrDuplicate = errors.New("batch: two items have one id")
 	ErrNoID      = errors.New("batch: an item has no id")
 )
 
-// Check returns what is wrong with a submitted job.
+// Check validates a submitted job.
 func (s *Spec) Check() error {
 	if len(s.Items) == 0 {
 		return ErrNoItems
--- a/internal/policy/batch/inherit.go
+++ b/internal/policy/batch/standby.go
@@ -1,7 +1,7 @@
 package batch
 
-// ListedItems returns the items whose results are durable, in the order of their positions,
-// from a position on.
+// ListedItems returns the items whose results are durable, in the order of their positions
+// and starting at position from.
 func (j *Job) ListedItems(from int) []string {
 	var items []string
 	for _, r := range j.DurableResults(from) {
@@ -10,8 +10,8 @@
 	return items
 }
 
-// NewStandbyJob starts a job that another process owns, to generate what is not listed
-// there yet. Its owner listed these items.
+// NewStandbyJob returns a job that another process owns, for a standby that generates the
+// items that the owner has not listed yet. listed are the items that the owner has listed.
 func NewStandbyJob(spec *Spec, listed []string) *Job {
 	durable := make([]Result, len(listed))
 	for i, item := range listed {
@@ -20,19 +20,19 @@
 	return NewJob(spec, durable)
 }
 
-// MergeStandby takes over what a standby made of the same job meanwhile: results of items that
-// are not decided here, and the texts under way. It returns how many items these are.
-func (j *Job) MergeStandby(from *Job) int {
+// MergeStandby takes over what a standby generated of the same job: the results of items
+// that wait here, and the partial texts. It returns the number of items taken over.
+func (j *Job) MergeStandby(standby *Job) int {
 	items := 0
-	for _, r := range from.decided[from.listed:] {
+	for _, r := range standby.decided[standby.durableCount:] {
 		if i, found := j.byID[r.Item]; found && j.items[i].phase == waiting && j.usable(r) {
-			j.end(i, r)
+			j.finish(i, r)
 			items++
 		}
 	}
-	resumed, _ := j.ResumeTexts(from.Texts())
+	resumed, _ := j.ResumeTexts(standby.Texts())
 	return items + resumed
 }
 
-// usable tells whether a result may be listed as it is.
+// usable reports whether the job may list a result of a standby.
 func (j *Job) usable(r Result) bool { return r.State == Aborted || j.acceptsVersions(r.Versions) }
--- a/internal/policy/batch/inherit_test.go
+++ b/internal/policy/batch/standby_test.go
@@ -9,12 +9,12 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-var _ = Describe("a job that a standby ran", func() {
+var _ = Describe("Job.MergeStandby", func() {
 	now := time.Unix(1000, 0)
 	scored := &batch.Scorer{ID: "s"}
 	spec := &batch.Spec{ID: "j", MinVersion: 3, MaxAttempts: 2, Items: []batch.Item{{ID: "listed"}, {ID: "done"}, {ID: "half"}, {ID: "failed", Scorer: scored}, {ID: "new"}}}
 
-	// generate has an item make so many events.
+	// generate runs an item that generates the given number of events.
 	generate := func(j *batch.Job, i int, events int64, how batch.RunOutcome) {
 		j.StartRun(i)
 		for n := int64(1); n <= events; n++ {
@@ -23,7 +23,7 @@
 		j.RunEnded(now, i, how, "e")
 	}
 
-	It("goes on at its next owner with all that was made, and lists it after what was listed", func() {
+	It("gives its results and texts to the next owner, which lists them after the listed results", func() {
 		standby := batch.NewStandbyJob(spec, []string{"listed"})
 		generate(standby, 1, 2, batch.RunComplete)
 		generate(standby, 2, 1, batch.RunInterrupted)
@@ -45,7 +45,7 @@
 		Expect(owner.StartRun(4).ResumeAfter).To(BeZero())
 	})
 
-	It("lists nothing twice that its owner listed before it was lost", func() {
+	It("does not list an item again that the owner listed before it failed", func() {
 		standby := batch.NewStandbyJob(spec, nil)
 		generate(standby, 1, 2, batch.RunComplete)
 		owner := batch.NewJob(spec, []batch.Result{{Item: "done", Output: []byte("its owner's")}})
@@ -54,7 +54,7 @@
 		Expect(results).To(BeEmpty())
 	})
 
-	It("takes over nothing that older weights made than the job accepts", func() {
+	It("does not give the owner texts of older weights than the job accepts", func() {
 		standby := batch.NewStandbyJob(spec, nil)
 		generate(standby, 1, 2, batch.RunComplete)
 		newer := *spec
--- a/internal/policy/batch/start.go
+++ b/internal/policy/batch/start.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// RunStart is a run to be started.
+// RunStart describes a run to start.
 type RunStart struct {
 	Index           int
-	ResumeAfter     int64  // resume after this event; 0: from the start
-	PreviousEngine  string // engine of the run before, to be avoided
-	RequiredVersion int64  // the only version that may go on with the text; 0: any
+	ResumeAfter     int64  // ID of the event to resume after; 0 to generate from the beginning
+	PreviousEngine  string // engine of the item's previous run, to be avoided
+	RequiredVersion int64  // the only weight version that may continue the text; 0 for any
 }
 
 // Candidate is the item of a job that should start next.
 type Candidate struct {
 	Index         int
-	RemainingWork float64 // events that its text is expected to have yet
-	Spare         bool    // its group is one that the trainer can do without
+	RemainingWork float64 // expected number of remaining events
+	Spare         bool    // the trainer does not need the item's group
 }
 
-// SetEstimator has the job estimate its texts by what is known of lengths, and add to it.
+// SetEstimator sets the estimator of text lengths, which the job consults and to which it
+// reports complete texts, and updates the estimates of all items.
 func (j *Job) SetEstimator(l Estimator) {
-	j.lengths = l
+	j.estimator = l
 	for i := range j.items {
 		j.estimate(i)
 	}
 }
 
 func (j *Job) estimate(i int) {
-	j.items[i].rest = j.lengths.RemainingWork(&j.Spec.Items[i], j.items[i].lastEvent)
+	j.items[i].remaining = j.estimator.RemainingWork(&j.Spec.Items[i], j.items[i].lastEvent)
 }
 
-// Next returns the item to start next: of a group that is waited for before one
-// of a group that is not, and among those the one whose text has most to come.
-// A straggler that starts late holds up its whole group.
+// Next returns the item to start next. Spare items come after all others; within each of
+// the two, the item with the most remaining events comes first, as a long item that
+// starts late delays its whole group.
 func (j *Job) Next(now time.Time) (Candidate, bool) {
 	best := -1
 	for i := range j.items {
@@ -39,44 +40,45 @@
 		if j.closed || it.phase != waiting || now.Before(it.notBefore) {
 			continue
 		}
-		if best < 0 || j.before(i, best) {
+		if best < 0 || j.startsBefore(i, best) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return Candidate{}, false
 	}
-	return Candidate{Index: best, RemainingWork: j.items[best].rest, Spare: j.Spare(best)}, true
+	return Candidate{Index: best, RemainingWork: j.items[best].remaining, Spare: j.Spare(best)}, true
 }
 
-func (j *Job) before(a, b int) bool {
+func (j *Job) startsBefore(a, b int) bool {
 	if j.options.SubmissionOrder {
 		return a < b
 	}
 	if j.Spare(a) != j.Spare(b) {
 		return j.Spare(b)
 	}
-	if j.items[a].rest != j.items[b].rest {
-		return j.items[a].rest > j.items[b].rest
+	if j.items[a].remaining != j.items[b].remaining {
+		return j.items[a].remaining > j.items[b].remaining
 	}
 	return j.Spec.Items[a].LengthHint > j.Spec.Items[b].LengthHint
 }
 
-// Spare tells whether the trainer can do without an item.
+// Spare reports whether the trainer does not need an item.
 func (j *Job) Spare(i int) bool { return j.spare[j.Spec.Items[i].Group] }
 
-// StartRun marks a waiting item as running.
+// StartRun marks a waiting item as running and returns its run.
 func (j *Job) StartRun(i int) RunStart {
 	it := &j.items[i]
 	it.phase = running
-	start := RunStart{Index: i, ResumeAfter: it.lastEvent, PreviousEngine: it.lastAt}
+	start := RunStart{Index: i, ResumeAfter: it.lastEvent, PreviousEngine: it.lastEngine}
 	if j.Spec.SingleVersion && len(it.versions) > 0 {
 		start.RequiredVersion = it.versions[0]
 	}
 	return start
 }
 
-// Postpone puts a started item back without a run, as no engine may have it.
+// Postpone returns a running item to the waiting ones until the given time, without a
+// run, as no engine can take it.
 func (j *Job) Postpone(i int, until time.Time) {
 	it := &j.items[i]
 	if it.phase == running {
@@ -85,19 +87,19 @@
 	}
 }
 
-// RemainingWork returns the events that an item's text is expected to have yet; 0 if it
-// is complete.
+// RemainingWork returns the expected number of remaining events of an item's text, or 0
+// if the text is complete.
 func (j *Job) RemainingWork(i int) float64 {
 	it := &j.items[i]
 	if it.phase != waiting && it.phase != running {
 		return 0
 	}
 	j.estimate(i)
-	return it.rest
+	return it.remaining
 }
 
-// TotalRemainingWork returns the events that the job's texts are expected to have yet, and
-// those of the longest that its trainer waits for.
+// TotalRemainingWork returns the expected number of remaining events of the job's texts,
+// and that of the longest text that its trainer waits for.
 func (j *Job) TotalRemainingWork() (sum, longest float64) {
 	if j.closed {
 		return 0, 0
@@ -107,9 +109,9 @@
 		if it.phase != waiting && it.phase != running {
 			continue
 		}
-		sum += it.rest
+		sum += it.remaining
 		if !j.Spare(i) {
-			longest = max(longest, it.rest)
+			longest = max(longest, it.remaining)
 		}
 	}
 	return sum, longest
--- a/internal/policy/batch/texts.go
+++ b/internal/policy/batch/texts.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// TextPart is a part of an item's text as it is kept outside the job: events in
-// order, each with the weight version that generated it.
+// TextPart is a part of an item's text as it is copied or stored outside the job:
+// consecutive events, each with the weight version that generated it.
 type TextPart struct {
 	Item     string
-	First    int64 // ID of the first event; 1 begins the text anew
+	First    int64 // ID of the first event; a part with ID 1 replaces the text
 	Events   [][]byte
-	Versions []int64 // of the event at the same place
+	Versions []int64 // weight version of each event
 	Complete bool    // the text ends with these events
-	Score    string  // of the complete text; empty: not known
+	Score    string  // score of the complete text; empty if not known
 }
 
-// Text is what engines have generated of an item so far, from its first event.
+// Text is the text generated for an item so far, from its first event.
 type Text struct {
 	Events   [][]byte
 	Versions []int64
 	Complete bool
-	Score    string // of the complete text; empty: not known
-	severed  bool   // what followed was lost, so that no part can be told to continue it
+	Score    string // score of the complete text; empty if not known
+	frozen   bool   // later parts were lost, so it is unknown whether a part continues this text
 }
 
-// Texts joins parts into texts. Parts may be missing, and a text may have been
-// begun anew; what is joined is always events of one text without a gap. It is
-// not safe for concurrent use.
+// Texts assembles texts from parts. Parts may be missing, and a text may have been
+// restarted; an assembled text always consists of events of one text without a gap. It
+// is not safe for concurrent use.
 type Texts struct {
 	byItem map[string]*Text
 }
@@ -35,8 +35,8 @@
 // NewTexts returns an empty collection.
 func NewTexts() *Texts { return &Texts{byItem: map[string]*Text{}} }
 
-// Add joins a part to its text. It tells whether it was of use: one after a gap is
-// not, nor is one that repeats events in the middle of a text.
+// Add appends a part to its text and reports whether it did. It rejects a part after a
+// gap and a part that repeats events in the middle of a text.
 func (t *Texts) Add(p TextPart) bool {
 	if p.First < 1 || len(p.Events) != len(p.Versions) || slices.ContainsFunc(p.Versions, func(v int64) bool { return v <= 0 }) {
 		return false
@@ -46,7 +46,7 @@
 		text = &Text{}
 		t.byItem[p.Item] = text
 	}
-	if text == nil || p.First != int64(len(text.Events))+1 || text.severed || text.Complete && len(p.Events) > 0 {
+	if text == nil || p.First != int64(len(text.Events))+1 || text.frozen || text.Complete && len(p.Events) > 0 {
 		return false
 	}
 	text.Events = append(text.Events, p.Events...)
@@ -58,10 +58,11 @@
 	return true
 }
 
-// Empty tells whether there are no texts.
+// Empty reports whether there are no texts.
 func (t *Texts) Empty() bool { return len(t.byItem) == 0 }
 
-// Merge takes over each text of which the other collection has more.
+// Merge takes over each text that is longer in other, or equally long and complete only
+// there.
 func (t *Texts) Merge(other *Texts) {
 	for item, theirs := range other.byItem {
 		ours := t.byItem[item]
@@ -71,12 +72,12 @@
 	}
 }
 
-// Freeze notes that parts were lost here: texts so far stand, and parts that come
-// later count only for texts that are begun anew. A later part may continue
-// another run's text of the same length.
+// Freeze records that parts were lost at this point. The texts so far remain valid, but
+// later parts are only accepted if they restart a text, as a later part may continue a
+// text of another run that happens to have the same length.
 func (t *Texts) Freeze() {
 	for _, text := range t.byItem {
-		text.severed = true
+		text.frozen = true
 	}
 }
 
@@ -92,8 +93,8 @@
 	return parts
 }
 
-// Texts returns the job's texts under way. Their events are shared with the job and
-// must not be changed.
+// Texts returns the texts of all items without a result. Their events are shared with the
+// job and must not be modified.
 func (j *Job) Texts() *Texts {
 	texts := NewTexts()
 	for i := range j.items {
@@ -102,13 +103,14 @@
 			continue
 		}
 		texts.byItem[j.Spec.Items[i].ID] = &Text{
-			Events: slices.Clip(it.text), Versions: slices.Clip(it.eventVersions), Complete: it.phase == written || it.phase == scoring,
+			Events: slices.Clip(it.text), Versions: slices.Clip(it.eventVersions), Complete: it.phase == generated || it.phase == scoring,
 		}
 	}
 	return texts
 }
 
-// EventCount returns how many events of an item's text there are; 0 if it ended.
+// EventCount returns the number of events of an item's text, or 0 if the item has a
+// result.
 func (j *Job) EventCount(i int) int64 {
 	if j.items[i].phase == ended {
 		return 0
@@ -116,10 +118,10 @@
 	return j.items[i].lastEvent
 }
 
-// ResumeTexts has the job's waiting items go on from texts that were kept of it, and
-// returns how many items and events that were. A text that the job may not use,
-// as its weights are too old or, where one version is wanted, are several, is
-// passed over.
+// ResumeTexts makes waiting items continue from stored texts, and returns the number of
+// resumed items and events. It ignores texts that the job may not use, either because
+// their weights are too old or because they mix versions although the job requires a
+// single one.
 func (j *Job) ResumeTexts(texts *Texts) (items, events int) {
 	for i := range j.items {
 		text := texts.byItem[j.Spec.Items[i].ID]
@@ -127,7 +129,7 @@
 		if text == nil || it.phase != waiting || it.lastEvent >= int64(len(text.Events)) {
 			continue
 		}
-		versions := inOrder(text.Versions)
+		versions := distinct(text.Versions)
 		if !j.acceptsVersions(versions) {
 			continue
 		}
@@ -140,14 +142,14 @@
 		case text.Complete && text.Score != "" && j.Spec.Items[i].Scorer != nil:
 			j.complete(i, text.Score)
 		case text.Complete:
-			j.textComplete(i)
+			j.finishText(i)
 		}
 	}
 	return items, events
 }
 
-// inOrder returns the versions of events, each once, in order of appearance.
-func inOrder(versions []int64) []int64 {
+// distinct returns the distinct versions in order of appearance.
+func distinct(versions []int64) []int64 {
 	var seen []int64
 	for _, v := range versions {
 		if !slices.Contains(seen, v) {
@@ -157,7 +159,7 @@
 	return seen
 }
 
-// acceptsVersions tells whether a text that these weights generated may be used.
+// acceptsVersions reports whether the job may use a text with these weight versions.
 func (j *Job) acceptsVersions(versions []int64) bool {
 	if j.Spec.SingleVersion && len(versions) > 1 {
 		return false
