--- a/internal/policy/rendezvous/rendezvous_test.go
+++ b/internal/policy/rendezvous/rendezvous_test.go
@@ -15,7 +15,8 @@
 	RunSpecs(t, "rendezvous")
 }
 
-func keys(prefix string, n int) []uint64 {
+// hashes returns the keys of n names with the prefix.
+func hashes(prefix string, n int) []uint64 {
 	list := make([]uint64, n)
 	for i := range list {
 		list[i] = rendezvous.Key(fmt.Sprintf("%s%d", prefix, i))
@@ -23,33 +24,33 @@
 	return list
 }
 
-var _ = Describe("spreading", func() {
-	It("gives no node a second thing while another has none", func() {
-		// What callers see: a worker is lost while the store is down, and the steps of
-		// the models that it owned are late. It should own one model, not two.
-		for things := range 9 {
+var _ = Describe("Spread", func() {
+	It("assigns keys evenly", func() {
+		// A worker that is lost while the store is down delays the steps of the models
+		// that it owns. It should own one model, not two.
+		for keys := range 9 {
 			for nodes := 1; nodes < 9; nodes++ {
-				held := make([]int, nodes)
-				for _, n := range rendezvous.Spread(keys("model", things), keys("worker", nodes)) {
-					held[n]++
+				counts := make([]int, nodes)
+				for _, n := range rendezvous.Spread(hashes("model", keys), hashes("worker", nodes)) {
+					counts[n]++
 				}
-				for _, h := range held {
-					Expect(h).To(BeNumerically("<=", (things+nodes-1)/nodes))
+				for _, count := range counts {
+					Expect(count).To(BeNumerically("<=", (keys+nodes-1)/nodes))
 				}
 			}
 		}
 	})
 
-	It("places nothing without nodes", func() {
-		Expect(rendezvous.Spread(keys("model", 3), nil)).To(BeEmpty())
+	It("returns nothing without nodes", func() {
+		Expect(rendezvous.Spread(hashes("model", 3), nil)).To(BeEmpty())
 	})
 
-	It("keeps most places when a node goes", func() {
+	It("keeps most assignments when a node is removed", func() {
 		moved, total := 0, 0
 		for trial := range 200 {
-			things, nodes := keys(fmt.Sprintf("m%d-", trial), 4), keys(fmt.Sprintf("w%d-", trial), 8)
-			before, after := rendezvous.Spread(things, nodes), rendezvous.Spread(things, nodes[:7])
-			for i := range things {
+			keys, nodes := hashes(fmt.Sprintf("m%d-", trial), 4), hashes(fmt.Sprintf("w%d-", trial), 8)
+			before, after := rendezvous.Spread(keys, nodes), rendezvous.Spread(keys, nodes[:7])
+			for i := range keys {
 				if before[i] != 7 {
 					total++
 					if before[i] != after[i] {
--- a/internal/policy/rendezvous/spread.go
+++ b/internal/policy/rendezvous/spread.go
@@ -1,27 +1,27 @@
 package rendezvous
 
-// Spread places few things on nodes so that each node gets as few of them as can
-// be: a thing goes to the node that draws it most among those with the fewest.
-// It returns the index of each thing's node, and nothing without nodes.
+// Spread assigns a small number of keys to nodes as evenly as possible: each key
+// goes to the node with the highest weight among those with the fewest keys so
+// far. It returns the index of each key's node, or nil if there are no nodes.
 //
-// Placed by weight alone, four things on eight nodes mostly share one, and what is
-// lost with it doubles. A node that comes or goes may move more
-// than its own things.
-func Spread(things, nodes []uint64) []int {
+// By weight alone, four keys on eight nodes mostly put two of them on the same
+// node, and the loss of that node affects twice as many. The price of the even
+// spread is that a node that joins or leaves may move keys other than its own.
+func Spread(keys, nodes []uint64) []int {
 	if len(nodes) == 0 {
 		return nil
 	}
-	placed := make([]int, len(things))
-	held := make([]int, len(nodes))
-	for i, thing := range things {
+	assigned := make([]int, len(keys))
+	counts := make([]int, len(nodes))
+	for i, key := range keys {
 		best := 0
 		for n := range nodes {
-			if held[n] < held[best] || held[n] == held[best] && Weight(thing, nodes[n]) > Weight(thing, nodes[best]) {
+			if counts[n] < counts[best] || counts[n] == counts[best] && Weight(key, nodes[n]) > Weight(key, nodes[best]) {
 				best = n
 			}
 		}
-		held[best]++
-		placed[i] = best
+		counts[best]++
+		assigned[i] = best
 	}
-	return placed
+	return assigned
 }
