--- a/internal/agent/queue.go
+++ b/internal/agent/queue.go
@@ -78,12 +78,12 @@
 	q.apply(q.policy.SetSlots(time.Now(), q.limiter.Limit()))
 }
 
-// SetPeers tells over how many agents of the service an entry spreads its
+// SetAgentCount tells over how many agents of the service an entry spreads its
 // requests; callers' rate limits are divided by it.
-func (q *Queue) SetPeers(n int) {
+func (q *Queue) SetAgentCount(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.policy.SetPeers(time.Now(), n)
+	q.policy.SetAgentCount(time.Now(), n)
 }
 
 // Run waits until it is the request's turn and calls run, or answers NotRun at
@@ -158,14 +158,14 @@
 		Principal: req.Principal,
 		Priority:  req.Priority,
 		Cost:      q.estimate.Cost(req.Class, req.Cost),
-		Tail:      q.estimate.Tail(req.Class, req.Cost),
+		TailCost:  q.estimate.TailCost(req.Class, req.Cost),
 		Rollout:   req.Rollout,
 		Suspect:   req.Suspect,
 	}
 	if req.Remaining > 0 {
 		item.Deadline = now.Add(req.Remaining)
 	}
-	w.usual = q.estimate.Usual(req.Class, req.Cost)
+	w.usual = q.estimate.BaselineCost(req.Class, req.Cost)
 	if _, taken := q.waiters[req.ID]; taken {
 		// Not "not run": the request under this id may be running.
 		w.refused = &wire.Answer{ID: req.ID, Outcome: wire.Unknown, Reason: wire.ReasonDuplicate, Load: q.load()}
@@ -200,7 +200,7 @@
 	}
 	failed := answer.Outcome != wire.Answered || answer.Status == 429 || answer.Status == 503
 	if q.estimate.Known(req.Class) {
-		q.adapt(now, limit.Sample{Took: took, Cost: w.usual, Running: running, Failed: failed})
+		q.adapt(now, limit.Sample{Latency: took, Cost: w.usual, Running: running, Failed: failed})
 	}
 	if !failed {
 		q.estimate.Observe(req.Class, req.Cost, took.Seconds())
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -89,7 +89,7 @@
 	}
 	a.conf.Heard(context.Background(), config.Peer{ID: req.From, Domain: req.Domain}, req.Revisions, time.Time{})
 	reply.Revisions = a.conf.Revisions()
-	a.queue.SetPeers(req.Peers)
+	a.queue.SetAgentCount(req.Peers)
 	reply.From = a.settings.ID
 	reply.Target = wire.Target{Incarnation: a.incarnation, Uptime: a.uptime()}
 	reply.Domain = a.settings.FailureDomain
--- a/internal/agentless/batchrun/itemrun.go
+++ b/internal/agentless/batchrun/itemrun.go
@@ -43,7 +43,7 @@
 
 // engineFor returns what an item asks of its engine.
 func engineFor(spec *batch.Spec, start batch.Start, now time.Time) endpoints.Request {
-	return endpoints.Request{Now: now, Model: spec.Model, MinVersion: spec.MinVersion, Version: start.Single, Within: true}
+	return endpoints.Request{Now: now, Model: spec.Model, MinVersion: spec.MinVersion, Version: start.Single, RequireFreeSlot: true}
 }
 
 func (r *itemRun) generate() (batch.RunEnd, endpoints.Outcome, error) {
@@ -74,7 +74,7 @@
 		}
 		silence.Reset(gapLimit)
 		if !r.take(event) {
-			return batch.RunOffVersion, endpoints.Dropped, errors.Errorf("event %d of version %d does not continue the text", event.ID, event.Version)
+			return batch.RunOffVersion, endpoints.Cancelled, errors.Errorf("event %d of version %d does not continue the text", event.ID, event.Version)
 		}
 		if r.tooSlow() {
 			return batch.RunMoved, endpoints.Answered, errTooSlow
@@ -118,10 +118,10 @@
 	}
 	request := engineFor(r.job.job.Spec, r.start, time.Now())
 	r.job.mu.Lock()
-	request.Rest = r.job.job.Rest(r.start.Index)
+	request.RemainingWork = r.job.job.Rest(r.start.Index)
 	spare := r.job.job.Spare(r.start.Index)
 	r.job.mu.Unlock()
-	return r.awaited(request.Rest, spare) && r.pick.Roomier(request, moveGain)
+	return r.awaited(request.RemainingWork, spare) && r.pick.HasLessLoaded(request, moveGain)
 }
 
 // awaited tells whether a step waits for the run, as of the last look at all jobs.
@@ -138,7 +138,7 @@
 	if r.made < paceEvents || r.made%lookEvents != 0 || !r.owner.Switches.On(mechanism.MoveSlow) {
 		return false
 	}
-	return r.pick.Faster(engineFor(r.job.job.Spec, r.start, time.Now()), r.pace.recent())
+	return r.pick.HasFaster(engineFor(r.job.job.Spec, r.start, time.Now()), r.pace.recent())
 }
 
 // pace is how fast events come, from the first one on.
@@ -205,7 +205,7 @@
 	case a.Status == http.StatusInternalServerError:
 		return batch.RunFailed, endpoints.Answered, true
 	case a.Status != http.StatusOK || a.Encoded || !a.Signed:
-		return batch.RunBroke, endpoints.Broke, true
+		return batch.RunBroke, endpoints.BrokenAnswer, true
 	}
 	return 0, 0, false
 }
@@ -214,12 +214,12 @@
 	var send *upstream.SendError
 	switch {
 	case errors.Is(context.Cause(ctx), errFellSilent):
-		return batch.RunBroke, endpoints.Unreached, errFellSilent
+		return batch.RunBroke, endpoints.Unreachable, errFellSilent
 	case ctx.Err() != nil:
-		return batch.RunBroke, endpoints.Dropped, err
+		return batch.RunBroke, endpoints.Cancelled, err
 	case errors.As(err, &send) && !send.Sent:
-		return batch.RunRefused, endpoints.Unreached, err
+		return batch.RunRefused, endpoints.Unreachable, err
 	default:
-		return batch.RunBroke, endpoints.Broke, err
+		return batch.RunBroke, endpoints.BrokenAnswer, err
 	}
 }
--- a/internal/agentless/batchrun/loads.go
+++ b/internal/agentless/batchrun/loads.go
@@ -36,7 +36,7 @@
 	From    string
 	Service string
 	Load    schedule.Load
-	Shares  map[string]endpoints.Share // by endpoint ID
+	Shares  map[string]endpoints.ProcessLoad // by endpoint ID
 }
 
 // loads are what fellows told of their jobs. They are safe for concurrent use.
@@ -79,7 +79,7 @@
 	now := time.Now()
 	s.owner.loads.told(now, args.From, args.Load)
 	if s.owner.Switches.On(mechanism.ShareLoad) {
-		s.owner.Directory.Reported(now, args.Service, args.From, args.Shares)
+		s.owner.Directory.SetReport(now, args.Service, args.From, args.Shares)
 	}
 	return nil
 }
@@ -114,7 +114,7 @@
 		if len(service.Models) == 0 {
 			continue
 		}
-		shares := o.Directory.Shares(name)
+		shares := o.Directory.ProcessLoads(name)
 		busy := len(shares) > 0 || load.Work > 0
 		if !busy && !told[name] {
 			continue
--- a/internal/agentless/batchrun/rpc.go
+++ b/internal/agentless/batchrun/rpc.go
@@ -111,7 +111,7 @@
 }
 
 func (o *Owner) loading(args LoadingArgs) {
-	o.Directory.Loading(time.Now(), args.Endpoint, args.Model, args.Version)
+	o.Directory.MarkLoading(time.Now(), args.Endpoint, args.Model, args.Version)
 }
 
 // Ping implements the call of that name: this process answers.
--- a/internal/agentless/batchrun/runs.go
+++ b/internal/agentless/batchrun/runs.go
@@ -41,7 +41,7 @@
 	how, outcome, err := r.generate()
 	now := time.Now()
 	if seconds, known := r.pace.observed(); known {
-		pick.Pace(seconds)
+		pick.ObservePace(seconds)
 	}
 	pick.End(now, outcome, now.Sub(r.began), float64(r.made))
 	j.mu.Lock()
@@ -94,7 +94,7 @@
 			o.scored(j, now, i, batch.ScoreUnsettled, "", 0)
 			return
 		}
-		request := endpoints.Request{Now: now, Within: true, Background: true}
+		request := endpoints.Request{Now: now, RequireFreeSlot: true, Background: true}
 		if last != "" {
 			request.Tried = []string{last}
 		}
@@ -155,11 +155,11 @@
 	case answer.Replaced:
 		return batch.ScoreUnsettled, endpoints.Replaced, "", nil
 	case err != nil:
-		return batch.ScoreUnsettled, endpoints.Broke, "", err
+		return batch.ScoreUnsettled, endpoints.BrokenAnswer, "", err
 	case answer.Status == http.StatusInternalServerError:
 		return batch.ScoreFailed, endpoints.Answered, "", nil
 	case answer.Status >= http.StatusMultipleChoices || !answer.Signed || answer.Encoded:
-		return batch.ScoreUnsettled, endpoints.Broke, "", errors.Errorf("status %d", answer.Status)
+		return batch.ScoreUnsettled, endpoints.BrokenAnswer, "", errors.Errorf("status %d", answer.Status)
 	}
 	return batch.ScoreGiven, endpoints.Answered, answer.Seal, nil
 }
@@ -168,10 +168,10 @@
 	var send *upstream.SendError
 	switch {
 	case job.Err() != nil:
-		return endpoints.Dropped
+		return endpoints.Cancelled
 	case errors.As(err, &send) && !send.Sent, errors.Is(err, context.DeadlineExceeded):
-		return endpoints.Unreached
+		return endpoints.Unreachable
 	default:
-		return endpoints.Broke
+		return endpoints.BrokenAnswer
 	}
 }
--- a/internal/agentless/batchrun/starts.go
+++ b/internal/agentless/batchrun/starts.go
@@ -142,10 +142,10 @@
 		return endpoints.Placement{}
 	}
 	weight := r.load.Weight(&j.view, c.Rest, c.Spare)
-	p := endpoints.Placement{Rest: c.Rest, Weight: weight, Heavy: weight >= schedule.Heavy}
+	p := endpoints.Placement{RemainingWork: c.Rest, Weight: weight, Critical: weight >= schedule.Heavy}
 	if r.owner.Switches.On(mechanism.KeepNarrow) {
 		_, engines := r.owner.Directory.Pace(service)
-		p.Narrow = r.load.Narrow(&j.view, engines)
+		p.CriticalBatchLimit = r.load.Narrow(&j.view, engines)
 	}
 	return p
 }
--- a/internal/agentless/directory/directory.go
+++ b/internal/agentless/directory/directory.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Loading notes that an endpoint was ordered to load weights.
-func (d *Directory) Loading(now time.Time, id, model string, version int64) {
+// MarkLoading notes that an endpoint was ordered to load weights.
+func (d *Directory) MarkLoading(now time.Time, id, model string, version int64) {
 	d.mu.RLock()
 	home, found := d.homes[id]
 	d.mu.RUnlock()
@@ -111,7 +111,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.set.Get(id); e != nil {
-		e.Loading(now, model, version)
+		e.MarkLoading(now, model, version)
 	}
 }
 
@@ -146,9 +146,9 @@
 
 func (d *Directory) options() endpoints.Options {
 	return endpoints.Options{
-		KeepFailing: !d.Switches.On(mechanism.SetAside),
-		SamePick:    !d.Switches.On(mechanism.OwnPreference),
-		AnyDomain:   !d.Switches.On(mechanism.NearFirst),
+		DisableEjection:  !d.Switches.On(mechanism.SetAside),
+		SharedPreference: !d.Switches.On(mechanism.OwnPreference),
+		IgnoreDomain:     !d.Switches.On(mechanism.NearFirst),
 	}
 }
 
@@ -179,33 +179,33 @@
 func (p *Pick) End(now time.Time, outcome endpoints.Outcome, took time.Duration, work float64) {
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	p.state.Quit(&p.placed)
+	p.state.ReleasePlacement(&p.placed)
 	p.state.End(now, outcome, took, work)
 }
 
-// Pace notes the seconds that a unit of work took, without the wait before it.
-func (p *Pick) Pace(seconds float64) {
+// ObservePace notes the seconds that a unit of work took, without the wait before it.
+func (p *Pick) ObservePace(seconds float64) {
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	p.state.Pace(seconds)
+	p.state.ObservePace(seconds)
 }
 
-// Faster tells whether another endpoint would serve the request markedly faster
+// HasFaster tells whether another endpoint would serve the request markedly faster
 // than the one that was picked, where it has taken pace seconds per unit of work.
-func (p *Pick) Faster(r endpoints.Request, pace float64) bool {
+func (p *Pick) HasFaster(r endpoints.Request, pace float64) bool {
 	r.Domain = p.domain
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	return p.shard.set.Faster(r, p.state, pace)
+	return p.shard.set.HasFaster(r, p.state, pace)
 }
 
-// Roomier tells whether the request would save at least gain units of work's time
+// HasLessLoaded tells whether the request would save at least gain units of work's time
 // at another endpoint that runs fewer requests.
-func (p *Pick) Roomier(r endpoints.Request, gain float64) bool {
+func (p *Pick) HasLessLoaded(r endpoints.Request, gain float64) bool {
 	r.Domain = p.domain
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	return p.shard.set.Roomier(r, p.state, gain)
+	return p.shard.set.HasLessLoaded(r, p.state, gain)
 }
 
 // Pace returns the usual seconds per unit of work at a service's endpoints, 0 if
@@ -217,20 +217,20 @@
 	return s.set.TypicalPace(), len(s.set.All())
 }
 
-// Reported takes in what another process has at a service's endpoints.
-func (d *Directory) Reported(now time.Time, service, from string, shares map[string]endpoints.Share) {
+// SetReport takes in what another process has at a service's endpoints.
+func (d *Directory) SetReport(now time.Time, service, from string, shares map[string]endpoints.ProcessLoad) {
 	s := d.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.set.Reported(now, from, shares)
+	s.set.SetReport(now, from, shares)
 }
 
-// Shares returns what this process has at a service's endpoints.
-func (d *Directory) Shares(service string) map[string]endpoints.Share {
+// ProcessLoads returns what this process has at a service's endpoints.
+func (d *Directory) ProcessLoads(service string) map[string]endpoints.ProcessLoad {
 	s := d.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.set.Shares()
+	return s.set.ProcessLoads()
 }
 
 // DomainOf returns the failure domain of the endpoint at an address.
@@ -302,7 +302,7 @@
 	defer s.mu.Unlock()
 	soonest := time.Duration(0)
 	for _, e := range s.set.All() {
-		until, aside := e.Aside(now)
+		until, aside := e.UnavailableUntil(now)
 		if !aside {
 			return 0
 		}
--- a/internal/agentless/gate/course.go
+++ b/internal/agentless/gate/course.go
@@ -174,7 +174,7 @@
 	began := time.Now()
 	a, how := g.exchange(ctx, pick, r, left)
 	pick.End(time.Now(), how, time.Since(began), 1)
-	if !a.whole && how != endpoints.Dropped {
+	if !a.whole && how != endpoints.Cancelled {
 		g.noteFailure(r.ID, pick, a.err, a.notRun)
 	}
 	return a
@@ -201,7 +201,7 @@
 	case err != nil:
 		return failed(ctx, &upstream.SendError{Sent: true, Err: err})
 	case answer.Encoded || answer.Status < http.StatusMultipleChoices && !answer.Signed:
-		return attempt{err: errSpoiled}, endpoints.Broke
+		return attempt{err: errSpoiled}, endpoints.BrokenAnswer
 	}
 	outcome := Outcome{End: Answered, Status: answer.Status, Header: answer.Header, Body: body}
 	return attempt{whole: true, outcome: outcome}, endpoints.Answered
@@ -220,10 +220,10 @@
 	notRun := errors.As(err, &send) && !send.Sent
 	switch {
 	case ctx.Err() != nil:
-		return attempt{notRun: notRun, err: err}, endpoints.Dropped
+		return attempt{notRun: notRun, err: err}, endpoints.Cancelled
 	case notRun:
-		return attempt{notRun: true, err: err}, endpoints.Unreached
+		return attempt{notRun: true, err: err}, endpoints.Unreachable
 	default:
-		return attempt{err: err}, endpoints.Broke
+		return attempt{err: err}, endpoints.BrokenAnswer
 	}
 }
--- a/internal/agentless/gate/gate.go
+++ b/internal/agentless/gate/gate.go
@@ -172,7 +172,7 @@
 func (g *Gate) earn(service string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.budget.SetShare(service, retryShare)
+	g.budget.SetRatio(service, retryShare)
 	g.budget.Earn(service)
 	now := time.Now()
 	if last, found := g.earned[service]; found {
--- a/internal/agentless/gate/stream.go
+++ b/internal/agentless/gate/stream.go
@@ -122,26 +122,26 @@
 		return s.wholeAnswer(answer)
 	}
 	if !answer.Signed || answer.Encoded {
-		return Outcome{}, attempt{err: errSpoiled}, endpoints.Broke
+		return Outcome{}, attempt{err: errSpoiled}, endpoints.BrokenAnswer
 	}
 	if err := s.begin(answer); err != nil {
-		return Outcome{End: Left}, attempt{err: err}, endpoints.Dropped
+		return Outcome{End: Left}, attempt{err: err}, endpoints.Cancelled
 	}
 	err = s.pass(cancel, dispatch.NewEvents(answer))
 	if errors.Is(err, io.EOF) {
 		return Outcome{End: Answered, Status: answer.Status}, attempt{whole: true}, endpoints.Answered
 	}
 	if cause := context.Cause(ctx); errors.Is(cause, errSilent) {
-		return Outcome{}, attempt{err: errSilent}, endpoints.Unreached
+		return Outcome{}, attempt{err: errSilent}, endpoints.Unreachable
 	}
-	return Outcome{}, attempt{err: err}, endpoints.Broke
+	return Outcome{}, attempt{err: err}, endpoints.BrokenAnswer
 }
 
 // wholeAnswer takes an endpoint's answer that is no stream.
 func (s *stream) wholeAnswer(answer *dispatch.Answer) (Outcome, attempt, endpoints.Outcome) {
 	body, err := readWhole(answer)
 	if err != nil || s.began {
-		return Outcome{}, attempt{err: errors.Errorf("status %d", answer.Status)}, endpoints.Broke
+		return Outcome{}, attempt{err: errors.Errorf("status %d", answer.Status)}, endpoints.BrokenAnswer
 	}
 	outcome := Outcome{End: Answered, Status: answer.Status, Header: answer.Header, Body: body}
 	return outcome, attempt{whole: true, outcome: outcome}, endpoints.Answered
--- a/internal/entry/budget.go
+++ b/internal/entry/budget.go
@@ -27,7 +27,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, b := range d.Businesses {
-		r.budget.SetShare(b.Name, b.RetryBudget)
+		r.budget.SetRatio(b.Name, b.RetryBudget)
 	}
 	r.at = map[string]float64{}
 	for _, c := range d.Classes {
--- a/internal/entry/pool/flights.go
+++ b/internal/entry/pool/flights.go
@@ -65,7 +65,7 @@
 
 func (s *shard) count(p *peer, business string, n int) {
 	p.candidate.InFlight += n
-	p.candidate.Flights.Add(business, n)
+	p.candidate.InFlightCounts.Add(business, n)
 }
 
 // waiting returns how many calls are not answered, and ends the streams whose
--- a/internal/entry/pool/shard.go
+++ b/internal/entry/pool/shard.go
@@ -81,7 +81,7 @@
 func (s *shard) report(p *peer, now time.Time, load wire.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p.candidate.Report(now, load)
+	p.candidate.SetLoad(now, load)
 }
 
 func (s *shard) setReady(p *peer, ready bool) {
--- a/internal/lab/callers/retry.go
+++ b/internal/lab/callers/retry.go
@@ -44,8 +44,8 @@
 	w := &retryWorld{clock: newClock(3), hedge: retry.NewHedge()}
 	if budgeted {
 		w.budget = retry.NewBudget()
-		w.budget.SetShare("kheda", 0.1)
-		w.budget.SetShare("kartli", 0.05)
+		w.budget.SetRatio("kheda", 0.1)
+		w.budget.SetRatio("kartli", 0.05)
 	}
 	w.clock.after(0, w.arrive)
 	w.clock.runUntil(w.clock.now.Add(retryTime))
--- a/internal/lab/routing/choice.go
+++ b/internal/lab/routing/choice.go
@@ -39,7 +39,7 @@
 	for i := range n {
 		id := fmt.Sprint("agent-", i)
 		c := &choose.Candidate{ID: id, Key: rendezvous.Key(id), Ready: true}
-		c.Report(epoch.Add(-time.Second), wire.Load{Running: i % 4, Slots: 4})
+		c.SetLoad(epoch.Add(-time.Second), wire.Load{Running: i % 4, Slots: 4})
 		candidates = append(candidates, c)
 	}
 	return choose.New(rand.New(rand.NewPCG(seed, 9))), candidates
@@ -52,19 +52,19 @@
 	const steps, held = 20_000, 16
 	chooser, candidates := choiceOf(8)
 	for _, c := range candidates {
-		c.Report(epoch, wire.Load{Slots: 4})
+		c.SetLoad(epoch, wire.Load{Slots: 4})
 	}
 	counts := map[*choose.Candidate]int{}
 	var open []*choose.Candidate
 	for range steps {
 		c := chooser.Choose(choose.Request{Now: epoch, Business: "b", Prefix: hotPrefix}, candidates)
 		c.InFlight++
-		c.Flights.Add("b", 1)
+		c.InFlightCounts.Add("b", 1)
 		counts[c]++
 		open = append(open, c)
 		if len(open) > held {
 			open[0].InFlight--
-			open[0].Flights.Add("b", -1)
+			open[0].InFlightCounts.Add("b", -1)
 			open = open[1:]
 		}
 	}
--- a/internal/lab/routing/engine.go
+++ b/internal/lab/routing/engine.go
@@ -69,7 +69,7 @@
 	claimed := r.item.Cost
 	item := r.item
 	item.Cost = e.estimate.Cost(r.class, claimed)
-	item.Tail = e.estimate.Tail(r.class, claimed)
+	item.TailCost = e.estimate.TailCost(r.class, claimed)
 	r.left = r.service
 	e.apply(e.queue.Offer(e.clock.now, item))
 	if e.requests[r.item.ID] != nil {
@@ -137,8 +137,8 @@
 		return // its last part says nothing of the whole
 	}
 	if e.estimate.Known(r.class) {
-		usual := e.estimate.Usual(r.class, r.item.Cost)
-		e.adapt(limit.Sample{Took: held, Cost: usual, Running: running})
+		usual := e.estimate.BaselineCost(r.class, r.item.Cost)
+		e.adapt(limit.Sample{Latency: held, Cost: usual, Running: running})
 	}
 	e.estimate.Observe(r.class, r.item.Cost, held.Seconds())
 }
--- a/internal/lab/routing/fleet.go
+++ b/internal/lab/routing/fleet.go
@@ -87,7 +87,7 @@
 		f := e.fleet
 		f.clock.after(network, func() {
 			load := f.engines[j].load()
-			f.clock.after(network, func() { c.Report(f.clock.now, load) })
+			f.clock.after(network, func() { c.SetLoad(f.clock.now, load) })
 		})
 	}
 }
@@ -104,13 +104,13 @@
 	f, c := e.fleet, e.candidates[j]
 	f.sent(j)
 	c.InFlight++
-	c.Flights.Add(business, 1)
+	c.InFlightCounts.Add(business, 1)
 	r.end = func(outcome wire.Outcome) {
 		load := f.engines[j].load()
 		f.clock.after(network, func() {
 			c.InFlight--
-			c.Flights.Add(business, -1)
-			c.Report(f.clock.now, load)
+			c.InFlightCounts.Add(business, -1)
+			c.SetLoad(f.clock.now, load)
 			done(outcome)
 		})
 	}
--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -267,10 +267,10 @@
 }
 
 func (w *world) startRun(j *job, view *schedule.Job, item batch.Candidate, load *schedule.Load) bool {
-	request := endpoints.Request{Now: w.now, Model: model, MinVersion: 1, Within: true, Tried: w.notYet(j)}
+	request := endpoints.Request{Now: w.now, Model: model, MinVersion: 1, RequireFreeSlot: true, Tried: w.notYet(j)}
 	if !w.decisions.ByLoad {
 		weight := load.Weight(view, item.Rest, item.Spare)
-		request.Placement = endpoints.Placement{Rest: item.Rest, Weight: weight, Heavy: weight >= schedule.Heavy, Narrow: load.Narrow(view, w.load.Engines)}
+		request.Placement = endpoints.Placement{RemainingWork: item.Rest, Weight: weight, Critical: weight >= schedule.Heavy, CriticalBatchLimit: load.Narrow(view, w.load.Engines)}
 	}
 	engine := w.set.Pick(request)
 	if engine == nil {
@@ -325,7 +325,7 @@
 		event := time.Duration(float64(w.load.Event) * (1 + w.load.Slowdown*beside))
 		r.left += event
 		r.made++
-		r.engine.Pace(event.Seconds())
+		r.engine.ObservePace(event.Seconds())
 		r.job.Event(r.item, r.made, nil, 1)
 		if r.made >= r.total {
 			w.end(r, batch.RunComplete)
@@ -341,19 +341,19 @@
 
 func (w *world) roomier(r *run) bool {
 	request := endpoints.Request{Now: w.now, Model: model, MinVersion: 1, Tried: w.notYet(r.job)}
-	request.Rest = r.job.Rest(r.item)
+	request.RemainingWork = r.job.Rest(r.item)
 	view := schedule.Job{Age: w.now.Sub(r.job.asked).Seconds(), Pace: w.set.TypicalPace()}
-	if !w.decisions.MoveAny && !w.survey.Awaits(&view, request.Rest, r.job.Spare(r.item)) {
+	if !w.decisions.MoveAny && !w.survey.Awaits(&view, request.RemainingWork, r.job.Spare(r.item)) {
 		return false
 	}
-	return w.set.Roomier(request, r.engine, moveGain)
+	return w.set.HasLessLoaded(request, r.engine, moveGain)
 }
 
 func (w *world) end(r *run, how batch.RunEnd) {
 	if how == batch.RunMoved {
 		w.trainers[r.job.trainer].Moves++
 	}
-	r.engine.Quit(&r.placed)
+	r.engine.ReleasePlacement(&r.placed)
 	r.engine.End(w.now, endpoints.Answered, time.Second, 0)
 	r.job.Ended(w.now, r.item, how, "")
 }
--- a/internal/policy/admission/admission.go
+++ b/internal/policy/admission/admission.go
@@ -25,7 +25,7 @@
 	Priority  int
 	Deadline  time.Time // zero: none
 	Cost      float64   // estimated time the request holds a slot, in seconds
-	Tail      float64   // time that most requests like it hold one at most; 0: Cost
+	TailCost  float64   // time that most requests like it hold one at most; 0: Cost
 	Rollout   bool
 	Suspect   bool // starts only when nothing else runs, and nothing starts beside it
 }
--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -164,7 +164,7 @@
 	It("divides a caller's rate by the agents that its requests are spread over", func() {
 		p := wire.Principal{Business: "b", Agency: "a", Caller: "c"}
 		q := admission.New(admission.Config{Slots: 100, QueueLimit: 10, Rates: map[wire.Principal]admission.Rate{p: {PerSecond: 20, Burst: 1}}})
-		q.SetPeers(start, 10)
+		q.SetAgentCount(start, 10)
 		served := 0
 		for i := range 1000 {
 			now := start.Add(time.Duration(i) * 10 * time.Millisecond)
@@ -240,7 +240,7 @@
 		q.Offer(start, item("running", "b", 0.1))
 		it := item("waiting", "b", 0.1)
 		it.Deadline = start.Add(time.Second)
-		it.Tail = 0.4
+		it.TailCost = 0.4
 		q.Offer(start, it)
 		at, _ := q.NextExpiry()
 		Expect(at).To(Equal(start.Add(600 * time.Millisecond)))
--- a/internal/policy/admission/entry.go
+++ b/internal/policy/admission/entry.go
@@ -28,7 +28,7 @@
 // setLatest works out the last moment at which the request can start. With the
 // mean cost alone half of those that start last would end too late.
 func (e *entry) setLatest() {
-	e.latest = e.item.Deadline.Add(-seconds(max(e.cost, e.item.Tail)))
+	e.latest = e.item.Deadline.Add(-seconds(max(e.cost, e.item.TailCost)))
 }
 
 // sooner orders a lane's requests by deadline, those without one last, then by
--- a/internal/policy/admission/queue.go
+++ b/internal/policy/admission/queue.go
@@ -68,10 +68,10 @@
 	return q.actions
 }
 
-// SetPeers tells over how many queues callers' requests are spread. Each grants
+// SetAgentCount tells over how many queues callers' requests are spread. Each grants
 // a caller that part of its declared rate, and the whole burst, as requests do
 // not come evenly.
-func (q *Queue) SetPeers(now time.Time, n int) {
+func (q *Queue) SetAgentCount(now time.Time, n int) {
 	n = max(n, 1)
 	if n == q.peers {
 		return
--- a/internal/policy/choose/choose.go
+++ b/internal/policy/choose/choose.go
@@ -18,37 +18,37 @@
 	Key    uint64 // hash of ID
 	Domain string // failure domain
 
-	InFlight int       // calls of this process that the endpoint has not answered
-	Flights  Flights   // the requests among them, by business
-	Load     wire.Load // as it was reported
-	Reported time.Time // when Load came; zero: never
-	OwnThen  int       // InFlight at that moment
+	InFlight         int            // calls of this process that the endpoint has not answered
+	InFlightCounts   InFlightCounts // the requests among them, by business
+	Load             wire.Load      // as it was reported
+	ReportedAt       time.Time      // when Load came; zero: never
+	InFlightAtReport int            // InFlight at that moment
 
 	Ready   bool // the agent answered and takes requests
 	Leaving bool
 	Suspect bool // its connection or its endpoint does not answer
 }
 
-// Flights counts requests in flight by business. The zero value is ready.
-type Flights struct{ counts map[string]int }
+// InFlightCounts counts requests in flight by business. The zero value is ready.
+type InFlightCounts struct{ counts map[string]int }
 
 // Add changes a business's count. The businesses are the declared ones, so the
 // counts stay bounded and are kept when they fall to 0.
-func (f *Flights) Add(business string, n int) {
+func (f *InFlightCounts) Add(business string, n int) {
 	if f.counts == nil {
 		f.counts = map[string]int{}
 	}
 	f.counts[business] += n
 }
 
-// Of returns a business's count.
-func (f *Flights) Of(business string) int { return f.counts[business] }
+// Count returns a business's count.
+func (f *InFlightCounts) Count(business string) int { return f.counts[business] }
 
-// Report takes a load that came with a reply into account.
-func (c *Candidate) Report(now time.Time, load wire.Load) {
+// SetLoad takes a load that came with a reply into account.
+func (c *Candidate) SetLoad(now time.Time, load wire.Load) {
 	c.Load = load
-	c.Reported = now
-	c.OwnThen = c.InFlight
+	c.ReportedAt = now
+	c.InFlightAtReport = c.InFlight
 	c.Leaving = c.Leaving || load.Leaving
 }
 
--- a/internal/policy/choose/choose_test.go
+++ b/internal/policy/choose/choose_test.go
@@ -30,7 +30,7 @@
 	for i := range n {
 		id := fmt.Sprint("agent-", i)
 		c := &choose.Candidate{ID: id, Key: rendezvous.Key(id), Ready: true}
-		c.Report(now, wire.Load{Slots: 4})
+		c.SetLoad(now, wire.Load{Slots: 4})
 		all = append(all, c)
 	}
 	return all
@@ -71,14 +71,14 @@
 	It("never falls on the most loaded of several", func() {
 		// Drawn with repetition, one in n squared would.
 		all := candidates(6)
-		all[0].Report(now, wire.Load{Slots: 4, Running: 4})
+		all[0].SetLoad(now, wire.Load{Slots: 4, Running: 4})
 		Expect(count(all, choose.Request{})).NotTo(HaveKey("agent-0"))
 	})
 
 	It("believes a report less as it ages", func() {
 		all := candidates(2)
-		all[0].Report(now.Add(-time.Minute), wire.Load{Slots: 4, Running: 4})
-		all[1].Report(now, wire.Load{Slots: 4, Running: 1})
+		all[0].SetLoad(now.Add(-time.Minute), wire.Load{Slots: 4, Running: 4})
+		all[1].SetLoad(now, wire.Load{Slots: 4, Running: 1})
 		Expect(count(all, choose.Request{})).To(Equal(map[string]int{"agent-0": draws}))
 	})
 
@@ -87,9 +87,9 @@
 		// fair queues that is nothing to a modest one, whose own requests all
 		// wait at the less full of the two.
 		all := candidates(2)
-		all[0].Report(now, wire.Load{Slots: 4, Running: 4, Queued: 40})
-		all[1].Report(now, wire.Load{Slots: 4, Running: 4, Queued: 36})
-		all[1].Flights.Add("modest", 8)
+		all[0].SetLoad(now, wire.Load{Slots: 4, Running: 4, Queued: 40})
+		all[1].SetLoad(now, wire.Load{Slots: 4, Running: 4, Queued: 36})
+		all[1].InFlightCounts.Add("modest", 8)
 		Expect(count(all, choose.Request{Business: "modest"})).To(Equal(map[string]int{"agent-0": draws}))
 	})
 
@@ -100,7 +100,7 @@
 		for id := range counts {
 			for _, c := range all {
 				if c.ID == id {
-					c.Report(now, wire.Load{Slots: 4, Running: 3})
+					c.SetLoad(now, wire.Load{Slots: 4, Running: 3})
 				}
 			}
 			Expect(count(all, choose.Request{Prefix: 7})).NotTo(HaveKey(id))
--- a/internal/policy/choose/parts.go
+++ b/internal/policy/choose/parts.go
@@ -59,10 +59,10 @@
 type agedLoad struct{}
 
 func (agedLoad) Score(r *Request, c *Candidate) float64 {
-	others := float64(max(0, c.Load.Running+c.Load.Queued-c.OwnThen))
+	others := float64(max(0, c.Load.Running+c.Load.Queued-c.InFlightAtReport))
 	behind := c.Load.QueuedSeconds
 	if others > 0 || behind > 0 {
-		age := r.Now.Sub(c.Reported)
+		age := r.Now.Sub(c.ReportedAt)
 		worth := math.Exp2(-float64(age) / float64(loadHalfLife))
 		others *= worth
 		behind *= worth
@@ -76,7 +76,7 @@
 type ownQueue struct{}
 
 func (ownQueue) Score(r *Request, c *Candidate) float64 {
-	return float64(c.Flights.Of(r.Business)) / float64(max(c.Load.Slots, 1))
+	return float64(c.InFlightCounts.Count(r.Business)) / float64(max(c.Load.Slots, 1))
 }
 
 // affinity favours the prefix's home, whose cache may hold the prefix.
--- a/internal/policy/endpoints/delay.go
+++ b/internal/policy/endpoints/delay.go
@@ -8,34 +8,34 @@
 // request does. It is placed where it adds least delay: its own, by how many
 // requests run there, and that of those requests, by how much their ends matter.
 type Placement struct {
-	Rest   float64 // units of work that the request is expected to be; 0: placed by load alone
-	Weight float64 // how much it matters when it ends, 0 to 1
-	Heavy  bool    // others wait for its end
-	Narrow int     // most requests beside a heavy one if this one is not heavy; 0: any number
+	RemainingWork      float64 // units of work that the request is expected to be; 0: placed by load alone
+	Weight             float64 // how much it matters when it ends, 0 to 1
+	Critical           bool    // others wait for its end
+	CriticalBatchLimit int     // most requests beside a heavy one if this one is not heavy; 0: any number
 }
 
 // leastWeight keeps requests that nobody waits for from crowding one endpoint.
 const leastWeight = 0.02
 
-func (p *Placement) burden() float64 { return p.Weight * p.Rest }
+func (p *Placement) burden() float64 { return p.Weight * p.RemainingWork }
 
 // crowds tells whether a request of the placement would slow down heavy ones.
 func (e *State) crowds(p *Placement) bool {
-	return p.Narrow > 0 && !p.Heavy && e.heavy+e.others.Heavy > 0 && e.running() >= p.Narrow
+	return p.CriticalBatchLimit > 0 && !p.Critical && e.heavy+e.others.Heavy > 0 && e.running() >= p.CriticalBatchLimit
 }
 
 func (e *State) join(p *Placement) {
 	e.burden += p.burden()
-	if p.Heavy {
+	if p.Critical {
 		e.heavy++
 	}
 }
 
-// Quit takes back what a request's placement put on its endpoint. It is called
+// ReleasePlacement takes back what a request's placement put on its endpoint. It is called
 // beside End.
-func (e *State) Quit(p *Placement) {
+func (e *State) ReleasePlacement(p *Placement) {
 	e.burden -= p.burden()
-	if p.Heavy {
+	if p.Critical {
 		e.heavy--
 	}
 }
@@ -44,7 +44,7 @@
 // suffer and cause at the endpoint.
 func (e *State) delay(p *Placement, typicalPace float64) float64 {
 	each := batchSlowdown / float64(e.slots())
-	own := max(leastWeight, p.Weight) * p.Rest * e.slowness(typicalPace) * (1 + each*float64(e.running()))
+	own := max(leastWeight, p.Weight) * p.RemainingWork * e.slowness(typicalPace) * (1 + each*float64(e.running()))
 	return own + each*(e.burden+e.others.Burden)
 }
 
@@ -67,17 +67,17 @@
 	return s.pace
 }
 
-// Roomier tells whether a request would save at least gain units of work's time
+// HasLessLoaded tells whether a request would save at least gain units of work's time
 // by going on at another endpoint that runs fewer requests than its own.
-func (s *Set) Roomier(r Request, than *State, gain float64) bool {
-	r.Within = true
+func (s *Set) HasLessLoaded(r Request, than *State, gain float64) bool {
+	r.RequireFreeSlot = true
 	typical := s.TypicalPace()
 	pace := func(e *State, beside int) float64 {
 		return e.slowness(typical) * (1 + batchSlowdown/float64(e.slots())*float64(beside))
 	}
 	here := pace(than, than.running()-1)
 	for _, e := range s.list {
-		if e != than && e.may(&r) && e.usable(r.Now) && (here-pace(e, e.running()))*r.Rest >= gain {
+		if e != than && e.may(&r) && e.usable(r.Now) && (here-pace(e, e.running()))*r.RemainingWork >= gain {
 			return true
 		}
 	}
--- a/internal/policy/endpoints/delay_test.go
+++ b/internal/policy/endpoints/delay_test.go
@@ -20,10 +20,10 @@
 		}
 		return s
 	}
-	long := endpoints.Placement{Rest: 160, Weight: 1, Heavy: true, Narrow: 5}
-	brief := endpoints.Placement{Rest: 8, Weight: 0.01, Narrow: 5}
+	long := endpoints.Placement{RemainingWork: 160, Weight: 1, Critical: true, CriticalBatchLimit: 5}
+	brief := endpoints.Placement{RemainingWork: 8, Weight: 0.01, CriticalBatchLimit: 5}
 	pick := func(s *endpoints.Set, p endpoints.Placement) *endpoints.State {
-		return s.Pick(endpoints.Request{Now: now, Model: "m", Within: true, Placement: p})
+		return s.Pick(endpoints.Request{Now: now, Model: "m", RequireFreeSlot: true, Placement: p})
 	}
 
 	It("spreads the longest over the engines, and keeps brief ones from crowding them", func() {
@@ -56,7 +56,7 @@
 		for range 4 {
 			pick(s, brief)
 		}
-		e.Quit(&long)
+		e.ReleasePlacement(&long)
 		e.End(now, endpoints.Answered, time.Second, 160)
 		Expect(pick(s, brief)).NotTo(BeNil(), "no long run is left there")
 	})
@@ -64,8 +64,8 @@
 	It("avoids an engine that works slowly", func() {
 		s := engines(2)
 		for range 10 {
-			s.Get("e0").Pace(0.1)
-			s.Get("e1").Pace(0.03)
+			s.Get("e0").ObservePace(0.1)
+			s.Get("e1").ObservePace(0.03)
 		}
 		for range 3 {
 			Expect(pick(s, long).ID).To(Equal("e1"))
@@ -83,12 +83,12 @@
 			e.InFlight++
 		}
 		request := endpoints.Request{Now: now, Model: "m"}
-		request.Rest = 100
-		Expect(s.Roomier(request, e, 4)).To(BeTrue())
-		request.Rest = 5
-		Expect(s.Roomier(request, e, 4)).To(BeFalse())
-		request.Rest = 100
+		request.RemainingWork = 100
+		Expect(s.HasLessLoaded(request, e, 4)).To(BeTrue())
+		request.RemainingWork = 5
+		Expect(s.HasLessLoaded(request, e, 4)).To(BeFalse())
+		request.RemainingWork = 100
 		s.Get(other).InFlight = 14
-		Expect(s.Roomier(request, e, 4)).To(BeFalse())
+		Expect(s.HasLessLoaded(request, e, 4)).To(BeFalse())
 	})
 })
--- a/internal/policy/endpoints/endpoints.go
+++ b/internal/policy/endpoints/endpoints.go
@@ -60,7 +60,7 @@
 	cost       float64       // running mean of seconds per unit of work, waits included; 0: unknown
 	burden     float64       // sum of the requests' weighted work
 	heavy      int           // requests whose end others wait for
-	others     Share         // that other processes have there
+	others     ProcessLoad   // that other processes have there
 	pace       float64       // running mean of seconds per unit of work once begun; 0: unknown
 	loads      *load         // weights being loaded; nil: none known
 	preference uint64        // of this process among equals, the highest first
@@ -78,10 +78,10 @@
 // that lasts longer is found out by the endpoint's refusals.
 const loadTakes = time.Second
 
-// Loading notes that the endpoint was ordered to load weights. It starts nothing
+// MarkLoading notes that the endpoint was ordered to load weights. It starts nothing
 // of that model meanwhile: without the word of who gave the order, an owner of
 // items found that out by two or three refusals for each load.
-func (e *State) Loading(now time.Time, model string, version int64) {
+func (e *State) MarkLoading(now time.Time, model string, version int64) {
 	e.loads = &load{model: model, version: version, until: now.Add(loadTakes)}
 }
 
@@ -107,9 +107,9 @@
 
 // Options change how endpoints are chosen. The zero value is the usual way.
 type Options struct {
-	KeepFailing bool // endpoints that fail are not set aside
-	SamePick    bool // all processes prefer the same endpoint among equals
-	AnyDomain   bool // endpoints in other failure domains are as good as near ones
+	DisableEjection  bool // endpoints that fail are not set aside
+	SharedPreference bool // all processes prefer the same endpoint among equals
+	IgnoreDomain     bool // endpoints in other failure domains are as good as near ones
 }
 
 // NewSet returns an empty set of a process. Each process prefers other
@@ -156,13 +156,13 @@
 
 // Request is what a choice depends on.
 type Request struct {
-	Now        time.Time
-	Domain     string   // of this process
-	Tried      []string // IDs that the request was sent to
-	Model      string   // empty: no model is needed
-	MinVersion int64    // oldest weight version that may serve it
-	Version    int64    // the one version that may serve it; 0: any from MinVersion
-	Within     bool     // only an endpoint with a free slot, as far as is known
+	Now             time.Time
+	Domain          string   // of this process
+	Tried           []string // IDs that the request was sent to
+	Model           string   // empty: no model is needed
+	MinVersion      int64    // oldest weight version that may serve it
+	Version         int64    // the one version that may serve it; 0: any from MinVersion
+	RequireFreeSlot bool     // only an endpoint with a free slot, as far as is known
 	// Background has a request leave room for others: this process has no more such
 	// requests at an endpoint than a share of its places.
 	Background bool
@@ -178,7 +178,7 @@
 	best, reserve := (*State)(nil), (*State)(nil)
 	least := 0.0
 	slow, pace := s.typicalCost(), 0.0
-	if r.Rest > 0 {
+	if r.RemainingWork > 0 {
 		pace = s.TypicalPace()
 	}
 	for _, e := range s.list {
@@ -191,11 +191,11 @@
 			}
 			continue
 		}
-		if score := e.score(&r, slow, pace); best == nil || score < least || score == least && !s.Options.SamePick && e.preference > best.preference {
+		if score := e.score(&r, slow, pace); best == nil || score < least || score == least && !s.Options.SharedPreference && e.preference > best.preference {
 			best, least = e, score
 		}
 	}
-	if best == nil && !r.Within {
+	if best == nil && !r.RequireFreeSlot {
 		best = reserve
 	}
 	if best == nil {
@@ -216,7 +216,7 @@
 	if r.Background && e.InFlight >= max(1, e.slots()/backgroundShare) {
 		return false
 	}
-	if r.Within && e.running() >= e.slots() {
+	if r.RequireFreeSlot && e.running() >= e.slots() {
 		return false
 	}
 	if e.crowds(&r.Placement) {
@@ -241,14 +241,14 @@
 // score estimates how long a request would take there, in units of a request at
 // an idle endpoint of usual speed.
 func (e *State) score(r *Request, typical, pace float64) float64 {
-	if r.Rest > 0 {
+	if r.RemainingWork > 0 {
 		return e.delay(&r.Placement, pace)
 	}
 	load := float64(e.InFlight+1) / float64(e.slots())
 	if typical > 0 && e.cost > minSlowdown*typical {
 		load *= e.cost / typical
 	}
-	if e.Domain != r.Domain && !e.set.Options.AnyDomain {
+	if e.Domain != r.Domain && !e.set.Options.IgnoreDomain {
 		load += strangerPenalty
 	}
 	return load
@@ -289,12 +289,12 @@
 
 // The outcomes.
 const (
-	Answered  Outcome = iota // it answered, whatever the status
-	Refused                  // it said that it is full; the request did not run
-	Replaced                 // another instance has the address
-	Broke                    // the answer broke off or made no sense
-	Unreached                // no connection, or silence
-	Dropped                  // this side ended the request
+	Answered     Outcome = iota // it answered, whatever the status
+	Refused                     // it said that it is full; the request did not run
+	Replaced                    // another instance has the address
+	BrokenAnswer                // the answer broke off or made no sense
+	Unreachable                 // no connection, or silence
+	Cancelled                   // this side ended the request
 )
 
 // End takes the end of a picked request into account. took and work give its
@@ -311,21 +311,21 @@
 			e.full = min(max(2*e.full, firstFullPause), mostFullPause)
 			e.until = now.Add(e.full)
 		}
-	case Replaced, Unreached:
+	case Replaced, Unreachable:
 		e.putAside(now)
-	case Broke:
+	case BrokenAnswer:
 		e.failures++
 		if e.failures >= failuresInRow {
 			e.putAside(now)
 		}
-	case Dropped:
+	case Cancelled:
 		e.observeAtLeast(took, work)
 	}
 }
 
-// Pace notes how many seconds a unit of work took an endpoint, without the wait
+// ObservePace notes how many seconds a unit of work took an endpoint, without the wait
 // before the first.
-func (e *State) Pace(seconds float64) {
+func (e *State) ObservePace(seconds float64) {
 	e.set.paced++
 	if e.pace == 0 {
 		e.pace = seconds
@@ -334,14 +334,14 @@
 	e.pace += (seconds - e.pace) * latencyWeight
 }
 
-// Faster tells whether a request that has had pace seconds per unit of work here
+// HasFaster tells whether a request that has had pace seconds per unit of work here
 // would be served markedly faster at another endpoint that has a free slot.
-func (s *Set) Faster(r Request, than *State, pace float64) bool {
+func (s *Set) HasFaster(r Request, than *State, pace float64) bool {
 	typical := s.TypicalPace()
 	if typical == 0 || pace < moveSlowdown*typical {
 		return false
 	}
-	r.Within = true
+	r.RequireFreeSlot = true
 	for _, e := range s.list {
 		if e != than && e.may(&r) && e.usable(r.Now) && e.pace > 0 && e.pace*moveSlowdown < pace {
 			return true
@@ -350,8 +350,10 @@
 	return false
 }
 
-// Aside tells whether the endpoint is put aside at a time, and until when.
-func (e *State) Aside(now time.Time) (time.Time, bool) { return e.until, now.Before(e.until) }
+// UnavailableUntil tells whether the endpoint is put aside at a time, and until when.
+func (e *State) UnavailableUntil(now time.Time) (time.Time, bool) {
+	return e.until, now.Before(e.until)
+}
 
 func (e *State) observe(took time.Duration, work float64) {
 	if work <= 0 {
@@ -378,7 +380,7 @@
 
 func (e *State) putAside(now time.Time) {
 	e.failures++
-	if now.Before(e.until) || e.set.Options.KeepFailing {
+	if now.Before(e.until) || e.set.Options.DisableEjection {
 		return // further requests that were under way tell nothing new
 	}
 	e.aside = min(max(2*e.aside, firstAside), mostAside)
--- a/internal/policy/endpoints/endpoints_test.go
+++ b/internal/policy/endpoints/endpoints_test.go
@@ -29,7 +29,7 @@
 			counts[s.Pick(endpoints.Request{Now: start, Domain: "a"}).ID]++
 		}
 		Expect(counts).To(Equal(map[string]int{"e0": 2, "e1": 2, "e2": 2}))
-		Expect(s.Pick(endpoints.Request{Now: start, Within: true})).To(BeNil(), "no slot is free")
+		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).To(BeNil(), "no slot is free")
 		Expect(s.Pick(endpoints.Request{Now: start})).NotTo(BeNil(), "without Within a queue is better than none")
 	})
 
@@ -49,7 +49,7 @@
 		// it is back, and the rest wait for that one's outcome.
 		s := set(2)
 		dark := s.Pick(endpoints.Request{Now: start, Tried: []string{"e1"}})
-		dark.End(start, endpoints.Unreached, 0, 0)
+		dark.End(start, endpoints.Unreachable, 0, 0)
 		for range 4 {
 			Expect(s.Pick(endpoints.Request{Now: start}).ID).To(Equal("e1"))
 		}
@@ -57,23 +57,23 @@
 		probe := s.Pick(endpoints.Request{Now: later})
 		Expect(probe.ID).To(Equal("e0"), "the idle one is tried again")
 		Expect(s.Pick(endpoints.Request{Now: later}).ID).To(Equal("e1"), "by one request only")
-		probe.End(later, endpoints.Unreached, 0, 0)
-		until, aside := probe.Aside(later)
+		probe.End(later, endpoints.Unreachable, 0, 0)
+		until, aside := probe.UnavailableUntil(later)
 		Expect(aside).To(BeTrue())
 		Expect(until.Sub(later)).To(Equal(time.Second), "twice the first pause")
 	})
 
 	It("uses one that is put aside if there is no other", func() {
 		s := set(1)
-		s.Pick(endpoints.Request{Now: start}).End(start, endpoints.Unreached, 0, 0)
+		s.Pick(endpoints.Request{Now: start}).End(start, endpoints.Unreachable, 0, 0)
 		Expect(s.Pick(endpoints.Request{Now: start})).NotTo(BeNil())
-		Expect(s.Pick(endpoints.Request{Now: start, Within: true})).To(BeNil(), "work that can wait does")
+		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).To(BeNil(), "work that can wait does")
 	})
 
 	It("does not condemn an endpoint for single broken answers", func() {
 		s := set(2)
 		for range 2 {
-			s.Pick(endpoints.Request{Now: start, Tried: []string{"e1"}}).End(start, endpoints.Broke, 0, 0)
+			s.Pick(endpoints.Request{Now: start, Tried: []string{"e1"}}).End(start, endpoints.BrokenAnswer, 0, 0)
 		}
 		Expect(s.Pick(endpoints.Request{Now: start}).ID).To(Equal("e0"))
 	})
@@ -84,7 +84,7 @@
 		s := set(1)
 		now, asked := start, 0
 		for now.Before(start.Add(time.Second)) {
-			if e := s.Pick(endpoints.Request{Now: now, Within: true}); e != nil {
+			if e := s.Pick(endpoints.Request{Now: now, RequireFreeSlot: true}); e != nil {
 				asked++
 				e.End(now, endpoints.Refused, 0, 0)
 			}
@@ -92,10 +92,10 @@
 		}
 		Expect(asked).To(BeNumerically("<=", 9))
 		now = now.Add(time.Second)
-		e := s.Pick(endpoints.Request{Now: now, Within: true})
+		e := s.Pick(endpoints.Request{Now: now, RequireFreeSlot: true})
 		e.End(now, endpoints.Answered, time.Millisecond, 1)
-		s.Pick(endpoints.Request{Now: now, Within: true}).End(now, endpoints.Refused, 0, 0)
-		until, _ := e.Aside(now)
+		s.Pick(endpoints.Request{Now: now, RequireFreeSlot: true}).End(now, endpoints.Refused, 0, 0)
+		until, _ := e.UnavailableUntil(now)
 		Expect(until.Sub(now)).To(BeNumerically("<=", 25*time.Millisecond))
 	})
 
@@ -136,9 +136,9 @@
 			}
 		}
 		favourite := s.Pick(endpoints.Request{Now: start}).ID
-		s.Get(favourite).End(start, endpoints.Dropped, 10*time.Millisecond, 1)
+		s.Get(favourite).End(start, endpoints.Cancelled, 10*time.Millisecond, 1)
 		Expect(s.Pick(endpoints.Request{Now: start}).ID).To(Equal(favourite), "a caller that left early says nothing")
-		s.Get(favourite).End(start, endpoints.Dropped, 150*time.Millisecond, 1)
+		s.Get(favourite).End(start, endpoints.Cancelled, 150*time.Millisecond, 1)
 		Expect(s.Pick(endpoints.Request{Now: start}).ID).NotTo(Equal(favourite))
 	})
 
@@ -154,11 +154,11 @@
 			s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Domain: "a", Slots: 9, Born: 1, Versions: map[string]int64{"m": version, "n": 1}})
 		}
 		put(1)
-		e.Loading(start, "m", 2)
+		e.MarkLoading(start, "m", 2)
 		Expect(ask("m", 500)).To(BeNil())
 		Expect(ask("n", 500)).NotTo(BeNil(), "another model is served meanwhile")
 		Expect(ask("m", 1000)).NotTo(BeNil(), "it may be done without a word")
-		e.Loading(start, "m", 2)
+		e.MarkLoading(start, "m", 2)
 		put(2)
 		Expect(ask("m", 500)).NotTo(BeNil(), "the list says that it is done")
 	})
@@ -191,16 +191,16 @@
 		// The engine crashed and is back under its ID. What was learnt of the old
 		// process, here that it does not answer, says nothing of the new one.
 		s := set(1)
-		s.Pick(endpoints.Request{Now: start}).End(start, endpoints.Unreached, 0, 0)
+		s.Pick(endpoints.Request{Now: start}).End(start, endpoints.Unreachable, 0, 0)
 		s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Slots: 2, Born: 2})
-		Expect(s.Pick(endpoints.Request{Now: start, Within: true})).NotTo(BeNil())
+		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).NotTo(BeNil())
 	})
 
 	It("keeps what it learnt when only the list's entry changes", func() {
 		s := set(1)
-		s.Pick(endpoints.Request{Now: start}).End(start, endpoints.Unreached, 0, 0)
+		s.Pick(endpoints.Request{Now: start}).End(start, endpoints.Unreachable, 0, 0)
 		s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Slots: 2, Born: 1, Versions: map[string]int64{"m": 9}})
-		Expect(s.Pick(endpoints.Request{Now: start, Within: true})).To(BeNil())
+		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).To(BeNil())
 	})
 
 	It("prefers its own failure domain between equals", func() {
@@ -217,13 +217,13 @@
 			s.Put(deployment.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "app", Slots: 6})
 		}
 		scores := 0
-		for s.Pick(endpoints.Request{Now: start, Within: true, Background: true}) != nil {
+		for s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true, Background: true}) != nil {
 			scores++
 		}
 		Expect(scores).To(Equal(6), "two of the six places of each")
-		Expect(s.Pick(endpoints.Request{Now: start, Within: true})).NotTo(BeNil())
+		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).NotTo(BeNil())
 		small := endpoints.NewSet("self")
 		small.Put(deployment.Endpoint{ID: "e", Service: "app", Slots: 1})
-		Expect(small.Pick(endpoints.Request{Now: start, Within: true, Background: true})).NotTo(BeNil(), "one at least")
+		Expect(small.Pick(endpoints.Request{Now: start, RequireFreeSlot: true, Background: true})).NotTo(BeNil(), "one at least")
 	})
 })
--- a/internal/policy/endpoints/reports.go
+++ b/internal/policy/endpoints/reports.go
@@ -6,14 +6,14 @@
 // time between two. The requests of one that died have ended by then.
 const reportLife = time.Second
 
-// Share is what one process has at an endpoint.
-type Share struct {
+// ProcessLoad is what one process has at an endpoint.
+type ProcessLoad struct {
 	InFlight int
 	Heavy    int     // requests whose end others wait for
 	Burden   float64 // sum of the requests' weighted work
 }
 
-func (s *Share) add(other Share) {
+func (s *ProcessLoad) add(other ProcessLoad) {
 	s.InFlight += other.InFlight
 	s.Heavy += other.Heavy
 	s.Burden += other.Burden
@@ -22,13 +22,13 @@
 // report is what another process told last.
 type report struct {
 	at     time.Time
-	shares map[string]Share // by endpoint ID
+	shares map[string]ProcessLoad // by endpoint ID
 }
 
-// Reported takes in what another process has at the endpoints, in place of what it
+// SetReport takes in what another process has at the endpoints, in place of what it
 // told before. Without such reports two owners of jobs each keep narrow what the
 // other one fills.
-func (s *Set) Reported(now time.Time, from string, shares map[string]Share) {
+func (s *Set) SetReport(now time.Time, from string, shares map[string]ProcessLoad) {
 	if s.reports == nil {
 		s.reports = map[string]report{}
 	}
@@ -52,20 +52,20 @@
 
 func (s *Set) sumReports() {
 	for _, e := range s.list {
-		e.others = Share{}
+		e.others = ProcessLoad{}
 		for _, r := range s.reports {
 			e.others.add(r.shares[e.ID])
 		}
 	}
 }
 
-// Shares returns what this process has at the endpoints, without those where it
+// ProcessLoads returns what this process has at the endpoints, without those where it
 // has nothing.
-func (s *Set) Shares() map[string]Share {
-	shares := map[string]Share{}
+func (s *Set) ProcessLoads() map[string]ProcessLoad {
+	shares := map[string]ProcessLoad{}
 	for _, e := range s.list {
 		if e.InFlight > 0 {
-			shares[e.ID] = Share{InFlight: e.InFlight, Heavy: e.heavy, Burden: e.burden}
+			shares[e.ID] = ProcessLoad{InFlight: e.InFlight, Heavy: e.heavy, Burden: e.burden}
 		}
 	}
 	return shares
--- a/internal/policy/limit/estimate.go
+++ b/internal/policy/limit/estimate.go
@@ -44,8 +44,8 @@
 	return r.recent * unit(claimed)
 }
 
-// Tail returns the seconds that most requests of the class hold a slot at most.
-func (e *Estimator) Tail(class string, claimed float64) float64 {
+// TailCost returns the seconds that most requests of the class hold a slot at most.
+func (e *Estimator) TailCost(class string, claimed float64) float64 {
 	r := e.classes[class]
 	if r == nil {
 		return firstEstimate
@@ -53,9 +53,9 @@
 	return (r.recent + tailSpreads*r.spread) * unit(claimed)
 }
 
-// Usual returns the seconds it holds one in the endpoint's usual state: what a
+// BaselineCost returns the seconds it holds one in the endpoint's usual state: what a
 // slow spell is measured against.
-func (e *Estimator) Usual(class string, claimed float64) float64 {
+func (e *Estimator) BaselineCost(class string, claimed float64) float64 {
 	r := e.classes[class]
 	if r == nil {
 		return firstEstimate
--- a/internal/policy/limit/limit.go
+++ b/internal/policy/limit/limit.go
@@ -17,7 +17,7 @@
 
 // Sample is one request that left the endpoint.
 type Sample struct {
-	Took    time.Duration
+	Latency time.Duration
 	Cost    float64 // estimated seconds
 	Running int     // requests at the endpoint when this one left, itself included
 	Failed  bool    // the endpoint refused it, timed out or crashed
@@ -96,7 +96,7 @@
 		w.began = now
 	}
 	w.samples++
-	w.stretch += l.bounded(s.Took.Seconds() / max(s.Cost, minCost))
+	w.stretch += l.bounded(s.Latency.Seconds() / max(s.Cost, minCost))
 	w.running = max(w.running, s.Running)
 	if s.Failed {
 		w.failed++
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -20,7 +20,7 @@
 func feed(l *limit.Limiter, n int, took time.Duration, running int) int {
 	for range n {
 		now = now.Add(10 * time.Millisecond)
-		l.Observe(now, limit.Sample{Took: took, Cost: 0.1, Running: running})
+		l.Observe(now, limit.Sample{Latency: took, Cost: 0.1, Running: running})
 	}
 	return l.Limit()
 }
@@ -57,7 +57,7 @@
 
 	It("is cut when the endpoint refuses most requests", func() {
 		for range 32 {
-			l.Observe(now, limit.Sample{Took: time.Millisecond, Cost: 0.1, Running: 16, Failed: true})
+			l.Observe(now, limit.Sample{Latency: time.Millisecond, Cost: 0.1, Running: 16, Failed: true})
 		}
 		Expect(l.Limit()).To(Equal(4))
 	})
@@ -72,7 +72,7 @@
 		}
 		Expect(e.Cost("lookup", 2.56)).To(BeNumerically("~", 0.2, 0.001))
 		Expect(e.Cost("lookup", 1.28)).To(BeNumerically("~", 0.1, 0.001))
-		Expect(e.Tail("lookup", 2.56)).To(BeNumerically("~", 0.2, 0.001))
+		Expect(e.TailCost("lookup", 2.56)).To(BeNumerically("~", 0.2, 0.001))
 	})
 
 	It("keeps the usual cost through a slow spell", func() {
@@ -84,6 +84,6 @@
 			e.Observe("lookup", 0, 1)
 		}
 		Expect(e.Cost("lookup", 0)).To(BeNumerically(">", 0.8))
-		Expect(e.Usual("lookup", 0)).To(BeNumerically("<", 0.2))
+		Expect(e.BaselineCost("lookup", 0)).To(BeNumerically("<", 0.2))
 	})
 })
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -11,8 +11,8 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// DefaultShare is the budget of a business that declares none.
-const DefaultShare = 0.1
+// DefaultRatio is the budget of a business that declares none.
+const DefaultRatio = 0.1
 
 // defaultBurst is how many retries a business may save up. It is small, so
 // that a quiet hour does not pay for a storm.
@@ -36,11 +36,11 @@
 	return &Budget{burst: defaultBurst, buckets: map[string]*bucket{}}
 }
 
-// SetShare declares the retries of a business per request of its own; 0 or
-// less stands for DefaultShare.
-func (b *Budget) SetShare(business string, share float64) {
+// SetRatio declares the retries of a business per request of its own; 0 or
+// less stands for DefaultRatio.
+func (b *Budget) SetRatio(business string, share float64) {
 	if share <= 0 {
-		share = DefaultShare
+		share = DefaultRatio
 	}
 	b.bucket(business).share = share
 }
@@ -71,7 +71,7 @@
 func (b *Budget) bucket(business string) *bucket {
 	k := b.buckets[business]
 	if k == nil {
-		k = &bucket{share: DefaultShare, tokens: 1}
+		k = &bucket{share: DefaultRatio, tokens: 1}
 		b.buckets[business] = k
 	}
 	return k
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -20,7 +20,7 @@
 var _ = Describe("Budget", func() {
 	It("holds the retries of a business to its share, whatever another one spends", func() {
 		b := retry.NewBudget()
-		b.SetShare("kheda", 0.1)
+		b.SetRatio("kheda", 0.1)
 		spent := 0
 		for range 10_000 {
 			b.Earn("kheda")
@@ -86,7 +86,7 @@
 		// endpoints are slow. From a fifth of its requests it earns one repeat in ten
 		// seconds; half a token a second gives it one for each.
 		b := retry.NewBudget()
-		b.SetShare("lookups", 0.2)
+		b.SetRatio("lookups", 0.2)
 		repeated := 0
 		for range 20 {
 			b.Earn("lookups")
