--- a/internal/policy/limit/estimate.go
+++ b/internal/policy/limit/estimate.go
@@ -2,86 +2,95 @@
 
 import "math"
 
-// Estimator learns, for each class, how long a request holds a slot for each
-// second that was claimed for it, or at all where nothing was claimed. It is
+// Estimator learns for each class how long its requests hold a slot: per second
+// of the cost that the caller stated, or in total if no cost was stated. It is
 // not safe for concurrent use.
 type Estimator struct {
-	classes map[string]*ratio // the declared classes, which bounds the map
+	classes map[string]*classStats // by class; bounded, as only declared classes occur
 }
 
-// ratio is held seconds per claimed second.
-type ratio struct {
-	samples float64
-	recent  float64
-	spread  float64 // mean deviation from recent
-	usual   float64
+// classStats holds the statistics of one class, in seconds that a slot was held
+// per second stated.
+type classStats struct {
+	samples   float64
+	mean      float64 // moving average of recent requests
+	deviation float64 // moving average of the absolute difference from mean
+	baseline  float64 // moving average over a long time
 }
 
 const (
-	// firstEstimate is in seconds. Until a class is known its requests are
-	// taken for short ones: a wrong guess then costs time in the queue, where
-	// too long a guess would refuse requests that could have been served.
-	firstEstimate = 0.05
-	recentGain    = 0.05
-	// tailSpreads above the mean lie some nine of ten requests.
-	tailSpreads = 2
-	usualGain   = 0.002
+	// initialCostSeconds is the estimate for a class that was not observed yet. It is
+	// low on purpose: an estimate that is too low costs time in the queue, but one
+	// that is too high would refuse requests that could have been served.
+	initialCostSeconds = 0.05
+	// meanGain is the weight of a new observation in mean and deviation.
+	meanGain = 0.05
+	// tailDeviations is the number of deviations above the mean at which TailCost
+	// lies. About nine of ten requests are below it.
+	tailDeviations = 2
+	// baselineGain is the weight of a new observation in baseline.
+	baselineGain = 0.002
 )
 
-// NewEstimator returns an estimator that knows nothing yet.
-func NewEstimator() *Estimator { return &Estimator{classes: map[string]*ratio{}} }
+// NewEstimator returns an Estimator without observations.
+func NewEstimator() *Estimator { return &Estimator{classes: map[string]*classStats{}} }
 
-// Known tells whether a request of the class was observed.
+// Known reports whether a request of the class was observed.
 func (e *Estimator) Known(class string) bool { return e.classes[class] != nil }
 
-// Cost returns the seconds a request of the class is expected to hold a slot
-// now. Claimed is in seconds; 0 if nothing was claimed.
-func (e *Estimator) Cost(class string, claimed float64) float64 {
+// Cost returns the time in seconds that a request of the class is expected to
+// hold a slot, based on recent requests. stated is the cost in seconds that the
+// caller stated; 0 if none.
+func (e *Estimator) Cost(class string, stated float64) float64 {
 	r := e.classes[class]
 	if r == nil {
-		return firstEstimate
+		return initialCostSeconds
 	}
-	return r.recent * unit(claimed)
+	return r.mean * statedOrOne(stated)
 }
 
-// TailCost returns the seconds that most requests of the class hold a slot at most.
-func (e *Estimator) TailCost(class string, claimed float64) float64 {
+// TailCost returns the time in seconds that most requests of the class do not
+// exceed when they hold a slot.
+func (e *Estimator) TailCost(class string, stated float64) float64 {
 	r := e.classes[class]
 	if r == nil {
-		return firstEstimate
+		return initialCostSeconds
 	}
-	return (r.recent + tailSpreads*r.spread) * unit(claimed)
+	return (r.mean + tailDeviations*r.deviation) * statedOrOne(stated)
 }
 
-// BaselineCost returns the seconds it holds one in the endpoint's usual state: what a
-// slow spell is measured against.
-func (e *Estimator) BaselineCost(class string, claimed float64) float64 {
+// BaselineCost returns the time in seconds that a request of the class holds a
+// slot while the endpoint is in its normal state. It follows changes slowly, so
+// that a temporary slowdown can be measured against it.
+func (e *Estimator) BaselineCost(class string, stated float64) float64 {
 	r := e.classes[class]
 	if r == nil {
-		return firstEstimate
+		return initialCostSeconds
 	}
-	return r.usual * unit(claimed)
+	return r.baseline * statedOrOne(stated)
 }
 
-// Observe takes the time of an answered request into account.
-func (e *Estimator) Observe(class string, claimed, seconds float64) {
+// Observe records how many seconds an answered request of the class held a slot.
+func (e *Estimator) Observe(class string, stated, seconds float64) {
 	r := e.classes[class]
 	if r == nil {
-		r = &ratio{}
+		r = &classStats{}
 		e.classes[class] = r
 	}
 	if r.samples++; r.samples == 1 {
-		r.recent = seconds / unit(claimed)
+		r.mean = seconds / statedOrOne(stated)
 	}
-	held := seconds / unit(claimed)
-	r.spread += (math.Abs(held-r.recent) - r.spread) * max(recentGain, 1/r.samples)
-	r.recent += (held - r.recent) * max(recentGain, 1/r.samples)
-	r.usual += (held - r.usual) * max(usualGain, 1/r.samples)
+	held := seconds / statedOrOne(stated)
+	r.deviation += (math.Abs(held-r.mean) - r.deviation) * max(meanGain, 1/r.samples)
+	r.mean += (held - r.mean) * max(meanGain, 1/r.samples)
+	r.baseline += (held - r.baseline) * max(baselineGain, 1/r.samples)
 }
 
-func unit(claimed float64) float64 {
-	if claimed > 0 {
-		return claimed
+// statedOrOne returns the stated cost, or 1 if there is none: the statistics are
+// then in seconds per request.
+func statedOrOne(stated float64) float64 {
+	if stated > 0 {
+		return stated
 	}
 	return 1
 }
--- a/internal/policy/limit/limit.go
+++ b/internal/policy/limit/limit.go
@@ -1,128 +1,133 @@
-// Package limit adapts how many requests run at an endpoint at once to what
-// the endpoint bears, so that one that slowed down is not flooded.
+// Package limit implements an adaptive concurrency limit for an endpoint, so
+// that an endpoint that slows down is not overloaded.
 //
-// Latency is compared as stretch: the time a request took over its estimated
-// cost, which makes short and long requests comparable. When the stretch of a
-// window rises over the endpoint's usual one, the limit shrinks by the ratio of
-// the two; when it does not and the limit was used, the limit grows by one.
+// The limit follows the slowdown of requests: their latency divided by their
+// estimated cost, which makes short and long requests comparable. If the mean
+// slowdown of a window of samples exceeds the endpoint's baseline by more than a
+// tolerance, the limit shrinks in proportion. Otherwise it grows by one if it was
+// reached during the window. If most samples of a window failed, it is halved.
 package limit
 
 import "time"
 
-// Config bounds the limit.
+// Config holds the bounds of the limit.
 type Config struct {
 	Min int
 	Max int
 }
 
-// Sample is one request that left the endpoint.
+// Sample describes one request that left the endpoint.
 type Sample struct {
 	Latency time.Duration
-	Cost    float64 // estimated seconds
-	Running int     // requests at the endpoint when this one left, itself included
-	Failed  bool    // the endpoint refused it, timed out or crashed
+	Cost    float64 // estimated cost in seconds
+	Running int     // requests at the endpoint when this one left, including it
+	Failed  bool    // the endpoint refused the request, timed out or crashed
 }
 
 const (
-	// A window ends after windowSamples, or after windowTime if it has
-	// fewestSamples by then: of fewer, one odd request would cut the limit.
-	windowSamples = 16
-	fewestSamples = 6
-	windowTime    = time.Second
-	// tolerance is how far the stretch may rise before the limit shrinks; below
-	// it are ordinary differences between batches.
-	tolerance = 1.5
-	// minGradient is the strongest single cut, so that one odd window does
-	// not empty the endpoint.
+	// A window ends after maxWindowSamples, or after windowDuration if it has
+	// minWindowSamples by then. With fewer samples a single outlier could reduce the
+	// limit.
+	maxWindowSamples = 16
+	minWindowSamples = 6
+	windowDuration   = time.Second
+	// slowdownTolerance is the ratio of slowdown to baseline above which the limit
+	// shrinks. Smaller ratios are ordinary differences between batches.
+	slowdownTolerance = 1.5
+	// minGradient is the lowest factor that a single window applies to the limit, so
+	// that one outlying window does not drain the endpoint.
 	minGradient = 0.5
-	// usualRise is how fast the usual stretch follows a higher one. A lasting
-	// change, such as a bigger model, is learnt in some 50 windows; an endpoint
-	// that is slow for some windows is not taken for usual.
-	usualRise = 0.02
-	// usualFall is how fast it follows a lower one.
-	usualFall = 0.3
-	// maxStretch bounds what one sample adds over the usual, so that a single
-	// request whose cost was misjudged does not cut the limit.
-	maxStretch = 4
-	minCost    = 1e-4
+	// baselineRiseRate is the weight of a window whose slowdown is above the
+	// baseline. A lasting change, such as a bigger model, is learnt in about 50
+	// windows; a slowdown of a few windows does not become the baseline.
+	baselineRiseRate = 0.02
+	// baselineFallRate is the weight of a window whose slowdown is below the baseline.
+	baselineFallRate = 0.3
+	// maxSlowdownFactor caps the slowdown of one sample, as a multiple of the
+	// baseline, so that a single request whose cost was misjudged does not reduce the
+	// limit.
+	maxSlowdownFactor = 4
+	// minCostSeconds is the lowest cost that a latency is divided by.
+	minCostSeconds = 1e-4
 )
 
-// Limiter is the limit of one endpoint. It is not safe for concurrent use.
+// Limiter adapts the limit of one endpoint. It is not safe for concurrent use.
 type Limiter struct {
-	cfg    Config
-	limit  float64
-	usual  float64 // stretch of the endpoint in its usual state; 0: not known
-	window window
+	cfg      Config
+	limit    float64
+	baseline float64 // slowdown of the endpoint in its normal state; 0: not known
+	window   window
 }
 
+// window accumulates the samples since the limit was last adjusted.
 type window struct {
-	began   time.Time
-	samples int
-	failed  int
-	stretch float64 // sum
-	running int     // highest seen
+	start      time.Time
+	samples    int
+	failed     int
+	slowdown   float64 // sum over the samples
+	maxRunning int
 }
 
-// New returns a limiter that starts at the highest limit.
+// New returns a Limiter that starts at the maximum.
 func New(cfg Config) *Limiter {
-	cfg = cfg.normal()
+	cfg = cfg.normalized()
 	return &Limiter{cfg: cfg, limit: float64(cfg.Max)}
 }
 
-func (c Config) normal() Config {
+func (c Config) normalized() Config {
 	c.Min = max(c.Min, 1)
 	c.Max = max(c.Max, c.Min)
 	return c
 }
 
-// Configure changes the bounds and keeps what was learnt. A limit that stood
-// at its old maximum goes to the new one.
+// Configure changes the bounds and keeps the learnt baseline. A limit that was at
+// the old maximum is set to the new one.
 func (l *Limiter) Configure(cfg Config) {
 	atMax := l.limit >= float64(l.cfg.Max)
-	l.cfg = cfg.normal()
+	l.cfg = cfg.normalized()
 	if atMax {
 		l.limit = float64(l.cfg.Max)
 	}
 	l.clamp()
 }
 
-// Limit returns how many requests may run at once.
+// Limit returns the number of requests that may run at once.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// Observe takes a sample into account and returns the limit after it.
+// Observe records a sample and returns the limit after it.
 func (l *Limiter) Observe(now time.Time, s Sample) int {
 	w := &l.window
 	if w.samples == 0 {
-		w.began = now
+		w.start = now
 	}
 	w.samples++
-	w.stretch += l.bounded(s.Latency.Seconds() / max(s.Cost, minCost))
-	w.running = max(w.running, s.Running)
+	w.slowdown += l.clampSlowdown(s.Latency.Seconds() / max(s.Cost, minCostSeconds))
+	w.maxRunning = max(w.maxRunning, s.Running)
 	if s.Failed {
 		w.failed++
 	}
-	late := now.Sub(w.began) >= windowTime && w.samples >= fewestSamples
-	if w.samples >= windowSamples || late {
+	late := now.Sub(w.start) >= windowDuration && w.samples >= minWindowSamples
+	if w.samples >= maxWindowSamples || late {
 		l.closeWindow()
 	}
 	return l.Limit()
 }
 
-func (l *Limiter) bounded(stretch float64) float64 {
-	if l.usual == 0 {
-		return stretch
+func (l *Limiter) clampSlowdown(slowdown float64) float64 {
+	if l.baseline == 0 {
+		return slowdown
 	}
-	return min(stretch, maxStretch*l.usual)
+	return min(slowdown, maxSlowdownFactor*l.baseline)
 }
 
 func (l *Limiter) closeWindow() {
 	w := l.window
 	l.window = window{}
-	stretch := w.stretch / float64(w.samples)
-	if l.usual == 0 {
-		l.usual = stretch
+	slowdown := w.slowdown / float64(w.samples)
+	if l.baseline == 0 {
+		l.baseline = slowdown
 	}
-	gradient := min(1, tolerance*l.usual/stretch)
+	gradient := min(1, slowdownTolerance*l.baseline/slowdown)
 	if w.failed*2 > w.samples {
 		gradient = minGradient
 	}
@@ -130,21 +135,21 @@
 	switch {
 	case gradient < 1:
 		l.limit *= gradient
-	case w.running >= l.Limit():
+	case w.maxRunning >= l.Limit():
 		l.limit++
 	}
 	l.clamp()
-	l.learn(stretch)
+	l.updateBaseline(slowdown)
 }
 
 func (l *Limiter) clamp() {
 	l.limit = min(max(l.limit, float64(l.cfg.Min)), float64(l.cfg.Max))
 }
 
-func (l *Limiter) learn(stretch float64) {
-	rate := usualRise
-	if stretch < l.usual {
-		rate = usualFall
+func (l *Limiter) updateBaseline(slowdown float64) {
+	rate := baselineRiseRate
+	if slowdown < l.baseline {
+		rate = baselineFallRate
 	}
-	l.usual += (stretch - l.usual) * rate
+	l.baseline += (slowdown - l.baseline) * rate
 }
