--- a/internal/policy/retry/hedge.go
+++ b/internal/policy/retry/hedge.go
@@ -5,90 +5,92 @@
 	"time"
 )
 
-// Shape of the latency histogram: buckets grow by a factor of 2^(1/8), which
-// keeps a quantile within 5 % of its true value, from 100 µs to about 5 min.
+// The latency histogram has buckets whose upper bounds grow by a factor of 2^(1/8),
+// from 100 µs to about 6 min. A quantile is reported as the upper bound of its
+// bucket, which is at most 9 % above the true value.
 const (
 	bucketsPerDoubling = 8
 	bucketCount        = 176
-	smallest           = 100 * time.Microsecond
+	minLatency         = 100 * time.Microsecond
 )
 
-// minSamples is how many latencies a class needs before its quantile is
-// trusted; below it no hedge is sent.
+// minSamples is the number of latencies that a class needs before its quantile is
+// used. Below it no hedge is sent.
 const minSamples = 50
 
-// halveAfter is the weight at which all counts are halved, so that the
-// quantile follows a class whose latency changes.
-const halveAfter = 4000
+// maxTotalWeight is the total at which all counts are halved, so that the quantile
+// follows a class whose latency changes.
+const maxTotalWeight = 4000
 
-// Hedge learns each class's latency and tells after which delay a second
-// attempt is worth sending.
+// Hedge learns the latency of each class and decides after which delay a hedge, a
+// second attempt while the first is still running, is sent.
 type Hedge struct {
-	classes map[string]*quantile
+	classes map[string]*histogram
 }
 
-// NewHedge returns a Hedge that knows no class yet.
+// NewHedge returns a Hedge without observations.
 func NewHedge() *Hedge {
-	return &Hedge{classes: map[string]*quantile{}}
+	return &Hedge{classes: map[string]*histogram{}}
 }
 
 // Observe records the latency of an answered attempt of the class.
 func (h *Hedge) Observe(class string, latency time.Duration) {
-	q := h.classes[class]
-	if q == nil {
-		q = &quantile{}
-		h.classes[class] = q
+	hist := h.classes[class]
+	if hist == nil {
+		hist = &histogram{}
+		h.classes[class] = hist
 	}
-	q.add(latency)
+	hist.add(latency)
 }
 
-// Delay returns the wait before a hedge of the class: its latency quantile at,
-// 0..1. False means no hedge: at is 0 or too few latencies are known.
-func (h *Hedge) Delay(class string, at float64) (time.Duration, bool) {
-	q := h.classes[class]
-	if at <= 0 || q == nil || q.total < minSamples {
+// Delay returns how long to wait before a hedge of the class is sent: the quantile
+// of the class's latencies at level, between 0 and 1. It returns false if no hedge
+// is sent, as level is 0 or too few latencies are known.
+func (h *Hedge) Delay(class string, level float64) (time.Duration, bool) {
+	hist := h.classes[class]
+	if level <= 0 || hist == nil || hist.total < minSamples {
 		return 0, false
 	}
-	return q.value(at), true
+	return hist.quantile(level), true
 }
 
-// quantile is a decaying histogram of latencies on a logarithmic scale.
-type quantile struct {
+// histogram is a decaying histogram of latencies with logarithmic buckets.
+type histogram struct {
 	counts [bucketCount]float64
 	total  float64 // sum of counts
 }
 
-func (q *quantile) add(latency time.Duration) {
-	q.counts[index(latency)]++
-	q.total++
-	if q.total < halveAfter {
+func (h *histogram) add(latency time.Duration) {
+	h.counts[bucketIndex(latency)]++
+	h.total++
+	if h.total < maxTotalWeight {
 		return
 	}
-	for i := range q.counts {
-		q.counts[i] /= 2
+	for i := range h.counts {
+		h.counts[i] /= 2
 	}
-	q.total /= 2
+	h.total /= 2
 }
 
-func (q *quantile) value(at float64) time.Duration {
-	rest := at * q.total
-	for i, n := range q.counts {
-		rest -= n
-		if rest <= 0 {
-			return upper(i)
+func (h *histogram) quantile(level float64) time.Duration {
+	remaining := level * h.total
+	for i, n := range h.counts {
+		remaining -= n
+		if remaining <= 0 {
+			return bucketUpperBound(i)
 		}
 	}
-	return upper(bucketCount - 1)
+	return bucketUpperBound(bucketCount - 1)
 }
 
-func index(latency time.Duration) int {
-	if latency <= smallest {
+func bucketIndex(latency time.Duration) int {
+	if latency <= minLatency {
 		return 0
 	}
-	ratio := float64(latency) / float64(smallest)
+	ratio := float64(latency) / float64(minLatency)
 	return min(int(math.Ceil(math.Log2(ratio)*bucketsPerDoubling)), bucketCount-1)
 }
 
-func upper(i int) time.Duration {
-	return time.Duration(float64(smallest) * math.Exp2(float64(i)/bucketsPerDoubling))
+func bucketUpperBound(i int) time.Duration {
+	return time.Duration(float64(minLatency) * math.Exp2(float64(i)/bucketsPerDoubling))
 }
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -1,7 +1,7 @@
-// Package retry decides when a request may be sent a second time: a budget per
-// business as a share of its own traffic, hedges after the class's own latency
-// quantile, and the back-off between attempts. It keeps no clock and is not
-// safe for concurrent use.
+// Package retry decides whether a request may be sent a second time. It provides a
+// retry budget for each business as a ratio of its own traffic, hedged requests
+// after a quantile of the class's own latency, and the backoff between attempts.
+// It reads no clock, and its types are not safe for concurrent use.
 package retry
 
 import (
@@ -11,54 +11,58 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// DefaultRatio is the budget of a business that declares none.
+// DefaultRatio is the number of retries per request of a business that declares
+// none.
 const DefaultRatio = 0.1
 
-// defaultBurst is how many retries a business may save up. It is small, so
-// that a quiet hour does not pay for a storm.
+// defaultBurst is the number of retries that a business may accumulate. It is
+// small, so that a long time without failures does not pay for a retry storm.
 const defaultBurst = 10
 
-// Budget holds each business's retries to a share of its requests. During an
-// overload every failure asks for a retry; without the bound retries add load
-// just when there is none to spare, and goodput collapses.
+// Budget limits the retries of each business to a ratio of its requests, with a
+// token bucket for each. During an overload every failure leads to a retry; without
+// the limit retries add load when there is no capacity for it, and goodput
+// collapses.
 type Budget struct {
 	burst   float64
 	buckets map[string]*bucket
 }
 
+// bucket is the token bucket of one business.
 type bucket struct {
-	share  float64
-	tokens float64 // never above burst
+	ratio  float64 // tokens earned by each first attempt
+	tokens float64 // never above Budget.burst
 }
 
-// NewBudget returns a budget in which each business starts with one retry.
+// NewBudget returns a Budget in which each business starts with one retry.
 func NewBudget() *Budget {
 	return &Budget{burst: defaultBurst, buckets: map[string]*bucket{}}
 }
 
-// SetRatio declares the retries of a business per request of its own; 0 or
-// less stands for DefaultRatio.
-func (b *Budget) SetRatio(business string, share float64) {
-	if share <= 0 {
-		share = DefaultRatio
+// SetRatio sets how many retries a business may send per request of its own. A
+// ratio of 0 or less stands for DefaultRatio.
+func (b *Budget) SetRatio(business string, ratio float64) {
+	if ratio <= 0 {
+		ratio = DefaultRatio
 	}
-	b.bucket(business).share = share
+	b.bucket(business).ratio = ratio
 }
 
-// Earn counts one first attempt of the business.
+// Earn adds the tokens for one first attempt of the business.
 func (b *Budget) Earn(business string) {
 	k := b.bucket(business)
-	k.tokens = min(k.tokens+k.share, b.burst)
+	k.tokens = min(k.tokens+k.ratio, b.burst)
 }
 
-// Grant adds tokens to the business's budget whatever its traffic, up to the
-// same burst.
+// Grant adds tokens to the business's budget independently of its traffic, up to
+// the same burst.
 func (b *Budget) Grant(business string, tokens float64) {
 	k := b.bucket(business)
 	k.tokens = min(k.tokens+tokens, b.burst)
 }
 
-// Spend takes one retry or hedge from the budget, false if none is left.
+// Spend takes the token for one retry or hedge from the budget. It returns false
+// if there is none.
 func (b *Budget) Spend(business string) bool {
 	k := b.bucket(business)
 	if k.tokens < 1 {
@@ -71,15 +75,15 @@
 func (b *Budget) bucket(business string) *bucket {
 	k := b.buckets[business]
 	if k == nil {
-		k = &bucket{share: DefaultRatio, tokens: 1}
+		k = &bucket{ratio: DefaultRatio, tokens: 1}
 		b.buckets[business] = k
 	}
 	return k
 }
 
-// Retryable tells whether a failed attempt may be repeated elsewhere. Only
-// idempotent requests are: an Unknown outcome may have run. A refusal that
-// holds for every endpoint alike is final.
+// Retryable reports whether a failed attempt may be repeated at another endpoint.
+// Only idempotent requests may be, as a request with an Unknown outcome may have
+// run. A refusal that every endpoint would repeat is final.
 func Retryable(idempotent bool, answer wire.Answer) bool {
 	if !idempotent || answer.Outcome == wire.Answered {
 		return false
@@ -93,15 +97,15 @@
 	}
 }
 
-// Bounds of the back-off between attempts.
+// Bounds of the backoff between attempts.
 const (
 	backoffBase = 5 * time.Millisecond
 	backoffMax  = 500 * time.Millisecond
 )
 
-// Backoff returns the pause before the retry with this number, counted from 1:
-// uniform between zero and a ceiling that doubles. The spread keeps callers
-// that failed together from coming back together.
+// Backoff returns the delay before a retry, with full jitter: it is drawn uniformly
+// between zero and a ceiling that doubles with each attempt. attempt counts from 1.
+// The jitter keeps callers that failed together from retrying together.
 func Backoff(attempt int, random *rand.Rand) time.Duration {
 	ceiling := backoffBase
 	for i := 1; i < attempt && ceiling < backoffMax; i++ {
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -18,7 +18,7 @@
 }
 
 var _ = Describe("Budget", func() {
-	It("holds the retries of a business to its share, whatever another one spends", func() {
+	It("limits the retries of a business to its ratio, independently of other businesses", func() {
 		b := retry.NewBudget()
 		b.SetRatio("kheda", 0.1)
 		spent := 0
@@ -37,7 +37,7 @@
 })
 
 var _ = Describe("Retryable", func() {
-	DescribeTable("repeats only what may run twice and may fare better elsewhere",
+	DescribeTable("allows only idempotent requests that another endpoint may answer",
 		func(idempotent bool, outcome wire.Outcome, reason wire.Reason, want bool) {
 			Expect(retry.Retryable(idempotent, wire.Answer{Outcome: outcome, Reason: reason})).To(Equal(want))
 		},
@@ -51,7 +51,7 @@
 })
 
 var _ = Describe("Hedge", func() {
-	It("tells the class's quantile within a twentieth and follows a change", func() {
+	It("returns the class's latency quantile within a tenth and follows a change", func() {
 		h := retry.NewHedge()
 		random := rand.New(rand.NewPCG(1, 2))
 		_, ok := h.Delay("lookup", 0.95)
@@ -80,11 +80,11 @@
 	})
 })
 
-var _ = Describe("a budget with grants", func() {
-	It("lets a business of few requests repeat some, and no more than its burst", func() {
-		// The load: an entry with a lookup every two seconds while half of the
-		// endpoints are slow. From a fifth of its requests it earns one repeat in ten
-		// seconds; half a token a second gives it one for each.
+var _ = Describe("Budget with grants", func() {
+	It("allows a business with few requests some retries, up to its burst", func() {
+		// An entry serves one lookup every two seconds while half of the endpoints are
+		// slow. A ratio of 0.2 alone allows one retry in ten seconds; granting half a
+		// token per second allows one for each lookup.
 		b := retry.NewBudget()
 		b.SetRatio("lookups", 0.2)
 		repeated := 0
