--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -96,7 +96,7 @@
 		kick:     make(chan struct{}, 1),
 		left:     map[string]bool{},
 		heardAt:  map[string]time.Time{},
-		silence:  gossip.NewSilence(silentFor * o.Interval),
+		silence:  gossip.NewFailureDetector(silentFor * o.Interval),
 		partners: gossip.NewPartners(o.Domain),
 		rnd:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
@@ -138,7 +138,7 @@
 			ids[i.ID] = true
 		}
 	}
-	p.silence.Keep(ids)
+	p.silence.Retain(ids)
 	maps.DeleteFunc(p.left, func(id string, _ bool) bool { return !ids[id] })
 	maps.DeleteFunc(p.heardAt, func(id string, _ time.Time) bool { return !ids[id] })
 	p.mu.Unlock()
@@ -147,7 +147,7 @@
 
 // heard notes a peer's sign of life; mu is held.
 func (p *Peers) heard(id string) {
-	p.silence.Heard(id)
+	p.silence.RecordContact(id)
 	p.heardAt[id] = time.Now()
 }
 
@@ -231,7 +231,7 @@
 	p.mu.Lock()
 	switch {
 	case err != nil:
-		p.silence.Failed(time.Now(), peer.ID)
+		p.silence.RecordFailure(time.Now(), peer.ID)
 	case reply.From == peer.ID:
 		p.heard(peer.ID)
 	}
--- a/internal/policy/gossip/gossip.go
+++ b/internal/policy/gossip/gossip.go
@@ -49,38 +49,38 @@
 // that has crashed stands on it for a while.
 type Silence struct {
 	after   time.Duration
-	failing map[string]time.Time // first failure since the last sign of life
+	FailureDetector map[string]time.Time // first failure since the last sign of life
 }
 
-// NewSilence returns a judge that takes a peer for dead once its calls have
+// NewFailureDetector returns a judge that takes a peer for dead once its calls have
 // failed for this long without a sign of life.
-func NewSilence(after time.Duration) *Silence {
-	return &Silence{after: after, failing: map[string]time.Time{}}
+func NewFailureDetector(after time.Duration) *Silence {
+	return &Silence{after: after, FailureDetector: map[string]time.Time{}}
 }
 
-// Heard notes a peer's sign of life.
-func (s *Silence) Heard(id string) {
-	delete(s.failing, id)
+// RecordContact notes a peer's sign of life.
+func (s *Silence) RecordContact(id string) {
+	delete(s.FailureDetector, id)
 }
 
-// Failed notes that a call to a peer failed.
-func (s *Silence) Failed(now time.Time, id string) {
-	if _, failing := s.failing[id]; !failing {
-		s.failing[id] = now
+// RecordFailure notes that a call to a peer failed.
+func (s *Silence) RecordFailure(now time.Time, id string) {
+	if _, failing := s.FailureDetector[id]; !failing {
+		s.FailureDetector[id] = now
 	}
 }
 
 // Dead tells whether a peer is taken for dead.
 func (s *Silence) Dead(now time.Time, id string) bool {
-	since, failing := s.failing[id]
+	since, failing := s.FailureDetector[id]
 	return failing && now.Sub(since) >= s.after
 }
 
-// Keep forgets every peer that is not listed any more.
-func (s *Silence) Keep(listed map[string]bool) {
-	for id := range s.failing {
+// Retain forgets every peer that is not listed any more.
+func (s *Silence) Retain(listed map[string]bool) {
+	for id := range s.FailureDetector {
 		if !listed[id] {
-			delete(s.failing, id)
+			delete(s.FailureDetector, id)
 		}
 	}
 }
--- a/internal/policy/gossip/gossip_test.go
+++ b/internal/policy/gossip/gossip_test.go
@@ -113,12 +113,12 @@
 var _ = Describe("Silence", func() {
 	It("counts from the first failure since the last sign of life", func() {
 		now := time.Unix(100, 0)
-		s := gossip.NewSilence(3 * time.Second)
-		s.Failed(now, "a")
-		s.Failed(now.Add(2*time.Second), "a")
+		s := gossip.NewFailureDetector(3 * time.Second)
+		s.RecordFailure(now, "a")
+		s.RecordFailure(now.Add(2*time.Second), "a")
 		Expect(s.Dead(now.Add(2*time.Second), "a")).To(BeFalse())
 		Expect(s.Dead(now.Add(3*time.Second), "a")).To(BeTrue())
-		s.Heard("a")
+		s.RecordContact("a")
 		Expect(s.Dead(now.Add(3*time.Second), "a")).To(BeFalse())
 	})
 })
