--- a/internal/entry/pool/list.go
+++ b/internal/entry/pool/list.go
@@ -45,7 +45,7 @@
 	defer p.mu.Unlock()
 	p.listed = len(all)
 	p.entries = entries
-	p.apply(p.table.Listed(time.Now(), agents))
+	p.apply(p.table.ApplyList(time.Now(), agents))
 	p.rewatch()
 }
 
@@ -71,9 +71,9 @@
 // rewatch connects to the agents that this entry has to keep and lets go of
 // the others. The caller holds the lock.
 func (p *Pool) rewatch() {
-	reachable := p.table.Reachable()
+	reachable := p.table.ConnectionCandidates()
 	keep := map[string]time.Duration{}
-	for _, k := range membership.Watch(p.opts.ID, p.entries, reachable, membership.DefaultFanout(), p.opts.Heartbeat) {
+	for _, k := range membership.SelectConnections(p.opts.ID, p.entries, reachable, membership.DefaultFanout(), p.opts.Heartbeat) {
 		keep[k.ID] = k.Interval
 	}
 	for id, peer := range p.peers {
--- a/internal/entry/pool/pool.go
+++ b/internal/entry/pool/pool.go
@@ -218,7 +218,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var all []AgentStatus
-	for _, in := range p.table.Reachable() {
+	for _, in := range p.table.ConnectionCandidates() {
 		peer := p.peers[in.ID]
 		if peer == nil {
 			continue
@@ -297,14 +297,14 @@
 
 // heard takes an agent's word into account.
 func (p *Pool) heard(peer *peer, reply wire.HeartbeatReply) {
-	word := membership.Word{
+	word := membership.SelfReport{
 		From:        reply.From,
 		Incarnation: reply.Target.Incarnation,
 		Uptime:      reply.Target.Uptime,
 		Leaving:     reply.Load.Leaving,
 	}
 	p.mu.Lock()
-	p.apply(p.table.Heard(time.Now(), peer.id, word))
+	p.apply(p.table.ApplyReport(time.Now(), peer.id, word))
 	if reply.From != peer.id {
 		p.rewatch()
 	} else {
@@ -320,5 +320,5 @@
 func (p *Pool) silent(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.apply(p.table.Silent(time.Now(), id))
+	p.apply(p.table.MarkUnresponsive(time.Now(), id))
 }
--- a/internal/lab/routing/control.go
+++ b/internal/lab/routing/control.go
@@ -135,11 +135,11 @@
 }
 
 // keptByEntry returns the agents that each entry keeps.
-func keptByEntry() [][]membership.Kept {
+func keptByEntry() [][]membership.Connection {
 	entries, agents := fullFleet()
-	all := make([][]membership.Kept, len(entries))
+	all := make([][]membership.Connection, len(entries))
 	for i, e := range entries {
-		all[i] = membership.Watch(e, entries, agents, membership.DefaultFanout(), heartbeat)
+		all[i] = membership.SelectConnections(e, entries, agents, membership.DefaultFanout(), heartbeat)
 	}
 	return all
 }
--- a/internal/lab/routing/membership.go
+++ b/internal/lab/routing/membership.go
@@ -67,7 +67,7 @@
 	entries, agents := fullFleet()
 	c := newCensus(agents)
 	for _, e := range entries {
-		c.add(membership.Watch(e, entries, agents, membership.DefaultFanout(), heartbeat), pair)
+		c.add(membership.SelectConnections(e, entries, agents, membership.DefaultFanout(), heartbeat), pair)
 	}
 	fewest, crowded, busiest := math.MaxInt, 0, 0.0
 	for _, a := range agents {
@@ -117,7 +117,7 @@
 	return c
 }
 
-func (c *census) add(kept []membership.Kept, pair float64) {
+func (c *census) add(kept []membership.Connection, pair float64) {
 	domains := map[string]map[string]bool{}
 	total := 0.0
 	for _, k := range kept {
--- a/internal/lab/routing/storm.go
+++ b/internal/lab/routing/storm.go
@@ -76,7 +76,7 @@
 		domain[a.ID] = a.Domain == "domain-0"
 	}
 	for i, e := range entries {
-		for _, k := range membership.Watch(e, entries, agents, membership.DefaultFanout(), cfg.Interval) {
+		for _, k := range membership.SelectConnections(e, entries, agents, membership.DefaultFanout(), cfg.Interval) {
 			if !domain[k.ID] {
 				continue
 			}
--- a/internal/policy/membership/membership.go
+++ b/internal/policy/membership/membership.go
@@ -40,8 +40,8 @@
 	return [...]string{"joining", "live", "suspect", "leaving", "gone"}[s]
 }
 
-// Word is what an agent says of itself.
-type Word struct {
+// SelfReport is what an agent says of itself.
+type SelfReport struct {
 	From        string // its instance id
 	Incarnation string // of its process
 	Uptime      time.Duration
@@ -53,17 +53,17 @@
 	// GoneAfter is how long an agent that left, or that the list no longer
 	// names, is silent before it is gone.
 	GoneAfter time.Duration
-	// Remember is how long an agent that is gone is remembered, so that a list
+	// TombstoneTTL is how long an agent that is gone is remembered, so that a list
 	// that lags as much cannot resurrect it.
-	Remember time.Duration
-	// Settle is how long the list must name an agent as staying after it named
+	TombstoneTTL time.Duration
+	// ClearLeavingAfter is how long the list must name an agent as staying after it named
 	// it as leaving, before it is believed; until then it may be an older copy.
-	Settle time.Duration
+	ClearLeavingAfter time.Duration
 }
 
 // DefaultConfig returns the times in use.
 func DefaultConfig() Config {
-	return Config{GoneAfter: 10 * time.Second, Remember: 10 * time.Minute, Settle: 30 * time.Second}
+	return Config{GoneAfter: 10 * time.Second, TombstoneTTL: 10 * time.Minute, ClearLeavingAfter: 30 * time.Second}
 }
 
 // Member is one agent.
@@ -123,9 +123,9 @@
 	return &Table{cfg: cfg, members: map[string]*Member{}}
 }
 
-// Listed takes a fresh read of the list into account. The changes are valid
+// ApplyList takes a fresh read of the list into account. The changes are valid
 // until the next call.
-func (t *Table) Listed(now time.Time, list []Instance) []Change {
+func (t *Table) ApplyList(now time.Time, list []Instance) []Change {
 	t.changes = t.changes[:0]
 	named := make(map[string]bool, len(list))
 	for _, in := range list {
@@ -155,7 +155,7 @@
 		m.Address = in.Address
 		m.replaced = false
 	}
-	notify := m.takeListedLeaving(now, in.Leaving, t.cfg.Settle)
+	notify := m.takeListedLeaving(now, in.Leaving, t.cfg.ClearLeavingAfter)
 	t.note(m, before, notify)
 }
 
@@ -180,8 +180,8 @@
 	return false
 }
 
-// Heard takes an agent's own word, given at the address of the member id.
-func (t *Table) Heard(now time.Time, id string, w Word) []Change {
+// ApplyReport takes an agent's own word, given at the address of the member id.
+func (t *Table) ApplyReport(now time.Time, id string, w SelfReport) []Change {
 	t.changes = t.changes[:0]
 	m := t.members[id]
 	if m == nil {
@@ -222,7 +222,7 @@
 
 // replace notes that another instance answers at m's address: the list still
 // names the one that was there before.
-func (t *Table) replace(now time.Time, m *Member, w Word) {
+func (t *Table) replace(now time.Time, m *Member, w SelfReport) {
 	before := m.State()
 	m.replaced = true
 	m.goneSince = now
@@ -237,8 +237,8 @@
 	t.note(successor, successor.State(), false)
 }
 
-// Silent takes the verdict that an agent does not answer.
-func (t *Table) Silent(now time.Time, id string) []Change {
+// MarkUnresponsive takes the verdict that an agent does not answer.
+func (t *Table) MarkUnresponsive(now time.Time, id string) []Change {
 	t.changes = t.changes[:0]
 	m := t.members[id]
 	if m == nil || m.silent {
@@ -271,7 +271,7 @@
 			m.goneSince = now
 			t.note(m, before, false)
 		}
-		if m.State() == Gone && !m.listed && now.Sub(m.goneSince) >= t.cfg.Remember {
+		if m.State() == Gone && !m.listed && now.Sub(m.goneSince) >= t.cfg.TombstoneTTL {
 			delete(t.members, id)
 		}
 	}
@@ -297,9 +297,9 @@
 // Get returns the member, or nil.
 func (t *Table) Get(id string) *Member { return t.members[id] }
 
-// Reachable lists the agents worth a connection, ordered by id: all that the
+// ConnectionCandidates lists the agents worth a connection, ordered by id: all that the
 // list names or that are not gone, but for those whose address is another's.
-func (t *Table) Reachable() []Instance {
+func (t *Table) ConnectionCandidates() []Instance {
 	all := make([]Instance, 0, len(t.members))
 	for _, m := range t.members {
 		if m.replaced || (m.State() == Gone && !m.listed) {
--- a/internal/policy/membership/membership_test.go
+++ b/internal/policy/membership/membership_test.go
@@ -27,8 +27,8 @@
 	return membership.Instance{ID: id, Address: "10.0.0.1:7000/" + id, Domain: "d", Service: "s"}
 }
 
-func word(id, incarnation string, uptime float64) membership.Word {
-	return membership.Word{From: id, Incarnation: incarnation, Uptime: time.Duration(uptime * float64(time.Second))}
+func word(id, incarnation string, uptime float64) membership.SelfReport {
+	return membership.SelfReport{From: id, Incarnation: incarnation, Uptime: time.Duration(uptime * float64(time.Second))}
 }
 
 var _ = Describe("the table", func() {
@@ -37,10 +37,10 @@
 
 	BeforeEach(func() {
 		t = membership.New(membership.DefaultConfig())
-		t.Listed(start, []membership.Instance{instance("a"), instance("b")})
+		t.ApplyList(start, []membership.Instance{instance("a"), instance("b")})
 		Expect(state("a")).To(Equal(membership.Joining))
-		t.Heard(start, "a", word("a", "run-1", 1))
-		t.Heard(start, "b", word("b", "run-1", 1))
+		t.ApplyReport(start, "a", word("a", "run-1", 1))
+		t.ApplyReport(start, "b", word("b", "run-1", 1))
 		Expect(state("a")).To(Equal(membership.Live))
 	})
 
@@ -49,46 +49,46 @@
 		// naming it as staying, drops it, and an older copy names it again.
 		leaving := word("a", "run-1", 2)
 		leaving.Leaving = true
-		t.Heard(at(1), "a", leaving)
+		t.ApplyReport(at(1), "a", leaving)
 		Expect(state("a")).To(Equal(membership.Leaving))
-		t.Listed(at(2), []membership.Instance{instance("a"), instance("b")})
+		t.ApplyList(at(2), []membership.Instance{instance("a"), instance("b")})
 		Expect(state("a")).To(Equal(membership.Leaving))
-		t.Silent(at(3), "a")
+		t.MarkUnresponsive(at(3), "a")
 		t.Tick(at(14))
 		Expect(state("a")).To(Equal(membership.Gone))
-		t.Listed(at(20), []membership.Instance{instance("b")})
-		t.Listed(at(500), []membership.Instance{instance("a"), instance("b")})
+		t.ApplyList(at(20), []membership.Instance{instance("b")})
+		t.ApplyList(at(500), []membership.Instance{instance("a"), instance("b")})
 		Expect(state("a")).To(Equal(membership.Gone))
 	})
 
 	It("takes an instance back under its old address by its new run alone", func() {
 		leaving := word("a", "run-1", 2)
 		leaving.Leaving = true
-		t.Heard(at(1), "a", leaving)
-		t.Silent(at(2), "a")
+		t.ApplyReport(at(1), "a", leaving)
+		t.MarkUnresponsive(at(2), "a")
 		t.Tick(at(13))
 		Expect(state("a")).To(Equal(membership.Gone))
-		t.Heard(at(14), "a", word("a", "run-1", 1.5)) // late answer of the old run
+		t.ApplyReport(at(14), "a", word("a", "run-1", 1.5)) // late answer of the old run
 		Expect(state("a")).To(Equal(membership.Gone))
-		t.Heard(at(15), "a", word("a", "run-2", 0.1))
+		t.ApplyReport(at(15), "a", word("a", "run-2", 0.1))
 		Expect(state("a")).To(Equal(membership.Live))
 	})
 
 	It("hears no older word that comes late", func() {
 		leaving := word("a", "run-1", 5)
 		leaving.Leaving = true
-		t.Heard(at(5), "a", leaving)
-		t.Heard(at(5.1), "a", word("a", "run-1", 4))
+		t.ApplyReport(at(5), "a", leaving)
+		t.ApplyReport(at(5.1), "a", word("a", "run-1", 4))
 		Expect(state("a")).To(Equal(membership.Leaving))
 	})
 
 	It("gives the address to the instance that answers there", func() {
-		changes := t.Heard(at(1), "a", word("c", "run-9", 1))
+		changes := t.ApplyReport(at(1), "a", word("c", "run-9", 1))
 		Expect(changes).To(ContainElement(HaveField("To", membership.Gone)))
 		Expect(state("a")).To(Equal(membership.Gone))
 		Expect(t.Get("c").Address).To(Equal(instance("a").Address))
 		var ids []string
-		for _, in := range t.Reachable() {
+		for _, in := range t.ConnectionCandidates() {
 			ids = append(ids, in.ID)
 		}
 		Expect(ids).To(Equal([]string{"b", "c"}))
@@ -98,20 +98,20 @@
 		// For ten minutes nothing of the other region answers. Its agents get
 		// no requests, but no other takes their place, so nothing moves when
 		// the cut ends, and they serve again with their first heartbeat.
-		before := t.Reachable()
-		t.Silent(at(1), "a")
+		before := t.ConnectionCandidates()
+		t.MarkUnresponsive(at(1), "a")
 		t.Tick(at(600))
 		Expect(state("a")).To(Equal(membership.Suspect))
-		Expect(t.Reachable()).To(Equal(before))
-		t.Heard(at(601), "a", word("a", "run-1", 601))
+		Expect(t.ConnectionCandidates()).To(Equal(before))
+		t.ApplyReport(at(601), "a", word("a", "run-1", 601))
 		Expect(state("a")).To(Equal(membership.Live))
 	})
 
 	It("goes on with agents that answer when the list is empty or wrong", func() {
-		t.Listed(at(1), nil)
+		t.ApplyList(at(1), nil)
 		t.Tick(at(100))
 		Expect(state("a")).To(Equal(membership.Live))
-		t.Silent(at(101), "a")
+		t.MarkUnresponsive(at(101), "a")
 		t.Tick(at(112))
 		Expect(state("a")).To(Equal(membership.Gone))
 	})
@@ -120,13 +120,13 @@
 		leaving := instance("a")
 		leaving.Leaving = true
 		list := []membership.Instance{leaving, instance("b")}
-		Expect(t.Listed(at(1), list)).To(ConsistOf(And(HaveField("ID", "a"), HaveField("Notify", true))))
-		Expect(t.Listed(at(2), list)).To(BeEmpty())
+		Expect(t.ApplyList(at(1), list)).To(ConsistOf(And(HaveField("ID", "a"), HaveField("Notify", true))))
+		Expect(t.ApplyList(at(2), list)).To(BeEmpty())
 		Expect(state("a")).To(Equal(membership.Leaving))
 		right := []membership.Instance{instance("a"), instance("b")}
-		t.Listed(at(3), right)
+		t.ApplyList(at(3), right)
 		Expect(state("a")).To(Equal(membership.Leaving)) // may be an older copy
-		t.Listed(at(34), right)
+		t.ApplyList(at(34), right)
 		Expect(state("a")).To(Equal(membership.Live))
 	})
 })
@@ -144,7 +144,7 @@
 		}
 		return entries, all
 	}
-	ids := func(kept []membership.Kept) map[string]bool {
+	ids := func(kept []membership.Connection) map[string]bool {
 		set := map[string]bool{}
 		for _, k := range kept {
 			set[k.ID] = true
@@ -155,7 +155,7 @@
 	It("keeps every agent at today's sizes", func() {
 		entries, all := fleet(3, 13)
 		for _, e := range entries {
-			Expect(membership.Watch(e, entries, all, membership.DefaultFanout(), time.Second)).To(HaveLen(13))
+			Expect(membership.SelectConnections(e, entries, all, membership.DefaultFanout(), time.Second)).To(HaveLen(13))
 		}
 	})
 
@@ -175,7 +175,7 @@
 		keepers := map[string]int{}
 		for _, e := range entries {
 			domains := map[string]map[string]bool{}
-			for _, k := range membership.Watch(e, entries, all[:80], membership.DefaultFanout(), time.Second) {
+			for _, k := range membership.SelectConnections(e, entries, all[:80], membership.DefaultFanout(), time.Second) {
 				i := slices.IndexFunc(all, func(in membership.Instance) bool { return in.ID == k.ID })
 				service := all[i].Service
 				if domains[service] == nil {
@@ -197,8 +197,8 @@
 		entries, all := fleet(40, 200)
 		f := membership.DefaultFanout()
 		for _, e := range entries[1:] {
-			before := ids(membership.Watch(e, entries, all, f, time.Second))
-			after := ids(membership.Watch(e, entries[1:], all, f, time.Second))
+			before := ids(membership.SelectConnections(e, entries, all, f, time.Second))
+			after := ids(membership.SelectConnections(e, entries[1:], all, f, time.Second))
 			for id := range after {
 				delete(before, id)
 			}
--- a/internal/policy/membership/watch.go
+++ b/internal/policy/membership/watch.go
@@ -11,11 +11,11 @@
 type Fanout struct {
 	Watchers   int // entries that keep each agent at least
 	PerService int // agents of each service that an entry keeps at least, if there are as many
-	Most       int // agents an entry keeps beyond those it watches; lowers PerService for many services
+	MaxUnwatched       int // agents an entry keeps beyond those it watches; lowers PerService for many services
 }
 
 // DefaultFanout returns the bounds in use.
-func DefaultFanout() Fanout { return Fanout{Watchers: 3, PerService: 16, Most: 32} }
+func DefaultFanout() Fanout { return Fanout{Watchers: 3, PerService: 16, MaxUnwatched: 32} }
 
 const (
 	leastPerService = 3
@@ -35,8 +35,8 @@
 	largeFleet = 100
 )
 
-// Kept is one agent that an entry keeps a connection to.
-type Kept struct {
+// Connection is one agent that an entry keeps a connection to.
+type Connection struct {
 	ID string
 	// Watched tells that the entry is one of those the agent can count on: it
 	// is heard often whatever callers send.
@@ -44,13 +44,13 @@
 	Interval time.Duration // between heartbeats on an idle connection
 }
 
-// Watch returns the agents that the entry self keeps connections to, ordered
+// SelectConnections returns the agents that the entry self keeps connections to, ordered
 // by id: those for which it is among the entries that the agent draws most, so
 // that each agent is watched by Watchers entries; and enough of each service,
 // over its failure domains, to choose from. Heartbeats to the latter become
 // rarer where there are many, at either end. Replies to requests tell load and
 // leaving as well, so only idle agents are then heard of later.
-func Watch(self string, entries []string, agents []Instance, f Fanout, shortest time.Duration) []Kept {
+func SelectConnections(self string, entries []string, agents []Instance, f Fanout, shortest time.Duration) []Connection {
 	chosen := map[string]bool{}
 	watched := map[string]bool{}
 	own, others := rendezvous.Key(self), keysExcept(self, entries)
@@ -63,7 +63,7 @@
 	services := byService(agents)
 	quota := f.PerService
 	if n := len(services); n > 0 {
-		quota = max(min(quota, f.Most/n), leastPerService)
+		quota = max(min(quota, f.MaxUnwatched/n), leastPerService)
 	}
 	for _, members := range services {
 		fill(self, members, quota, chosen)
@@ -73,11 +73,11 @@
 		pace.evenly = 2 * f.Watchers * len(agents) / pace.entries
 	}
 	sizes := domainSizes(services)
-	kept := make([]Kept, 0, len(chosen))
+	kept := make([]Connection, 0, len(chosen))
 	for _, in := range agents {
 		if chosen[in.ID] {
 			interval := pace.interval(watched[in.ID], len(sizes[in.Service]), sizes[in.Service][in.Domain])
-			kept = append(kept, Kept{ID: in.ID, Watched: watched[in.ID], Interval: interval})
+			kept = append(kept, Connection{ID: in.ID, Watched: watched[in.ID], Interval: interval})
 		}
 	}
 	sort.Slice(kept, func(i, j int) bool { return kept[i].ID < kept[j].ID })
