--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -79,7 +79,7 @@
 	listed   []kv.Instance // entries, this one included, as the list has them
 	leaving  bool
 	left     map[string]bool // peers that said they leave
-	silence  *gossip.Silence
+	silence  *gossip.FailureDetector
 	partners *gossip.Partners
 	heardAt  map[string]time.Time // last sign of life of listed peers
 	rnd      *rand.Rand
--- a/internal/policy/gossip/gossip.go
+++ b/internal/policy/gossip/gossip.go
@@ -45,42 +45,42 @@
 	return append(chosen, rest[:min(len(rest), n-len(chosen))]...)
 }
 
-// Silence judges which peers have died. The platform's list lags, and an entry
+// FailureDetector judges which peers have died. The platform's list lags, and an entry
 // that has crashed stands on it for a while.
-type Silence struct {
+type FailureDetector struct {
 	after   time.Duration
-	FailureDetector map[string]time.Time // first failure since the last sign of life
+	failing map[string]time.Time // first failure since the last sign of life
 }
 
 // NewFailureDetector returns a judge that takes a peer for dead once its calls have
 // failed for this long without a sign of life.
-func NewFailureDetector(after time.Duration) *Silence {
-	return &Silence{after: after, FailureDetector: map[string]time.Time{}}
+func NewFailureDetector(after time.Duration) *FailureDetector {
+	return &FailureDetector{after: after, failing: map[string]time.Time{}}
 }
 
 // RecordContact notes a peer's sign of life.
-func (s *Silence) RecordContact(id string) {
-	delete(s.FailureDetector, id)
+func (s *FailureDetector) RecordContact(id string) {
+	delete(s.failing, id)
 }
 
 // RecordFailure notes that a call to a peer failed.
-func (s *Silence) RecordFailure(now time.Time, id string) {
-	if _, failing := s.FailureDetector[id]; !failing {
-		s.FailureDetector[id] = now
+func (s *FailureDetector) RecordFailure(now time.Time, id string) {
+	if _, failing := s.failing[id]; !failing {
+		s.failing[id] = now
 	}
 }
 
 // Dead tells whether a peer is taken for dead.
-func (s *Silence) Dead(now time.Time, id string) bool {
-	since, failing := s.FailureDetector[id]
+func (s *FailureDetector) Dead(now time.Time, id string) bool {
+	since, failing := s.failing[id]
 	return failing && now.Sub(since) >= s.after
 }
 
 // Retain forgets every peer that is not listed any more.
-func (s *Silence) Retain(listed map[string]bool) {
-	for id := range s.FailureDetector {
+func (s *FailureDetector) Retain(listed map[string]bool) {
+	for id := range s.failing {
 		if !listed[id] {
-			delete(s.FailureDetector, id)
+			delete(s.failing, id)
 		}
 	}
 }
