--- a/internal/policy/gossip/gossip.go
+++ b/internal/policy/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip decides which entries an entry exchanges heartbeats with, and
-// which of them it takes for dead. The fan-out is bounded, so that the traffic
-// of an entry does not grow with the fleet; what is told this way reaches all of
+// Package gossip selects the entries that an entry exchanges heartbeats with and
+// detects entries that have failed. The fan-out is bounded, so the traffic of an
+// entry doesn't grow with the fleet; information spread this way reaches all of
 // n entries in about log n rounds.
 package gossip
 
@@ -15,72 +15,74 @@
 	Domain string // failure domain
 }
 
-// Choose returns at most n peers at random, of as many failure domains other
-// than own as n allows: news then crosses failure domains in every round.
+// Choose returns at most n random peers from as many failure domains other than
+// own as n allows, so that information crosses failure domains in every round.
 func Choose(rnd *rand.Rand, own string, peers []Peer, n int) []Peer {
-	return choose(map[string]bool{own: true}, shuffled(rnd, peers), n)
+	return preferNewDomains(map[string]bool{own: true}, shuffled(rnd, peers), n)
 }
 
+// shuffled returns a copy of peers in random order.
 func shuffled(rnd *rand.Rand, peers []Peer) []Peer {
-	mixed := make([]Peer, len(peers))
+	result := make([]Peer, len(peers))
 	for i, j := range rnd.Perm(len(peers)) {
-		mixed[i] = peers[j]
+		result[i] = peers[j]
 	}
-	return mixed
+	return result
 }
 
-// choose takes the first n peers, those first whose failure domain is not among
-// the domains, to which it adds those of the peers that it chooses.
-func choose(domains map[string]bool, peers []Peer, n int) []Peer {
+// preferNewDomains returns the first n peers, but takes a peer of a failure
+// domain that is already in domains only if there are too few others. It adds
+// the failure domain of each peer that it takes for its domain to domains.
+func preferNewDomains(domains map[string]bool, peers []Peer, n int) []Peer {
 	chosen := make([]Peer, 0, n)
-	var rest []Peer
+	var remaining []Peer
 	for _, peer := range peers {
 		if len(chosen) < n && !domains[peer.Domain] {
 			domains[peer.Domain] = true
 			chosen = append(chosen, peer)
 			continue
 		}
-		rest = append(rest, peer)
+		remaining = append(remaining, peer)
 	}
-	return append(chosen, rest[:min(len(rest), n-len(chosen))]...)
+	return append(chosen, remaining[:min(len(remaining), n-len(chosen))]...)
 }
 
-// FailureDetector judges which peers have died. The platform's list lags, and an entry
-// that has crashed stands on it for a while.
+// FailureDetector decides which peers have failed. The platform's list lags and
+// still names an entry for a while after it has crashed.
 type FailureDetector struct {
-	after   time.Duration
-	failing map[string]time.Time // first failure since the last sign of life
+	timeout time.Duration
+	failing map[string]time.Time // time of the first failed call since the last contact
 }
 
-// NewFailureDetector returns a judge that takes a peer for dead once its calls have
-// failed for this long without a sign of life.
-func NewFailureDetector(after time.Duration) *FailureDetector {
-	return &FailureDetector{after: after, failing: map[string]time.Time{}}
+// NewFailureDetector returns a detector that reports a peer as dead once calls to
+// it have failed for the timeout without any contact in between.
+func NewFailureDetector(timeout time.Duration) *FailureDetector {
+	return &FailureDetector{timeout: timeout, failing: map[string]time.Time{}}
 }
 
-// RecordContact notes a peer's sign of life.
-func (s *FailureDetector) RecordContact(id string) {
-	delete(s.failing, id)
+// RecordContact records that a peer was heard from.
+func (d *FailureDetector) RecordContact(id string) {
+	delete(d.failing, id)
 }
 
-// RecordFailure notes that a call to a peer failed.
-func (s *FailureDetector) RecordFailure(now time.Time, id string) {
-	if _, failing := s.failing[id]; !failing {
-		s.failing[id] = now
+// RecordFailure records that a call to a peer failed.
+func (d *FailureDetector) RecordFailure(now time.Time, id string) {
+	if _, failing := d.failing[id]; !failing {
+		d.failing[id] = now
 	}
 }
 
-// Dead tells whether a peer is taken for dead.
-func (s *FailureDetector) Dead(now time.Time, id string) bool {
-	since, failing := s.failing[id]
-	return failing && now.Sub(since) >= s.after
+// Dead reports whether calls to a peer have failed for at least the timeout.
+func (d *FailureDetector) Dead(now time.Time, id string) bool {
+	since, failing := d.failing[id]
+	return failing && now.Sub(since) >= d.timeout
 }
 
-// Retain forgets every peer that is not listed any more.
-func (s *FailureDetector) Retain(listed map[string]bool) {
-	for id := range s.failing {
+// Retain drops the state of every peer that is no longer listed.
+func (d *FailureDetector) Retain(listed map[string]bool) {
+	for id := range d.failing {
 		if !listed[id] {
-			delete(s.failing, id)
+			delete(d.failing, id)
 		}
 	}
 }
--- a/internal/policy/gossip/gossip_test.go
+++ b/internal/policy/gossip/gossip_test.go
@@ -18,7 +18,7 @@
 }
 
 var _ = Describe("Choose", func() {
-	It("takes distinct peers of as many other failure domains as it can", func() {
+	It("returns distinct peers from as many other failure domains as possible", func() {
 		rnd := rand.New(rand.NewPCG(1, 1))
 		var peers []gossip.Peer
 		for i := range 30 {
@@ -48,11 +48,12 @@
 		}
 	})
 
-	// An operator sees the traffic of each entry grow with their number. An entry
-	// draws three peers a second; past some thirty entries hardly one of them is
-	// connected still, so that every heartbeat opens a connection and describes
-	// its messages' types anew, which takes several times its own bytes.
-	It("are called again and again, and only now and then another", func() {
+	// Regression: the traffic of each entry grew with the number of entries. An
+	// entry called three random peers a second; with more than about thirty
+	// entries hardly any of them was still connected, so that every heartbeat
+	// opened a connection and described its message types anew, which takes
+	// several times the bytes of the heartbeat.
+	It("stay the same over many rounds, except for a replacement now and then", func() {
 		partners := gossip.NewPartners("0")
 		called := map[string]bool{}
 		for range rounds {
@@ -61,10 +62,10 @@
 			}
 		}
 		Expect(len(called)).To(BeNumerically("<=", gossip.MaxPartners+rounds/10))
-		Expect(len(called)).To(BeNumerically(">", gossip.MaxPartners), "one is replaced now and then")
+		Expect(len(called)).To(BeNumerically(">", gossip.MaxPartners), "a partner is replaced now and then")
 	})
 
-	It("are of as many other failure domains as they can, in each round and over all", func() {
+	It("cover as many other failure domains as possible, in each round and in total", func() {
 		partners := gossip.NewPartners("0")
 		domains := map[string]bool{}
 		for range rounds {
@@ -78,10 +79,11 @@
 		Expect(len(domains)).To(Equal(7))
 	})
 
-	// In an outage of the service an entry takes work while it hears a quorum, of
-	// whom it counts the answers of five rounds. Partners drawn anew each round
-	// are the same ones again and again: ten different ones in five rounds.
-	It("are called in turn, so that a quorum is heard within five rounds", func() {
+	// During an outage of the key-value service an entry accepts work while it
+	// hears from a quorum, counting the answers of the last five rounds. Partners
+	// drawn at random in each round repeat: only ten different ones are called in
+	// five rounds.
+	It("are called in turn, so that a quorum answers within five rounds", func() {
 		const quorum, lost = 8, 2
 		fewest := len(peers)
 		for seed := range uint64(50) {
@@ -98,7 +100,7 @@
 		Expect(fewest).To(BeNumerically(">=", quorum+lost))
 	})
 
-	It("are replaced at once when the list drops them", func() {
+	It("are replaced at once when the list no longer names them", func() {
 		partners := gossip.NewPartners("0")
 		partners.Choose(rnd, peers, 3)
 		for range rounds {
@@ -110,15 +112,15 @@
 	})
 })
 
-var _ = Describe("Silence", func() {
-	It("counts from the first failure since the last sign of life", func() {
+var _ = Describe("FailureDetector", func() {
+	It("measures the timeout from the first failure since the last contact", func() {
 		now := time.Unix(100, 0)
-		s := gossip.NewFailureDetector(3 * time.Second)
-		s.RecordFailure(now, "a")
-		s.RecordFailure(now.Add(2*time.Second), "a")
-		Expect(s.Dead(now.Add(2*time.Second), "a")).To(BeFalse())
-		Expect(s.Dead(now.Add(3*time.Second), "a")).To(BeTrue())
-		s.RecordContact("a")
-		Expect(s.Dead(now.Add(3*time.Second), "a")).To(BeFalse())
+		d := gossip.NewFailureDetector(3 * time.Second)
+		d.RecordFailure(now, "a")
+		d.RecordFailure(now.Add(2*time.Second), "a")
+		Expect(d.Dead(now.Add(2*time.Second), "a")).To(BeFalse())
+		Expect(d.Dead(now.Add(3*time.Second), "a")).To(BeTrue())
+		d.RecordContact("a")
+		Expect(d.Dead(now.Add(3*time.Second), "a")).To(BeFalse())
 	})
 })
--- a/internal/policy/gossip/partners.go
+++ b/internal/policy/gossip/partners.go
@@ -7,84 +7,92 @@
 )
 
 const (
-	// MaxPartners bounds the peers that an entry calls in turn. Among that many
-	// at random per entry, news spreads about as fast as among all.
+	// MaxPartners limits the peers that an entry calls in turn. With this many
+	// random partners per entry, information spreads about as fast as with
+	// random calls to all peers.
 	MaxPartners = 16
-	// turnoverRounds is after how many rounds one partner is replaced.
-	turnoverRounds = 10
+	// roundsPerReplacement is the number of rounds after which one partner is
+	// replaced.
+	roundsPerReplacement = 10
 )
 
-// Partners are the peers that an entry exchanges heartbeats with for a while. A
-// new connection costs several heartbeats' bytes, since each end describes its
-// messages' types anew. An entry that called peers drawn from a large fleet
-// found hardly any of them connected, and its traffic grew with the fleet.
+// Partners is the subset of peers that an entry exchanges heartbeats with over
+// many rounds (a partial view). A new connection costs several times the bytes
+// of a heartbeat, since each end describes its message types anew. When entries
+// called random peers of a large fleet, hardly any of these were connected, and
+// the traffic of an entry grew with the fleet.
 type Partners struct {
-	own    string
-	called map[string]int // round of the last call to each partner; 0: not yet
-	round  int
+	own      string         // failure domain of this entry
+	lastCall map[string]int // round of the last call to each partner; 0 if not called yet
+	round    int
 }
 
-// NewPartners returns the partners, still none, of an entry in the failure
+// NewPartners returns an empty set of partners for an entry in the failure
 // domain own.
 func NewPartners(own string) *Partners {
-	return &Partners{own: own, called: map[string]int{}}
+	return &Partners{own: own, lastCall: map[string]int{}}
 }
 
-// Choose returns at most n of the partners for one round, over as many failure
-// domains as n allows. Partners are drawn from peers, over all their failure
-// domains. Partners that are no longer among the peers are replaced at once, and
-// one every few rounds, so that no group of entries stays apart.
+// Choose returns at most n partners to call in the next round, from as many
+// failure domains as n allows. Partners are drawn at random from all failure
+// domains of peers. Partners that are no longer among the peers are replaced at
+// once. Every few rounds one partner is replaced at random, so that no group of
+// entries stays separated from the others.
 //
-// Those that were called longest ago go first. Drawn at random, only ten of 16
-// were heard within five rounds, too few for the quorum that an entry needs in
-// an outage of the service.
+// The least recently called partners come first. With a random choice, only ten
+// of 16 partners were called within five rounds, too few for the quorum that an
+// entry needs during an outage of the key-value service.
 func (p *Partners) Choose(rnd *rand.Rand, peers []Peer, n int) []Peer {
 	p.round++
 	partners, others := p.split(peers)
-	if p.round%turnoverRounds == 0 && len(partners) == MaxPartners && len(others) > 0 {
+	if p.round%roundsPerReplacement == 0 && len(partners) == MaxPartners && len(others) > 0 {
 		i := rnd.IntN(len(partners))
 		partners = append(partners[:i], partners[i+1:]...)
 	}
 	if len(partners) < MaxPartners && len(others) > 0 {
-		partners = p.fill(rnd, partners, others)
+		partners = p.addPartners(rnd, partners, others)
 	}
-	p.keep(partners)
-	chosen := choose(map[string]bool{p.own: true}, p.order(rnd, partners), n)
+	p.setPartners(partners)
+	chosen := preferNewDomains(map[string]bool{p.own: true}, p.leastRecentFirst(rnd, partners), n)
 	for _, peer := range chosen {
-		p.called[peer.ID] = p.round
+		p.lastCall[peer.ID] = p.round
 	}
 	return chosen
 }
 
-func (p *Partners) fill(rnd *rand.Rand, partners, others []Peer) []Peer {
+// addPartners returns partners with random others added up to MaxPartners.
+func (p *Partners) addPartners(rnd *rand.Rand, partners, others []Peer) []Peer {
 	domains := map[string]bool{p.own: true}
 	for _, peer := range partners {
 		domains[peer.Domain] = true
 	}
-	return append(partners, choose(domains, shuffled(rnd, others), MaxPartners-len(partners))...)
+	return append(partners, preferNewDomains(domains, shuffled(rnd, others), MaxPartners-len(partners))...)
 }
 
-// keep forgets the rounds of all but the partners.
-func (p *Partners) keep(partners []Peer) {
+// setPartners replaces the set of partners. Those that stay keep the round of
+// their last call.
+func (p *Partners) setPartners(partners []Peer) {
 	kept := map[string]int{}
 	for _, peer := range partners {
-		kept[peer.ID] = p.called[peer.ID]
+		kept[peer.ID] = p.lastCall[peer.ID]
 	}
-	p.called = kept
+	p.lastCall = kept
 }
 
-// order returns the partners, the one called longest ago first.
-func (p *Partners) order(rnd *rand.Rand, partners []Peer) []Peer {
+// leastRecentFirst returns the partners ordered by the round of their last call,
+// in random order within a round.
+func (p *Partners) leastRecentFirst(rnd *rand.Rand, partners []Peer) []Peer {
 	ordered := shuffled(rnd, partners)
 	slices.SortStableFunc(ordered, func(a, b Peer) int {
-		return cmp.Compare(p.called[a.ID], p.called[b.ID])
+		return cmp.Compare(p.lastCall[a.ID], p.lastCall[b.ID])
 	})
 	return ordered
 }
 
+// split separates the peers that are partners from the others.
 func (p *Partners) split(peers []Peer) (partners, others []Peer) {
 	for _, peer := range peers {
-		if _, is := p.called[peer.ID]; is {
+		if _, ok := p.lastCall[peer.ID]; ok {
 			partners = append(partners, peer)
 		} else {
 			others = append(others, peer)
