--- a/internal/policy/membership/membership_test.go
+++ b/internal/policy/membership/membership_test.go
@@ -27,11 +27,11 @@
 	return membership.Instance{ID: id, Address: "10.0.0.1:7000/" + id, Domain: "d", Service: "s"}
 }
 
-func word(id, incarnation string, uptime float64) membership.SelfReport {
+func report(id, incarnation string, uptime float64) membership.SelfReport {
 	return membership.SelfReport{From: id, Incarnation: incarnation, Uptime: time.Duration(uptime * float64(time.Second))}
 }
 
-var _ = Describe("the table", func() {
+var _ = Describe("Table", func() {
 	var t *membership.Table
 	state := func(id string) membership.State { return t.Get(id).State() }
 
@@ -39,15 +39,15 @@
 		t = membership.New(membership.DefaultConfig())
 		t.ApplyList(start, []membership.Instance{instance("a"), instance("b")})
 		Expect(state("a")).To(Equal(membership.Joining))
-		t.ApplyReport(start, "a", word("a", "run-1", 1))
-		t.ApplyReport(start, "b", word("b", "run-1", 1))
+		t.ApplyReport(start, "a", report("a", "run-1", 1))
+		t.ApplyReport(start, "b", report("b", "run-1", 1))
 		Expect(state("a")).To(Equal(membership.Live))
 	})
 
-	It("lets no old copy of the list bring back an agent that left", func() {
-		// The agent announces that it leaves and stops. The list goes on
-		// naming it as staying, drops it, and an older copy names it again.
-		leaving := word("a", "run-1", 2)
+	It("does not bring back an agent that left because of an outdated copy of the list", func() {
+		// The agent reports that it leaves and stops. The list still names it as
+		// staying, then omits it, and an older copy names it again.
+		leaving := report("a", "run-1", 2)
 		leaving.Leaving = true
 		t.ApplyReport(at(1), "a", leaving)
 		Expect(state("a")).To(Equal(membership.Leaving))
@@ -61,29 +61,29 @@
 		Expect(state("a")).To(Equal(membership.Gone))
 	})
 
-	It("takes an instance back under its old address by its new run alone", func() {
-		leaving := word("a", "run-1", 2)
+	It("makes an instance live again under its old address only by a report of its new process", func() {
+		leaving := report("a", "run-1", 2)
 		leaving.Leaving = true
 		t.ApplyReport(at(1), "a", leaving)
 		t.MarkUnresponsive(at(2), "a")
 		t.Tick(at(13))
 		Expect(state("a")).To(Equal(membership.Gone))
-		t.ApplyReport(at(14), "a", word("a", "run-1", 1.5)) // late answer of the old run
+		t.ApplyReport(at(14), "a", report("a", "run-1", 1.5)) // late reply of the old process
 		Expect(state("a")).To(Equal(membership.Gone))
-		t.ApplyReport(at(15), "a", word("a", "run-2", 0.1))
+		t.ApplyReport(at(15), "a", report("a", "run-2", 0.1))
 		Expect(state("a")).To(Equal(membership.Live))
 	})
 
-	It("hears no older word that comes late", func() {
-		leaving := word("a", "run-1", 5)
+	It("ignores an older report that arrives late", func() {
+		leaving := report("a", "run-1", 5)
 		leaving.Leaving = true
 		t.ApplyReport(at(5), "a", leaving)
-		t.ApplyReport(at(5.1), "a", word("a", "run-1", 4))
+		t.ApplyReport(at(5.1), "a", report("a", "run-1", 4))
 		Expect(state("a")).To(Equal(membership.Leaving))
 	})
 
-	It("gives the address to the instance that answers there", func() {
-		changes := t.ApplyReport(at(1), "a", word("c", "run-9", 1))
+	It("assigns an address to the instance that answers there", func() {
+		changes := t.ApplyReport(at(1), "a", report("c", "run-9", 1))
 		Expect(changes).To(ContainElement(HaveField("To", membership.Gone)))
 		Expect(state("a")).To(Equal(membership.Gone))
 		Expect(t.Get("c").Address).To(Equal(instance("a").Address))
@@ -94,20 +94,21 @@
 		Expect(ids).To(Equal([]string{"b", "c"}))
 	})
 
-	It("keeps the agents of a region that is cut off, however long, and their places", func() {
-		// For ten minutes nothing of the other region answers. Its agents get
-		// no requests, but no other takes their place, so nothing moves when
-		// the cut ends, and they serve again with their first heartbeat.
+	It("keeps the agents of a region that is cut off, and their places, for any length of time", func() {
+		// For ten minutes no agent of the other region answers. Its agents get
+		// no requests, but no others take their places, so connections don't
+		// move when the partition ends, and the agents serve again with their
+		// first heartbeat.
 		before := t.ConnectionCandidates()
 		t.MarkUnresponsive(at(1), "a")
 		t.Tick(at(600))
 		Expect(state("a")).To(Equal(membership.Suspect))
 		Expect(t.ConnectionCandidates()).To(Equal(before))
-		t.ApplyReport(at(601), "a", word("a", "run-1", 601))
+		t.ApplyReport(at(601), "a", report("a", "run-1", 601))
 		Expect(state("a")).To(Equal(membership.Live))
 	})
 
-	It("goes on with agents that answer when the list is empty or wrong", func() {
+	It("keeps agents that answer when the list is empty or wrong", func() {
 		t.ApplyList(at(1), nil)
 		t.Tick(at(100))
 		Expect(state("a")).To(Equal(membership.Live))
@@ -116,7 +117,7 @@
 		Expect(state("a")).To(Equal(membership.Gone))
 	})
 
-	It("has the agent told once when the list says that it leaves, and believes a correction", func() {
+	It("notifies an agent once when the list names it as leaving, and accepts a correction", func() {
 		leaving := instance("a")
 		leaving.Leaving = true
 		list := []membership.Instance{leaving, instance("b")}
@@ -125,13 +126,13 @@
 		Expect(state("a")).To(Equal(membership.Leaving))
 		right := []membership.Instance{instance("a"), instance("b")}
 		t.ApplyList(at(3), right)
-		Expect(state("a")).To(Equal(membership.Leaving)) // may be an older copy
+		Expect(state("a")).To(Equal(membership.Leaving)) // the list may be an older copy
 		t.ApplyList(at(34), right)
 		Expect(state("a")).To(Equal(membership.Live))
 	})
 })
 
-var _ = Describe("the fan-out", func() {
+var _ = Describe("SelectConnections and NextPoll", func() {
 	fleet := func(n, agents int) (entries []string, all []membership.Instance) {
 		for i := range n {
 			entries = append(entries, fmt.Sprint("entry-", i))
@@ -152,7 +153,7 @@
 		return set
 	}
 
-	It("keeps every agent at today's sizes", func() {
+	It("keeps every agent in a small fleet", func() {
 		entries, all := fleet(3, 13)
 		for _, e := range entries {
 			Expect(membership.SelectConnections(e, entries, all, membership.DefaultFanout(), time.Second)).To(HaveLen(13))
@@ -160,10 +161,11 @@
 	})
 
 	It("keeps few agents of a small service that is spread over many failure domains", func() {
-		// The agents of a small service are called by nearly every entry, and
-		// their traffic grows with the entries. Each entry wants an agent in
-		// every failure domain; with eight of them and ten agents that is most
-		// of the service, though the entry's share allows it four.
+		// Regression: the agents of a small service were called by nearly every
+		// entry, and their traffic grew with the number of entries. Each entry
+		// kept an agent in every failure domain; with eight of them and ten
+		// agents that was most of the service, although the quota of an entry
+		// was four.
 		entries, all := fleet(370, 1290)
 		for i := range all {
 			all[i].Domain = fmt.Sprint("hall-", i%8)
@@ -193,7 +195,7 @@
 		}
 	})
 
-	It("moves only the agents of an entry that goes", func() {
+	It("moves only the agents of an entry that is removed", func() {
 		entries, all := fleet(40, 200)
 		f := membership.DefaultFanout()
 		for _, e := range entries[1:] {
@@ -206,7 +208,7 @@
 		}
 	})
 
-	It("has the entries take turns at the list", func() {
+	It("spreads the entries' reads of the list over an interval", func() {
 		entries, _ := fleet(10, 0)
 		reads := map[time.Time]bool{}
 		for _, e := range entries {
--- a/internal/policy/membership/poll.go
+++ b/internal/policy/membership/poll.go
@@ -6,27 +6,31 @@
 )
 
 const (
-	// bytesPerInstance is about what the list takes on the wire per instance.
+	// bytesPerInstance is the approximate size of one instance of the list on the
+	// wire.
 	bytesPerInstance = 96
-	// smallList is how many instances are read every minPoll.
-	smallList = 32
-	// listBytesPerSecond is about what an entry of a large fleet spends on
-	// reading the list; it grows with the fleet, and at 1,670 instances a read a
-	// second would take ten times the traffic allowed for all control work.
+	// smallListInstances is the longest list that is read every minPollInterval.
+	smallListInstances = 32
+	// listBytesPerSecond is the approximate traffic of an entry of a large fleet
+	// for reading the list. The list grows with the fleet: with 1,670 instances,
+	// one read a second would take ten times the traffic allowed for all control
+	// work.
 	listBytesPerSecond = 1600
-	minPoll            = time.Second
-	maxPoll            = 2 * time.Minute
+	minPollInterval    = time.Second
+	maxPollInterval    = 2 * time.Minute
 )
 
-// PollInterval returns how often an entry reads a list of so many instances.
+// PollInterval returns the interval at which an entry reads a list of the given
+// number of instances.
 func PollInterval(instances int) time.Duration {
-	more := max(0, instances-smallList)
-	return min(minPoll+time.Duration(more)*bytesPerInstance*time.Second/listBytesPerSecond, maxPoll)
+	extra := max(0, instances-smallListInstances)
+	return min(minPollInterval+time.Duration(extra)*bytesPerInstance*time.Second/listBytesPerSecond, maxPollInterval)
 }
 
-// NextPoll returns when the entry self reads the list next. The entries take
-// turns within an interval, so that at any size one of them reads it within
-// about a second and, by Change.Notify, tells whom it concerns.
+// NextPoll returns the time at which the entry self reads the list next. The
+// entries' reads are spread evenly over an interval, so that with any number of
+// instances one entry reads the list within about a second and, by Change.Notify,
+// notifies the agents concerned.
 func NextPoll(now time.Time, self string, entries []string, instances int) time.Time {
 	interval := PollInterval(instances)
 	rank := 0
@@ -35,12 +39,12 @@
 			rank++
 		}
 	}
-	turns := len(entries)
+	slots := len(entries)
 	if !slices.Contains(entries, self) {
-		turns++
+		slots++
 	}
-	turn := interval * time.Duration(rank) / time.Duration(turns)
-	next := now.Truncate(interval).Add(turn)
+	offset := interval * time.Duration(rank) / time.Duration(slots)
+	next := now.Truncate(interval).Add(offset)
 	if !next.After(now) {
 		next = next.Add(interval)
 	}
