--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -193,7 +193,7 @@
 // refuse an older owner's orders, so two at once do no harm.
 func dutiesConfig() duties.Config {
 	c := duties.DefaultConfig()
-	c.EarlyPrefixes = []string{weights.DutyPrefix}
+	c.EarlyTakeoverPrefixes = []string{weights.DutyPrefix}
 	return c
 }
 
--- a/internal/dutyrun/early.go
+++ b/internal/dutyrun/early.go
@@ -21,11 +21,11 @@
 	}
 }
 
-func (k *Keeper) probe(ctx context.Context, owner duties.Owner) {
-	ctx, cancel := context.WithTimeout(ctx, k.options.Config.ProbeEvery)
+func (k *Keeper) probe(ctx context.Context, owner duties.KnownHolder) {
+	ctx, cancel := context.WithTimeout(ctx, k.options.Config.ProbeInterval)
 	defer cancel()
 	holds, err := k.options.Probe(ctx, owner.Address, wire.HoldsRequest{Duty: owner.Duty, Epoch: owner.Epoch})
-	k.update(func(now time.Time) { k.keeper.Probed(now, owner, err == nil && holds) })
+	k.update(func(now time.Time) { k.keeper.ProbeDone(now, owner, err == nil && holds) })
 	k.again()
 }
 
@@ -34,6 +34,6 @@
 func (k *Keeper) Holds(duty string, epoch int64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	owner, _ := k.keeper.Owner(time.Now(), duty)
-	return owner.Epoch == epoch && k.keeper.Standing(time.Now(), duty) != duties.NotHolder
+	owner, _ := k.keeper.KnownHolder(time.Now(), duty)
+	return owner.Epoch == epoch && k.keeper.LeaseState(time.Now(), duty) != duties.NotHolder
 }
--- a/internal/dutyrun/keeper.go
+++ b/internal/dutyrun/keeper.go
@@ -128,19 +128,19 @@
 	}
 }
 
-// Owner returns the duty's holder as last known.
-func (k *Keeper) Owner(name string) (string, int64, bool) {
+// KnownHolder returns the duty's holder as last known.
+func (k *Keeper) KnownHolder(name string) (string, int64, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	owner, mine := k.keeper.Owner(time.Now(), name)
+	owner, mine := k.keeper.KnownHolder(time.Now(), name)
 	return owner.Address, owner.Epoch, mine
 }
 
-// Standing returns how this process stands to the duty now.
-func (k *Keeper) Standing(name string) duties.Standing {
+// LeaseState returns how this process stands to the duty now.
+func (k *Keeper) LeaseState(name string) duties.LeaseState {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.keeper.Standing(time.Now(), name)
+	return k.keeper.LeaseState(time.Now(), name)
 }
 
 // HeldUntil returns the epoch under which this process holds the duty and the
@@ -176,7 +176,7 @@
 func (k *Keeper) Holders() []wire.Holder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	owners := k.keeper.Owners()
+	owners := k.keeper.KnownHolders()
 	all := make([]wire.Holder, 0, len(owners))
 	for _, o := range owners {
 		all = append(all, wire.Holder{Duty: o.Duty, Address: o.Address, Epoch: o.Epoch})
@@ -188,7 +188,7 @@
 func (k *Keeper) Heard(holders []wire.Holder) {
 	k.update(func(now time.Time) {
 		for _, h := range holders {
-			k.keeper.Heard(now, duties.Owner{Duty: h.Duty, Address: h.Address, Epoch: h.Epoch})
+			k.keeper.Heard(now, duties.KnownHolder{Duty: h.Duty, Address: h.Address, Epoch: h.Epoch})
 		}
 	})
 }
@@ -218,7 +218,7 @@
 
 func (k *Keeper) tell(change duties.Change) {
 	fields := logrus.Fields{"duty": change.Duty, "epoch": change.Epoch}
-	switch change.Standing {
+	switch change.LeaseState {
 	case duties.Holder:
 		events.DutyTaken.Log(k.options.Log, fields)
 	case duties.Lapsed:
@@ -254,14 +254,14 @@
 }
 
 func (k *Keeper) read(ctx context.Context, name string) {
-	ctx, cancel := context.WithTimeout(ctx, k.options.Config.Poll)
+	ctx, cancel := context.WithTimeout(ctx, k.options.Config.PollInterval)
 	defer cancel()
 	found, err := k.options.Store.Get(ctx, kv.UseLease, k.prefix+name)
 	k.observe(name, found, err)
 }
 
 func (k *Keeper) list(ctx context.Context, names []string) {
-	ctx, cancel := context.WithTimeout(ctx, k.options.Config.Poll)
+	ctx, cancel := context.WithTimeout(ctx, k.options.Config.PollInterval)
 	defer cancel()
 	all, err := k.options.Store.List(ctx, kv.UseLease, k.prefix)
 	found := map[string]kv.Record{}
@@ -276,13 +276,13 @@
 func (k *Keeper) observe(name string, found kv.Record, err error) {
 	record, decodeErr := dutyRecord(found)
 	k.update(func(now time.Time) {
-		k.keeper.Observed(now, name, record, found.Revision, err == nil && decodeErr == nil)
+		k.keeper.ReadDone(now, name, record, found.Revision, err == nil && decodeErr == nil)
 	})
 	k.again()
 }
 
 func (k *Keeper) write(ctx context.Context, action duties.Action) {
-	ctx, cancel := context.WithTimeout(ctx, k.options.Config.Renew)
+	ctx, cancel := context.WithTimeout(ctx, k.options.Config.RenewInterval)
 	defer cancel()
 	value, err := json.Marshal(action.Record)
 	if err != nil {
@@ -296,10 +296,10 @@
 	record, decodeErr := dutyRecord(current)
 	outcome := dutyOutcome(swapped, err)
 	if decodeErr != nil {
-		outcome = duties.Unclear
+		outcome = duties.Indeterminate
 	}
 	k.update(func(now time.Time) {
-		k.keeper.Written(now, action, outcome, record, current.Revision)
+		k.keeper.WriteDone(now, action, outcome, record, current.Revision)
 	})
 	k.again()
 }
@@ -315,13 +315,13 @@
 func dutyOutcome(swapped bool, err error) duties.Outcome {
 	switch {
 	case errors.Is(err, kv.ErrUnavailable), errors.Is(err, kv.ErrBudget):
-		return duties.NotSent
+		return duties.NotApplied
 	case err != nil:
-		return duties.Unclear
+		return duties.Indeterminate
 	case swapped:
 		return duties.Swapped
 	default:
-		return duties.Refused
+		return duties.Conflict
 	}
 }
 
--- a/internal/dutyrun/keeper_test.go
+++ b/internal/dutyrun/keeper_test.go
@@ -57,8 +57,8 @@
 	store, err := kv.NewClient(kv.Options{Address: e.platform, Writer: self.ID, CallsPerSec: 500})
 	Expect(err).NotTo(HaveOccurred())
 	config := duties.DefaultConfig()
-	config.TTL, config.Margin, config.Renew = 2*time.Second, 200*time.Millisecond, 300*time.Millisecond
-	config.Poll, config.Jitter = 300*time.Millisecond, 100*time.Millisecond
+	config.TTL, config.Margin, config.RenewInterval = 2*time.Second, 200*time.Millisecond, 300*time.Millisecond
+	config.PollInterval, config.Jitter = 300*time.Millisecond, 100*time.Millisecond
 	k := dutyrun.New(dutyrun.Options{
 		Store:      store,
 		Deployment: "d",
@@ -106,7 +106,7 @@
 	held := func() (holders int, epochs int64) {
 		for _, name := range names {
 			for _, k := range keepers {
-				if _, epoch, mine := k.Owner(name); mine {
+				if _, epoch, mine := k.KnownHolder(name); mine {
 					holders++
 					epochs += epoch
 				}
@@ -133,7 +133,7 @@
 		Eventually(func() int {
 			count := 0
 			for _, name := range names {
-				if _, _, mine := keepers[1].Owner(name); mine {
+				if _, _, mine := keepers[1].KnownHolder(name); mine {
 					count++
 				}
 			}
@@ -160,7 +160,7 @@
 			k.OnChange("feed/", func(c duties.Change) {
 				mu.Lock()
 				defer mu.Unlock()
-				told[c.Duty] = c.Standing == duties.Holder
+				told[c.Duty] = c.LeaseState == duties.Holder
 			})
 		}
 		Eventually(func() map[string]bool {
--- a/internal/dutyrun/offer.go
+++ b/internal/dutyrun/offer.go
@@ -63,7 +63,7 @@
 	}
 	k.again()
 	for end := time.Now().Add(offerLimit); time.Now().Before(end); time.Sleep(offerPoll) {
-		if address, epoch, _ := k.Owner(offer.Duty); epoch > offer.Epoch && address != "" {
+		if address, epoch, _ := k.KnownHolder(offer.Duty); epoch > offer.Epoch && address != "" {
 			return wire.Holder{Duty: offer.Duty, Address: address, Epoch: epoch}, nil
 		}
 	}
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -84,7 +84,7 @@
 		if p.duty != change.Duty {
 			continue
 		}
-		switch change.Standing {
+		switch change.LeaseState {
 		case duties.Holder:
 			p.step(claims.Acquired{Epoch: change.Epoch})
 		case duties.NotHolder:
@@ -172,7 +172,7 @@
 		})
 		return answer, !moved
 	}
-	address, _, _ := r.claims.options.Duties.Owner(p.duty)
+	address, _, _ := r.claims.options.Duties.KnownHolder(p.duty)
 	if address == "" {
 		return wire.Answer{}, false
 	}
@@ -204,7 +204,7 @@
 // holder returns the holder of the partition's duty as known here; without an
 // address if that is this entry, which does not serve.
 func (c *Claims) holder(p *claimPartition) wire.Holder {
-	address, epoch, mine := c.options.Duties.Owner(p.duty)
+	address, epoch, mine := c.options.Duties.KnownHolder(p.duty)
 	if mine {
 		address = ""
 	}
--- a/internal/entry/claims_fakes_test.go
+++ b/internal/entry/claims_fakes_test.go
@@ -107,13 +107,13 @@
 	givingUp bool // promises nothing
 }
 
-func (d *fakeDuties) Owner(string) (string, int64, bool) {
+func (d *fakeDuties) KnownHolder(string) (string, int64, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.address, d.epoch, d.mine
 }
 
-func (d *fakeDuties) Standing(string) duties.Standing {
+func (d *fakeDuties) LeaseState(string) duties.LeaseState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
@@ -154,7 +154,7 @@
 		standing = duties.Holder
 	}
 	for _, name := range ClaimDuties() {
-		d.fn(duties.Change{Duty: name, Epoch: epoch, Standing: standing})
+		d.fn(duties.Change{Duty: name, Epoch: epoch, LeaseState: standing})
 	}
 }
 
--- a/internal/entry/claims_handover.go
+++ b/internal/entry/claims_handover.go
@@ -148,7 +148,7 @@
 		told.Running = p.machine.Running()
 	}
 	p.mu.Unlock()
-	address, _, mine := p.options.Duties.Owner(p.duty)
+	address, _, mine := p.options.Duties.KnownHolder(p.duty)
 	if mine {
 		return p.take(told)
 	}
--- a/internal/entry/claims_partition.go
+++ b/internal/entry/claims_partition.go
@@ -69,7 +69,7 @@
 // here tells whether calls are served here. A holder whose lease has lapsed in
 // an outage still serves: it cannot commit past a successor's epoch.
 func (p *claimPartition) here() bool {
-	return !p.closing.Load() && p.options.Duties.Standing(p.duty) != duties.NotHolder
+	return !p.closing.Load() && p.options.Duties.LeaseState(p.duty) != duties.NotHolder
 }
 
 // submit waits for the call's answer; moved means that nothing was done here.
--- a/internal/entry/claimtest/claims_test.go
+++ b/internal/entry/claimtest/claims_test.go
@@ -146,9 +146,9 @@
 		remembers bool // the ledger's agent answers successors
 	)
 	config := duties.Config{
-		TTL: time.Second, Margin: 100 * time.Millisecond, Renew: 300 * time.Millisecond,
-		Poll: 200 * time.Millisecond, Jitter: 100 * time.Millisecond,
-		Candidates: 3, MaxPerTick: 4, HandBackAfter: time.Hour,
+		TTL: time.Second, Margin: 100 * time.Millisecond, RenewInterval: 300 * time.Millisecond,
+		PollInterval: 200 * time.Millisecond, Jitter: 100 * time.Millisecond,
+		Candidates: 3, MaxTakeoversPerTick: 4, HandBackAfter: time.Hour,
 	}
 	class := decl.Class{Name: "sync", RetryWindow: time.Minute}
 	log := logrus.New()
@@ -190,7 +190,7 @@
 	}
 	owner := func(duty string) *claimProcess {
 		for _, p := range processes {
-			if p.keeper.Standing(duty) == duties.Holder {
+			if p.keeper.LeaseState(duty) == duties.Holder {
 				return p
 			}
 		}
--- a/internal/entry/duty_iface.go
+++ b/internal/entry/duty_iface.go
@@ -10,21 +10,21 @@
 // Duties tells who holds a named duty: "claims/<n>", "feed/<name>" or
 // "weights/<service>".
 type Duties interface {
-	// Owner returns the inner address and the epoch of the duty's holder, as
+	// KnownHolder returns the inner address and the epoch of the duty's holder, as
 	// last known, and whether this process may act as the holder at this moment.
 	// An empty address means that no holder is known. A process may be paused
 	// between the question and its act, so whoever receives the act checks the
 	// epoch.
-	Owner(name string) (instanceAddr string, epoch int64, mine bool)
+	KnownHolder(name string) (instanceAddr string, epoch int64, mine bool)
 }
 
 // DutyHolders is Duties with what a holder's own work needs.
 type DutyHolders interface {
 	Duties
-	// Standing returns how this process stands to the duty now. Lapsed means
+	// LeaseState returns how this process stands to the duty now. Lapsed means
 	// that the lease ran out unrenewed, as in an outage of the platform, and no
 	// successor is known.
-	Standing(name string) duties.Standing
+	LeaseState(name string) duties.LeaseState
 	// OnChange has fn called with each change of standing to a duty whose name
 	// starts with prefix, in order, one at a time. A standing that stands
 	// already is told at once. fn must not block.
--- a/internal/entry/weights.go
+++ b/internal/entry/weights.go
@@ -174,7 +174,7 @@
 	defer w.mu.Unlock()
 	service := strings.TrimPrefix(c.Duty, weights.DutyPrefix)
 	held, ok := w.owned[service]
-	keep := ok && held.epoch == c.Epoch && c.Standing != duties.NotHolder
+	keep := ok && held.epoch == c.Epoch && c.LeaseState != duties.NotHolder
 	if keep {
 		return
 	}
@@ -182,7 +182,7 @@
 		held.stop()
 		delete(w.owned, service)
 	}
-	if c.Standing == duties.Holder && w.ctx.Err() == nil {
+	if c.LeaseState == duties.Holder && w.ctx.Err() == nil {
 		w.owned[service] = w.begin(service, c.Epoch)
 	}
 }
--- a/internal/entry/weights_test.go
+++ b/internal/entry/weights_test.go
@@ -169,7 +169,7 @@
 	It("bring an announced version to every engine, through a failed load", func() {
 		w, holders := startEntry("a")
 		engines[2].FailLoads(1)
-		holders.tell(duties.Change{Epoch: 1, Standing: duties.Holder})
+		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
 		Eventually(versions).WithTimeout(weightsSoon).Should(HaveEach(int64(2)))
 	})
@@ -179,17 +179,17 @@
 	It("finish a rollout during an outage", func() {
 		w, holders := startEntry("a")
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
-		holders.tell(duties.Change{Epoch: 1, Standing: duties.Holder})
+		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Eventually(func() int { return len(w.Progress()["tone"]) }).WithTimeout(weightsSoon).Should(Equal(1))
 		platform.Outage(true)
-		holders.tell(duties.Change{Epoch: 1, Standing: duties.Lapsed})
+		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Lapsed})
 		Eventually(versions).WithTimeout(weightsSoon).Should(HaveEach(int64(2)))
 		Expect(w.Progress()["tone"]).To(HaveLen(1))
 	})
 
 	It("bring an adapter to every engine and leave the model's version", func() {
 		w, holders := startEntry("a")
-		holders.tell(duties.Change{Epoch: 1, Standing: duties.Holder})
+		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 7, "polite")).To(Equal(int64(7)))
 		Eventually(func() []int64 {
 			var all []int64
@@ -205,7 +205,7 @@
 	// agent lets the newest version through again, though it did so before.
 	It("bring a restarted engine back to the newest version", func() {
 		w, holders := startEntry("a")
-		holders.tell(duties.Change{Epoch: 1, Standing: duties.Holder})
+		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
 		Eventually(versions).WithTimeout(weightsSoon).Should(HaveEach(int64(2)))
 		engines[1].Crash()
@@ -218,7 +218,7 @@
 	It("pass over an engine that an operator drained", func() {
 		deployment.DrainInstances = []string{"3"}
 		w, holders := startEntry("a")
-		holders.tell(duties.Change{Epoch: 1, Standing: duties.Holder})
+		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
 		Eventually(versions).WithTimeout(weightsSoon).Should(Equal([]int64{2, 2, 2, 1}))
 	})
@@ -238,12 +238,12 @@
 			return all
 		}
 		divided := ConsistOf("prefill", "decode", "decode", "decode")
-		holders.tell(duties.Change{Epoch: 1, Standing: duties.Holder})
+		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Eventually(roles).WithTimeout(weightsSoon).Should(divided)
 		engines[1].Crash()
 		_, err := engines[1].Start(endpoints[1])
 		Expect(err).NotTo(HaveOccurred())
-		next.tell(duties.Change{Epoch: 2, Standing: duties.Holder})
+		next.tell(duties.Change{Epoch: 2, LeaseState: duties.Holder})
 		Eventually(roles).WithTimeout(weightsSoon).Should(divided)
 		Expect(versions()).To(HaveEach(int64(1)))
 	})
@@ -270,10 +270,10 @@
 	It("go on under a successor while the paused owner is refused", func() {
 		old, oldDuties := startEntry("a")
 		next, nextDuties := startEntry("b")
-		oldDuties.tell(duties.Change{Epoch: 1, Standing: duties.Holder})
+		oldDuties.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(old.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
 		Eventually(versions).WithTimeout(weightsSoon).Should(ContainElement(int64(2)))
-		nextDuties.tell(duties.Change{Epoch: 2, Standing: duties.Holder})
+		nextDuties.tell(duties.Change{Epoch: 2, LeaseState: duties.Holder})
 		Expect(next.Announce(ctx, "d", "drafts", "m", 3, "")).To(Equal(int64(3)))
 		Eventually(versions).WithTimeout(weightsSoon).Should(HaveEach(int64(3)))
 		for _, e := range engines {
--- a/internal/feedrun/fakes_test.go
+++ b/internal/feedrun/fakes_test.go
@@ -225,9 +225,9 @@
 	c.mu.Unlock()
 	duty := wire.FeedDuty(deployment, feed)
 	if old != nil && tellOld {
-		old.told(duties.Change{Duty: duty, Epoch: epoch, Standing: duties.NotHolder})
+		old.told(duties.Change{Duty: duty, Epoch: epoch, LeaseState: duties.NotHolder})
 	}
-	next.told(duties.Change{Duty: duty, Epoch: epoch, Standing: duties.Holder})
+	next.told(duties.Change{Duty: duty, Epoch: epoch, LeaseState: duties.Holder})
 }
 
 func (c *cluster) CallPeer(_ context.Context, address string, _ bool, _ string, args, reply any) error {
@@ -275,13 +275,13 @@
 	c.groups = n
 }
 
-func (i *instance) Owner(string) (string, int64, bool) {
+func (i *instance) KnownHolder(string) (string, int64, bool) {
 	i.c.mu.Lock()
 	defer i.c.mu.Unlock()
 	return i.c.owner, i.c.epoch, i.c.owner == i.name
 }
 
-func (i *instance) Standing(string) duties.Standing { return duties.NotHolder }
+func (i *instance) LeaseState(string) duties.LeaseState { return duties.NotHolder }
 
 func (i *instance) OnChange(_ string, fn func(duties.Change)) { i.told = fn }
 
--- a/internal/feedrun/feeds.go
+++ b/internal/feedrun/feeds.go
@@ -140,7 +140,7 @@
 	change := f.standing[wire.FeedDuty(deployment.Name, feed.Name)]
 	current := f.owners[feed.Name]
 	f.mu.Unlock()
-	wanted := change.Standing != duties.NotHolder && change.Epoch > 0
+	wanted := change.LeaseState != duties.NotHolder && change.Epoch > 0
 	switch {
 	case current != nil && (!wanted || current.epoch != change.Epoch):
 		f.drop(current)
@@ -253,7 +253,7 @@
 	if o := f.owner(req.Feed); o != nil {
 		return o.pull(ctx, req), nil
 	}
-	address, _, mine := f.options.Duties.Owner(wire.FeedDuty(req.Deployment, req.Feed))
+	address, _, mine := f.options.Duties.KnownHolder(wire.FeedDuty(req.Deployment, req.Feed))
 	if address == "" || mine {
 		return wire.PullReply{Refusal: string(handover.NotOwner)}, nil
 	}
--- a/internal/lab/config/config_test.go
+++ b/internal/lab/config/config_test.go
@@ -88,7 +88,7 @@
 		held := map[string]bool{}
 		for _, n := range f.entries {
 			for _, name := range f.names {
-				if n.up && n.keeper.Standing(f.Now(), name) == duties.Holder {
+				if n.up && n.keeper.LeaseState(f.Now(), name) == duties.Holder {
 					held[name] = true
 				}
 			}
--- a/internal/lab/config/dutyschedule.go
+++ b/internal/lab/config/dutyschedule.go
@@ -132,7 +132,7 @@
 		if a.Kind == duties.Read {
 			p.s.leases.read(a.Duty, func(r duties.Record, revision int64, ok bool) {
 				p.do(life, func() {
-					p.keeper.Observed(p.clock(), a.Duty, r, revision, ok)
+					p.keeper.ReadDone(p.clock(), a.Duty, r, revision, ok)
 					p.answered()
 				})
 			})
@@ -143,7 +143,7 @@
 				if p.s.variant == longLease {
 					a.Sent = p.clock().Add(6 * time.Second)
 				}
-				p.keeper.Written(p.clock(), a, dutyOutcome(o), r, revision)
+				p.keeper.WriteDone(p.clock(), a, dutyOutcome(o), r, revision)
 				p.offer()
 				p.answered()
 			})
@@ -186,12 +186,12 @@
 // the lease and the act's arrival it may be paused.
 func (p *dutyProc) act() {
 	for _, name := range dutyNames() {
-		owner, mine := p.keeper.Owner(p.clock(), name)
+		owner, mine := p.keeper.KnownHolder(p.clock(), name)
 		if !mine {
 			continue
 		}
 		for _, other := range p.s.procs {
-			if other != p && other.up && p.s.Now().After(other.paused) && other.keeper.Standing(other.clock(), name) == duties.Holder {
+			if other != p && other.up && p.s.Now().After(other.paused) && other.keeper.LeaseState(other.clock(), name) == duties.Holder {
 				p.s.verdicts.overlaps++
 			}
 		}
@@ -253,7 +253,7 @@
 
 func (s *dutySchedule) holder(name string) *dutyProc {
 	for _, p := range s.procs {
-		if p.up && p.keeper.Standing(p.clock(), name) == duties.Holder {
+		if p.up && p.keeper.LeaseState(p.clock(), name) == duties.Holder {
 			return p
 		}
 	}
--- a/internal/lab/config/fleet.go
+++ b/internal/lab/config/fleet.go
@@ -167,14 +167,14 @@
 	if a.Kind == duties.Read {
 		n.f.leases.read(a.Duty, func(r duties.Record, revision int64, ok bool) {
 			if n.life == life {
-				n.keeper.Observed(n.f.Now(), a.Duty, r, revision, ok)
+				n.keeper.ReadDone(n.f.Now(), a.Duty, r, revision, ok)
 			}
 		})
 		return
 	}
 	n.f.leases.swap(a.Duty, a.Expected, a.Record, func(o outcome, r duties.Record, revision int64) {
 		if n.life == life {
-			n.keeper.Written(n.f.Now(), a, dutyOutcome(o), r, revision)
+			n.keeper.WriteDone(n.f.Now(), a, dutyOutcome(o), r, revision)
 		}
 	})
 }
@@ -184,9 +184,9 @@
 	switch {
 	case n.life != life:
 	case a.Kind == duties.Read:
-		n.keeper.Observed(n.f.Now(), a.Duty, duties.Record{}, 0, false)
+		n.keeper.ReadDone(n.f.Now(), a.Duty, duties.Record{}, 0, false)
 	default:
-		n.keeper.Written(n.f.Now(), a, duties.Unclear, duties.Record{}, 0)
+		n.keeper.WriteDone(n.f.Now(), a, duties.Indeterminate, duties.Record{}, 0)
 	}
 }
 
@@ -204,7 +204,7 @@
 }
 
 func dutyOutcome(o outcome) duties.Outcome {
-	return [...]duties.Outcome{swapped: duties.Swapped, refused: duties.Refused, notSent: duties.NotSent, unclear: duties.Unclear}[o]
+	return [...]duties.Outcome{swapped: duties.Swapped, refused: duties.Conflict, notSent: duties.NotApplied, unclear: duties.Indeterminate}[o]
 }
 
 func (n *fleetNode) meet(need config.Need) {
@@ -349,7 +349,7 @@
 			continue
 		}
 		for _, name := range f.names {
-			if !held[name] && n.keeper.Standing(now, name) == duties.Holder {
+			if !held[name] && n.keeper.LeaseState(now, name) == duties.Holder {
 				held[name] = true
 			}
 		}
--- a/internal/lab/config/regions.go
+++ b/internal/lab/config/regions.go
@@ -108,7 +108,7 @@
 		}
 		a.count(n, ready, after)
 		for _, name := range a.names {
-			if n.keeper.Standing(now, name) == duties.Holder {
+			if n.keeper.LeaseState(now, name) == duties.Holder {
 				holders[name]++
 			}
 		}
--- a/internal/lab/path/samples.go
+++ b/internal/lab/path/samples.go
@@ -179,8 +179,8 @@
 // holder holds every duty for good.
 type holder struct{}
 
-func (holder) Owner(string) (string, int64, bool) { return "", 1, true }
-func (holder) Standing(string) duties.Standing    { return duties.Holder }
+func (holder) KnownHolder(string) (string, int64, bool) { return "", 1, true }
+func (holder) LeaseState(string) duties.LeaseState      { return duties.Holder }
 func (holder) OnChange(_ string, fn func(duties.Change)) {
-	fn(duties.Change{Duty: wire.FeedDuty("bench", sampleFeed), Epoch: 1, Standing: duties.Holder})
+	fn(duties.Change{Duty: wire.FeedDuty("bench", sampleFeed), Epoch: 1, LeaseState: duties.Holder})
 }
--- a/internal/lab/weights/takeover.go
+++ b/internal/lab/weights/takeover.go
@@ -52,7 +52,7 @@
 		frozen: seed%2 == 0,
 	}
 	if early {
-		t.config.EarlyPrefixes = []string{weights.DutyPrefix}
+		t.config.EarlyTakeoverPrefixes = []string{weights.DutyPrefix}
 	}
 	var members []duties.Member
 	for i := range takeoverEntries {
@@ -66,7 +66,7 @@
 		t.clock.After(t.upTo(takeoverTick), func() { t.tick(i) })
 	}
 	var died time.Time
-	t.clock.After(takeoverSettled+t.upTo(t.config.Renew), func() {
+	t.clock.After(takeoverSettled+t.upTo(t.config.RenewInterval), func() {
 		t.dead = t.holder()
 		died = t.clock.Now()
 	})
@@ -81,7 +81,7 @@
 // holder returns the living entry that holds the duty, or -1.
 func (t *takeover) holder() int {
 	for i, k := range t.keepers {
-		if _, holds := k.Owner(t.clock.Now(), duty); holds && i != t.dead {
+		if _, holds := k.KnownHolder(t.clock.Now(), duty); holds && i != t.dead {
 			return i
 		}
 	}
@@ -115,22 +115,22 @@
 		now := t.clock.Now()
 		switch {
 		case a.Kind == duties.Read:
-			k.Observed(now, a.Duty, record, revision, true)
+			k.ReadDone(now, a.Duty, record, revision, true)
 		case swapped:
-			k.Written(now, a, duties.Swapped, record, revision)
+			k.WriteDone(now, a, duties.Swapped, record, revision)
 		default:
-			k.Written(now, a, duties.Refused, record, revision)
+			k.WriteDone(now, a, duties.Conflict, record, revision)
 		}
 	})
 }
 
 // probe asks a holder: a killed one refuses the connection, a frozen one does
 // not answer.
-func (t *takeover) probe(k *duties.Keeper, o duties.Owner) {
+func (t *takeover) probe(k *duties.Keeper, o duties.KnownHolder) {
 	took := t.upTo(2 * time.Millisecond)
 	gone := t.dead >= 0 && o.Address == fmt.Sprint(t.dead)
 	if gone && t.frozen {
-		took = t.config.ProbeEvery
+		took = t.config.ProbeInterval
 	}
-	t.clock.After(took, func() { k.Probed(t.clock.Now(), o, !gone) })
+	t.clock.After(took, func() { k.ProbeDone(t.clock.Now(), o, !gone) })
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -47,7 +47,7 @@
 func dutyConfig() duties.Config {
 	c := duties.DefaultConfig()
 	c.TTL = time.Hour
-	c.EarlyPrefixes, c.EarlyPause = []string{"weights/"}, 0
+	c.EarlyTakeoverPrefixes, c.EarlyTakeoverInterval = []string{"weights/"}, 0
 	return c
 }
 
@@ -135,7 +135,7 @@
 		for _, n := range nodes {
 			Eventually(n.conf.Ready).WithTimeout(wait).Should(BeTrue())
 			Eventually(func() string {
-				owner, _, _ := n.duty.Owner("feed/a")
+				owner, _, _ := n.duty.KnownHolder("feed/a")
 				return owner
 			}).WithTimeout(wait).ShouldNot(BeEmpty())
 		}
@@ -155,7 +155,7 @@
 	It("passes a duty for weights on before its lease ends", func() {
 		holder := func(name string) int {
 			for i, n := range nodes {
-				if _, _, mine := n.duty.Owner(name); mine {
+				if _, _, mine := n.duty.KnownHolder(name); mine {
 					return i
 				}
 			}
@@ -163,7 +163,7 @@
 		}
 		Eventually(func() int { return holder("weights/w") }).WithTimeout(wait).ShouldNot(Equal(-1))
 		first := holder("weights/w")
-		_, epoch, _ := nodes[first].duty.Owner("weights/w")
+		_, epoch, _ := nodes[first].duty.KnownHolder("weights/w")
 		ctx, cancel := context.WithTimeout(context.Background(), wait)
 		defer cancel()
 		asker := nodes[(first+1)%len(nodes)]
@@ -172,7 +172,7 @@
 		nodes[first].stop()
 		nodes = slices.Delete(nodes, first, first+1)
 		Eventually(func() int { return holder("weights/w") }).WithTimeout(wait).ShouldNot(Equal(-1))
-		_, next, _ := nodes[holder("weights/w")].duty.Owner("weights/w")
+		_, next, _ := nodes[holder("weights/w")].duty.KnownHolder("weights/w")
 		Expect(next).To(Equal(epoch + 1))
 	})
 
--- a/internal/policy/duties/duties_test.go
+++ b/internal/policy/duties/duties_test.go
@@ -35,14 +35,14 @@
 func (t *table) carryOut(k *duties.Keeper, now time.Time, actions []duties.Action) {
 	for _, a := range actions {
 		if a.Kind == duties.Read {
-			k.Observed(now, a.Duty, t.record, t.revision, true)
+			k.ReadDone(now, a.Duty, t.record, t.revision, true)
 			continue
 		}
-		outcome := duties.Refused
+		outcome := duties.Conflict
 		if t.swap(a) {
 			outcome = duties.Swapped
 		}
-		k.Written(now, a, outcome, t.record, t.revision)
+		k.WriteDone(now, a, outcome, t.record, t.revision)
 	}
 }
 
@@ -75,7 +75,7 @@
 		}
 	}
 	mine := func(k *duties.Keeper) bool {
-		_, holds := k.Owner(now, name)
+		_, holds := k.KnownHolder(now, name)
 		return holds
 	}
 
@@ -108,10 +108,10 @@
 		Expect(mine(b)).To(BeTrue())
 		Expect(t.record.Epoch).To(Equal(int64(2)))
 		Expect(mine(a)).To(BeFalse())
-		Expect(a.Standing(now, name)).To(Equal(duties.Lapsed))
+		Expect(a.LeaseState(now, name)).To(Equal(duties.Lapsed))
 		step(a)
 		run(config.TTL, a, b)
-		Expect(a.Standing(now, name) == duties.Holder && b.Standing(now, name) == duties.Holder).To(BeFalse())
+		Expect(a.LeaseState(now, name) == duties.Holder && b.LeaseState(now, name) == duties.Holder).To(BeFalse())
 	})
 
 	// A renewal is on its way, unanswered, and a read shows the old revision.
@@ -126,13 +126,13 @@
 			now = now.Add(100 * time.Millisecond)
 		}
 		renewedAt := now
-		a.Written(now, renewal, duties.Unclear, duties.Record{}, 0)
+		a.WriteDone(now, renewal, duties.Indeterminate, duties.Record{}, 0)
 		now = now.Add(500 * time.Millisecond)
 		reads := a.Tick(now, rnd)
 		Expect(reads).To(HaveLen(1))
 		Expect(reads[0].Kind).To(Equal(duties.Read))
-		a.Observed(now, name, t.record, t.revision, true)
-		now = renewedAt.Add(config.TTL - config.Margin - config.Renew/2)
+		a.ReadDone(now, name, t.record, t.revision, true)
+		now = renewedAt.Add(config.TTL - config.Margin - config.RenewInterval/2)
 		Expect(mine(a)).To(BeFalse())
 	})
 
@@ -143,9 +143,9 @@
 		actions := a.Tick(now, rnd)
 		Expect(actions).To(HaveLen(1))
 		Expect(actions[0].Record.Released).To(BeTrue())
-		a.Written(now, actions[0], duties.Unclear, duties.Record{}, 0)
-		a.Observed(now, name, t.record, t.revision, true)
-		Expect(a.Standing(now, name)).To(Equal(duties.NotHolder))
+		a.WriteDone(now, actions[0], duties.Indeterminate, duties.Record{}, 0)
+		a.ReadDone(now, name, t.record, t.revision, true)
+		Expect(a.LeaseState(now, name)).To(Equal(duties.NotHolder))
 		Expect(t.swap(actions[0])).To(BeTrue())
 		run(2*config.TTL, b)
 		Expect(mine(b)).To(BeTrue())
@@ -157,7 +157,7 @@
 		step(a, b)
 		Expect(a.Idle()).To(BeTrue())
 		b.SetMembers(now, []duties.Member{other})
-		run(config.Poll, b)
+		run(config.PollInterval, b)
 		Expect(mine(b)).To(BeTrue())
 		Expect(t.record.Epoch).To(Equal(int64(2)))
 	})
@@ -167,7 +167,7 @@
 	// poll, and for a whole lease if the successor's list still names the holder
 	// first: calls that need the duty run out of time.
 	It("takes a released duty at once when its holder offers it", func() {
-		run(config.Poll, a, b)
+		run(config.PollInterval, a, b)
 		a.Stop()
 		a.SetMembers(now, []duties.Member{other})
 		step(a)
@@ -186,15 +186,15 @@
 
 	// The offer overtakes the answer of a read that began before the release.
 	It("reads once more when an offer comes during a read", func() {
-		run(2*config.Poll, a, b)
+		run(2*config.PollInterval, a, b)
 		before, revision := t.record, t.revision
-		now = now.Add(config.Poll)
+		now = now.Add(config.PollInterval)
 		reads := b.Tick(now, rnd)
 		Expect(reads).To(HaveLen(1))
 		a.Stop()
 		step(a)
 		Expect(b.Offered(now, name, 1)).To(BeTrue())
-		b.Observed(now, name, before, revision, true)
+		b.ReadDone(now, name, before, revision, true)
 		step(b)
 		step(b)
 		Expect(mine(b)).To(BeTrue())
@@ -227,12 +227,12 @@
 	})
 
 	It("tells each change of standing once", func() {
-		Expect(a.Changes()).To(Equal([]duties.Change{{Duty: name, Epoch: 1, Standing: duties.Holder}}))
+		Expect(a.Changes()).To(Equal([]duties.Change{{Duty: name, Epoch: 1, LeaseState: duties.Holder}}))
 		Expect(a.Changes()).To(BeEmpty())
 		now = now.Add(config.TTL)
 		a.Tick(now, rnd)
-		Expect(a.Changes()).To(Equal([]duties.Change{{Duty: name, Epoch: 1, Standing: duties.Lapsed}}))
-		a.Heard(now, duties.Owner{Duty: name, Address: "127.0.0.1:9", Epoch: 5})
-		Expect(a.Changes()).To(Equal([]duties.Change{{Duty: name, Epoch: 5, Standing: duties.NotHolder}}))
+		Expect(a.Changes()).To(Equal([]duties.Change{{Duty: name, Epoch: 1, LeaseState: duties.Lapsed}}))
+		a.Heard(now, duties.KnownHolder{Duty: name, Address: "127.0.0.1:9", Epoch: 5})
+		Expect(a.Changes()).To(Equal([]duties.Change{{Duty: name, Epoch: 5, LeaseState: duties.NotHolder}}))
 	})
 })
--- a/internal/policy/duties/early.go
+++ b/internal/policy/duties/early.go
@@ -24,7 +24,7 @@
 // mayTakeEarly tells whether duties of this name may change hands before their
 // lease ends.
 func (k *Keeper) mayTakeEarly(d *duty) bool {
-	for _, prefix := range k.config.EarlyPrefixes {
+	for _, prefix := range k.config.EarlyTakeoverPrefixes {
 		if strings.HasPrefix(d.name, prefix) {
 			return true
 		}
@@ -49,22 +49,22 @@
 
 // Probes lists the holders to ask now whether they still hold; each must end
 // in Probed.
-func (k *Keeper) Probes(now time.Time) []Owner {
-	var due []Owner
+func (k *Keeper) Probes(now time.Time) []KnownHolder {
+	var due []KnownHolder
 	for _, name := range k.order {
 		d := k.duties[name]
 		if d.early.asking || now.Before(d.early.askAt) || !k.watches(d) {
 			continue
 		}
 		d.early.asking = true
-		d.early.askAt = now.Add(k.config.ProbeEvery)
-		due = append(due, Owner{Duty: name, Address: d.seen.Address, Epoch: d.seen.Epoch})
+		d.early.askAt = now.Add(k.config.ProbeInterval)
+		due = append(due, KnownHolder{Duty: name, Address: d.seen.Address, Epoch: d.seen.Epoch})
 	}
 	return due
 }
 
-// Probed takes in whether a holder that was asked holds the duty.
-func (k *Keeper) Probed(now time.Time, asked Owner, holds bool) {
+// ProbeDone takes in whether a holder that was asked holds the duty.
+func (k *Keeper) ProbeDone(now time.Time, asked KnownHolder, holds bool) {
 	d := k.duties[asked.Duty]
 	if d == nil {
 		return
@@ -95,5 +95,5 @@
 // that cannot reach each other would take the duty from one another in turn, and
 // each change makes its receivers start anew; the pause keeps that rare.
 func (k *Keeper) gone(now time.Time, d *duty) bool {
-	return d.early.misses >= k.config.ProbeMisses && now.Sub(d.early.changed) >= k.config.EarlyPause && k.watches(d)
+	return d.early.misses >= k.config.ProbeFailureThreshold && now.Sub(d.early.changed) >= k.config.EarlyTakeoverInterval && k.watches(d)
 }
--- a/internal/policy/duties/early_test.go
+++ b/internal/policy/duties/early_test.go
@@ -40,8 +40,8 @@
 				t.carryOut(k, now, k.Tick(now, rnd))
 				for _, o := range k.Probes(now) {
 					other := keepers[o.Address]
-					holds := other != nil && !cut && other.Standing(now, o.Duty) != duties.NotHolder
-					k.Probed(now, o, holds)
+					holds := other != nil && !cut && other.LeaseState(now, o.Duty) != duties.NotHolder
+					k.ProbeDone(now, o, holds)
 				}
 			}
 			now = now.Add(100 * time.Millisecond)
@@ -50,7 +50,7 @@
 	}
 	holder := func(name string) string {
 		for address, k := range keepers {
-			if _, holds := k.Owner(now, name); holds {
+			if _, holds := k.KnownHolder(now, name); holds {
 				return address
 			}
 		}
@@ -60,7 +60,7 @@
 
 	BeforeEach(func() {
 		config = duties.DefaultConfig()
-		config.EarlyPrefixes = []string{"weights/"}
+		config.EarlyTakeoverPrefixes = []string{"weights/"}
 		rnd = rand.New(rand.NewPCG(1, 1))
 		now = time.Unix(1000, 0)
 		t = &table{}
@@ -105,6 +105,6 @@
 		cut = true
 		before := t.record.Epoch
 		run(time.Minute, never)
-		Expect(t.record.Epoch - before).To(BeNumerically("<=", int64(time.Minute/config.EarlyPause)))
+		Expect(t.record.Epoch - before).To(BeNumerically("<=", int64(time.Minute/config.EarlyTakeoverInterval)))
 	})
 })
--- a/internal/policy/duties/keeper.go
+++ b/internal/policy/duties/keeper.go
@@ -36,7 +36,7 @@
 	busy      bool      // a call is under way
 	unsettled time.Time // first write since the last known outcome; zero: none
 
-	told Standing
+	told LeaseState
 
 	early early
 }
@@ -98,7 +98,7 @@
 		}
 		delete(k.duties, name)
 		if d.told != NotHolder {
-			k.changes = append(k.changes, Change{Duty: name, Epoch: d.seen.Epoch, Standing: NotHolder})
+			k.changes = append(k.changes, Change{Duty: name, Epoch: d.seen.Epoch, LeaseState: NotHolder})
 		}
 	}
 }
@@ -149,29 +149,29 @@
 	return chosen[:min(len(chosen), k.config.Candidates)]
 }
 
-// Owner returns the duty's holder as last known, and whether this process may
+// KnownHolder returns the duty's holder as last known, and whether this process may
 // act as the holder now.
-func (k *Keeper) Owner(now time.Time, name string) (Owner, bool) {
+func (k *Keeper) KnownHolder(now time.Time, name string) (KnownHolder, bool) {
 	d := k.duties[name]
 	if d == nil {
-		return Owner{Duty: name}, false
+		return KnownHolder{Duty: name}, false
 	}
-	owner := Owner{Duty: name, Epoch: d.seen.Epoch}
+	owner := KnownHolder{Duty: name, Epoch: d.seen.Epoch}
 	if !d.seen.Released {
 		owner.Address = d.seen.Address
 	}
 	return owner, k.standing(now, d) == Holder
 }
 
-// Standing returns how this process stands to the duty now.
-func (k *Keeper) Standing(now time.Time, name string) Standing {
+// LeaseState returns how this process stands to the duty now.
+func (k *Keeper) LeaseState(now time.Time, name string) LeaseState {
 	if d := k.duties[name]; d != nil {
 		return k.standing(now, d)
 	}
 	return NotHolder
 }
 
-func (k *Keeper) standing(now time.Time, d *duty) Standing {
+func (k *Keeper) standing(now time.Time, d *duty) LeaseState {
 	switch {
 	case !d.holding:
 		return NotHolder
@@ -206,9 +206,9 @@
 	return true
 }
 
-// Owners lists the holders known, for peers that do not read the service.
-func (k *Keeper) Owners() []Owner {
-	var all []Owner
+// KnownHolders lists the holders known, for peers that do not read the service.
+func (k *Keeper) KnownHolders() []KnownHolder {
+	var all []KnownHolder
 	for _, name := range k.order {
 		if d := k.duties[name]; d.seen.Epoch > 0 {
 			all = append(all, k.ownerOf(d))
@@ -217,15 +217,15 @@
 	return all
 }
 
-func (k *Keeper) ownerOf(d *duty) Owner {
-	o, _ := k.Owner(time.Time{}, d.name)
+func (k *Keeper) ownerOf(d *duty) KnownHolder {
+	o, _ := k.KnownHolder(time.Time{}, d.name)
 	return o
 }
 
 // Heard takes in a holder told by a peer. It is a hint: it never extends a
 // lease and starts no take-over by itself, but it ends this process's holding
 // if it tells of a successor, and makes a candidate read at once.
-func (k *Keeper) Heard(now time.Time, o Owner) {
+func (k *Keeper) Heard(now time.Time, o KnownHolder) {
 	d := k.duties[o.Duty]
 	if d == nil || o.Epoch < d.seen.Epoch {
 		return
@@ -257,7 +257,7 @@
 func (k *Keeper) note(now time.Time, d *duty) {
 	if s := k.standing(now, d); s != d.told {
 		d.told = s
-		k.changes = append(k.changes, Change{Duty: d.name, Epoch: d.seen.Epoch, Standing: s})
+		k.changes = append(k.changes, Change{Duty: d.name, Epoch: d.seen.Epoch, LeaseState: s})
 	}
 }
 
@@ -286,7 +286,7 @@
 		if d.busy {
 			continue
 		}
-		action, any := k.next(now, d, rnd, takeovers < k.config.MaxPerTick)
+		action, any := k.next(now, d, rnd, takeovers < k.config.MaxTakeoversPerTick)
 		if !any {
 			continue
 		}
--- a/internal/policy/duties/record.go
+++ b/internal/policy/duties/record.go
@@ -31,13 +31,13 @@
 	Alive   bool   // it gave a sign of life lately; the list alone is no proof
 }
 
-// Standing is how a process stands to a duty.
-type Standing int
+// LeaseState is how a process stands to a duty.
+type LeaseState int
 
 // The standings.
 const (
 	// NotHolder: another process holds the duty, or none.
-	NotHolder Standing = iota
+	NotHolder LeaseState = iota
 	// Holder: the lease runs.
 	Holder
 	// Lapsed: the lease ran out unrenewed and no successor is known, as in an
@@ -48,13 +48,13 @@
 
 // Change is a new standing of this process to a duty.
 type Change struct {
-	Duty     string
-	Epoch    int64
-	Standing Standing
+	Duty       string
+	Epoch      int64
+	LeaseState LeaseState
 }
 
-// Owner is the holder of a duty as last known.
-type Owner struct {
+// KnownHolder is the holder of a duty as last known.
+type KnownHolder struct {
 	Duty    string
 	Address string // empty: none is known
 	Epoch   int64
@@ -83,43 +83,43 @@
 
 // The outcomes of a write.
 const (
-	Swapped Outcome = iota // it took effect
-	Refused                // another write was first
-	NotSent                // it certainly had no effect
-	Unclear                // it may have taken effect or may still do so
+	Swapped       Outcome = iota // it took effect
+	Conflict                     // another write was first
+	NotApplied                   // it certainly had no effect
+	Indeterminate                // it may have taken effect or may still do so
 )
 
 // Config holds the policy's parameters.
 type Config struct {
-	TTL           time.Duration // of a lease
-	Margin        time.Duration // holder and challenger each keep it
-	Renew         time.Duration // between renewals
-	Poll          time.Duration // between a candidate's reads
-	Jitter        time.Duration // spread of take-overs after a lapse
-	Candidates    int           // entries that stand ready for each duty
-	MaxPerTick    int           // take-overs that one entry begins at a time
-	HandBackAfter time.Duration // before a duty goes back to the entry it should be on
+	TTL                 time.Duration // of a lease
+	Margin              time.Duration // holder and challenger each keep it
+	RenewInterval       time.Duration // between renewals
+	PollInterval        time.Duration // between a candidate's reads
+	Jitter              time.Duration // spread of take-overs after a lapse
+	Candidates          int           // entries that stand ready for each duty
+	MaxTakeoversPerTick int           // take-overs that one entry begins at a time
+	HandBackAfter       time.Duration // before a duty goes back to the entry it should be on
 
-	EarlyPrefixes []string      // of duties whose receivers check epochs; see Probes
-	ProbeEvery    time.Duration // between questions to their holders, and the longest wait for an answer
-	ProbeMisses   int           // questions in vain before such a duty is taken
-	EarlyPause    time.Duration // between two changes of holder without a lapse
+	EarlyTakeoverPrefixes []string      // of duties whose receivers check epochs; see Probes
+	ProbeInterval         time.Duration // between questions to their holders, and the longest wait for an answer
+	ProbeFailureThreshold int           // questions in vain before such a duty is taken
+	EarlyTakeoverInterval time.Duration // between two changes of holder without a lapse
 }
 
 // DefaultConfig returns the parameters that siskinloomd uses.
 func DefaultConfig() Config {
 	const ttl = 5 * time.Second
 	return Config{
-		TTL:           ttl,
-		Margin:        ttl / 10,
-		Renew:         ttl / 3,
-		Poll:          ttl / 3,
-		Jitter:        ttl / 5,
-		Candidates:    3,
-		MaxPerTick:    4,
-		HandBackAfter: 3 * ttl,
-		ProbeEvery:    400 * time.Millisecond,
-		ProbeMisses:   3,
-		EarlyPause:    2 * ttl,
+		TTL:                   ttl,
+		Margin:                ttl / 10,
+		RenewInterval:         ttl / 3,
+		PollInterval:          ttl / 3,
+		Jitter:                ttl / 5,
+		Candidates:            3,
+		MaxTakeoversPerTick:   4,
+		HandBackAfter:         3 * ttl,
+		ProbeInterval:         400 * time.Millisecond,
+		ProbeFailureThreshold: 3,
+		EarlyTakeoverInterval: 2 * ttl,
 	}
 }
--- a/internal/policy/duties/steps.go
+++ b/internal/policy/duties/steps.go
@@ -108,14 +108,14 @@
 	}}
 }
 
-// Observed takes in a record that was read. ok false means that the read failed.
-func (k *Keeper) Observed(now time.Time, name string, record Record, revision int64, ok bool) {
+// ReadDone takes in a record that was read. ok false means that the read failed.
+func (k *Keeper) ReadDone(now time.Time, name string, record Record, revision int64, ok bool) {
 	d := k.duties[name]
 	if d == nil {
 		return
 	}
 	d.busy = false
-	d.nextRead = now.Add(k.config.Poll)
+	d.nextRead = now.Add(k.config.PollInterval)
 	if !ok {
 		return
 	}
@@ -163,20 +163,20 @@
 func (k *Keeper) hold(d *duty, sent time.Time) {
 	d.holding = true
 	d.until = sent.Add(k.config.TTL - k.config.Margin)
-	d.renewAt = sent.Add(k.config.Renew)
+	d.renewAt = sent.Add(k.config.RenewInterval)
 	d.unsettled = time.Time{}
 }
 
-// Written takes in what became of a write. Current and revision are what stands
+// WriteDone takes in what became of a write. Current and revision are what stands
 // after it, for Swapped and Refused.
-func (k *Keeper) Written(now time.Time, action Action, outcome Outcome, current Record, revision int64) {
+func (k *Keeper) WriteDone(now time.Time, action Action, outcome Outcome, current Record, revision int64) {
 	d, sent := k.duties[action.Duty], action.Sent
 	if d == nil {
 		return
 	}
 	d.busy = false
 	switch outcome {
-	case Swapped, Refused:
+	case Swapped, Conflict:
 		if outcome == Swapped && d.unsettled.Before(sent) {
 			d.unsettled = sent
 		}
@@ -184,12 +184,12 @@
 		if outcome == Swapped && action.Record.Released {
 			k.offer(d, action.Record.Epoch)
 		}
-	case NotSent:
+	case NotApplied:
 		if d.unsettled.Equal(sent) {
 			d.unsettled = time.Time{}
 		}
 		k.retryLater(now, d)
-	case Unclear:
+	case Indeterminate:
 		// The record may be this process's own without its knowing. It acts
 		// on nothing but the lease it had, until a read tells.
 		d.known = false
@@ -201,7 +201,7 @@
 
 // retryLater keeps calls that fail at once, as in an outage, from spinning.
 func (k *Keeper) retryLater(now time.Time, d *duty) {
-	pause := k.config.Renew / 4
+	pause := k.config.RenewInterval / 4
 	d.nextRead = now.Add(pause)
 	d.renewAt = now.Add(pause)
 	if !d.holding {
