--- a/internal/policy/duties/duties_test.go
+++ b/internal/policy/duties/duties_test.go
@@ -16,13 +16,13 @@
 	RunSpecs(t, "duties")
 }
 
-// table is the key-value service's record of one duty.
-type table struct {
+// kvRecord is a fake of the key-value service that holds the record of one duty.
+type kvRecord struct {
 	record   duties.Record
 	revision int64
 }
 
-func (t *table) swap(a duties.Action) bool {
+func (t *kvRecord) swap(a duties.Action) bool {
 	if a.Expected != t.revision {
 		return false
 	}
@@ -31,8 +31,8 @@
 	return true
 }
 
-// carryOut answers every action of a tick at once.
-func (t *table) carryOut(k *duties.Keeper, now time.Time, actions []duties.Action) {
+// execute executes the actions of a Tick and passes their results to k at once.
+func (t *kvRecord) execute(k *duties.Keeper, now time.Time, actions []duties.Action) {
 	for _, a := range actions {
 		if a.Kind == duties.Read {
 			k.ReadDone(now, a.Duty, t.record, t.revision, true)
@@ -52,9 +52,9 @@
 	var config duties.Config
 	var rnd *rand.Rand
 	var now time.Time
-	var t *table
-	var a, b *duties.Keeper // a is the first choice
-	var other duties.Member // b's
+	var t *kvRecord
+	var a, b *duties.Keeper // a is the preferred holder
+	var other duties.Member // the member of b
 	both := []duties.Member{{ID: "entry-1", Address: "127.0.0.1:1"}, {ID: "entry-2", Address: "127.0.0.1:2"}}
 
 	newKeeper := func(self duties.Member, boot string) *duties.Keeper {
@@ -65,7 +65,7 @@
 	}
 	step := func(keepers ...*duties.Keeper) {
 		for _, k := range keepers {
-			t.carryOut(k, now, k.Tick(now, rnd))
+			t.execute(k, now, k.Tick(now, rnd))
 		}
 		now = now.Add(100 * time.Millisecond)
 	}
@@ -74,7 +74,7 @@
 			step(keepers...)
 		}
 	}
-	mine := func(k *duties.Keeper) bool {
+	isHolder := func(k *duties.Keeper) bool {
 		_, holds := k.KnownHolder(now, name)
 		return holds
 	}
@@ -83,41 +83,41 @@
 		config = duties.DefaultConfig()
 		rnd = rand.New(rand.NewPCG(1, 2))
 		now = time.Unix(100, 0)
-		t = &table{}
+		t = &kvRecord{}
 		a, b = newKeeper(both[0], "boot-a"), newKeeper(both[1], "boot-b")
 		run(time.Second, a, b)
 		other = both[1]
-		if mine(b) {
+		if isHolder(b) {
 			a, b, other = b, a, both[0]
 		}
-		Expect(mine(a)).To(BeTrue())
-		Expect(mine(b)).To(BeFalse())
+		Expect(isHolder(a)).To(BeTrue())
+		Expect(isHolder(b)).To(BeFalse())
 	})
 
-	It("keeps a duty by renewing it under one epoch", func() {
+	It("keeps a duty by renewing its lease under the same epoch", func() {
 		run(time.Minute, a, b)
-		Expect(mine(a)).To(BeTrue())
+		Expect(isHolder(a)).To(BeTrue())
 		Expect(t.record.Epoch).To(Equal(int64(1)))
 	})
 
-	// The holder is paused past its lease and wakes. Its own clock tells it at
-	// its first look that it may not act, while its successor holds the duty
+	// The holder is paused beyond the end of its lease and resumes. Its own clock
+	// shows at once that its lease has expired, while its successor holds the duty
 	// under a higher epoch.
-	It("stops a holder that was paused past its lease", func() {
+	It("stops a holder that was paused beyond the end of its lease", func() {
 		run(2*config.TTL, b)
-		Expect(mine(b)).To(BeTrue())
+		Expect(isHolder(b)).To(BeTrue())
 		Expect(t.record.Epoch).To(Equal(int64(2)))
-		Expect(mine(a)).To(BeFalse())
+		Expect(isHolder(a)).To(BeFalse())
 		Expect(a.LeaseState(now, name)).To(Equal(duties.Lapsed))
 		step(a)
 		run(config.TTL, a, b)
 		Expect(a.LeaseState(now, name) == duties.Holder && b.LeaseState(now, name) == duties.Holder).To(BeFalse())
 	})
 
-	// A renewal is on its way, unanswered, and a read shows the old revision.
-	// Challengers count from that revision; had the holder counted its lease
-	// from the renewal, it would act beside its successor.
-	It("extends nothing by a renewal that has not taken effect", func() {
+	// A renewal has been sent and not answered, and a read returns the old
+	// revision. Challengers measure the lease from that revision. If the holder
+	// measured it from the renewal, it would act at the same time as its successor.
+	It("does not extend the lease by a renewal that has not taken effect", func() {
 		var renewal duties.Action
 		for renewal.Record.Epoch == 0 {
 			for _, action := range a.Tick(now, rnd) {
@@ -133,12 +133,12 @@
 		Expect(reads[0].Kind).To(Equal(duties.Read))
 		a.ReadDone(now, name, t.record, t.revision, true)
 		now = renewedAt.Add(config.TTL - config.Margin - config.RenewInterval/2)
-		Expect(mine(a)).To(BeFalse())
+		Expect(isHolder(a)).To(BeFalse())
 	})
 
-	// A release is sent and its answer lost; a read still shows the old record.
-	// The release may yet arrive and let the successor begin at once.
-	It("never acts again under an epoch it has given up", func() {
+	// A release is sent and its answer is lost; a read still returns the old record.
+	// The release may arrive later and let the successor start at once.
+	It("never acts again under an epoch that it has released", func() {
 		a.Stop()
 		actions := a.Tick(now, rnd)
 		Expect(actions).To(HaveLen(1))
@@ -148,24 +148,24 @@
 		Expect(a.LeaseState(now, name)).To(Equal(duties.NotHolder))
 		Expect(t.swap(actions[0])).To(BeTrue())
 		run(2*config.TTL, b)
-		Expect(mine(b)).To(BeTrue())
+		Expect(isHolder(b)).To(BeTrue())
 		Expect(t.record.Epoch).To(Equal(int64(2)))
 	})
 
-	It("hands over at a planned stop within one poll", func() {
+	It("hands a duty over within one poll interval at a planned stop", func() {
 		a.Stop()
 		step(a, b)
 		Expect(a.Idle()).To(BeTrue())
 		b.SetMembers(now, []duties.Member{other})
 		run(config.PollInterval, b)
-		Expect(mine(b)).To(BeTrue())
+		Expect(isHolder(b)).To(BeTrue())
 		Expect(t.record.Epoch).To(Equal(int64(2)))
 	})
 
-	// The holder stops; nobody but it knows yet that it leaves, and the successor
-	// polled a moment ago. Without an offer the duty stands idle until the next
-	// poll, and for a whole lease if the successor's list still names the holder
-	// first: calls that need the duty run out of time.
+	// The holder stops. No other process knows yet that it leaves, and the successor
+	// has just polled. Without an offer nobody holds the duty until the next poll, or
+	// for a whole lease if the holder is still the first candidate in the successor's
+	// list, and calls that need the duty time out.
 	It("takes a released duty at once when its holder offers it", func() {
 		run(config.PollInterval, a, b)
 		a.Stop()
@@ -178,14 +178,14 @@
 		Expect(b.Offered(now, name, 1)).To(BeTrue())
 		step(b)
 		step(b)
-		Expect(mine(b)).To(BeTrue())
+		Expect(isHolder(b)).To(BeTrue())
 		Expect(t.record.Epoch).To(Equal(int64(2)))
 		Expect(b.Offered(now, name, 1)).To(BeFalse())
 		Expect(a.Offered(now, name, 2)).To(BeFalse())
 	})
 
-	// The offer overtakes the answer of a read that began before the release.
-	It("reads once more when an offer comes during a read", func() {
+	// The offer arrives before the answer of a read that started before the release.
+	It("reads the record again when an offer arrives during a read", func() {
 		run(2*config.PollInterval, a, b)
 		before, revision := t.record, t.revision
 		now = now.Add(config.PollInterval)
@@ -197,13 +197,13 @@
 		b.ReadDone(now, name, before, revision, true)
 		step(b)
 		step(b)
-		Expect(mine(b)).To(BeTrue())
+		Expect(isHolder(b)).To(BeTrue())
 	})
 
-	// A caller is told "not run" because the lease proves that nobody else can
-	// have run its request. A release before that answer's deadline would let
-	// the successor run a repeat while the answer is still on its way.
-	It("releases nothing before what was promised", func() {
+	// A caller gets "not run" because the lease proves that no other process can
+	// have run its request. A release before the deadline of that answer would let
+	// the successor run a retry while the answer is still in transit.
+	It("does not release a duty before the promised time", func() {
 		epoch, until := a.HeldUntil(now, name)
 		Expect(epoch).To(Equal(int64(1)))
 		Expect(a.Promise(now, name, 1, until.Add(1))).To(BeFalse())
@@ -223,10 +223,10 @@
 	It("treats a restarted process as another holder", func() {
 		again := newKeeper(both[0], "boot-c")
 		run(config.TTL/2, again)
-		Expect(mine(again)).To(BeFalse())
+		Expect(isHolder(again)).To(BeFalse())
 	})
 
-	It("tells each change of standing once", func() {
+	It("reports each change of the lease state once", func() {
 		Expect(a.Changes()).To(Equal([]duties.Change{{Duty: name, Epoch: 1, LeaseState: duties.Holder}}))
 		Expect(a.Changes()).To(BeEmpty())
 		now = now.Add(config.TTL)
--- a/internal/policy/duties/offer.go
+++ b/internal/policy/duties/offer.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Offer tells the members that stand ready for a duty that its holder has
-// released it, the one that should take it first. Without it they notice with
-// their next poll, and only the one that knows of the holder's leaving takes
-// the duty before a whole lease has passed.
+// Offer notifies the candidates for a duty that its holder has released it. Without
+// an offer they notice the release at their next poll. Then only the candidate that
+// should hold the duty takes it at once; if it doesn't know yet that the old holder
+// leaves, a whole lease passes.
 type Offer struct {
 	Duty  string
-	Epoch int64 // under which it was released
-	To    []Member
+	Epoch int64    // epoch that was released
+	To    []Member // in the order in which to offer the duty, the preferred holder first
 }
 
-// Offers returns the offers due since the last call. Whoever sends one goes on
-// to the next member if one does not accept; an offer that reaches nobody, or
-// comes twice, costs time only.
+// Offers returns the new offers since the last call. The sender of an offer
+// continues with the next member if one doesn't accept it. An offer that is lost or
+// arrives twice only costs time.
 func (k *Keeper) Offers() []Offer {
 	due := k.offers
 	k.offers = nil
 	return due
 }
 
-// offer notes a release that certainly took effect.
-func (k *Keeper) offer(d *duty, epoch int64) {
+// addOffer adds the offer for a release that certainly took effect.
+func (k *Keeper) addOffer(d *duty, epoch int64) {
 	o := Offer{Duty: d.name, Epoch: epoch}
 	for _, m := range k.candidates(d) {
 		if m.ID != k.self.ID {
@@ -34,33 +34,35 @@
 	}
 }
 
-// Offered takes in an offer of another process and tells whether this one will
-// try to take the duty. An offer gives no right by itself: the record is read
-// and swapped as ever. It lets a process take a released duty that another
-// seems to be owed, since the list of members may be behind.
+// Offered handles an offer of another process and reports whether this one will try
+// to take the duty. An offer doesn't grant the duty: the record is read and swapped
+// as for any takeover. It allows a process to take a released duty although another
+// member should hold it according to its list of members, which may be outdated.
 func (k *Keeper) Offered(now time.Time, name string, epoch int64) bool {
 	d := k.duties[name]
-	if d == nil || k.stopping || epoch < d.seen.Epoch || d.holding {
+	if d == nil || k.stopping || epoch < d.lastRecord.Epoch || d.holding {
 		return false
 	}
-	d.offered = epoch
-	d.reread = d.busy
-	d.known = false
+	d.offeredEpoch = epoch
+	d.readAgain = d.callPending
+	d.recordKnown = false
 	d.nextRead = now
 	return true
 }
 
-// mayTakeOffered tells whether the record is free and was offered to this process.
+// mayTakeOffered reports whether the duty is released and was offered to this
+// process.
 func (d *duty) mayTakeOffered() bool {
-	return d.seen.Released && d.offered == d.seen.Epoch && d.offered > 0
+	return d.lastRecord.Released && d.offeredEpoch == d.lastRecord.Epoch && d.offeredEpoch > 0
 }
 
-// lookAgain has the record read once more if an offer came during a call: the
-// call may have begun before the release, and the next poll is long off.
-func (d *duty) lookAgain(now time.Time) {
-	if d.reread {
-		d.reread = false
-		d.known = false
+// scheduleReread schedules another read of the record if an offer arrived during a
+// call. The call may have started before the release, and the next poll may be far
+// off.
+func (d *duty) scheduleReread(now time.Time) {
+	if d.readAgain {
+		d.readAgain = false
+		d.recordKnown = false
 		d.nextRead = now
 	}
 }
--- a/internal/policy/duties/early_test.go
+++ b/internal/policy/duties/probe_test.go
@@ -10,15 +10,15 @@
 	"siskinloom.example/siskinloom/internal/policy/duties"
 )
 
-var _ = Describe("a duty whose receivers check epochs", func() {
+var _ = Describe("Keeper with a duty whose receivers check epochs", func() {
 	const weights = "weights/tone"
 	both := []duties.Member{{ID: "entry-1", Address: "127.0.0.1:1"}, {ID: "entry-2", Address: "127.0.0.1:2"}}
 	var config duties.Config
 	var rnd *rand.Rand
 	var now time.Time
-	var t *table
+	var t *kvRecord
 	var keepers map[string]*duties.Keeper // by address
-	var cut bool                          // the entries do not reach each other
+	var cut bool                          // the entries can't reach each other
 
 	start := func(names ...string) {
 		for i, m := range both {
@@ -28,16 +28,17 @@
 			keepers[m.Address] = k
 		}
 	}
-	// run steps the entries that live; a dead or unreachable one answers nothing.
+	// run advances the live entries until the condition holds, for at most d. Dead
+	// and unreachable entries don't answer probes.
 	run := func(d time.Duration, until func() bool) time.Duration {
-		begun := now
-		for now.Sub(begun) < d && !until() {
+		started := now
+		for now.Sub(started) < d && !until() {
 			for _, m := range both {
 				k := keepers[m.Address]
 				if k == nil {
 					continue
 				}
-				t.carryOut(k, now, k.Tick(now, rnd))
+				t.execute(k, now, k.Tick(now, rnd))
 				for _, o := range k.Probes(now) {
 					other := keepers[o.Address]
 					holds := other != nil && !cut && other.LeaseState(now, o.Duty) != duties.NotHolder
@@ -46,7 +47,7 @@
 			}
 			now = now.Add(100 * time.Millisecond)
 		}
-		return now.Sub(begun)
+		return now.Sub(started)
 	}
 	holder := func(name string) string {
 		for address, k := range keepers {
@@ -63,43 +64,44 @@
 		config.EarlyTakeoverPrefixes = []string{"weights/"}
 		rnd = rand.New(rand.NewPCG(1, 1))
 		now = time.Unix(1000, 0)
-		t = &table{}
+		t = &kvRecord{}
 		keepers = map[string]*duties.Keeper{}
 		cut = false
 	})
 
-	// The entry that rolls weights out dies in the middle. Its lease runs on for
-	// 5 s, and nobody loads meanwhile. The next candidate asks it, three times in
-	// vain, and goes on under the next epoch.
-	It("is taken soon after its holder died", func() {
+	// The entry that rolls out weights dies during the rollout. Its lease lasts for
+	// another 5 s, in which no weights would be loaded. The next candidate probes it,
+	// fails three times, and continues under the next epoch.
+	It("takes it over soon after its holder died", func() {
 		start(weights)
 		run(20*time.Second, never)
 		first, epoch := holder(weights), t.record.Epoch
 		delete(keepers, first)
-		took := run(20*time.Second, func() bool { return holder(weights) != "" })
-		Expect(took).To(BeNumerically("<=", 1700*time.Millisecond))
+		elapsed := run(20*time.Second, func() bool { return holder(weights) != "" })
+		Expect(elapsed).To(BeNumerically("<=", 1700*time.Millisecond))
 		Expect(t.record.Epoch).To(Equal(epoch + 1))
 	})
 
-	It("stays with a holder that answers", func() {
+	It("leaves it to a holder that answers", func() {
 		start(weights)
 		run(time.Minute, never)
 		Expect(t.record.Epoch).To(Equal(int64(1)))
 	})
 
-	// Claims are safe only while one owner acts at a time.
-	It("is no other duty", func() {
+	// Claims are safe only if one owner acts at a time.
+	It("waits for the end of the lease of any other duty", func() {
 		start(name)
 		run(20*time.Second, never)
 		delete(keepers, holder(name))
-		took := run(20*time.Second, func() bool { return holder(name) != "" })
-		Expect(took).To(BeNumerically(">", config.TTL))
+		elapsed := run(20*time.Second, func() bool { return holder(name) != "" })
+		Expect(elapsed).To(BeNumerically(">", config.TTL))
 	})
 
-	// Two entries do not reach each other, but both reach the key-value service.
-	// Each finds the other gone. If they took the duty in turn at once, every
-	// agent would be asked anew all the time, and no weights would be loaded.
-	It("does not pass to and fro between entries that are cut off from each other", func() {
+	// Two entries can't reach each other, but both reach the key-value service. The
+	// probes of both fail. If they elapsed the duty from each other in turn without
+	// delay, every agent would be queried again all the time, and no weights would be
+	// loaded.
+	It("rarely moves it between entries that are cut off from each other", func() {
 		start(weights)
 		run(20*time.Second, never)
 		cut = true
--- a/internal/policy/duties/record.go
+++ b/internal/policy/duties/record.go
@@ -1,109 +1,111 @@
-// Package duties decides who holds the named duties of a deployment: control
-// work, such as owning a trainer's feed, that one entry at a time does.
+// Package duties decides which entry holds each named duty of a deployment. A duty
+// is control work, such as owning a trainer's feed, that only one entry does at a
+// time.
 //
-// Rendezvous hashing over the live entries says who should hold a duty; a
-// record in the key-value service says who does, with an epoch that only grows.
-// The record is never deleted, so an epoch is never used twice. A holder counts
-// its lease from before it sent the write, less a margin; a challenger counts
-// from when it first saw the record's revision, plus a margin. Both use their
-// own monotonic clocks, so neither a clock step nor a disagreement between
-// clocks can make two leases overlap. What a paused holder still sends after it
-// wakes is refused by its receivers, which keep the highest epoch seen.
+// Rendezvous hashing over the live entries determines which entry should hold a
+// duty. A record in the key-value service determines which entry holds it, with an
+// epoch that only increases and serves as a fencing token. The record is never
+// deleted, so an epoch is never reused. The holder measures its lease from the time
+// before it sent the write and subtracts a margin; a challenger measures it from
+// the time it first saw the revision of the record and adds a margin. Both use
+// their own monotonic clocks, so neither a clock step nor a difference between
+// clocks can make two leases overlap. Messages that a paused holder sends after it
+// resumes are rejected by their receivers, which remember the highest epoch seen.
 package duties
 
 import "time"
 
-// Record is the value kept for one duty.
+// Record is the value stored in the key-value service for one duty.
 type Record struct {
 	Duty     string `json:"duty"`
 	Instance string `json:"instance"`
-	Boot     string `json:"boot"` // of the holder's process; a restart is another holder
+	Boot     string `json:"boot"` // unique ID of the holder's process; a restarted process is another holder
 	Address  string `json:"address"`
 	Epoch    int64  `json:"epoch"`
-	Released bool   `json:"released"` // given up; the next holder need not wait
+	Released bool   `json:"released"` // released by the holder; the next one needn't wait for the lease to end
 }
 
 // Member is an entry that can hold duties.
 type Member struct {
 	ID      string
-	Address string // ip:port of the inner protocol
+	Address string // ip:port for the internal protocol
 	Domain  string // failure domain
-	Alive   bool   // it gave a sign of life lately; the list alone is no proof
+	Alive   bool   // it was heard from recently; being listed doesn't prove that it is alive
 }
 
-// LeaseState is how a process stands to a duty.
+// LeaseState is the state of this process's lease on a duty.
 type LeaseState int
 
-// The standings.
+// The states of a lease.
 const (
-	// NotHolder: another process holds the duty, or none.
+	// NotHolder means that another process or none holds the duty.
 	NotHolder LeaseState = iota
-	// Holder: the lease runs.
+	// Holder means that this process holds the duty and its lease is valid.
 	Holder
-	// Lapsed: the lease ran out unrenewed and no successor is known, as in an
-	// outage of the key-value service. Only work whose receivers check the epoch
-	// may go on.
+	// Lapsed means that the lease expired without renewal and no successor is
+	// known, for example during an outage of the key-value service. Only work
+	// whose receivers check the epoch may continue.
 	Lapsed
 )
 
-// Change is a new standing of this process to a duty.
+// Change is a change of the state of this process's lease on a duty.
 type Change struct {
 	Duty       string
 	Epoch      int64
 	LeaseState LeaseState
 }
 
-// KnownHolder is the holder of a duty as last known.
+// KnownHolder is the last known holder of a duty.
 type KnownHolder struct {
 	Duty    string
-	Address string // empty: none is known
+	Address string // empty if no holder is known
 	Epoch   int64
 }
 
-// ActionKind is what the runtime has to do.
+// ActionKind is the kind of call that the runtime has to make.
 type ActionKind int
 
 // The kinds of action.
 const (
-	Read  ActionKind = iota // get the record and pass it to Observed
-	Write                   // compare-and-swap and pass the result to Written
+	Read  ActionKind = iota // read the record and pass it to Keeper.ReadDone
+	Write                   // compare-and-swap the record and pass the outcome to Keeper.WriteDone
 )
 
 // Action is one call to the key-value service.
 type Action struct {
 	Kind     ActionKind
 	Duty     string
-	Sent     time.Time // when the policy decided on it
-	Expected int64     // revision that a write expects
+	Sent     time.Time // when the Keeper returned the action
+	Expected int64     // revision that a write expects; 0 if the record must not exist
 	Record   Record
 }
 
-// Outcome is what became of a write.
+// Outcome is the outcome of a write.
 type Outcome int
 
 // The outcomes of a write.
 const (
-	Swapped       Outcome = iota // it took effect
-	Conflict                     // another write was first
-	NotApplied                   // it certainly had no effect
-	Indeterminate                // it may have taken effect or may still do so
+	Swapped       Outcome = iota // the write took effect
+	Conflict                     // the record had another revision than expected
+	NotApplied                   // the write certainly had no effect
+	Indeterminate                // the write may have taken effect or may still do so
 )
 
-// Config holds the policy's parameters.
+// Config holds the parameters of a Keeper.
 type Config struct {
-	TTL                 time.Duration // of a lease
-	Margin              time.Duration // holder and challenger each keep it
-	RenewInterval       time.Duration // between renewals
-	PollInterval        time.Duration // between a candidate's reads
-	Jitter              time.Duration // spread of take-overs after a lapse
-	Candidates          int           // entries that stand ready for each duty
-	MaxTakeoversPerTick int           // take-overs that one entry begins at a time
-	HandBackAfter       time.Duration // before a duty goes back to the entry it should be on
+	TTL                 time.Duration // duration of a lease
+	Margin              time.Duration // safety margin that the holder subtracts from the TTL and a challenger adds to it
+	RenewInterval       time.Duration // interval between renewals
+	PollInterval        time.Duration // interval between a candidate's reads of the record
+	Jitter              time.Duration // random delay of a takeover after a lease has expired, and extra delay per rank
+	Candidates          int           // entries that may take over each duty
+	MaxTakeoversPerTick int           // limit of takeovers that one entry starts in a Tick
+	HandBackAfter       time.Duration // how long a duty stays with its holder after another entry should hold it
 
-	EarlyTakeoverPrefixes []string      // of duties whose receivers check epochs; see Probes
-	ProbeInterval         time.Duration // between questions to their holders, and the longest wait for an answer
-	ProbeFailureThreshold int           // questions in vain before such a duty is taken
-	EarlyTakeoverInterval time.Duration // between two changes of holder without a lapse
+	EarlyTakeoverPrefixes []string      // name prefixes of the duties whose receivers check epochs; see Probes
+	ProbeInterval         time.Duration // interval between probes of their holders, and the timeout of a probe
+	ProbeFailureThreshold int           // failed probes in a row after which such a duty is taken over
+	EarlyTakeoverInterval time.Duration // minimum time between a change of the epoch and a takeover before the lease has ended
 }
 
 // DefaultConfig returns the parameters that siskinloomd uses.
--- a/internal/policy/duties/steps.go
+++ b/internal/policy/duties/steps.go
@@ -5,58 +5,59 @@
 	"time"
 )
 
-// next decides on one duty.
-func (k *Keeper) next(now time.Time, d *duty, rnd *rand.Rand, mayTake bool) (Action, bool) {
+// nextAction returns the call that is due for one duty; false if none is.
+func (k *Keeper) nextAction(now time.Time, d *duty, rnd *rand.Rand, mayTake bool) (Action, bool) {
 	if d.holding {
-		return k.nextOfHolder(now, d)
+		return k.nextHolderAction(now, d)
 	}
-	if k.stopping || d.rank < 0 && d.offered < max(d.seen.Epoch, 1) {
+	if k.stopping || d.rank < 0 && d.offeredEpoch < max(d.lastRecord.Epoch, 1) {
 		return Action{}, false
 	}
-	if !d.known || !now.Before(d.nextRead) {
+	if !d.recordKnown || !now.Before(d.nextRead) {
 		if now.Before(d.nextRead) {
 			return Action{}, false
 		}
 		return Action{Kind: Read, Duty: d.name}, true
 	}
 	if mayTake && k.mayTake(now, d, rnd) {
-		return k.write(d, d.seen.Epoch+1, false), true
+		return k.newWrite(d, d.lastRecord.Epoch+1, false), true
 	}
 	return Action{}, false
 }
 
-// nextOfHolder renews, gives up or, after an unclear write, reads.
-func (k *Keeper) nextOfHolder(now time.Time, d *duty) (Action, bool) {
-	if !d.known {
+// nextHolderAction returns the due call for a duty that this process holds: a
+// renewal, a release, or a read after a write of unknown outcome.
+func (k *Keeper) nextHolderAction(now time.Time, d *duty) (Action, bool) {
+	if !d.recordKnown {
 		if now.Before(d.nextRead) {
 			return Action{}, false
 		}
 		return Action{Kind: Read, Duty: d.name}, true
 	}
-	if (k.stopping || k.handsBack(now, d)) && !now.Before(d.promised) {
-		d.holding = false // stop acting before others may begin
-		d.givenUp = d.seen.Epoch
-		k.note(now, d)
-		return k.write(d, d.seen.Epoch, true), true
+	if (k.stopping || k.shouldHandBack(now, d)) && !now.Before(d.noReleaseBefore) {
+		d.holding = false // stop acting as the holder before another entry may start
+		d.releasedEpoch = d.lastRecord.Epoch
+		k.recordChange(now, d)
+		return k.newWrite(d, d.lastRecord.Epoch, true), true
 	}
 	if now.Before(d.renewAt) {
 		return Action{}, false
 	}
-	// A lease that lapsed is taken anew with the next epoch: whoever saw the
-	// lapse may have acted on it.
-	epoch := d.seen.Epoch
-	if !now.Before(d.until) {
+	// An expired lease is renewed under the next epoch, since other processes may
+	// have acted on its expiry.
+	epoch := d.lastRecord.Epoch
+	if !now.Before(d.leaseUntil) {
 		epoch++
 	}
-	return k.write(d, epoch, false), true
+	return k.newWrite(d, epoch, false), true
 }
 
-// handsBack tells whether the duty goes back to the entry that should hold it.
-// Only an entry with more than its share gives duties away, and only to one
-// that gave a sign of life: the list may still name an entry that is dead, and a
-// duty handed to it would stand without a holder, over and over.
-func (k *Keeper) handsBack(now time.Time, d *duty) bool {
-	if d.wrongFor.IsZero() || now.Sub(d.wrongFor) <= k.config.HandBackAfter || !now.Before(d.until) || !d.owed.Alive {
+// shouldHandBack reports whether to release the duty to its preferred holder. An
+// entry hands duties back only if it holds more than its share, and only to an entry
+// that was heard from recently: the list may still name a dead entry, and a duty
+// handed to it would be without a holder again and again.
+func (k *Keeper) shouldHandBack(now time.Time, d *duty) bool {
+	if d.misplacedSince.IsZero() || now.Sub(d.misplacedSince) <= k.config.HandBackAfter || !now.Before(d.leaseUntil) || !d.preferred.Alive {
 		return false
 	}
 	held := 0
@@ -69,35 +70,38 @@
 	return held > share+1
 }
 
-// mayTake tells whether the record may be taken over now: it is absent or
-// released, or has stood unchanged for longer than any holder acts on it.
+// mayTake reports whether this process may take over the duty now: its record is
+// absent or released, or has been unchanged for longer than its holder may act on
+// it, or the holder failed its probes.
 func (k *Keeper) mayTake(now time.Time, d *duty, rnd *rand.Rand) bool {
 	if d.mayTakeOffered() {
 		return true
 	}
-	if d.revision == 0 || d.seen.Released {
-		return d.first || now.Sub(d.since) > k.config.TTL
+	if d.revision == 0 || d.lastRecord.Released {
+		return d.isPreferred || now.Sub(d.revisionSeenAt) > k.config.TTL
 	}
-	if d.seen.Instance == k.self.ID && d.seen.Boot == k.boot {
-		return true // its own, dropped after a release that did not go out
+	if d.lastRecord.Instance == k.self.ID && d.lastRecord.Boot == k.boot {
+		return true // its own record, given up, but the release was not sent
 	}
-	if k.gone(now, d) {
+	if k.holderGone(now, d) {
 		return true
 	}
-	if now.Sub(d.since) <= k.config.TTL+k.config.Margin {
-		d.claimAt = time.Time{}
+	if now.Sub(d.revisionSeenAt) <= k.config.TTL+k.config.Margin {
+		d.takeOverAt = time.Time{}
 		return false
 	}
-	// When a failure domain goes, many leases lapse at once; the draw spreads
-	// their take-over, and lower ranks leave the first one time.
-	if d.claimAt.IsZero() {
+	// When a failure domain fails, many leases expire at once. The random delay
+	// spreads their takeovers, and candidates of a higher rank number wait longer
+	// to leave the first one time.
+	if d.takeOverAt.IsZero() {
 		spread := time.Duration(rnd.Int64N(int64(k.config.Jitter) + 1))
-		d.claimAt = now.Add(spread + time.Duration(d.rank)*k.config.Jitter)
+		d.takeOverAt = now.Add(spread + time.Duration(d.rank)*k.config.Jitter)
 	}
-	return !now.Before(d.claimAt)
+	return !now.Before(d.takeOverAt)
 }
 
-func (k *Keeper) write(d *duty, epoch int64, release bool) Action {
+// newWrite returns the write that acquires, renews or releases the duty.
+func (k *Keeper) newWrite(d *duty, epoch int64, release bool) Action {
 	return Action{Kind: Write, Duty: d.name, Expected: d.revision, Record: Record{
 		Duty:     d.name,
 		Instance: k.self.ID,
@@ -108,103 +112,108 @@
 	}}
 }
 
-// ReadDone takes in a record that was read. ok false means that the read failed.
+// ReadDone handles the result of a Read. The revision is 0 if the record is absent;
+// ok is false if the read failed.
 func (k *Keeper) ReadDone(now time.Time, name string, record Record, revision int64, ok bool) {
 	d := k.duties[name]
 	if d == nil {
 		return
 	}
-	d.busy = false
+	d.callPending = false
 	d.nextRead = now.Add(k.config.PollInterval)
 	if !ok {
 		return
 	}
-	k.see(now, d, record, revision)
-	d.lookAgain(now)
-	k.note(now, d)
+	k.updateRecord(now, d, record, revision)
+	d.scheduleReread(now)
+	k.recordChange(now, d)
 }
 
-// see adopts what the service holds.
-func (k *Keeper) see(now time.Time, d *duty, record Record, revision int64) {
-	if !d.known || revision != d.revision {
-		d.since = now
-		d.claimAt = time.Time{}
+// updateRecord updates the duty with the record that the service holds, and starts
+// or ends the lease of this process accordingly.
+func (k *Keeper) updateRecord(now time.Time, d *duty, record Record, revision int64) {
+	if !d.recordKnown || revision != d.revision {
+		d.revisionSeenAt = now
+		d.takeOverAt = time.Time{}
 	}
 	if revision != d.revision {
-		d.early.renewed(now, record.Epoch)
+		d.probe.recordChanged(now, record.Epoch)
 	}
 	if revision == 0 {
-		record.Epoch = d.seen.Epoch // never below one that was seen
+		record.Epoch = d.lastRecord.Epoch // the epoch never decreases
 	}
-	d.known, d.seen, d.revision = true, record, revision
+	d.recordKnown, d.lastRecord, d.revision = true, record, revision
 	own := record.Instance == k.self.ID && record.Boot == k.boot && !record.Released && revision != 0
 	if !own {
 		d.holding = false
-		d.unsettled = time.Time{}
+		d.unsettledSince = time.Time{}
 		return
 	}
-	if record.Epoch <= d.givenUp {
-		// A release whose answer was lost may still arrive and let a successor
-		// begin at once, so this epoch is over although the record stands.
+	if record.Epoch <= d.releasedEpoch {
+		// A release whose answer was lost may still take effect and let a
+		// successor start at once. This process therefore doesn't act under this
+		// epoch any more, although the record still names it.
 		d.holding = false
 		return
 	}
-	if revision == d.held || d.unsettled.IsZero() {
-		// Challengers count from this very revision: a write that is still on
-		// its way extends nothing.
+	if revision == d.leaseRevision || d.unsettledSince.IsZero() {
+		// Challengers measure the lease from this revision, so a write that has
+		// not taken effect yet doesn't extend it.
 		return
 	}
-	d.held = revision
-	k.hold(d, d.unsettled)
+	d.leaseRevision = revision
+	k.startLease(d, d.unsettledSince)
 }
 
-// hold counts the lease from when its write was sent: the service cannot have
-// taken it in before, so no challenger can have begun to count earlier.
-func (k *Keeper) hold(d *duty, sent time.Time) {
+// startLease starts or extends the lease, measured from the time its write was sent.
+// The write can't have taken effect earlier, so no challenger can have started to
+// measure it earlier.
+func (k *Keeper) startLease(d *duty, sent time.Time) {
 	d.holding = true
-	d.until = sent.Add(k.config.TTL - k.config.Margin)
+	d.leaseUntil = sent.Add(k.config.TTL - k.config.Margin)
 	d.renewAt = sent.Add(k.config.RenewInterval)
-	d.unsettled = time.Time{}
+	d.unsettledSince = time.Time{}
 }
 
-// WriteDone takes in what became of a write. Current and revision are what stands
-// after it, for Swapped and Refused.
+// WriteDone handles the outcome of a Write. current and revision are the record and
+// its revision after the call; they are used for Swapped and Conflict only.
 func (k *Keeper) WriteDone(now time.Time, action Action, outcome Outcome, current Record, revision int64) {
 	d, sent := k.duties[action.Duty], action.Sent
 	if d == nil {
 		return
 	}
-	d.busy = false
+	d.callPending = false
 	switch outcome {
 	case Swapped, Conflict:
-		if outcome == Swapped && d.unsettled.Before(sent) {
-			d.unsettled = sent
+		if outcome == Swapped && d.unsettledSince.Before(sent) {
+			d.unsettledSince = sent
 		}
-		k.see(now, d, current, revision)
+		k.updateRecord(now, d, current, revision)
 		if outcome == Swapped && action.Record.Released {
-			k.offer(d, action.Record.Epoch)
+			k.addOffer(d, action.Record.Epoch)
 		}
 	case NotApplied:
-		if d.unsettled.Equal(sent) {
-			d.unsettled = time.Time{}
+		if d.unsettledSince.Equal(sent) {
+			d.unsettledSince = time.Time{}
 		}
 		k.retryLater(now, d)
 	case Indeterminate:
-		// The record may be this process's own without its knowing. It acts
-		// on nothing but the lease it had, until a read tells.
-		d.known = false
+		// The record may name this process without its knowledge. Until a read
+		// shows it, the process relies only on the lease it had before.
+		d.recordKnown = false
 		k.retryLater(now, d)
 	}
-	d.lookAgain(now)
-	k.note(now, d)
+	d.scheduleReread(now)
+	k.recordChange(now, d)
 }
 
-// retryLater keeps calls that fail at once, as in an outage, from spinning.
+// retryLater delays the next call after a failed one, so that calls that fail
+// immediately, as during an outage, don't spin.
 func (k *Keeper) retryLater(now time.Time, d *duty) {
-	pause := k.config.RenewInterval / 4
-	d.nextRead = now.Add(pause)
-	d.renewAt = now.Add(pause)
+	delay := k.config.RenewInterval / 4
+	d.nextRead = now.Add(delay)
+	d.renewAt = now.Add(delay)
 	if !d.holding {
-		d.claimAt = now.Add(pause)
+		d.takeOverAt = now.Add(delay)
 	}
 }
