--- a/internal/policy/platform/breaker.go
+++ b/internal/policy/platform/breaker.go
@@ -40,22 +40,22 @@
 // Config holds a breaker's parameters.
 type Config struct {
 	FailuresToOpen int           // failures in a row that mean an outage
-	SlowAfter      time.Duration // an answer later than this is slow
-	SlowToShed     int           // slow answers in a row that mean a slow service
+	SlowLatency      time.Duration // an answer later than this is slow
+	SlowAnswersToShed     int           // slow answers in a row that mean a slow service
 	ShedRank       Rank          // this rank and lower ones fail fast while it is slow
-	FirstWait      time.Duration // before the first probe
-	LongestWait    time.Duration // between probes
+	InitialBackoff      time.Duration // before the first probe
+	MaxBackoff    time.Duration // between probes
 }
 
 // DefaultConfig returns the parameters that siskinloomd uses.
 func DefaultConfig() Config {
 	return Config{
 		FailuresToOpen: 3,
-		SlowAfter:      200 * time.Millisecond,
-		SlowToShed:     5,
+		SlowLatency:      200 * time.Millisecond,
+		SlowAnswersToShed:     5,
 		ShedRank:       4,
-		FirstWait:      200 * time.Millisecond,
-		LongestWait:    3 * time.Second,
+		InitialBackoff:      200 * time.Millisecond,
+		MaxBackoff:    3 * time.Second,
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	if b.state == Down {
 		// A probe that is never reported must not shut the service out for good.
-		b.until = now.Add(b.config.LongestWait)
+		b.until = now.Add(b.config.MaxBackoff)
 		b.probing = true
 	}
 	return true
@@ -115,11 +115,11 @@
 	back := b.state == Down
 	b.failures, b.opened, b.probing = 0, 0, false
 	b.slow++
-	if took < b.config.SlowAfter {
+	if took < b.config.SlowLatency {
 		b.slow = 0
 	}
 	b.state = Up
-	if b.slow >= b.config.SlowToShed {
+	if b.slow >= b.config.SlowAnswersToShed {
 		b.state = Slow
 	}
 	return back
@@ -133,7 +133,7 @@
 	}
 	b.state = Down
 	b.probing = false
-	b.until = now.Add(Backoff(b.opened, b.config.FirstWait, b.config.LongestWait, rnd))
+	b.until = now.Add(Backoff(b.opened, b.config.InitialBackoff, b.config.MaxBackoff, rnd))
 	b.opened++
 }
 
