--- a/internal/policy/platform/budget.go
+++ b/internal/policy/platform/budget.go
@@ -1,7 +1,8 @@
 // Package platform decides when a process may call the platform's key-value
-// service: a budget of calls shared by all uses with priorities, and a breaker
-// that fails calls fast while the service is down and sheds lesser uses while it
-// is slow. It keeps no time of its own and is not safe for concurrent use.
+// service. Budget is a rate limit that all uses of the service share by priority.
+// Breaker is a circuit breaker that rejects all calls while the service is down and
+// the less important ones while it is slow. Callers pass in the current time. Neither
+// type is safe for concurrent use.
 package platform
 
 import (
@@ -10,44 +11,45 @@
 	"golang.org/x/time/rate"
 )
 
-// Rank orders the uses of the service; 0 is served first.
+// Rank is the priority of a use of the service. Rank 0 is the most important.
 type Rank int
 
 // Parameters of the budget.
 const (
-	// reservedShare of the burst is out of reach of the lowest rank, so that a
-	// flood of status reads never delays the renewal of a lease.
+	// reservedShare is the share of the burst that the least important rank cannot
+	// use, so that a flood of status reads never delays the renewal of a lease.
 	reservedShare = 0.6
-	// leastShare of the declared rate is what refusals by the service can bring
-	// the budget down to.
-	leastShare = 0.1
-	// recoveryStep of the declared rate comes back with each call served.
+	// minRateShare is the share of the declared rate below which refusals by the
+	// service do not lower the budget.
+	minRateShare = 0.1
+	// recoveryStep is the share of the declared rate that each served call restores.
 	recoveryStep = 0.02
 )
 
-// Budget is a token bucket of calls with a reserve for each higher rank.
+// Budget is a token bucket of calls. Each rank leaves a reserve of tokens in the
+// bucket for the more important ranks.
 type Budget struct {
 	limiter  *rate.Limiter
 	declared float64 // calls per second
-	current  float64 // calls per second, lowered by refusals
+	current  float64 // calls per second; refusals lower it
 	burst    int
-	lowest   Rank
+	maxRank  Rank // the least important rank
 }
 
-// NewBudget returns a full bucket of burst calls, refilled by perSecond, for
-// ranks 0 to lowest.
-func NewBudget(perSecond float64, burst int, lowest Rank) *Budget {
+// NewBudget returns a full bucket of burst calls, refilled at perSecond, for ranks 0
+// to maxRank.
+func NewBudget(perSecond float64, burst int, maxRank Rank) *Budget {
 	return &Budget{
 		limiter:  rate.NewLimiter(rate.Limit(perSecond), burst),
 		declared: perSecond,
 		current:  perSecond,
 		burst:    burst,
-		lowest:   lowest,
+		maxRank:  maxRank,
 	}
 }
 
-// Take takes one call for a rank. A wait above 0 means that nothing was taken
-// and when to ask again.
+// Take takes one token for a call of the rank and returns 0. If too few tokens are
+// left, it takes none and returns how long to wait before the next try.
 func (b *Budget) Take(now time.Time, rank Rank) time.Duration {
 	need := 1 + b.reserve(rank)
 	if have := b.limiter.TokensAt(now); have < need {
@@ -57,29 +59,30 @@
 	return 0
 }
 
+// reserve returns the number of tokens that the rank must leave in the bucket.
 func (b *Budget) reserve(rank Rank) float64 {
-	if b.lowest == 0 {
+	if b.maxRank == 0 {
 		return 0
 	}
-	return reservedShare * float64(b.burst-1) * float64(rank) / float64(b.lowest)
+	return reservedShare * float64(b.burst-1) * float64(rank) / float64(b.maxRank)
 }
 
-// Refused lowers the rate after the service refused a call for its own limit:
-// the fleet together asks for more than it gives, so every process gives way.
+// Refused halves the rate after the service refused a call because of its own rate
+// limit: all processes together exceed that limit, so each of them slows down.
 func (b *Budget) Refused(now time.Time) {
-	b.setRate(now, max(b.current/2, b.declared*leastShare))
+	b.setRate(now, max(b.current/2, b.declared*minRateShare))
 }
 
-// Served brings back some of the rate lost to refusals.
+// Served restores some of the rate that refusals took away.
 func (b *Budget) Served(now time.Time) {
 	if b.current < b.declared {
 		b.setRate(now, min(b.current+b.declared*recoveryStep, b.declared))
 	}
 }
 
-// Drain empties the bucket. When the service returns after an outage, every
-// process would otherwise spend a full burst at the same moment and bring it
-// down again; from an empty bucket they come back at their steady rate.
+// Drain empties the bucket. Otherwise every process would spend a full burst at the
+// moment when the service recovers from an outage, and overload it again. With an
+// empty bucket they resume at their steady rate.
 func (b *Budget) Drain(now time.Time) {
 	tokens := b.limiter.TokensAt(now)
 	if tokens >= 1 {
@@ -87,7 +90,7 @@
 	}
 }
 
-// Rate returns the calls per second in force.
+// Rate returns the current limit in calls per second.
 func (b *Budget) Rate() float64 {
 	return b.current
 }
--- a/internal/policy/platform/platform_test.go
+++ b/internal/policy/platform/platform_test.go
@@ -19,23 +19,23 @@
 var start = time.Unix(1000, 0)
 
 var _ = Describe("Budget", func() {
-	It("keeps a reserve for the higher ranks and never exceeds its rate", func() {
+	It("reserves tokens for the more important ranks and never exceeds its rate", func() {
 		b := platform.NewBudget(10, 11, 5)
-		lowest := 0
+		leastImportant := 0
 		for b.Take(start, 5) == 0 {
-			lowest++
+			leastImportant++
 		}
-		Expect(lowest).To(Equal(5))
-		highest := 0
+		Expect(leastImportant).To(Equal(5))
+		mostImportant := 0
 		for b.Take(start, 0) == 0 {
-			highest++
+			mostImportant++
 		}
-		Expect(highest).To(Equal(6))
+		Expect(mostImportant).To(Equal(6))
 		Expect(b.Take(start, 0)).To(Equal(100 * time.Millisecond))
 		Expect(b.Take(start.Add(100*time.Millisecond), 0)).To(BeZero())
 	})
 
-	It("gives way to refusals by the service and recovers", func() {
+	It("lowers its rate when the service refuses calls and restores it when calls are served", func() {
 		b := platform.NewBudget(100, 10, 5)
 		for range 20 {
 			b.Refused(start)
@@ -51,10 +51,10 @@
 var _ = Describe("Breaker", func() {
 	rnd := rand.New(rand.NewPCG(1, 1))
 
-	// The service goes away and each call waits for its time limit. After three
-	// in a row the breaker fails calls at once and lets one probe pass at a
-	// time; a caller that waited for each would be held up for the whole outage.
-	It("opens after failures in a row, probes one at a time and closes on an answer", func() {
+	// The service is down and each call runs into its timeout. After three
+	// consecutive failures the breaker rejects calls at once and allows one probe
+	// at a time. Without it callers would block for the whole outage.
+	It("opens after consecutive failures, allows one probe at a time and closes on an answer", func() {
 		b := platform.NewBreaker(platform.DefaultConfig())
 		now := start
 		for range 3 {
@@ -70,7 +70,7 @@
 		Expect(b.Allow(now, 5)).To(BeTrue())
 	})
 
-	It("does not count failures of calls sent before it opened", func() {
+	It("does not extend its backoff for calls that were sent before it opened", func() {
 		b := platform.NewBreaker(platform.DefaultConfig())
 		for range 100 {
 			b.Report(start, platform.Failed, time.Second, rnd)
@@ -78,7 +78,7 @@
 		Expect(b.Allow(start.Add(200*time.Millisecond), 0)).To(BeTrue())
 	})
 
-	It("sheds the lower ranks while answers are slow", func() {
+	It("rejects the less important ranks while answers are slow", func() {
 		b := platform.NewBreaker(platform.DefaultConfig())
 		for range 5 {
 			b.Report(start, platform.Served, time.Second, rnd)
@@ -90,7 +90,7 @@
 		Expect(b.Allow(start, 4)).To(BeTrue())
 	})
 
-	It("spreads the waits of processes that failed together", func() {
+	It("adds jitter to the delays of processes that failed together", func() {
 		waits := map[time.Duration]bool{}
 		for range 100 {
 			wait := platform.Backoff(40, time.Millisecond, time.Second, rnd)
