--- a/internal/policy/admission/queue.go
+++ b/internal/policy/admission/queue.go
@@ -91,7 +91,7 @@
 		return q.actions
 	}
 	t := q.treeOf(item)
-	e := &entry{item: item, leaf: t.leaf(item.Principal), cost: max(item.Cost, minCost), order: q.order, expIndex: indexheap.None}
+	e := &entry{item: item, leaf: t.leaf(item.Principal), cost: max(item.Cost, minCost), order: q.order, expIndex: indexheap.NotInHeap}
 	q.order++
 	e.setLatest()
 	if wait := q.wait(e); q.tooLate(now, e, wait) {
@@ -315,7 +315,7 @@
 }
 
 func (q *Queue) unexpire(e *entry) {
-	if e.expIndex != indexheap.None {
+	if e.expIndex != indexheap.NotInHeap {
 		q.expiry.Remove(e)
 	}
 }
--- a/internal/policy/admission/tree.go
+++ b/internal/policy/admission/tree.go
@@ -51,7 +51,7 @@
 	return &node{
 		parent: parent,
 		weight: weight,
-		index:  indexheap.None,
+		index:  indexheap.NotInHeap,
 		active: indexheap.New(earlier, func(n *node) *int { return &n.index }),
 	}
 }
--- a/internal/policy/indexheap/indexheap.go
+++ b/internal/policy/indexheap/indexheap.go
@@ -4,8 +4,8 @@
 
 import "container/heap"
 
-// None is the place of an element that is in no heap.
-const None = -1
+// NotInHeap is the place of an element that is in no heap.
+const NotInHeap = -1
 
 // Heap is a heap of elements in the order of less. Place points to where an
 // element keeps its place; it is None once the element is taken out.
@@ -69,6 +69,6 @@
 	var none T
 	h.all[last] = none
 	h.all = h.all[:last]
-	*h.place(element) = None
+	*h.place(element) = NotInHeap
 	return element
 }
