--- a/internal/agentless/modelrun/modelrun.go
+++ b/internal/agentless/modelrun/modelrun.go
@@ -155,7 +155,7 @@
 func (r *Runner) next(service string, models []string, seen []directory.Seen) []modelplan.Order {
 	engines := make([]modelplan.Engine, len(seen))
 	for i, e := range seen {
-		engines[i] = modelplan.Engine{ID: e.ID, Born: e.Born, Leaving: e.Leaving, Load: e.InFlight, Slots: e.Slots, Versions: e.Versions}
+		engines[i] = modelplan.Engine{ID: e.ID, Born: e.Born, Leaving: e.Leaving, InFlight: e.InFlight, Slots: e.Slots, Versions: e.Versions}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,10 +168,10 @@
 		planner = modelplan.New(models)
 		r.planners[service] = planner
 	}
-	planner.EveryVersion = !r.Switches.On(mechanism.AlternateLoads)
+	planner.LoadEveryVersion = !r.Switches.On(mechanism.AlternateLoads)
 	for _, model := range models {
-		planner.Name(time.Now(), model, r.named[model])
-		planner.Need(model, r.needed[model].Version, r.needed[model].Items)
+		planner.SetNewestVersion(time.Now(), model, r.named[model])
+		planner.RecordStep(model, r.needed[model].Version, r.needed[model].Items)
 	}
 	return planner.Next(time.Now(), engines)
 }
@@ -206,7 +206,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if planner := r.planners[service]; planner != nil {
-		planner.Done(time.Now(), o, result)
+		planner.RecordResult(time.Now(), o, result)
 	}
 }
 
--- a/internal/policy/modelplan/modelplan.go
+++ b/internal/policy/modelplan/modelplan.go
@@ -61,7 +61,7 @@
 	ID       string
 	Born     int64
 	Leaving  bool
-	Load     int              // requests in flight, as far as known
+	InFlight int              // requests in flight, as far as known
 	Slots    int              // requests that it runs at once
 	Versions map[string]int64 // weight version by model
 }
@@ -104,7 +104,7 @@
 
 // Planner plans the loads of one service. It is not safe for concurrent use.
 type Planner struct {
-	EveryVersion bool // every engine of a model loads every version
+	LoadEveryVersion bool // every engine of a model loads every version
 
 	models  []string // sorted
 	named   map[string]int64
@@ -122,17 +122,17 @@
 	return &Planner{models: sorted, named: map[string]int64{}, since: map[string]time.Time{}, needed: map[string]int64{}, slack: map[string]int64{}, items: map[string]float64{}, pending: map[string]*pending{}}
 }
 
-// Name notes the newest version of a model. Older ones are ignored.
-func (p *Planner) Name(now time.Time, model string, version int64) {
+// SetNewestVersion notes the newest version of a model. Older ones are ignored.
+func (p *Planner) SetNewestVersion(now time.Time, model string, version int64) {
 	if version > p.named[model] {
 		p.named[model] = version
 		p.since[model] = now
 	}
 }
 
-// Need notes a step: the oldest version that it accepts, and its items. Engines
+// RecordStep notes a step: the oldest version that it accepts, and its items. Engines
 // below that version can do nothing for it.
-func (p *Planner) Need(model string, version int64, items int) {
+func (p *Planner) RecordStep(model string, version int64, items int) {
 	if version <= p.needed[model] {
 		return
 	}
@@ -337,7 +337,7 @@
 		return Engine{}, false
 	}
 	// The other half loads at the next version.
-	return chosen, p.EveryVersion || p.slack[model] == 0 || 2*newest < len(engines)
+	return chosen, p.LoadEveryVersion || p.slack[model] == 0 || 2*newest < len(engines)
 }
 
 // loads tells whether the engine has an order for the model's newest version.
@@ -346,9 +346,9 @@
 	return found && w.order.Model == model && w.order.Version == p.named[model]
 }
 
-// Done takes in what became of an order. One without an answer keeps its place
+// RecordResult takes in what became of an order. One without an answer keeps its place
 // among the loads, as it may be carried out yet.
-func (p *Planner) Done(now time.Time, o Order, result Result) {
+func (p *Planner) RecordResult(now time.Time, o Order, result Result) {
 	w, found := p.pending[o.Engine]
 	if !found || w.order != o {
 		return
--- a/internal/policy/modelplan/modelplan_test.go
+++ b/internal/policy/modelplan/modelplan_test.go
@@ -52,7 +52,7 @@
 			Expect(f.loading).NotTo(HaveKey(o.Engine), "one order at a time")
 			f.loading[o.Engine] = load{o, f.now.Add(900 * time.Millisecond)}
 			f.orders++
-			p.Done(f.now, o, modelplan.Accepted)
+			p.RecordResult(f.now, o, modelplan.Accepted)
 		}
 		f.most = max(f.most, len(f.loading))
 	}
@@ -76,10 +76,10 @@
 		f := newFleet(9, "big", "small")
 		p := modelplan.New([]string{"big", "small"})
 		for k := int64(1); k <= 10; k++ {
-			p.Name(f.now, "big", k)
-			p.Name(f.now, "small", k)
-			p.Need("big", k-1, 80)
-			p.Need("small", k-1, 40)
+			p.SetNewestVersion(f.now, "big", k)
+			p.SetNewestVersion(f.now, "small", k)
+			p.RecordStep("big", k-1, 80)
+			p.RecordStep("small", k-1, 40)
 			if k > 3 {
 				Expect(f.ready("big", k-1)).To(BeNumerically(">=", 3), "step %d", k)
 				Expect(f.ready("small", k-1)).To(BeNumerically(">=", 2), "step %d", k)
@@ -102,10 +102,10 @@
 		p := modelplan.New([]string{"firm", "polite"})
 		const versions = 6
 		for k := int64(1); k <= versions; k++ {
-			p.Name(f.now, "polite", k)
-			p.Name(f.now, "firm", k)
-			p.Need("polite", k-1, 96)
-			p.Need("firm", k-1, 176)
+			p.SetNewestVersion(f.now, "polite", k)
+			p.SetNewestVersion(f.now, "firm", k)
+			p.RecordStep("polite", k-1, 96)
+			p.RecordStep("firm", k-1, 176)
 			if k > 3 {
 				Expect(f.ready("polite", k-1)).To(BeNumerically(">=", 96/2/2), "step %d", k)
 				Expect(f.ready("firm", k-1)).To(BeNumerically(">=", 176/2/2), "step %d", k)
@@ -120,8 +120,8 @@
 		f := newFleet(4, "m")
 		p := modelplan.New([]string{"m"})
 		for k := int64(2); k <= 4; k++ {
-			p.Name(f.now, "m", k)
-			p.Need("m", k, 10)
+			p.SetNewestVersion(f.now, "m", k)
+			p.RecordStep("m", k, 10)
 			f.run(p, 6*time.Second)
 			Expect(f.ready("m", k)).To(Equal(4), "version %d", k)
 		}
@@ -132,10 +132,10 @@
 		// giving one model all its loads first would leave the other's trainer idle.
 		f := newFleet(8, "a", "b")
 		p := modelplan.New([]string{"a", "b"})
-		p.Name(f.now, "a", 5)
-		p.Name(f.now, "b", 5)
-		p.Need("a", 4, 10)
-		p.Need("b", 4, 10)
+		p.SetNewestVersion(f.now, "a", 5)
+		p.SetNewestVersion(f.now, "b", 5)
+		p.RecordStep("a", 4, 10)
+		p.RecordStep("b", 4, 10)
 		f.run(p, 2500*time.Millisecond)
 		Expect(f.ready("a", 5)).To(BeNumerically(">=", 1))
 		Expect(f.ready("b", 5)).To(BeNumerically(">=", 1))
@@ -144,8 +144,8 @@
 	It("skips versions that nobody needs any more", func() {
 		f := newFleet(1, "m")
 		p := modelplan.New([]string{"m"})
-		p.Name(f.now, "m", 2)
-		p.Name(f.now, "m", 7)
+		p.SetNewestVersion(f.now, "m", 2)
+		p.SetNewestVersion(f.now, "m", 7)
 		f.run(p, 2*time.Second)
 		Expect(f.orders).To(Equal(1))
 		Expect(f.ready("m", 7)).To(Equal(1))
@@ -154,11 +154,11 @@
 	It("asks again after a conflict or no answer, and not at once", func() {
 		f := newFleet(1, "m")
 		p := modelplan.New([]string{"m"})
-		p.Name(f.now, "m", 2)
+		p.SetNewestVersion(f.now, "m", 2)
 		now := f.now.Add(time.Second)
 		orders := p.Next(now, f.engines)
 		Expect(orders).To(HaveLen(1))
-		p.Done(now, orders[0], modelplan.Unknown)
+		p.RecordResult(now, orders[0], modelplan.Unknown)
 		Expect(p.Next(now.Add(100*time.Millisecond), f.engines)).To(BeEmpty())
 		Expect(p.Next(now.Add(time.Second), f.engines)).To(HaveLen(1))
 	})
@@ -168,10 +168,10 @@
 		// version that it had before; waiting for the lost load would idle it for 4 s.
 		f := newFleet(1, "m")
 		p := modelplan.New([]string{"m"})
-		p.Name(f.now, "m", 2)
+		p.SetNewestVersion(f.now, "m", 2)
 		now := f.now.Add(time.Second)
 		order := p.Next(now, f.engines)[0]
-		p.Done(now, order, modelplan.Accepted)
+		p.RecordResult(now, order, modelplan.Accepted)
 		f.engines[0].Born = 2
 		Expect(p.Next(now.Add(100*time.Millisecond), f.engines)).To(HaveLen(1))
 	})
@@ -180,7 +180,7 @@
 		f := newFleet(1, "m")
 		f.engines[0].Leaving = true
 		p := modelplan.New([]string{"m"})
-		p.Name(f.now, "m", 2)
+		p.SetNewestVersion(f.now, "m", 2)
 		Expect(p.Next(f.now.Add(time.Second), f.engines)).To(BeEmpty())
 	})
 })
