--- a/internal/policy/modelplan/modelplan.go
+++ b/internal/policy/modelplan/modelplan.go
@@ -1,16 +1,17 @@
-// Package modelplan decides which engine carries which model and when it loads
-// a new weight version. It does no input or output and keeps no time.
+// Package modelplan decides which engines serve which model and when each of them
+// loads a new weight version. It performs no I/O, and callers pass in the current time.
 //
-// For about a second a loading engine starts nothing new of that model, though
-// what it runs goes on, and the model's cache is lost. Where steps accept the
-// version before the newest, an engine that loads every second version serves
-// every step, and loads just when its old version is of no more use. So half of
-// a model's engines follow the odd versions and half the even ones, and a step's
-// first items always find half of its engines free of loads.
+// A load takes about a second. During that time the engine starts no new requests of
+// the model, although running requests continue, and the engine's cache for the model
+// is lost. Where steps accept the version before the newest, an engine that loads
+// every second version can serve every step, and it loads only when its old version is
+// no longer accepted. So half of a model's engines load the odd versions and the other
+// half the even versions. The first items of a step always find half of the model's
+// engines free of loads.
 //
-// Loads are few: a quarter of a service's engines may load at once, for about a
-// second each. Each model gets engines by its share of the items, but no more than
-// its steps can use, and the model whose ready engines are fewest for its share
+// The number of concurrent loads is limited: a quarter of a service's engines may load
+// at once. Each model is assigned engines in proportion to its share of the items, but
+// no more than its steps can use. The model with the smallest fraction of ready engines
 // loads first.
 package modelplan
 
@@ -23,59 +24,64 @@
 )
 
 const (
-	// loadingShare of a service's engines load at once: beyond about a fifth the
-	// weight store serves each load more slowly, but a step waits longer for loads
-	// that have not begun.
-	loadingShare = 0.25
-	// confirmWithin is how long an accepted load may go unconfirmed by the
-	// platform's list before the engine is asked again: a load's second, times
-	// two for a busy store, and the list's delay.
-	confirmWithin = 4 * time.Second
-	// retryPause follows an order that failed or has no answer.
-	retryPause = 700 * time.Millisecond
-	// carriedShare is how many models' places there are for each engine: over 1, as
-	// a step's first items find only the half of a model's engines that loads at
-	// the next version, and low enough that the loads of a version are done before
-	// the next one is named.
-	carriedShare = 1.6
-	// fewestEngines is how many engines carry a model, whatever its share: one
-	// more than a crash may take.
-	fewestEngines = 2
-	// filled is the share of its places that a model's engine is expected to use when
-	// a step comes. Where there are engines enough for less, more of them would not
-	// make the step faster: half load at the next version, so those that serve it are
-	// half full, and its longest texts are placed beside few others.
-	filled = 0.25
-	// itemsWeight is the share of a new step in the running mean of a model's items.
+	// maxLoadingShare is the share of a service's engines that may load at once. Beyond
+	// about a fifth the weight store serves each load more slowly, but a step waits
+	// longer for loads that have not begun.
+	maxLoadingShare = 0.25
+	// confirmTimeout is how long to wait until the platform's endpoint list confirms an
+	// accepted load. After it the engine may be ordered again. It covers a load of one
+	// second, doubled for a busy store, and the delay of the list.
+	confirmTimeout = 4 * time.Second
+	// retryDelay is the delay before an engine gets a new order after one that failed or
+	// was not answered.
+	retryDelay = 700 * time.Millisecond
+	// modelsPerEngine is the mean number of models that an engine is assigned to. It is
+	// greater than 1, as the first items of a step find only the half of a model's
+	// engines that loads at the next version. It is low enough that the loads of a
+	// version are done before the next version is announced.
+	modelsPerEngine = 1.6
+	// minEnginesPerModel is the number of engines that a model is assigned at fewest,
+	// whatever its share of the items, so that the crash of one engine leaves another.
+	minEnginesPerModel = 2
+	// targetUtilization is the share of its slots that an engine of a model is expected
+	// to use when a step arrives. It limits the engines of a model in large services.
+	// More engines would not make the step faster: half of the model's engines load at
+	// the next version, so those that serve the step are half full, and its longest
+	// texts share an engine with few others.
+	targetUtilization = 0.25
+	// itemsWeight is the weight of a new step in the moving average of a model's items
+	// per step.
 	itemsWeight = 0.5
-	// stride is every how many versions an engine loads where steps accept the
-	// version before the newest.
-	stride = 2
-	// settleNamed is how long loads wait after a version is named: the step that
-	// waited for it comes within some 50 ms and fills the engines' slots first.
-	settleNamed = 250 * time.Millisecond
+	// versionStride is the number of versions from one load of an engine to the next
+	// where steps accept the version before the newest. An engine is assigned to no more
+	// than this number of models.
+	versionStride = 2
+	// newVersionDelay is how long loads that are not urgent wait after a new version is
+	// announced. The step that waited for the version arrives within about 50 ms, and its
+	// items get the engines' slots first.
+	newVersionDelay = 250 * time.Millisecond
 )
 
-// Engine is one engine as the platform lists it.
+// Engine is the state of an engine as the platform lists it.
 type Engine struct {
 	ID       string
-	Born     int64
+	Born     int64 // start time of the process; tells incarnations of one ID apart
 	Leaving  bool
-	InFlight int              // requests in flight, as far as known
-	Slots    int              // requests that it runs at once
-	Versions map[string]int64 // weight version by model
+	InFlight int              // last known number of requests in flight
+	Slots    int              // maximum number of concurrent requests
+	Versions map[string]int64 // loaded weight version by model
 }
 
-// Mode is what becomes of runs under way when new weights are loaded.
+// Mode says how an engine treats its running requests when it loads new weights.
 type Mode int
 
-// The modes of loading.
+// The load modes.
 const (
-	Continue Mode = iota // they go on under the new version
-	Finish               // they finish first
+	Continue Mode = iota // they continue with the new version
+	Finish               // they finish before the load begins
 )
 
-// Order is a load that should be ordered now.
+// Order is a load that an engine should be told to perform.
 type Order struct {
 	Engine  string
 	Born    int64
@@ -83,114 +89,118 @@
 	Version int64
 }
 
-// Result is what became of an order.
+// Result is the outcome of an order.
 type Result int
 
 // The results of orders.
 const (
-	Accepted Result = iota // it is being carried out
-	Holds                  // the engine has that version already
-	Conflict               // another order came first
-	Unknown                // no answer; it may be carried out yet
-	Rejected               // the engine will not do it
+	Accepted Result = iota // the engine executes the order
+	Holds                  // the engine has already loaded the version
+	Conflict               // the engine accepted another order first
+	Unknown                // no answer; the engine may still execute the order
+	Rejected               // the engine does not execute the order
 )
 
+// pending is the latest order of an engine.
 type pending struct {
-	order   Order
-	since   time.Time
-	again   time.Time // no new order before
-	waiting bool      // accepted and not yet seen in the list
+	order     Order
+	startedAt time.Time // when the order was returned by Next, or answered with Accepted or Holds
+	retryAt   time.Time // after a failure or timeout, the engine gets no new order before
+	loading   bool      // counts as a load in progress: not yet failed, timed out or confirmed by the list
 }
 
 // Planner plans the loads of one service. It is not safe for concurrent use.
 type Planner struct {
-	LoadEveryVersion bool // every engine of a model loads every version
+	LoadEveryVersion bool // if set, each engine of a model loads every version
 
-	models  []string // sorted
-	named   map[string]int64
-	since   map[string]time.Time // when the newest version was named
-	needed  map[string]int64     // oldest version that the newest step accepts
-	slack   map[string]int64     // versions that a step accepts behind the newest
-	items   map[string]float64   // running mean of a step's items
-	pending map[string]*pending  // by engine
+	models         []string             // sorted
+	newest         map[string]int64     // newest version by model
+	newestAt       map[string]time.Time // when the newest version was announced, by model
+	oldestAccepted map[string]int64     // oldest version that the newest step accepts, by model
+	allowedLag     map[string]int64     // how many versions behind the newest a step accepts at most, by model
+	meanItems      map[string]float64   // moving average of the items per step, by model
+	pending        map[string]*pending  // latest orders by engine ID
 }
 
 // New returns a planner for the models of a service.
 func New(models []string) *Planner {
 	sorted := append([]string(nil), models...)
 	sort.Strings(sorted)
-	return &Planner{models: sorted, named: map[string]int64{}, since: map[string]time.Time{}, needed: map[string]int64{}, slack: map[string]int64{}, items: map[string]float64{}, pending: map[string]*pending{}}
+	return &Planner{models: sorted, newest: map[string]int64{}, newestAt: map[string]time.Time{}, oldestAccepted: map[string]int64{}, allowedLag: map[string]int64{}, meanItems: map[string]float64{}, pending: map[string]*pending{}}
 }
 
-// SetNewestVersion notes the newest version of a model. Older ones are ignored.
+// SetNewestVersion records the newest version of a model. It ignores a version that is
+// not newer than the recorded one.
 func (p *Planner) SetNewestVersion(now time.Time, model string, version int64) {
-	if version > p.named[model] {
-		p.named[model] = version
-		p.since[model] = now
+	if version > p.newest[model] {
+		p.newest[model] = version
+		p.newestAt[model] = now
 	}
 }
 
-// RecordStep notes a step: the oldest version that it accepts, and its items. Engines
-// below that version can do nothing for it.
+// RecordStep records the oldest version that a model's newest step accepts, and the
+// step's number of items. Engines with an older version cannot serve the step.
 func (p *Planner) RecordStep(model string, version int64, items int) {
-	if version <= p.needed[model] {
+	if version <= p.oldestAccepted[model] {
 		return
 	}
-	p.needed[model] = version
-	p.slack[model] = max(p.slack[model], p.named[model]-version)
-	if p.items[model] == 0 {
-		p.items[model] = float64(items)
+	p.oldestAccepted[model] = version
+	p.allowedLag[model] = max(p.allowedLag[model], p.newest[model]-version)
+	if p.meanItems[model] == 0 {
+		p.meanItems[model] = float64(items)
 	}
-	p.items[model] += (float64(items) - p.items[model]) * itemsWeight
+	p.meanItems[model] += (float64(items) - p.meanItems[model]) * itemsWeight
 }
 
-// Next returns the orders to give now.
+// Next returns the orders to send now.
 func (p *Planner) Next(now time.Time, engines []Engine) []Order {
 	live := usable(engines)
-	p.settle(now, live)
-	carried := p.deal(live)
+	p.updatePending(now, live)
+	assigned := p.assign(live)
 	var orders []Order
-	for room := p.room(len(live)); room > 0; room-- {
-		next, found := p.next(now, carried)
+	for free := p.freeLoads(len(live)); free > 0; free-- {
+		next, found := p.nextOrder(now, assigned)
 		if !found {
 			break
 		}
-		p.pending[next.Engine] = &pending{order: next, since: now, again: now.Add(retryPause), waiting: true}
+		p.pending[next.Engine] = &pending{order: next, startedAt: now, retryAt: now.Add(retryDelay), loading: true}
 		orders = append(orders, next)
 	}
 	return orders
 }
 
-// next returns the load of the model whose ready engines are fewest for its
-// share.
-func (p *Planner) next(now time.Time, carried map[string][]Engine) (Order, bool) {
+// nextOrder returns the load to order next. Of the models with a load due it chooses
+// the one with the smallest fraction of ready engines.
+func (p *Planner) nextOrder(now time.Time, assigned map[string][]Engine) (Order, bool) {
 	var best Order
-	found, least := false, 0.0
+	found, lowest := false, 0.0
 	for _, model := range p.models {
-		engine, due := p.due(now, model, carried[model])
+		engine, due := p.nextEngine(now, model, assigned[model])
 		if !due {
 			continue
 		}
-		ready := float64(p.ready(model, carried[model])) / float64(len(carried[model]))
-		if !found || ready < least {
-			best = Order{Engine: engine.ID, Born: engine.Born, Model: model, Version: p.named[model]}
-			found, least = true, ready
+		ready := float64(p.countReady(model, assigned[model])) / float64(len(assigned[model]))
+		if !found || ready < lowest {
+			best = Order{Engine: engine.ID, Born: engine.Born, Model: model, Version: p.newest[model]}
+			found, lowest = true, ready
 		}
 	}
 	return best, found
 }
 
-// ready counts engines that can serve the newest step, or that load for it.
-func (p *Planner) ready(model string, engines []Engine) int {
+// countReady returns the number of engines that can serve the newest step or have an
+// order for the newest version.
+func (p *Planner) countReady(model string, engines []Engine) int {
 	n := 0
 	for _, e := range engines {
-		if e.Versions[model] >= max(p.needed[model], p.named[model]-1) || p.loads(e, model) {
+		if e.Versions[model] >= max(p.oldestAccepted[model], p.newest[model]-1) || p.hasOrder(e, model) {
 			n++
 		}
 	}
 	return n
 }
 
+// usable returns the engines that are not leaving, sorted by ID.
 func usable(engines []Engine) []Engine {
 	live := make([]Engine, 0, len(engines))
 	for _, e := range engines {
@@ -202,8 +212,9 @@
 	return live
 }
 
-// settle forgets orders that are seen carried out, or whose engine is gone.
-func (p *Planner) settle(now time.Time, live []Engine) {
+// updatePending deletes orders that the list shows as done, orders whose engine is gone
+// or has restarted, and orders that failed or timed out and whose retry delay is over.
+func (p *Planner) updatePending(now time.Time, live []Engine) {
 	byID := map[string]Engine{}
 	for _, e := range live {
 		byID[e.ID] = e
@@ -213,95 +224,97 @@
 		switch {
 		case !found, e.Born != w.order.Born, e.Versions[w.order.Model] >= w.order.Version:
 			delete(p.pending, id)
-		case w.waiting && now.Sub(w.since) > confirmWithin:
-			w.waiting = false
+		case w.loading && now.Sub(w.startedAt) > confirmTimeout:
+			w.loading = false
 		}
-		if w, found := p.pending[id]; found && !w.waiting && !now.Before(w.again) {
+		if w, found := p.pending[id]; found && !w.loading && !now.Before(w.retryAt) {
 			delete(p.pending, id)
 		}
 	}
 }
 
-func (p *Planner) room(engines int) int {
-	most := max(1, int(math.Round(loadingShare*float64(engines))))
+// freeLoads returns how many more loads may start now.
+func (p *Planner) freeLoads(engines int) int {
+	limit := max(1, int(math.Round(maxLoadingShare*float64(engines))))
 	for _, w := range p.pending {
-		if w.waiting {
-			most--
+		if w.loading {
+			limit--
 		}
 	}
-	return most
+	return limit
 }
 
-// gap is how many versions the engine is behind for a model.
-func (p *Planner) gap(e Engine, model string) int64 {
+// lag returns how many versions the engine is behind for a model.
+func (p *Planner) lag(e Engine, model string) int64 {
 	version, serves := e.Versions[model]
 	if !serves {
 		return math.MaxInt32
 	}
-	return max(0, p.named[model]-version)
+	return max(0, p.newest[model]-version)
 }
 
-// deal gives each model its engines: those whose weights for it are newest, so
-// that a deal stays as it is while engines come and go.
-func (p *Planner) deal(live []Engine) map[string][]Engine {
-	carried := map[string][]Engine{}
+// assign chooses the engines of each model. It prefers those with the newest weights of
+// the model, which keeps assignments stable while engines come and go.
+func (p *Planner) assign(live []Engine) map[string][]Engine {
+	assigned := map[string][]Engine{}
 	models := len(p.models)
 	if models == 0 {
-		return carried
+		return assigned
 	}
 	quota := p.quotas(live)
 	type pair struct {
 		engine int
 		model  string
-		gap    int64
-		draw   uint64
+		lag    int64
+		hash   uint64
 	}
 	var pairs []pair
 	for i, e := range live {
 		for _, model := range p.models {
 			if _, serves := e.Versions[model]; serves {
-				pairs = append(pairs, pair{i, model, p.gap(e, model), rendezvous.Weight(rendezvous.Key(e.ID), rendezvous.Key(model))})
+				pairs = append(pairs, pair{i, model, p.lag(e, model), rendezvous.Weight(rendezvous.Key(e.ID), rendezvous.Key(model))})
 			}
 		}
 	}
 	sort.Slice(pairs, func(a, b int) bool {
-		if pairs[a].gap != pairs[b].gap {
-			return pairs[a].gap < pairs[b].gap
+		if pairs[a].lag != pairs[b].lag {
+			return pairs[a].lag < pairs[b].lag
 		}
-		return pairs[a].draw > pairs[b].draw
+		return pairs[a].hash > pairs[b].hash
 	})
-	carries := make([]int, len(live))
+	modelCount := make([]int, len(live))
 	for _, c := range pairs {
-		if carries[c.engine] == stride || len(carried[c.model]) >= quota[c.model] {
+		if modelCount[c.engine] == versionStride || len(assigned[c.model]) >= quota[c.model] {
 			continue
 		}
-		carries[c.engine]++
-		carried[c.model] = append(carried[c.model], live[c.engine])
+		modelCount[c.engine]++
+		assigned[c.model] = append(assigned[c.model], live[c.engine])
 	}
-	return carried
+	return assigned
 }
 
-// quotas gives each model its number of engines, by its share of the items. A
-// service of thousands of engines would otherwise load each version on half of
-// them for a step of a hundred items.
+// quotas returns how many engines each model is assigned: a number in proportion to its
+// share of the items, but no more than its steps can use. Without that limit a service
+// of thousands of engines would load each version on half of them for a step of a
+// hundred items.
 func (p *Planner) quotas(live []Engine) map[string]int {
 	total := 0.0
 	for _, model := range p.models {
-		total += max(1, p.items[model])
+		total += max(1, p.meanItems[model])
 	}
-	places := meanSlots(live)
+	slots := meanSlots(live)
 	quota := map[string]int{}
 	for _, model := range p.models {
-		share := carriedShare * float64(len(live)) * max(1, p.items[model]) / total
-		if items := p.items[model]; items > 0 { // otherwise no step was seen yet
-			share = min(share, math.Ceil(items/(filled*places)))
+		share := modelsPerEngine * float64(len(live)) * max(1, p.meanItems[model]) / total
+		if items := p.meanItems[model]; items > 0 { // 0 until the first step is recorded
+			share = min(share, math.Ceil(items/(targetUtilization*slots)))
 		}
-		quota[model] = min(len(live), max(fewestEngines, int(math.Round(share))))
+		quota[model] = min(len(live), max(minEnginesPerModel, int(math.Round(share))))
 	}
 	return quota
 }
 
-// meanSlots returns the mean of the engines' slots, at least 1.
+// meanSlots returns the mean number of slots per engine, at least 1.
 func meanSlots(engines []Engine) float64 {
 	slots := 0
 	for _, e := range engines {
@@ -313,41 +326,42 @@
 	return max(1, float64(slots)/float64(len(engines)))
 }
 
-// due returns the engine that should load the model's newest version next: one
-// that can do nothing for the newest step, or else one of the half that follows
-// this version.
-func (p *Planner) due(now time.Time, model string, engines []Engine) (Engine, bool) {
-	newest, behind := 0, int64(0)
+// nextEngine returns the engine that should load the model's newest version next. This
+// is preferably an engine that cannot serve the newest step, otherwise one of the half
+// that loads this version. It returns false if no load is due.
+func (p *Planner) nextEngine(now time.Time, model string, engines []Engine) (Engine, bool) {
+	upToDate, maxLag := 0, int64(0)
 	var chosen Engine
 	found := false
 	for _, e := range engines {
-		gap := p.gap(e, model)
-		if gap == 0 || p.loads(e, model) {
-			newest++
+		lag := p.lag(e, model)
+		if lag == 0 || p.hasOrder(e, model) {
+			upToDate++
 			continue
 		}
-		if _, busy := p.pending[e.ID]; !busy && (!found || gap > behind) {
-			chosen, found, behind = e, true, gap
+		if _, busy := p.pending[e.ID]; !busy && (!found || lag > maxLag) {
+			chosen, found, maxLag = e, true, lag
 		}
 	}
-	if !found || behind >= stride || chosen.Versions[model] < p.needed[model] {
+	if !found || maxLag >= versionStride || chosen.Versions[model] < p.oldestAccepted[model] {
 		return chosen, found
 	}
-	if now.Sub(p.since[model]) < settleNamed {
+	if now.Sub(p.newestAt[model]) < newVersionDelay {
 		return Engine{}, false
 	}
-	// The other half loads at the next version.
-	return chosen, p.LoadEveryVersion || p.slack[model] == 0 || 2*newest < len(engines)
+	// The other half of the engines loads the next version.
+	return chosen, p.LoadEveryVersion || p.allowedLag[model] == 0 || 2*upToDate < len(engines)
 }
 
-// loads tells whether the engine has an order for the model's newest version.
-func (p *Planner) loads(e Engine, model string) bool {
+// hasOrder reports whether the engine has an order for the model's newest version.
+func (p *Planner) hasOrder(e Engine, model string) bool {
 	w, found := p.pending[e.ID]
-	return found && w.order.Model == model && w.order.Version == p.named[model]
+	return found && w.order.Model == model && w.order.Version == p.newest[model]
 }
 
-// RecordResult takes in what became of an order. One without an answer keeps its place
-// among the loads, as it may be carried out yet.
+// RecordResult records the outcome of an order. It ignores an order that is not the
+// engine's latest. After a failure or no answer, the order no longer counts as a load in
+// progress, and the engine gets no new order until retryDelay has passed.
 func (p *Planner) RecordResult(now time.Time, o Order, result Result) {
 	w, found := p.pending[o.Engine]
 	if !found || w.order != o {
@@ -355,9 +369,9 @@
 	}
 	switch result {
 	case Accepted, Holds:
-		w.since = now
+		w.startedAt = now
 	case Conflict, Unknown, Rejected:
-		w.waiting = false
-		w.again = now.Add(retryPause)
+		w.loading = false
+		w.retryAt = now.Add(retryDelay)
 	}
 }
--- a/internal/policy/modelplan/modelplan_test.go
+++ b/internal/policy/modelplan/modelplan_test.go
@@ -12,13 +12,13 @@
 
 var start = time.Unix(1000, 0)
 
-// fleet is engines that take 900 ms for a load, and the figures of a run.
+// fleet simulates engines whose loads take 900 ms, and counts orders and loads.
 type fleet struct {
-	now     time.Time
-	engines []modelplan.Engine
-	loading map[string]load
-	orders  int
-	most    int // loads at once
+	now      time.Time
+	engines  []modelplan.Engine
+	loading  map[string]load
+	orders   int
+	maxLoads int // highest number of concurrent loads
 }
 
 type load struct {
@@ -38,7 +38,7 @@
 	return f
 }
 
-// run plays the planner for a time.
+// run steps the planner and the engines for the duration d.
 func (f *fleet) run(p *modelplan.Planner, d time.Duration) {
 	const step = 50 * time.Millisecond
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
@@ -54,10 +54,11 @@
 			f.orders++
 			p.RecordResult(f.now, o, modelplan.Accepted)
 		}
-		f.most = max(f.most, len(f.loading))
+		f.maxLoads = max(f.maxLoads, len(f.loading))
 	}
 }
 
+// ready returns the number of engines with at least the version of the model.
 func (f *fleet) ready(model string, version int64) int {
 	n := 0
 	for _, e := range f.engines {
@@ -68,11 +69,11 @@
 	return n
 }
 
-var _ = Describe("the plan of loads", func() {
-	It("keeps engines ready for two trainers that name a version every 4 s, with few loads", func() {
-		// Two models at once on nine engines, a step of 80 and one of 40 items every
-		// 4 s, each accepting the version before the newest. Each step must find
-		// engines when it comes, while at most two engines load at once.
+var _ = Describe("Planner", func() {
+	It("keeps engines ready for two trainers that announce a version every 4 s, with few loads", func() {
+		// Nine engines serve two models. Every 4 s there is a step of 80 items and one
+		// of 40, each of which accepts the version before the newest. Each step must find
+		// ready engines when it arrives, while at most two engines load at once.
 		f := newFleet(9, "big", "small")
 		p := modelplan.New([]string{"big", "small"})
 		for k := int64(1); k <= 10; k++ {
@@ -86,15 +87,16 @@
 			}
 			f.run(p, 4*time.Second)
 		}
-		Expect(f.most).To(Equal(2))
-		Expect(f.orders).To(BeNumerically("<=", 77), "14 carried places, half of them at each of 9 versions, and the first version on all")
+		Expect(f.maxLoads).To(Equal(2))
+		Expect(f.orders).To(BeNumerically("<=", 77), "14 assignments, half of which load each of 9 versions, and all of which load the first")
 	})
 
-	It("loads as many engines as steps can use where there are thousands", func() {
-		// 3,000 engines of six places, and two trainers with steps of 96 and 176 items
-		// every 4 s. With a share of all engines for each model half of the service is
-		// ordered to each version: 2,400 orders and more for steps that 180 engines run
-		// a quarter full. Every step finds engines for two items each all the same.
+	It("loads no more engines than steps can use in a service of thousands", func() {
+		// 3,000 engines have six slots each. Two trainers have steps of 96 and 176 items
+		// every 4 s. If quotas depended only on each model's share of the items, half of
+		// the service would be ordered to load each version: 2,400 orders or more for
+		// steps that need 180 engines at a quarter of their slots. Every step must still
+		// find enough ready engines to run two items on each.
 		f := newFleet(3000, "polite", "firm")
 		for i := range f.engines {
 			f.engines[i].Slots = 6
@@ -112,11 +114,11 @@
 			}
 			f.run(p, 4*time.Second)
 		}
-		const asked = (96 + 176) * 4 / 6 // places for four times the items
-		Expect(f.orders).To(BeNumerically("<=", asked*versions), "each engine at each version at the most")
+		const neededEngines = (96 + 176) * 4 / 6 // engines with slots for four times the items
+		Expect(f.orders).To(BeNumerically("<=", neededEngines*versions), "at most one order per engine and version")
 	})
 
-	It("loads every engine of a model where steps need the newest version", func() {
+	It("loads every engine of a model whose steps need the newest version", func() {
 		f := newFleet(4, "m")
 		p := modelplan.New([]string{"m"})
 		for k := int64(2); k <= 4; k++ {
@@ -127,9 +129,10 @@
 		}
 	})
 
-	It("serves first the model whose engines are fewest after a time without orders", func() {
-		// Nobody gave orders for three versions. Both models' engines are too old;
-		// giving one model all its loads first would leave the other's trainer idle.
+	It("starts with the model with the fewest ready engines after a period without orders", func() {
+		// No orders were given for three versions, so the engines of both models are
+		// too old. If one model got all its loads first, the trainer of the other would
+		// be idle.
 		f := newFleet(8, "a", "b")
 		p := modelplan.New([]string{"a", "b"})
 		p.SetNewestVersion(f.now, "a", 5)
@@ -141,7 +144,7 @@
 		Expect(f.ready("b", 5)).To(BeNumerically(">=", 1))
 	})
 
-	It("skips versions that nobody needs any more", func() {
+	It("skips versions that are no longer the newest", func() {
 		f := newFleet(1, "m")
 		p := modelplan.New([]string{"m"})
 		p.SetNewestVersion(f.now, "m", 2)
@@ -151,7 +154,7 @@
 		Expect(f.ready("m", 7)).To(Equal(1))
 	})
 
-	It("asks again after a conflict or no answer, and not at once", func() {
+	It("repeats an unanswered order, but only after a delay", func() {
 		f := newFleet(1, "m")
 		p := modelplan.New([]string{"m"})
 		p.SetNewestVersion(f.now, "m", 2)
@@ -163,9 +166,9 @@
 		Expect(p.Next(now.Add(time.Second), f.engines)).To(HaveLen(1))
 	})
 
-	It("forgets the order of an engine that started again", func() {
-		// The engine accepted the load and crashed. It is back under its ID with the
-		// version that it had before; waiting for the lost load would idle it for 4 s.
+	It("drops the order of an engine that restarted", func() {
+		// The engine accepted the load and crashed. It restarts under the same ID with
+		// its previous version. Waiting for the lost load would keep it idle for 4 s.
 		f := newFleet(1, "m")
 		p := modelplan.New([]string{"m"})
 		p.SetNewestVersion(f.now, "m", 2)
@@ -176,7 +179,7 @@
 		Expect(p.Next(now.Add(100*time.Millisecond), f.engines)).To(HaveLen(1))
 	})
 
-	It("gives no orders to an engine that leaves", func() {
+	It("gives no orders to a leaving engine", func() {
 		f := newFleet(1, "m")
 		f.engines[0].Leaving = true
 		p := modelplan.New([]string{"m"})
