--- a/internal/agentless/batchrun/desk.go
+++ b/internal/agentless/batchrun/desk.go
@@ -94,7 +94,7 @@
 
 // comeBack adds to an error when the caller should come back.
 func comeBack(err error) error {
-	return &NotRunError{RetryAfter: storepath.ComeBack(rand.Float64()), Err: err}
+	return &NotRunError{RetryAfter: storepath.RetryAfter(rand.Float64()), Err: err}
 }
 
 // RetryAfter returns when the caller that gets an error should come back.
@@ -103,7 +103,7 @@
 	if errors.As(err, &refused) {
 		return refused.RetryAfter
 	}
-	return storepath.ComeBack(rand.Float64())
+	return storepath.RetryAfter(rand.Float64())
 }
 
 // tryAccept writes the job once; done is true if it stands, by this try or an
@@ -183,8 +183,8 @@
 // 0 if it is not.
 func (d *Desk) hold(began time.Time, err error) time.Duration {
 	unreachable := d.Unreachable != nil && errors.Is(err, kv.ErrUnavailable) && d.Unreachable()
-	if time.Since(began) < storepath.Hold(unreachable) {
-		return storepath.HoldPause
+	if time.Since(began) < storepath.HoldDuration(unreachable) {
+		return storepath.HoldRetryInterval
 	}
 	return 0
 }
--- a/internal/agentless/storepath/store.go
+++ b/internal/agentless/storepath/store.go
@@ -59,7 +59,7 @@
 	path   policy.Path
 	looked time.Time // when a store that answers nobody was last looked at
 	// times says how long an answer may stay out before another process is asked.
-	times policy.AnswerTimes
+	times policy.TimeoutEstimator
 	// switched is closed and replaced when calls switch to peers or back.
 	switched chan struct{}
 	// helper is the process that last relayed a call, empty if none did lately.
@@ -269,13 +269,13 @@
 func (s *Store) limit() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.times.Limit()
+	return s.times.Timeout()
 }
 
 func (s *Store) writeLimit() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.times.WriteLimit()
+	return s.times.WriteTimeout()
 }
 
 func (s *Store) observe(took time.Duration) {
--- a/internal/policy/storepath/hold.go
+++ b/internal/policy/storepath/hold.go
@@ -6,8 +6,8 @@
 	// holdFor is how long a submission is kept and tried again while nobody reaches
 	// the store. Submitters leave after little more than a second.
 	holdFor = 500 * time.Millisecond
-	// HoldPause is the pause between two tries; each looks at the store once.
-	HoldPause = 100 * time.Millisecond
+	// HoldRetryInterval is the pause between two tries; each looks at the store once.
+	HoldRetryInterval = 100 * time.Millisecond
 	// soonest is when a caller should come back that was refused for want of the
 	// store, and comeBackSpread what is drawn by lot on top of it, so that those
 	// refused together do not return together.
@@ -15,7 +15,7 @@
 	comeBackSpread = 150 * time.Millisecond
 )
 
-// Hold returns how long a submission that finds the store away is kept and tried
+// HoldDuration returns how long a submission that finds the store away is kept and tried
 // again; unreachable tells that no other process reaches the store either.
 //
 // The load that it answers: trainers submit a step every few seconds and, while it
@@ -24,16 +24,16 @@
 // each time with the whole step, and the last time that it does may be just before
 // the store is back. Kept for half a second each time it is nearly always there when
 // the store is. Where others reach the store it is sent to them at once.
-func Hold(unreachable bool) time.Duration {
+func HoldDuration(unreachable bool) time.Duration {
 	if unreachable {
 		return holdFor
 	}
 	return 0
 }
 
-// ComeBack returns when a caller should come back that was refused for want of the
+// RetryAfter returns when a caller should come back that was refused for want of the
 // store; lot is drawn from [0, 1). It is soon: another process may reach the store,
 // or it may be back.
-func ComeBack(lot float64) time.Duration {
+func RetryAfter(lot float64) time.Duration {
 	return soonest + time.Duration(lot*float64(comeBackSpread))
 }
--- a/internal/policy/storepath/hold_test.go
+++ b/internal/policy/storepath/hold_test.go
@@ -21,7 +21,7 @@
 // store was back it was taken; calls are the looks at a store that was away.
 func (t trainer) submit(at, outage, hold time.Duration, comeBack func() time.Duration) (late time.Duration, taken bool, calls int) {
 	for now := at; now < at+t.patience; {
-		for held := time.Duration(0); ; held += storepath.HoldPause {
+		for held := time.Duration(0); ; held += storepath.HoldRetryInterval {
 			if now >= outage {
 				return now - outage, true, calls
 			}
@@ -29,7 +29,7 @@
 			if held >= hold {
 				break
 			}
-			now += storepath.HoldPause
+			now += storepath.HoldRetryInterval
 		}
 		now += t.travel + min(comeBack(), t.mostWait)
 	}
@@ -61,7 +61,7 @@
 		}
 		return float64(gone) / float64(n), sum / time.Duration(n-gone), float64(made) / float64(n)
 	}
-	held := func() time.Duration { return storepath.ComeBack(t.random.Float64()) }
+	held := func() time.Duration { return storepath.RetryAfter(t.random.Float64()) }
 	refused := func() time.Duration {
 		return 150*time.Millisecond + time.Duration(t.random.Int64N(int64(150*time.Millisecond)))
 	}
@@ -70,7 +70,7 @@
 		// The store is back 0.1 s before the submitter would give its step up. One that
 		// is refused at once and returns after 150 to 300 ms misses that moment.
 		outages, within := []time.Duration{5900 * time.Millisecond}, 10*time.Millisecond
-		lost, _, _ := play(outages, within, storepath.Hold(true), held)
+		lost, _, _ := play(outages, within, storepath.HoldDuration(true), held)
 		before, _, _ := play(outages, within, 0, refused)
 		GinkgoWriter.Println("lost", lost, "with a refusal at once", before)
 		Expect(before).To(BeNumerically(">", 0.4), "with a refusal at once")
@@ -80,7 +80,7 @@
 	It("is taken sooner after the store's return, of short outages and long", func() {
 		outages := []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 5 * time.Second}
 		const within = 400 * time.Millisecond
-		lost, late, calls := play(outages, within, storepath.Hold(true), held)
+		lost, late, calls := play(outages, within, storepath.HoldDuration(true), held)
 		_, lateBefore, callsBefore := play(outages, within, 0, refused)
 		GinkgoWriter.Println("late", late, "before", lateBefore, "looks", calls, callsBefore)
 		Expect(lost).To(BeZero())
@@ -90,11 +90,11 @@
 	})
 
 	It("is sent on at once where others reach the store", func() {
-		Expect(storepath.Hold(false)).To(BeZero())
+		Expect(storepath.HoldDuration(false)).To(BeZero())
 	})
 
 	It("comes back soon, and not all at the same time", func() {
-		Expect(storepath.ComeBack(0)).To(Equal(150 * time.Millisecond))
-		Expect(storepath.ComeBack(0.99)).To(BeNumerically(">", 290*time.Millisecond))
+		Expect(storepath.RetryAfter(0)).To(Equal(150 * time.Millisecond))
+		Expect(storepath.RetryAfter(0.99)).To(BeNumerically(">", 290*time.Millisecond))
 	})
 })
--- a/internal/policy/storepath/answertimes.go
+++ b/internal/policy/storepath/timeout.go
@@ -25,16 +25,16 @@
 	slowWrite = 700 * time.Millisecond
 )
 
-// AnswerTimes is how long an answer of the store may stay out before it is taken
+// TimeoutEstimator is how long an answer of the store may stay out before it is taken
 // for lost. While the store loses every second answer, a submitter that waits
 // 1.2 s got two tries when each waited 300 ms; it gets eight.
-type AnswerTimes struct {
+type TimeoutEstimator struct {
 	mean, spread time.Duration // 0: no answer yet
 	last         time.Duration
 }
 
 // Observe takes in how long an answer took.
-func (t *AnswerTimes) Observe(took time.Duration) {
+func (t *TimeoutEstimator) Observe(took time.Duration) {
 	t.last = took
 	if t.mean == 0 {
 		t.mean, t.spread = took, took/2
@@ -45,8 +45,8 @@
 	t.spread += time.Duration(spreadWeight * float64(max(off, -off)-t.spread))
 }
 
-// Limit returns how long an answer may stay out.
-func (t *AnswerTimes) Limit() time.Duration {
+// Timeout returns how long an answer may stay out.
+func (t *TimeoutEstimator) Timeout() time.Duration {
 	if t.mean == 0 {
 		return longestLimit
 	}
@@ -55,13 +55,13 @@
 
 // Slow tells whether the store answers late, so that an answer that stays out is
 // no sign of a lost one.
-func (t *AnswerTimes) Slow() bool { return max(t.mean, t.last) > slowAnswer }
+func (t *TimeoutEstimator) Slow() bool { return max(t.mean, t.last) > slowAnswer }
 
-// WriteLimit returns how long a write may go unanswered although another process
+// WriteTimeout returns how long a write may go unanswered although another process
 // has reached the store.
-func (t *AnswerTimes) WriteLimit() time.Duration {
+func (t *TimeoutEstimator) WriteTimeout() time.Duration {
 	if t.Slow() {
 		return slowWrite
 	}
-	return t.Limit()
+	return t.Timeout()
 }
