--- a/internal/policy/storepath/hold.go
+++ b/internal/policy/storepath/hold.go
@@ -3,37 +3,38 @@
 import "time"
 
 const (
-	// holdFor is how long a submission is kept and tried again while nobody reaches
-	// the store. Submitters leave after little more than a second.
-	holdFor = 500 * time.Millisecond
-	// HoldRetryInterval is the pause between two tries; each looks at the store once.
+	// holdDuration is how long a submission is held and retried while no process reaches
+	// the store. Submitters give up after little more than a second.
+	holdDuration = 500 * time.Millisecond
+	// HoldRetryInterval is the interval between two tries of a held submission. Each try
+	// calls the store once.
 	HoldRetryInterval = 100 * time.Millisecond
-	// soonest is when a caller should come back that was refused for want of the
-	// store, and comeBackSpread what is drawn by lot on top of it, so that those
-	// refused together do not return together.
-	soonest        = 150 * time.Millisecond
-	comeBackSpread = 150 * time.Millisecond
+	// minRetryAfter is the shortest delay after which a caller should retry that was refused
+	// because the store is unreachable. Up to retryAfterJitter is added at random, so
+	// that callers refused at the same time do not retry at the same time.
+	minRetryAfter    = 150 * time.Millisecond
+	retryAfterJitter = 150 * time.Millisecond
 )
 
-// HoldDuration returns how long a submission that finds the store away is kept and tried
-// again; unreachable tells that no other process reaches the store either.
+// HoldDuration returns how long a submission is held and retried if this process does not
+// reach the store. unreachable says that no other process reaches the store either. If
+// others do, the duration is 0, as the submission can be sent to them at once.
 //
-// The load that it answers: trainers submit a step every few seconds and, while it
-// is refused, again and again for some seconds; then the step is lost. Nobody knows
-// when an outage ends. A refused submitter comes back two or three times a second,
-// each time with the whole step, and the last time that it does may be just before
-// the store is back. Kept for half a second each time it is nearly always there when
-// the store is. Where others reach the store it is sent to them at once.
+// Trainers submit a step every few seconds. If it is refused, they repeat it for some
+// seconds, and then the step is lost. A refused submitter retries two or three times a
+// second, each time with the whole step, and its last try may come just before the store
+// recovers, which nobody can predict. If each try is held for half a second, one is
+// nearly always pending when the store recovers.
 func HoldDuration(unreachable bool) time.Duration {
 	if unreachable {
-		return holdFor
+		return holdDuration
 	}
 	return 0
 }
 
-// RetryAfter returns when a caller should come back that was refused for want of the
-// store; lot is drawn from [0, 1). It is soon: another process may reach the store,
-// or it may be back.
-func RetryAfter(lot float64) time.Duration {
-	return soonest + time.Duration(lot*float64(comeBackSpread))
+// RetryAfter returns the delay after which a caller should retry that was refused because
+// the store is unreachable. random is a random number in [0, 1). The delay is short, as
+// another process may reach the store or the store may have recovered.
+func RetryAfter(random float64) time.Duration {
+	return minRetryAfter + time.Duration(random*float64(retryAfterJitter))
 }
--- a/internal/policy/storepath/hold_test.go
+++ b/internal/policy/storepath/hold_test.go
@@ -10,17 +10,19 @@
 	"siskinloom.example/siskinloom/internal/policy/storepath"
 )
 
-// trainer submits a step in an outage of the store: it comes back when it is told
-// to, but no later than after mostWait, until its patience is over.
+// trainer simulates a trainer that submits a step during an outage of the store. It
+// retries after the delay that it is told, but no later than after maxDelay, and gives up
+// after timeout.
 type trainer struct {
-	patience, mostWait, travel time.Duration
-	random                     *rand.Rand
+	timeout, maxDelay, roundTrip time.Duration
+	random                       *rand.Rand
 }
 
-// submit plays one submission at a moment of an outage. late is how long after the
-// store was back it was taken; calls are the looks at a store that was away.
-func (t trainer) submit(at, outage, hold time.Duration, comeBack func() time.Duration) (late time.Duration, taken bool, calls int) {
-	for now := at; now < at+t.patience; {
+// submit simulates one submission that starts at a time after the outage began. late is
+// how long after the end of the outage it was accepted; calls is the number of calls to
+// the store during the outage.
+func (t trainer) submit(at, outage, hold time.Duration, retryAfter func() time.Duration) (late time.Duration, accepted bool, calls int) {
+	for now := at; now < at+t.timeout; {
 		for held := time.Duration(0); ; held += storepath.HoldRetryInterval {
 			if now >= outage {
 				return now - outage, true, calls
@@ -31,44 +33,45 @@
 			}
 			now += storepath.HoldRetryInterval
 		}
-		now += t.travel + min(comeBack(), t.mostWait)
+		now += t.roundTrip + min(retryAfter(), t.maxDelay)
 	}
 	return 0, false, calls
 }
 
-var _ = Describe("a submission while nobody reaches the store", func() {
+var _ = Describe("a submission while no process reaches the store", func() {
 	var t trainer
 
-	BeforeEach(func() { // the same draws, whichever spec runs first
-		t = trainer{patience: 6 * time.Second, mostWait: 400 * time.Millisecond, travel: 10 * time.Millisecond, random: rand.New(rand.NewPCG(1, 2))}
+	BeforeEach(func() { // the same random numbers in each spec
+		t = trainer{timeout: 6 * time.Second, maxDelay: 400 * time.Millisecond, roundTrip: 10 * time.Millisecond, random: rand.New(rand.NewPCG(1, 2))}
 	})
 
-	// play submits within a time after each outage began, many times.
-	play := func(outages []time.Duration, within, hold time.Duration, comeBack func() time.Duration) (lost float64, late time.Duration, calls float64) {
+	// play simulates many submissions for each outage. Each starts at a random time in the
+	// first part of the outage, of length within.
+	play := func(outages []time.Duration, within, hold time.Duration, retryAfter func() time.Duration) (lostShare float64, meanLate time.Duration, meanCalls float64) {
 		const rounds = 400
-		n, gone, made, sum := 0, 0, 0, time.Duration(0)
+		n, lost, calls, lateSum := 0, 0, 0, time.Duration(0)
 		for _, outage := range outages {
 			for range rounds {
 				at := time.Duration(t.random.Int64N(int64(min(outage, within))))
-				l, taken, c := t.submit(at, outage, hold, comeBack)
+				l, accepted, c := t.submit(at, outage, hold, retryAfter)
 				n++
-				made += c
-				sum += l
-				if !taken {
-					gone++
+				calls += c
+				lateSum += l
+				if !accepted {
+					lost++
 				}
 			}
 		}
-		return float64(gone) / float64(n), sum / time.Duration(n-gone), float64(made) / float64(n)
+		return float64(lost) / float64(n), lateSum / time.Duration(n-lost), float64(calls) / float64(n)
 	}
 	held := func() time.Duration { return storepath.RetryAfter(t.random.Float64()) }
 	refused := func() time.Duration {
 		return 150*time.Millisecond + time.Duration(t.random.Int64N(int64(150*time.Millisecond)))
 	}
 
-	It("is there when the store is back, though its submitter's time is nearly over", func() {
-		// The store is back 0.1 s before the submitter would give its step up. One that
-		// is refused at once and returns after 150 to 300 ms misses that moment.
+	It("is pending when the store recovers, even if its submitter is about to give up", func() {
+		// The store recovers 0.1 s before the submitter gives up its step. A submitter
+		// that is refused at once and retries after 150 to 300 ms often misses that moment.
 		outages, within := []time.Duration{5900 * time.Millisecond}, 10*time.Millisecond
 		lost, _, _ := play(outages, within, storepath.HoldDuration(true), held)
 		before, _, _ := play(outages, within, 0, refused)
@@ -77,23 +80,23 @@
 		Expect(lost).To(BeNumerically("<", before/2))
 	})
 
-	It("is taken sooner after the store's return, of short outages and long", func() {
+	It("is accepted sooner after short and long outages than one that is refused at once", func() {
 		outages := []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 5 * time.Second}
 		const within = 400 * time.Millisecond
 		lost, late, calls := play(outages, within, storepath.HoldDuration(true), held)
 		_, lateBefore, callsBefore := play(outages, within, 0, refused)
-		GinkgoWriter.Println("late", late, "before", lateBefore, "looks", calls, callsBefore)
+		GinkgoWriter.Println("late", late, "before", lateBefore, "calls", calls, callsBefore)
 		Expect(lost).To(BeZero())
 		Expect(late).To(BeNumerically("<", lateBefore))
 		Expect(late).To(BeNumerically("<", 100*time.Millisecond))
-		Expect(calls).To(BeNumerically("<", 3*callsBefore), "looks at a store that is away")
+		Expect(calls).To(BeNumerically("<", 3*callsBefore), "calls to the store during the outage")
 	})
 
-	It("is sent on at once where others reach the store", func() {
+	It("is not held where others reach the store", func() {
 		Expect(storepath.HoldDuration(false)).To(BeZero())
 	})
 
-	It("comes back soon, and not all at the same time", func() {
+	It("is retried after a short delay with jitter", func() {
 		Expect(storepath.RetryAfter(0)).To(Equal(150 * time.Millisecond))
 		Expect(storepath.RetryAfter(0.99)).To(BeNumerically(">", 290*time.Millisecond))
 	})
--- a/internal/policy/storepath/path_test.go
+++ b/internal/policy/storepath/path_test.go
@@ -17,27 +17,27 @@
 
 var start = time.Unix(1000, 0)
 
-// after returns the moment so many milliseconds after the start.
+// after returns the time ms milliseconds after start.
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-var _ = Describe("the peers that follow the store", func() {
+var _ = Describe("the peers that watch the store", func() {
 	start := time.Unix(1000, 0)
 
-	It("are not asked for a moment when they do not hear from it, and then again", func() {
+	It("are not asked for a relay for a while after they were cut off", func() {
 		p := &storepath.Path{}
 		p.PeersCutOff(start)
 		Expect(p.MayRelay(start.Add(100 * time.Millisecond))).To(BeFalse())
-		Expect(p.MayRelay(start.Add(time.Second))).To(BeTrue(), "only they may be cut off, and this process too")
+		Expect(p.MayRelay(start.Add(time.Second))).To(BeTrue(), "perhaps only they and this process are cut off")
 	})
 
-	It("do not end a relay that works", func() {
+	It("do not stop relaying that works when they are cut off", func() {
 		p := &storepath.Path{}
 		p.RelayServed(start, start)
 		p.PeersCutOff(start)
 		Expect(p.MayRelay(start)).To(BeTrue())
 	})
 
-	It("leave nobody who reaches it, until they or this process hear from it", func() {
+	It("make the store unreachable if cut off together with this process, until either reaches it", func() {
 		p := &storepath.Path{}
 		Expect(p.Unreachable()).To(BeFalse())
 		p.DirectFailed(start)
@@ -55,24 +55,23 @@
 	})
 })
 
-var _ = Describe("the way to the store", func() {
-	It("leaves the direct path once another process reached the store, and returns at its first answer", func() {
-		// What callers see: one process is cut off from the store. It asks another
-		// one, whose answer shows that the cut is its own; from then on others are
-		// asked first, until the direct path answers again.
+var _ = Describe("Path", func() {
+	It("relays calls once a peer reached the store, and returns to the direct path at its first answer", func() {
+		// Only this process is cut off from the store, which the answer of a peer shows.
+		// Calls then go through peers first until the direct path works again.
 		var p storepath.Path
 		Expect(p.RelayFirst(start)).To(BeFalse())
 		Expect(p.RelayServed(after(400), start)).To(BeTrue())
-		Expect(p.RelayServed(after(400), start)).To(BeFalse(), "it left already")
+		Expect(p.RelayServed(after(400), start)).To(BeFalse(), "calls are already relayed")
 		Expect(p.RelayFirst(after(500))).To(BeTrue())
 		Expect(p.DirectServed(after(1500))).To(BeTrue())
 		Expect(p.RelayFirst(after(1600))).To(BeFalse())
 	})
 
-	It("learns nothing from calls that began before one that was answered", func() {
-		// What happens: after an outage calls end one by one that were lost in it.
-		// Taken for new failures, each of them sent the process away from a way that
-		// worked again, several times a second.
+	It("ignores failures of calls that began before an answered call", func() {
+		// Calls that were lost in an outage time out one by one after it. Counted as new
+		// failures, they made the process leave a direct path that worked again, several
+		// times a second.
 		var p storepath.Path
 		p.DirectServed(after(1000))
 		for range 3 {
@@ -83,15 +82,15 @@
 		Expect(p.Relaying()).To(BeFalse())
 	})
 
-	It("asks others first after two answers in a row stayed out, not after one", func() {
+	It("relays first after two consecutive calls without an answer, not after one", func() {
 		var p storepath.Path
 		p.DirectFailed(start)
-		Expect(p.RelayFirst(start)).To(BeFalse(), "a store that loses single answers is no cut")
+		Expect(p.RelayFirst(start)).To(BeFalse(), "a single lost answer does not mean a broken path")
 		p.DirectFailed(start)
 		Expect(p.RelayFirst(start)).To(BeTrue())
 	})
 
-	It("knows the store to be down when others failed as well, until a call is answered", func() {
+	It("reports the store as down after peers failed as well, until a call is answered", func() {
 		var p storepath.Path
 		p.DirectFailed(start)
 		p.DirectFailed(start)
@@ -103,30 +102,30 @@
 	})
 
 	It("adds few calls while the store itself is down", func() {
-		// What happens: the store is down for eight seconds and every process calls
-		// it ten times a second. Asking others as well must not double the calls.
+		// The store is down for eight seconds, and each process calls it ten times a
+		// second. Relaying must not double the calls.
 		var p storepath.Path
-		asked := 0
+		relayed := 0
 		for ms := 0; ms < 8000; ms += 100 {
 			p.DirectFailed(after(ms))
 			if p.MayRelay(after(ms)) {
-				asked++
+				relayed++
 				p.RelaysFailed(after(ms))
 			}
 		}
-		Expect(asked).To(BeNumerically("<=", 5), "of 80 calls")
+		Expect(relayed).To(BeNumerically("<=", 5), "of 80 calls")
 		Expect(p.Relaying()).To(BeFalse())
 	})
 
-	It("tries its direct path once a second while it is away", func() {
+	It("probes its direct path once a second while it relays calls", func() {
 		var p storepath.Path
 		p.RelayServed(start, start)
-		looks := 0
+		probes := 0
 		for ms := 0; ms < 5000; ms += 50 {
 			if p.ProbeDue(after(ms)) {
-				looks++
+				probes++
 			}
 		}
-		Expect(looks).To(Equal(4))
+		Expect(probes).To(Equal(4))
 	})
 })
--- a/internal/policy/storepath/timeout.go
+++ b/internal/policy/storepath/timeout.go
@@ -3,65 +3,67 @@
 import "time"
 
 const (
-	// shortestLimit is above what a single slow answer of a healthy store takes,
-	// which answers in 4 ms.
-	shortestLimit = 80 * time.Millisecond
-	// longestLimit is above the 240 ms of a store that is slowed sixtyfold, and
-	// leaves time to renew a lease through a peer before it lapses.
-	longestLimit = 300 * time.Millisecond
-	// meanWeight and spreadWeight are the shares of a new answer in the running
-	// mean of answers' times and in that of their deviation, and spreads how many
-	// deviations above the mean an answer may take: the figures by which TCP sets
-	// its retransmission timeout.
-	meanWeight   = 1.0 / 8
-	spreadWeight = 1.0 / 4
-	spreads      = 4
-	// slowAnswer marks a store that is slow and not lost: fifteen times its usual
-	// 4 ms.
-	slowAnswer = 60 * time.Millisecond
-	// slowWrite is how long a write may go unanswered while the store is slow. Its
-	// answers then vary by hundreds of milliseconds, and a write that is given up
-	// early is made again and costs more slow calls.
-	slowWrite = 700 * time.Millisecond
+	// minTimeout is longer than a single slow answer of a healthy store takes. The usual
+	// answer takes 4 ms.
+	minTimeout = 80 * time.Millisecond
+	// maxTimeout is longer than the 240 ms that an answer takes when the store is 60 times
+	// slower than usual, and leaves time to renew a lease through a peer before it
+	// expires.
+	maxTimeout = 300 * time.Millisecond
+	// meanWeight and deviationWeight are the weights of a new sample in the moving averages
+	// of the latency and of its deviation. The timeout is the mean plus
+	// deviationFactor times the deviation. TCP computes its retransmission timeout with
+	// the same values.
+	meanWeight      = 1.0 / 8
+	deviationWeight = 1.0 / 4
+	deviationFactor = 4
+	// slowLatency is the latency above which the store is regarded as slow rather than
+	// as losing answers: fifteen times its usual 4 ms.
+	slowLatency = 60 * time.Millisecond
+	// slowWriteTimeout is the timeout of a write while the store is slow. The latency then
+	// varies by hundreds of milliseconds, and a write that times out early is repeated
+	// and costs more slow calls.
+	slowWriteTimeout = 700 * time.Millisecond
 )
 
-// TimeoutEstimator is how long an answer of the store may stay out before it is taken
-// for lost. While the store loses every second answer, a submitter that waits
-// 1.2 s got two tries when each waited 300 ms; it gets eight.
+// TimeoutEstimator computes from observed latencies how long to wait for an answer of
+// the store before it is regarded as lost. A fixed timeout of 300 ms left a submitter
+// that waits 1.2 s only two tries while the store lost every second answer. With the
+// estimate the submitter gets eight. The zero value is ready to use.
 type TimeoutEstimator struct {
-	mean, spread time.Duration // 0: no answer yet
-	last         time.Duration
+	mean, deviation time.Duration // of the latency; 0 before the first answer
+	last            time.Duration // latency of the latest answer
 }
 
-// Observe takes in how long an answer took.
+// Observe records the latency of an answer.
 func (t *TimeoutEstimator) Observe(took time.Duration) {
 	t.last = took
 	if t.mean == 0 {
-		t.mean, t.spread = took, took/2
+		t.mean, t.deviation = took, took/2
 		return
 	}
 	off := took - t.mean
 	t.mean += time.Duration(meanWeight * float64(off))
-	t.spread += time.Duration(spreadWeight * float64(max(off, -off)-t.spread))
+	t.deviation += time.Duration(deviationWeight * float64(max(off, -off)-t.deviation))
 }
 
-// Timeout returns how long an answer may stay out.
+// Timeout returns how long to wait for an answer.
 func (t *TimeoutEstimator) Timeout() time.Duration {
 	if t.mean == 0 {
-		return longestLimit
+		return maxTimeout
 	}
-	return min(max(t.mean+spreads*t.spread, shortestLimit), longestLimit)
+	return min(max(t.mean+deviationFactor*t.deviation, minTimeout), maxTimeout)
 }
 
-// Slow tells whether the store answers late, so that an answer that stays out is
-// no sign of a lost one.
-func (t *TimeoutEstimator) Slow() bool { return max(t.mean, t.last) > slowAnswer }
+// Slow reports whether the store answers slowly, in which case a missing answer is
+// probably late and not lost.
+func (t *TimeoutEstimator) Slow() bool { return max(t.mean, t.last) > slowLatency }
 
-// WriteTimeout returns how long a write may go unanswered although another process
-// has reached the store.
+// WriteTimeout returns how long to wait for the answer to a write although another
+// process has reached the store.
 func (t *TimeoutEstimator) WriteTimeout() time.Duration {
 	if t.Slow() {
-		return slowWrite
+		return slowWriteTimeout
 	}
 	return t.Timeout()
 }
