--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -51,7 +51,7 @@
 
 	mu      sync.Mutex
 	weights *weightsServer // nil: none runs
-	guard   *weights.Guard
+	guard   *weights.OrderFilter
 	loading time.Time     // when the load in progress began; zero: none
 	took    time.Duration // of the last load
 }
@@ -62,7 +62,7 @@
 		o.MemoryBytes = DefaultWeightsMemory
 	}
 	if o.MaxOrder == 0 {
-		o.MaxOrder = weights.MaxOrder
+		o.MaxOrder = weights.MaxOrderTimeout
 	}
 	table := newChunkTable(o.DataDir, o.MemoryBytes)
 	return &Orders{
@@ -71,7 +71,7 @@
 		fetcher:  &fetcher{store: o.Store, table: table, peers: rpcpool.New(o.Dial)},
 		log:      o.Log,
 		metrics:  o.Metrics,
-		guard:    weights.NewGuard(o.Incarnation, o.MaxOrder, time.Now()),
+		guard:    weights.NewOrderFilter(o.Incarnation, o.MaxOrder, time.Now()),
 	}
 }
 
@@ -80,7 +80,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range all {
-		s.guard.Fence(f)
+		s.guard.ObserveFence(f)
 	}
 }
 
@@ -94,7 +94,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.guard.ReportRole(load.Role, taken)
-	s.guard.Report(versions, taken)
+	s.guard.ReportVersions(versions, taken)
 }
 
 // Busy returns how long the load in progress will probably last; 0 without one.
@@ -179,9 +179,9 @@
 }
 
 // give hands a load to the engine and waits for its end.
-func (s *Orders) give(o wire.Order, deadline time.Time) (weights.Result, wire.Reason, error) {
+func (s *Orders) give(o wire.Order, deadline time.Time) (weights.LoadResult, wire.Reason, error) {
 	s.mu.Lock()
-	due := s.guard.Due(time.Now())
+	due := s.guard.StillValid(time.Now())
 	s.mu.Unlock()
 	if !due {
 		return weights.LoadFailed, wire.ReasonDeadline, errors.New("agent: the order's deadline has passed")
@@ -233,7 +233,7 @@
 // Chunk gives a piece of weights to another agent, waiting a little for one that
 // is on its way.
 func (s *Orders) Chunk(ctx context.Context, id wire.ChunkRequest) wire.ChunkReply {
-	data, found := s.table.wait(ctx, id, weights.ChunkHold)
+	data, found := s.table.wait(ctx, id, weights.ChunkHoldTimeout)
 	if found {
 		s.count("chunks_given")
 	}
--- a/internal/agent/prepare.go
+++ b/internal/agent/prepare.go
@@ -84,12 +84,12 @@
 }
 
 type pieceEnd struct {
-	piece weights.Piece
+	piece weights.ChunkSource
 	err   error
 }
 
 func (f *fetcher) fetch(ctx context.Context, model string, o wire.Order, chunks int) error {
-	plan := weights.NewFetch(chunks, o.Sources)
+	plan := weights.NewFetchPlan(chunks, o.Sources)
 	ends := make(chan pieceEnd)
 	outstanding := 0
 	for {
@@ -107,23 +107,23 @@
 		outstanding--
 		switch {
 		case end.err == nil:
-			plan.Got(end.piece)
+			plan.MarkReceived(end.piece)
 		case ctx.Err() != nil:
 			// Left as asked: nothing more is started, the rest is only collected.
 		default:
-			plan.Missed(end.piece)
+			plan.MarkFailed(end.piece)
 		}
 	}
 }
 
-func (f *fetcher) piece(ctx context.Context, model string, version int64, p weights.Piece) error {
+func (f *fetcher) piece(ctx context.Context, model string, version int64, p weights.ChunkSource) error {
 	id := wire.ChunkRequest{Model: model, Version: version, Index: p.Index}
 	if _, held := f.table.get(id); held {
 		return nil
 	}
 	var data []byte
 	var err error
-	if p.Source == weights.Store {
+	if p.Source == weights.StoreSource {
 		data, err = f.fromStore(ctx, id)
 	} else {
 		data, err = f.fromPeer(ctx, p.Source, id)
@@ -169,7 +169,7 @@
 }
 
 func (f *fetcher) fromPeer(ctx context.Context, address string, id wire.ChunkRequest) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, weights.ChunkLimit)
+	ctx, cancel := context.WithTimeout(ctx, weights.ChunkRequestTimeout)
 	defer cancel()
 	var reply wire.ChunkReply
 	if err := f.peers.Call(ctx, address, methodChunk, id, &reply); err != nil {
--- a/internal/entry/weights_rollout.go
+++ b/internal/entry/weights_rollout.go
@@ -154,7 +154,7 @@
 	}
 }
 
-func (r *serviceRollout) step(now time.Time) ([]weights.Send, bool) {
+func (r *serviceRollout) step(now time.Time) ([]weights.EngineOrder, bool) {
 	d := r.weights.options.Config.Current()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,7 +166,7 @@
 	if !declared {
 		return nil, r.rollout.Deposed()
 	}
-	r.rollout.SetFloor(service.CapacityFloor)
+	r.rollout.SetCapacityFloor(service.CapacityFloor)
 	r.rollout.SetRoles(rolesOf(service))
 	r.rollout.SetMembers(r.members(d.DrainInstances), now)
 	sends := r.rollout.Step(now)
@@ -228,7 +228,7 @@
 }
 
 // give sends an order and feeds its reply back.
-func (r *serviceRollout) give(ctx context.Context, s weights.Send) {
+func (r *serviceRollout) give(ctx context.Context, s weights.EngineOrder) {
 	limit := s.Order.Remaining + orderGrace
 	if s.Order.Kind == wire.OrderStatus {
 		limit = statusLimit
@@ -246,7 +246,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down[s.Engine] = err != nil || reply.Reason == wire.ReasonNoEndpoint
-	r.rollout.Reply(s.Engine, s.Order, reply, err == nil, time.Now())
+	r.rollout.HandleReply(s.Engine, s.Order, reply, err == nil, time.Now())
 }
 
 func (r *serviceRollout) progress() []weights.Progress {
--- a/internal/entry/weights_test.go
+++ b/internal/entry/weights_test.go
@@ -128,8 +128,8 @@
 		w := NewWeights(WeightsOptions{
 			Store: store, Duties: holders, Config: weightsConfig{deployment}, Instances: lister, Deployment: "d", Log: log,
 			Rollout: func(c *weights.Config) {
-				c.LoadTimeout, c.TargetAge = weightsOrder*3/4, weightsOrder/4
-				c.Recheck = 300 * time.Millisecond
+				c.LoadTimeout, c.MaxTargetAge = weightsOrder*3/4, weightsOrder/4
+				c.RecheckInterval = 300 * time.Millisecond
 			},
 		})
 		go func(ctx context.Context) { _ = w.Run(ctx) }(ctx)
--- a/internal/lab/weights/faulty.go
+++ b/internal/lab/weights/faulty.go
@@ -29,13 +29,13 @@
 type load struct {
 	order    wire.Order
 	deadline time.Time
-	end      func(weights.Result)
+	end      func(weights.LoadResult)
 }
 
 // agent is one agent process of an engine.
 type agent struct {
 	engine      *engine
-	guard       *weights.Guard
+	guard       *weights.OrderFilter
 	pausedUntil time.Time
 	broken      []func() // tell owners that their connection to this agent ended
 }
@@ -59,7 +59,7 @@
 func (e *engine) startAgent() {
 	e.replaced++
 	incarnation := e.id + "/" + strconv.Itoa(e.replaced)
-	a := &agent{engine: e, guard: weights.NewGuard(incarnation, maxOrder, e.world.clock.Now())}
+	a := &agent{engine: e, guard: weights.NewOrderFilter(incarnation, maxOrder, e.world.clock.Now())}
 	e.agent = a
 	a.report()
 }
@@ -117,7 +117,7 @@
 				taken = taken.Add(maxOrder)
 			}
 			a.guard.ReportRole(role, taken)
-			a.guard.Report(versions, taken)
+			a.guard.ReportVersions(versions, taken)
 		})
 	})
 	w.clock.After(reportEvery, func() { a.wake(a.report) })
@@ -136,7 +136,7 @@
 		verdict := a.guard.Accept(o, w.clock.Now())
 		switch {
 		case isLoad && w.harm.NoGuard:
-			a.engine.take(&load{order: o, deadline: w.clock.Now().Add(maxOrder), end: func(weights.Result) {
+			a.engine.take(&load{order: o, deadline: w.clock.Now().Add(maxOrder), end: func(weights.LoadResult) {
 				reply(wire.OrderReply{Outcome: wire.Answered, Version: o.Version, Role: o.Role})
 			}})
 		case !verdict.Run:
@@ -163,18 +163,18 @@
 func (a *agent) pass(o wire.Order, deadline time.Time, reply func(wire.OrderReply)) {
 	w := a.engine.world
 	finished := false
-	finish := func(result weights.Result) {
+	finish := func(result weights.LoadResult) {
 		if !finished {
 			finished = true
 			reply(a.guard.Finish(result, w.clock.Now()))
 		}
 	}
-	if !a.guard.Due(w.clock.Now()) {
+	if !a.guard.StillValid(w.clock.Now()) {
 		finish(weights.LoadFailed)
 		return
 	}
 	lost := !w.quiet() && w.chance(0.05)
-	a.engine.take(&load{order: o, deadline: deadline, end: func(result weights.Result) {
+	a.engine.take(&load{order: o, deadline: deadline, end: func(result weights.LoadResult) {
 		if !lost {
 			w.clock.After(time.Millisecond, func() { a.wake(func() { finish(result) }) })
 		}
--- a/internal/lab/weights/fleet.go
+++ b/internal/lab/weights/fleet.go
@@ -26,7 +26,7 @@
 	LoadSpread float64       // of the load time, each way, as a share
 	FailLoads  float64       // share of loads that fail
 	Floor      float64       // declared capacity floor
-	Spread     weights.Spread
+	Spread     weights.Distribution
 	Deaths     int           // agents that fall silent, with their engines, during the fetch
 	Takeover   time.Duration // when the owner dies; 0: never
 	Lease      time.Duration // from then until its successor begins
@@ -52,7 +52,7 @@
 		LoadSpread: 0.2,
 		FailLoads:  0.01,
 		Floor:      0.75,
-		Spread:     weights.DefaultConfig().Spread,
+		Spread:     weights.DefaultConfig().Distribution,
 		Seed:       1,
 	}
 }
@@ -132,7 +132,7 @@
 	config := weights.DefaultConfig()
 	config.Duty, config.Epoch = weights.Duty("fleet"), epoch
 	r.epoch = epoch
-	config.CapacityFloor, config.Spread = r.Floor, r.Spread
+	config.CapacityFloor, config.Distribution = r.Floor, r.Spread
 	config.PrepareTimeout = fleetLimit
 	r.rollout = weights.NewRollout(config)
 	r.rollout.SetMembers(r.members, r.clock.Now())
@@ -180,7 +180,7 @@
 		r.clock.After(orderLimit, func() {
 			// Only a dead agent's orders have no reply; another's is ignored as late.
 			if n.dead {
-				owner.Reply(send.Engine, send.Order, wire.OrderReply{}, false, r.clock.Now())
+				owner.HandleReply(send.Engine, send.Order, wire.OrderReply{}, false, r.clock.Now())
 			}
 		})
 	}
@@ -191,7 +191,7 @@
 func (r *fleet) reply(id string, o wire.Order, reply wire.OrderReply) {
 	r.clock.After(r.Latency, func() {
 		if r.rollout != nil && r.epoch == o.Fence.Epoch {
-			r.rollout.Reply(id, o, reply, true, r.clock.Now())
+			r.rollout.HandleReply(id, o, reply, true, r.clock.Now())
 		}
 	})
 }
--- a/internal/lab/weights/node.go
+++ b/internal/lab/weights/node.go
@@ -13,11 +13,11 @@
 	id      string
 	up      link
 	down    link
-	guard   *weights.Guard
+	guard   *weights.OrderFilter
 	held    []bool
 	waiting map[int][]func(found bool) // questions for chunks that have not come yet
 	prepare wire.Order
-	fetch   *weights.Fetch
+	fetch   *weights.FetchPlan
 	version int64
 	dead    bool
 }
@@ -34,13 +34,13 @@
 	}
 	// The agent has been up for long: it is settled.
 	now := r.clock.Now()
-	n.guard = weights.NewGuard(id, weights.MaxOrder, now.Add(-2*weights.MaxOrder))
+	n.guard = weights.NewOrderFilter(id, weights.MaxOrderTimeout, now.Add(-2*weights.MaxOrderTimeout))
 	n.report(now)
 	return n
 }
 
 func (n *node) report(now time.Time) {
-	n.guard.Report(map[string]int64{"": n.version}, now)
+	n.guard.ReportVersions(map[string]int64{"": n.version}, now)
 }
 
 func (n *node) handle(o wire.Order) {
@@ -64,7 +64,7 @@
 		if n.fleet.FromStore {
 			sources = nil
 		}
-		n.fetch = weights.NewFetch(n.fleet.Chunks, sources)
+		n.fetch = weights.NewFetchPlan(n.fleet.Chunks, sources)
 		n.next()
 	default:
 		n.load(o)
@@ -77,8 +77,8 @@
 	}
 }
 
-func (n *node) ask(piece weights.Piece) {
-	if piece.Source == weights.Store {
+func (n *node) ask(piece weights.ChunkSource) {
+	if piece.Source == weights.StoreSource {
 		n.fleet.result.StoreBytes += n.fleet.Bytes / float64(n.fleet.Chunks)
 		n.fleet.transfer(&n.fleet.store, &n.down, func() { n.got(piece) })
 		return
@@ -89,7 +89,7 @@
 			n.got(piece)
 			return
 		}
-		n.fetch.Missed(piece)
+		n.fetch.MarkFailed(piece)
 		n.next()
 	})
 }
@@ -97,7 +97,7 @@
 // give sends a chunk down a link, once it is there.
 func (n *node) give(index int, to *link, end func(found bool)) {
 	if n.dead {
-		n.fleet.clock.After(weights.ChunkLimit, func() { end(false) })
+		n.fleet.clock.After(weights.ChunkRequestTimeout, func() { end(false) })
 		return
 	}
 	if n.held[index] {
@@ -111,7 +111,7 @@
 			n.fleet.transfer(&n.up, to, func() { end(true) })
 		}
 	})
-	n.fleet.clock.After(weights.ChunkHold, func() { // a death while it waits is not told apart
+	n.fleet.clock.After(weights.ChunkHoldTimeout, func() { // a death while it waits is not told apart
 		if !answered {
 			answered = true
 			end(false)
@@ -119,11 +119,11 @@
 	})
 }
 
-func (n *node) got(piece weights.Piece) {
+func (n *node) got(piece weights.ChunkSource) {
 	if n.dead {
 		return
 	}
-	n.fetch.Got(piece)
+	n.fetch.MarkReceived(piece)
 	n.held[piece.Index] = true
 	for _, answer := range n.waiting[piece.Index] {
 		answer(true)
--- a/internal/lab/weights/schedule.go
+++ b/internal/lab/weights/schedule.go
@@ -195,12 +195,12 @@
 	config.Duty = "weights/s"
 	config.Epoch = int64(firstOwner + len(w.owners))
 	config.CapacityFloor = w.floor
-	config.Poll = ownerTick
-	config.Recheck = 3 * time.Second
+	config.PollInterval = ownerTick
+	config.RecheckInterval = 3 * time.Second
 	config.PrepareTimeout = rpcTimeout
 	config.LoadTimeout = maxOrder * 3 / 4
-	config.CoolOff = 2 * time.Second
-	config.DownGrace = 2 * time.Second
+	config.FailureCooldown = 2 * time.Second
+	config.DownGracePeriod = 2 * time.Second
 	o := &owner{world: w, rollout: weights.NewRollout(config), epoch: config.Epoch}
 	w.owners = append(w.owners, o)
 	o.tick()
@@ -253,7 +253,7 @@
 // send carries an order to the agent that stands there now. A connection ends
 // with its agent, so nothing on its way reaches the successor, but a paused agent
 // still reads what lies in its socket.
-func (o *owner) send(s weights.Send) {
+func (o *owner) send(s weights.EngineOrder) {
 	w := o.world
 	e := w.engine(s.Engine)
 	agent := e.agent
@@ -263,7 +263,7 @@
 			return
 		}
 		answered = true
-		o.wake(func() { o.rollout.Reply(s.Engine, s.Order, reply, delivered, w.clock.Now()) })
+		o.wake(func() { o.rollout.HandleReply(s.Engine, s.Order, reply, delivered, w.clock.Now()) })
 	}
 	w.clock.After(w.between(silentAfter, rpcTimeout), func() { end(wire.OrderReply{}, false) })
 	if agent == nil {
--- a/internal/policy/weights/doc.go
+++ b/internal/policy/weights/doc.go
@@ -14,9 +14,9 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// MaxOrder is the longest deadline of an order that changes an engine, and so the
+// MaxOrderTimeout is the longest deadline of an order that changes an engine, and so the
 // time that a new agent waits for its predecessor's orders to end.
-const MaxOrder = 10 * time.Second
+const MaxOrderTimeout = 10 * time.Second
 
 // Key names what is loaded: the full weights of a model, or one of its adapters.
 type Key struct {
--- a/internal/policy/weights/engine.go
+++ b/internal/policy/weights/engine.go
@@ -94,9 +94,9 @@
 
 func (t *track) fail(c Config, now time.Time) {
 	t.failures++
-	t.asideUntil = now.Add(c.Poll)
-	if t.failures >= c.MaxFailures {
+	t.asideUntil = now.Add(c.PollInterval)
+	if t.failures >= c.MaxLoadFailures {
 		t.failures = 0
-		t.asideUntil = now.Add(c.CoolOff)
+		t.asideUntil = now.Add(c.FailureCooldown)
 	}
 }
--- a/internal/policy/weights/fetch.go
+++ b/internal/policy/weights/fetch.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// ChunkHold is how long an agent keeps a question for a chunk that it has not
+	// ChunkHoldTimeout is how long an agent keeps a question for a chunk that it has not
 	// got yet: long enough for the chunk to come down the tree, short enough that
 	// the asker does not wait behind an agent that fell silent further up.
-	ChunkHold = time.Second
-	// ChunkLimit is how long an agent waits for an answer to such a question.
-	ChunkLimit = 3 * time.Second
+	ChunkHoldTimeout = time.Second
+	// ChunkRequestTimeout is how long an agent waits for an answer to such a question.
+	ChunkRequestTimeout = 3 * time.Second
 )
 
 // fetchWindow is how many chunks an agent asks each of its sources for at once.
@@ -19,23 +19,23 @@
 // given up, to be ordered again.
 const storeAttempts = 8
 
-// Store is the source that stands for the weight store.
-const Store = ""
+// StoreSource is the source that stands for the weight store.
+const StoreSource = ""
 
-// Piece is one chunk to ask a source for.
-type Piece struct {
+// ChunkSource is one chunk to ask a source for.
+type ChunkSource struct {
 	Index  int
 	Source string // address of an agent, or Store
 }
 
-// Fetch decides which chunk an agent asks for where. Chunk i comes from source i
+// FetchPlan decides which chunk an agent asks for where. Chunk i comes from source i
 // modulo their number, in order, so that the sources serve disjoint stripes. A
 // chunk that a source fails to give moves on to the next source and at last to
 // the store, so that an agent that dies costs its children a detour, not the
 // version; the store is last because it alone cannot serve a fleet. A source that
 // failed is passed over for the chunks after it: an agent that fell silent would
 // otherwise cost its time limit again and again.
-type Fetch struct {
+type FetchPlan struct {
 	sources []string
 	state   []pieceState
 	held    int
@@ -49,19 +49,19 @@
 	misses int
 }
 
-// NewFetch returns the fetch of a version of so many chunks. No sources means
+// NewFetchPlan returns the fetch of a version of so many chunks. No sources means
 // the store.
-func NewFetch(chunks int, sources []string) *Fetch {
+func NewFetchPlan(chunks int, sources []string) *FetchPlan {
 	if len(sources) == 0 {
-		sources = []string{Store}
+		sources = []string{StoreSource}
 	}
-	return &Fetch{sources: sources, state: make([]pieceState, chunks), asked: map[string]int{}, failed: map[string]bool{}}
+	return &FetchPlan{sources: sources, state: make([]pieceState, chunks), asked: map[string]int{}, failed: map[string]bool{}}
 }
 
 // Next returns the pieces to ask for now; each must end in Got or Missed. It
 // returns none any more once a chunk was asked for everywhere in vain.
-func (f *Fetch) Next() []Piece {
-	var out []Piece
+func (f *FetchPlan) Next() []ChunkSource {
+	var out []ChunkSource
 	for i := range f.state {
 		s := &f.state[i]
 		source := f.source(i)
@@ -73,15 +73,15 @@
 		}
 		s.asked = true
 		f.asked[source]++
-		out = append(out, Piece{Index: i, Source: source})
+		out = append(out, ChunkSource{Index: i, Source: source})
 	}
 	return out
 }
 
-func (f *Fetch) source(i int) string {
+func (f *FetchPlan) source(i int) string {
 	misses := f.state[i].misses
 	if misses >= len(f.sources) {
-		return Store
+		return StoreSource
 	}
 	for k := range f.sources {
 		source := f.sources[(i+misses+k)%len(f.sources)]
@@ -92,8 +92,8 @@
 	return f.sources[(i+misses)%len(f.sources)]
 }
 
-// Got notes that a piece arrived.
-func (f *Fetch) Got(p Piece) {
+// MarkReceived notes that a piece arrived.
+func (f *FetchPlan) MarkReceived(p ChunkSource) {
 	s := &f.state[p.Index]
 	s.asked = false
 	f.asked[p.Source]--
@@ -103,14 +103,14 @@
 	}
 }
 
-// Missed notes that a source did not give a piece.
-func (f *Fetch) Missed(p Piece) {
+// MarkFailed notes that a source did not give a piece.
+func (f *FetchPlan) MarkFailed(p ChunkSource) {
 	s := &f.state[p.Index]
 	s.asked = false
 	s.misses++
 	f.asked[p.Source]--
-	f.failed[p.Source] = p.Source != Store
+	f.failed[p.Source] = p.Source != StoreSource
 }
 
 // Done tells whether every chunk is held.
-func (f *Fetch) Done() bool { return f.held == len(f.state) }
+func (f *FetchPlan) Done() bool { return f.held == len(f.state) }
--- a/internal/policy/weights/waves.go
+++ b/internal/policy/weights/loads.go
@@ -30,7 +30,7 @@
 	c := capacity{domains: map[string]*domain{}}
 	for _, id := range r.ids {
 		e := r.engines[id]
-		if e.Leaving || !e.Serving && now.Sub(e.downSince) > r.config.DownGrace {
+		if e.Leaving || !e.Serving && now.Sub(e.downSince) > r.config.DownGracePeriod {
 			continue
 		}
 		d, ok := c.domains[e.Domain]
@@ -77,7 +77,7 @@
 
 // wave chooses the engines that load next, as many as the floor leaves. There is
 // no barrier between waves: an engine that is done makes room for the next.
-func (r *Rollout) wave(out []Send, now time.Time) []Send {
+func (r *Rollout) wave(out []EngineOrder, now time.Time) []EngineOrder {
 	c := r.capacity(now)
 	domains := make([]*domain, 0, len(c.domains))
 	for _, d := range c.domains {
@@ -118,7 +118,7 @@
 
 // give sends the loads chosen whose agents have issued a fresh target, and asks
 // the others for one.
-func (r *Rollout) give(out []Send, now time.Time) []Send {
+func (r *Rollout) give(out []EngineOrder, now time.Time) []EngineOrder {
 	for _, id := range r.ids {
 		e := r.engines[id]
 		if e.load == nil || e.load.order != 0 {
@@ -129,12 +129,12 @@
 			e.load = nil
 			continue
 		}
-		if t.targetAt.IsZero() || now.Sub(t.targetAt) > r.config.TargetAge {
+		if t.targetAt.IsZero() || now.Sub(t.targetAt) > r.config.MaxTargetAge {
 			t.askAt = now
 			out = r.ask(out, e, t.key, now)
 			continue
 		}
-		out = append(out, Send{Engine: id, Order: r.loadOrder(e.load, t.target)})
+		out = append(out, EngineOrder{Engine: id, Order: r.loadOrder(e.load, t.target)})
 	}
 	return out
 }
--- a/internal/policy/weights/guard.go
+++ b/internal/policy/weights/orderfilter.go
@@ -6,7 +6,7 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Guard decides which orders an agent lets through to its engine. Its versions
+// OrderFilter decides which orders an agent lets through to its engine. Its versions
 // are by adapter, the empty one standing for the engine's model. An engine may
 // ignore fencing numbers, so for it the guard alone keeps a version from going
 // back. Five rules do it:
@@ -24,7 +24,7 @@
 //     An order is void MaxOrder after its target was issued, on the issuing agent's
 //     own clock. So one that was read late, from the socket of a paused agent, is
 //     void by the time the successor gives its first.
-type Guard struct {
+type OrderFilter struct {
 	maxOrder    time.Duration
 	incarnation string
 	started     time.Time
@@ -49,19 +49,19 @@
 	Reply    wire.OrderReply
 }
 
-// Result is how a load ended.
-type Result int
+// LoadResult is how a load ended.
+type LoadResult int
 
 // The results of a load.
 const (
-	LoadUnknown Result = iota // the engine may or may not carry it out yet
+	LoadUnknown LoadResult = iota // the engine may or may not carry it out yet
 	LoadDone
 	LoadFailed // the engine said that it did not load
 )
 
-// NewGuard returns the guard of an agent that starts now.
-func NewGuard(incarnation string, maxOrder time.Duration, now time.Time) *Guard {
-	return &Guard{
+// NewOrderFilter returns the guard of an agent that starts now.
+func NewOrderFilter(incarnation string, maxOrder time.Duration, now time.Time) *OrderFilter {
+	return &OrderFilter{
 		maxOrder:    maxOrder,
 		incarnation: incarnation,
 		started:     now,
@@ -73,10 +73,10 @@
 	}
 }
 
-// Fence notes an epoch heard elsewhere, such as on a heartbeat.
-func (g *Guard) Fence(f wire.Fence) { g.pass(f) }
+// ObserveFence notes an epoch heard elsewhere, such as on a heartbeat.
+func (g *OrderFilter) ObserveFence(f wire.Fence) { g.pass(f) }
 
-func (g *Guard) pass(f wire.Fence) bool {
+func (g *OrderFilter) pass(f wire.Fence) bool {
 	known := g.epochs[f.Duty]
 	if f.Epoch < known {
 		return false
@@ -88,10 +88,10 @@
 	return true
 }
 
-// Report notes the versions in force at the engine at the time taken, by adapter.
+// ReportVersions notes the versions in force at the engine at the time taken, by adapter.
 // Reports lag: one taken before the last load ended says nothing about now. A
 // version that fell tells of a restart of the engine; what may pass stays as it was.
-func (g *Guard) Report(versions map[string]int64, taken time.Time) {
+func (g *OrderFilter) ReportVersions(versions map[string]int64, taken time.Time) {
 	if g.running != nil || taken.Before(g.settledAt) {
 		return
 	}
@@ -105,20 +105,20 @@
 
 // ReportRole notes the engine's role, under the same rule. One that restarted
 // tells the role that it starts with, or none.
-func (g *Guard) ReportRole(role string, taken time.Time) {
+func (g *OrderFilter) ReportRole(role string, taken time.Time) {
 	if g.running == nil && !taken.Before(g.settledAt) {
 		g.role = role
 	}
 }
 
-// Settled tells whether the guard knows the engine's state, so that orders may
+// Ready tells whether the guard knows the engine's state, so that orders may
 // pass, and from which time on a report is needed if not.
-func (g *Guard) Settled() (bool, time.Time) {
+func (g *OrderFilter) Ready() (bool, time.Time) {
 	return g.reported && g.running == nil, g.settledAt
 }
 
 // Accept decides on an order that arrives now.
-func (g *Guard) Accept(o wire.Order, now time.Time) Verdict {
+func (g *OrderFilter) Accept(o wire.Order, now time.Time) Verdict {
 	if !g.pass(o.Fence) {
 		return g.refuse(o, wire.ReasonStaleEpoch)
 	}
@@ -134,14 +134,14 @@
 	}
 }
 
-func (g *Guard) refuse(o wire.Order, reason wire.Reason) Verdict {
+func (g *OrderFilter) refuse(o wire.Order, reason wire.Reason) Verdict {
 	return Verdict{Reply: wire.OrderReply{Outcome: wire.NotRun, Reason: reason, Version: g.actual[o.Adapter], Role: g.role}}
 }
 
-func (g *Guard) status(o wire.Order, now time.Time) Verdict {
+func (g *OrderFilter) status(o wire.Order, now time.Time) Verdict {
 	g.asked[o.Fence.Duty] = max(o.Sequence, g.asked[o.Fence.Duty])
 	reply := wire.OrderReply{Outcome: wire.Answered, Version: g.actual[o.Adapter], Role: g.role}
-	if settled, _ := g.Settled(); !settled {
+	if settled, _ := g.Ready(); !settled {
 		reply.Outcome = wire.Running
 		reply.Reason = wire.ReasonNotReady
 	}
@@ -149,14 +149,14 @@
 	return Verdict{Reply: reply}
 }
 
-func (g *Guard) load(o wire.Order, now time.Time) Verdict {
+func (g *OrderFilter) load(o wire.Order, now time.Time) Verdict {
 	if g.running != nil {
 		return g.busy(o)
 	}
 	if o.Sequence < g.asked[o.Fence.Duty] {
 		return g.refuse(o, wire.ReasonDuplicate)
 	}
-	if settled, _ := g.Settled(); !settled {
+	if settled, _ := g.Ready(); !settled {
 		return g.refuse(o, wire.ReasonNotReady)
 	}
 	isRole := o.Kind == wire.OrderRole
@@ -180,14 +180,14 @@
 
 // inForce tells whether the engine has what the order would bring. Roles have no
 // order among them: an owner's epoch and sequence alone say which is the newest.
-func (g *Guard) inForce(o wire.Order) bool {
+func (g *OrderFilter) inForce(o wire.Order) bool {
 	if o.Kind == wire.OrderRole {
 		return o.Role == g.role
 	}
 	return o.Version == g.actual[o.Adapter]
 }
 
-func (g *Guard) busy(o wire.Order) Verdict {
+func (g *OrderFilter) busy(o wire.Order) Verdict {
 	if o.ID != g.running.ID {
 		return g.refuse(o, wire.ReasonNotReady)
 	}
@@ -196,7 +196,7 @@
 
 // expiry returns when an order ends to be valid; the zero time for the order of
 // another run of the agent.
-func (g *Guard) expiry(o wire.Order, now time.Time) time.Time {
+func (g *OrderFilter) expiry(o wire.Order, now time.Time) time.Time {
 	if o.Target.Incarnation != g.incarnation {
 		return time.Time{}
 	}
@@ -207,12 +207,12 @@
 	return void
 }
 
-// Due tells whether a load let through may still be given to the engine; ask
+// StillValid tells whether a load let through may still be given to the engine; ask
 // right before giving it, as the agent may have been paused since Accept.
-func (g *Guard) Due(now time.Time) bool { return now.Before(g.deadline) }
+func (g *OrderFilter) StillValid(now time.Time) bool { return now.Before(g.deadline) }
 
 // Finish notes the end of the load in progress and returns the order's reply.
-func (g *Guard) Finish(result Result, now time.Time) wire.OrderReply {
+func (g *OrderFilter) Finish(result LoadResult, now time.Time) wire.OrderReply {
 	o := *g.running
 	g.running = nil
 	switch result {
--- a/internal/policy/weights/progress.go
+++ b/internal/policy/weights/progress.go
@@ -4,12 +4,12 @@
 
 // Progress is how far the newest version of a key has come.
 type Progress struct {
-	Key     Key
-	Version int64
-	Engines int // that are to have it
-	Done    int
-	Loading int // loads in progress or of open end
-	Aside   int // set aside after failed loads
+	Key        Key
+	Version    int64
+	Engines    int // that are to have it
+	Done       int
+	Loading    int // loads in progress or of open end
+	BackingOff int // set aside after failed loads
 	// Blocked is set if the floor leaves no engine to load even when all serve.
 	Blocked bool
 }
@@ -45,6 +45,6 @@
 	case e.load != nil && e.load.key == p.Key:
 		p.Loading++
 	case now.Before(t.asideUntil):
-		p.Aside++
+		p.BackingOff++
 	}
 }
--- a/internal/policy/weights/roles_test.go
+++ b/internal/policy/weights/roles_test.go
@@ -79,9 +79,9 @@
 		s.roles["e1"] = ""
 		s.rollout.SetTarget(model, 2)
 		s.run()
-		s.now = s.now.Add(weights.DefaultConfig().Recheck)
+		s.now = s.now.Add(weights.DefaultConfig().RecheckInterval)
 		settle(s)
-		s.now = s.now.Add(weights.DefaultConfig().Recheck)
+		s.now = s.now.Add(weights.DefaultConfig().RecheckInterval)
 		settle(s)
 		Expect(count(s)).To(Equal(map[string]int{"prefill": 2, "decode": 2}))
 		Expect(s.versions).To(HaveEach(int64(2)))
@@ -107,9 +107,9 @@
 	// An owner that was paused orders a role beside its successor, and the
 	// successor orders one that the engine has. Neither reaches the engine.
 	It("let a role of the newest epoch through, once, and tell it", func() {
-		g := weights.NewGuard("a", weights.MaxOrder, start.Add(-weights.MaxOrder))
+		g := weights.NewOrderFilter("a", weights.MaxOrderTimeout, start.Add(-weights.MaxOrderTimeout))
 		g.ReportRole("prefill", start)
-		g.Report(map[string]int64{"": 1}, start)
+		g.ReportVersions(map[string]int64{"": 1}, start)
 		order := func(kind wire.OrderKind, epoch int64, role string, target wire.Target) weights.Verdict {
 			return g.Accept(wire.Order{
 				ID: role, Kind: kind, Role: role, Sequence: 9, Target: target, Remaining: time.Second,
--- a/internal/policy/weights/rollout.go
+++ b/internal/policy/weights/rollout.go
@@ -13,30 +13,30 @@
 	Duty          string
 	Epoch         int64
 	CapacityFloor float64 // share of engines that serve at every moment, 0..1
-	Spread        Spread
+	Distribution  Distribution
 
-	Poll           time.Duration // between questions to an engine whose state is open
-	Recheck        time.Duration // between questions to an engine whose state is known
-	PrepareTimeout time.Duration
-	LoadTimeout    time.Duration // together with TargetAge at most MaxOrder
-	TargetAge      time.Duration // of a status reply whose target may still be used
-	MaxFailures    int           // loads in a row before an engine is set aside
-	CoolOff        time.Duration // how long it stays so
-	DownGrace      time.Duration // an engine down for longer no longer counts as capacity to keep
+	PollInterval    time.Duration // between questions to an engine whose state is open
+	RecheckInterval time.Duration // between questions to an engine whose state is known
+	PrepareTimeout  time.Duration
+	LoadTimeout     time.Duration // together with TargetAge at most MaxOrder
+	MaxTargetAge    time.Duration // of a status reply whose target may still be used
+	MaxLoadFailures int           // loads in a row before an engine is set aside
+	FailureCooldown time.Duration // how long it stays so
+	DownGracePeriod time.Duration // an engine down for longer no longer counts as capacity to keep
 }
 
 // DefaultConfig returns the pace used unless something speaks against it.
 func DefaultConfig() Config {
 	return Config{
-		Spread:         Spread{Stripes: 4, Roots: 1},
-		Poll:           250 * time.Millisecond,
-		Recheck:        5 * time.Second,
-		PrepareTimeout: time.Minute,
-		LoadTimeout:    8 * time.Second,
-		TargetAge:      time.Second,
-		MaxFailures:    3,
-		CoolOff:        30 * time.Second,
-		DownGrace:      10 * time.Second,
+		Distribution:    Distribution{Stripes: 4, RootsPerStripe: 1},
+		PollInterval:    250 * time.Millisecond,
+		RecheckInterval: 5 * time.Second,
+		PrepareTimeout:  time.Minute,
+		LoadTimeout:     8 * time.Second,
+		MaxTargetAge:    time.Second,
+		MaxLoadFailures: 3,
+		FailureCooldown: 30 * time.Second,
+		DownGracePeriod: 10 * time.Second,
 	}
 }
 
@@ -49,8 +49,8 @@
 	Leaving bool
 }
 
-// Send is an order to give to an engine's agent. Each must end in Reply.
-type Send struct {
+// EngineOrder is an order to give to an engine's agent. Each must end in Reply.
+type EngineOrder struct {
 	Engine string
 	Order  wire.Order
 }
@@ -85,8 +85,8 @@
 // no further order.
 func (r *Rollout) Deposed() bool { return r.deposed }
 
-// SetFloor changes the declared capacity floor.
-func (r *Rollout) SetFloor(floor float64) { r.config.CapacityFloor = floor }
+// SetCapacityFloor changes the declared capacity floor.
+func (r *Rollout) SetCapacityFloor(floor float64) { r.config.CapacityFloor = floor }
 
 // SetTarget notes an announced version. A lower one than known is ignored.
 func (r *Rollout) SetTarget(key Key, version int64) {
@@ -127,12 +127,12 @@
 }
 
 // Step returns the orders due now.
-func (r *Rollout) Step(now time.Time) []Send {
+func (r *Rollout) Step(now time.Time) []EngineOrder {
 	if r.deposed {
 		return nil
 	}
 	r.assign()
-	var out []Send
+	var out []EngineOrder
 	for _, id := range r.ids {
 		e := r.engines[id]
 		for _, key := range r.keys {
@@ -157,7 +157,7 @@
 }
 
 // ask asks for an engine's state when it is open or was last heard long ago.
-func (r *Rollout) ask(out []Send, e *engine, key Key, now time.Time) []Send {
+func (r *Rollout) ask(out []EngineOrder, e *engine, key Key, now time.Time) []EngineOrder {
 	t := e.track(key)
 	given := e.load != nil && e.load.order != 0 && !e.load.open
 	if t.asking != 0 || given || now.Before(t.askAt) {
@@ -166,12 +166,12 @@
 	o := r.order(key, wire.OrderStatus, r.config.LoadTimeout)
 	t.asking = o.Sequence
 	t.askedAt = now
-	return append(out, Send{Engine: e.ID, Order: o})
+	return append(out, EngineOrder{Engine: e.ID, Order: o})
 }
 
 // prepare has an engine's agent fetch the newest version, also while it still
 // waits to load an earlier one: preparing takes no capacity.
-func (r *Rollout) prepare(out []Send, e *engine, key Key, now time.Time) []Send {
+func (r *Rollout) prepare(out []EngineOrder, e *engine, key Key, now time.Time) []EngineOrder {
 	t := e.track(key)
 	version := r.targets[key]
 	due := t.known && !e.Leaving && t.preparing == 0 && !now.Before(t.prepareAt)
@@ -182,12 +182,12 @@
 	o.Version = version
 	o.Sources = r.sources(e, key, t.attempts)
 	t.preparing = o.Sequence
-	return append(out, Send{Engine: e.ID, Order: o})
+	return append(out, EngineOrder{Engine: e.ID, Order: o})
 }
 
-// Reply feeds back what became of an order. Delivered false means that no answer
+// HandleReply feeds back what became of an order. Delivered false means that no answer
 // came, so that the agent may or may not have acted.
-func (r *Rollout) Reply(id string, o wire.Order, reply wire.OrderReply, delivered bool, now time.Time) {
+func (r *Rollout) HandleReply(id string, o wire.Order, reply wire.OrderReply, delivered bool, now time.Time) {
 	if delivered && reply.Reason == wire.ReasonStaleEpoch {
 		r.deposed = true
 		return
@@ -215,14 +215,14 @@
 	t.asking = 0
 	if !delivered || reply.Outcome != wire.Answered {
 		t.known = false
-		t.askAt = now.Add(r.config.Poll)
+		t.askAt = now.Add(r.config.PollInterval)
 		return
 	}
 	t.known = true
 	t.version = reply.Version
 	t.target = reply.Target
 	t.targetAt = t.askedAt
-	t.askAt = now.Add(r.config.Recheck)
+	t.askAt = now.Add(r.config.RecheckInterval)
 	if e.load == nil || !e.load.open || e.load.key != t.key || o.Sequence < e.load.order {
 		return
 	}
@@ -243,14 +243,14 @@
 		return
 	}
 	t.attempts++
-	t.prepareAt = now.Add(r.config.Poll)
+	t.prepareAt = now.Add(r.config.PollInterval)
 }
 
 func (r *Rollout) replyLoad(e *engine, t *track, o wire.Order, reply wire.OrderReply, delivered bool, now time.Time) {
 	switch {
 	case !delivered || reply.Outcome == wire.Unknown || reply.Outcome == wire.Running:
 		e.load.open = true
-		t.lose(now.Add(r.config.Poll))
+		t.lose(now.Add(r.config.PollInterval))
 		return
 	case reply.Outcome == wire.Answered:
 		t.known = true
@@ -266,7 +266,7 @@
 		t.prepared = 0
 		t.lose(now)
 	default:
-		t.lose(now.Add(r.config.Poll))
+		t.lose(now.Add(r.config.PollInterval))
 	}
 	e.load = nil
 }
--- a/internal/policy/weights/sources.go
+++ b/internal/policy/weights/sources.go
@@ -27,10 +27,10 @@
 func (r *Rollout) spread() map[string][]string {
 	members := r.interleaved()
 	sources := make(map[string][]string, len(members))
-	for i, parents := range r.config.Spread.Parents(len(members)) {
+	for i, parents := range r.config.Distribution.Parents(len(members)) {
 		addresses := make([]string, len(parents))
 		for stripe, parent := range parents {
-			addresses[stripe] = Store
+			addresses[stripe] = StoreSource
 			if parent >= 0 {
 				addresses[stripe] = members[parent].Address
 			}
@@ -81,9 +81,9 @@
 		}
 	}
 	if len(held) == 0 {
-		return []string{Store}
+		return []string{StoreSource}
 	}
-	count := min(len(held), r.config.Spread.Stripes)
+	count := min(len(held), r.config.Distribution.Stripes)
 	out := make([]string, count)
 	for i := range out {
 		out[i] = held[(attempts*count+i)%len(held)]
--- a/internal/policy/weights/weights_test.go
+++ b/internal/policy/weights/weights_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func (s *service) answer(send weights.Send) {
+func (s *service) answer(send weights.EngineOrder) {
 	reply := wire.OrderReply{Outcome: wire.Answered, Version: s.versions[send.Engine], Role: s.roles[send.Engine]}
 	switch send.Order.Kind {
 	case wire.OrderSwap, wire.OrderRole:
@@ -73,7 +73,7 @@
 	case wire.OrderPrepare:
 		reply.Version = send.Order.Version
 	}
-	s.rollout.Reply(send.Engine, send.Order, reply, true, s.now)
+	s.rollout.HandleReply(send.Engine, send.Order, reply, true, s.now)
 }
 
 func (s *service) finish(id string, reply wire.OrderReply, delivered bool) {
@@ -86,7 +86,7 @@
 	default:
 		s.versions[id] = reply.Version
 	}
-	s.rollout.Reply(id, o, reply, delivered, s.now)
+	s.rollout.HandleReply(id, o, reply, delivered, s.now)
 }
 
 func (s *service) finishAll() {
@@ -147,8 +147,8 @@
 			s.finishAll()
 		}
 		Expect(s.versions["e1"]).To(Equal(int64(2)))
-		Expect(failures).To(BeNumerically(">=", weights.DefaultConfig().MaxFailures))
-		Expect(failures).To(BeNumerically("<=", 2*weights.DefaultConfig().MaxFailures))
+		Expect(failures).To(BeNumerically(">=", weights.DefaultConfig().MaxLoadFailures))
+		Expect(failures).To(BeNumerically("<=", 2*weights.DefaultConfig().MaxLoadFailures))
 	})
 
 	// The answer to a load is lost. Until the engine's agent says that it is
@@ -164,7 +164,7 @@
 		for _, send := range s.rollout.Step(s.now.Add(time.Second)) {
 			Expect(send.Order.Kind).To(Equal(wire.OrderStatus))
 			unsettled := wire.OrderReply{Outcome: wire.Running, Reason: wire.ReasonNotReady}
-			s.rollout.Reply(send.Engine, send.Order, unsettled, true, s.now)
+			s.rollout.HandleReply(send.Engine, send.Order, unsettled, true, s.now)
 		}
 		Expect(s.loading).To(BeEmpty())
 		s.run()
@@ -175,7 +175,7 @@
 		s := newService(0.5, 2, 1)
 		s.rollout.SetTarget(model, 2)
 		send := s.rollout.Step(s.now)[0]
-		s.rollout.Reply(send.Engine, send.Order, wire.OrderReply{Reason: wire.ReasonStaleEpoch}, true, s.now)
+		s.rollout.HandleReply(send.Engine, send.Order, wire.OrderReply{Reason: wire.ReasonStaleEpoch}, true, s.now)
 		Expect(s.rollout.Deposed()).To(BeTrue())
 		Expect(s.rollout.Step(s.now.Add(time.Minute))).To(BeEmpty())
 	})
@@ -184,7 +184,7 @@
 var _ = Describe("a spread", func() {
 	It("reaches every agent in each stripe and has none send more than it receives", func() {
 		for _, n := range []int{1, 2, 3, 5, 64, 1300} {
-			spread := weights.Spread{Stripes: 4, Roots: 1}
+			spread := weights.Distribution{Stripes: 4, RootsPerStripe: 1}
 			plan := spread.Parents(n)
 			sent := make([]int, n)
 			for agent, parents := range plan {
@@ -209,30 +209,30 @@
 // version would come many seconds late.
 var _ = Describe("a fetch", func() {
 	It("asks a source that failed for nothing more, and the store last", func() {
-		fetch := weights.NewFetch(12, []string{"silent", "good"})
+		fetch := weights.NewFetchPlan(12, []string{"silent", "good"})
 		asked := map[string]int{}
 		for !fetch.Done() {
 			for _, piece := range fetch.Next() {
 				asked[piece.Source]++
 				if piece.Source == "silent" {
-					fetch.Missed(piece)
+					fetch.MarkFailed(piece)
 				} else {
-					fetch.Got(piece)
+					fetch.MarkReceived(piece)
 				}
 			}
 		}
 		Expect(asked["silent"]).To(BeNumerically("<=", 2)) // those asked at once
-		Expect(asked[weights.Store]).To(BeZero())
+		Expect(asked[weights.StoreSource]).To(BeZero())
 	})
 
 	It("goes to the store when every agent fails, and gives up in the end", func() {
-		fetch := weights.NewFetch(1, []string{"a", "b"})
+		fetch := weights.NewFetchPlan(1, []string{"a", "b"})
 		var asked []string
 		for pieces := fetch.Next(); len(pieces) > 0; pieces = fetch.Next() {
 			asked = append(asked, pieces[0].Source)
-			fetch.Missed(pieces[0])
+			fetch.MarkFailed(pieces[0])
 		}
-		Expect(asked[:3]).To(Equal([]string{"a", "b", weights.Store}))
+		Expect(asked[:3]).To(Equal([]string{"a", "b", weights.StoreSource}))
 		Expect(len(asked)).To(BeNumerically("<", 20))
 	})
 })
