--- a/internal/agentless/batchrun/starts.go
+++ b/internal/agentless/batchrun/starts.go
@@ -55,10 +55,10 @@
 		views = append(views, view)
 		r.jobs = append(r.jobs, openJob{ownedJob: j, view: view})
 	}
-	r.own = schedule.Survey(views)
+	r.own = schedule.TotalLoad(views)
 	r.load = r.own
 	if o.Switches.On(mechanism.ShareLoad) {
-		r.load.Join(o.loads.others(now))
+		r.load.Merge(o.loads.others(now))
 	}
 	return r
 }
@@ -70,12 +70,12 @@
 		view.Due = spec.Due.Sub(spec.Submitted).Seconds()
 	}
 	if route := table.Match(spec.Host, spec.Items[0].Path); route != nil {
-		view.Pace, _ = o.Directory.Pace(routes.Service(route, spec.Items[0].ID))
+		view.EventSeconds, _ = o.Directory.Pace(routes.Service(route, spec.Items[0].ID))
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.job.Expire(now)
-	view.Work, view.Longest = j.job.Work()
+	view.Work, view.Longest = j.job.TotalRemainingWork()
 	return view
 }
 
@@ -83,12 +83,12 @@
 func (r *round) next() (*openJob, batch.Candidate, bool) {
 	var jobs []*openJob
 	var items []batch.Candidate
-	var waiting []schedule.Waiting
+	var waiting []schedule.Candidate
 	for i := range r.jobs {
 		job := &r.jobs[i]
 		if item, found := job.candidate(r.now); found {
 			jobs, items = append(jobs, job), append(items, item)
-			waiting = append(waiting, schedule.Waiting{Job: &job.view, Rest: item.Rest, Spare: item.Spare})
+			waiting = append(waiting, schedule.Candidate{Job: &job.view, RemainingWork: item.RemainingWork, Spare: item.Spare})
 		}
 	}
 	chosen := schedule.Choose(waiting)
@@ -113,7 +113,7 @@
 // of its job waits too, as it has more time.
 func (r *round) start(j *openJob, c batch.Candidate) {
 	j.mu.Lock()
-	start := j.job.Begin(c.Index)
+	start := j.job.StartRun(c.Index)
 	j.mu.Unlock()
 	item := &j.job.Spec.Items[c.Index]
 	route := r.table.Match(j.job.Spec.Host, item.Path)
@@ -131,7 +131,7 @@
 		return
 	}
 	j.mu.Lock()
-	j.job.Started(r.now, c.Index)
+	j.job.RunPlaced(r.now, c.Index)
 	j.mu.Unlock()
 	r.owner.runs.Go(func() error { r.owner.run(j.ownedJob, start, pick); return nil })
 }
@@ -141,11 +141,11 @@
 	if !r.owner.Switches.On(mechanism.ByDelay) {
 		return endpoints.Placement{}
 	}
-	weight := r.load.Weight(&j.view, c.Rest, c.Spare)
-	p := endpoints.Placement{Rest: c.Rest, Weight: weight, Heavy: weight >= schedule.Heavy}
+	weight := r.load.Weight(&j.view, c.RemainingWork, c.Spare)
+	p := endpoints.Placement{Rest: c.RemainingWork, Weight: weight, Heavy: weight >= schedule.CriticalWeight}
 	if r.owner.Switches.On(mechanism.KeepNarrow) {
 		_, engines := r.owner.Directory.Pace(service)
-		p.Narrow = r.load.Narrow(&j.view, engines)
+		p.Narrow = r.load.CriticalBatchLimit(&j.view, engines)
 	}
 	return p
 }
@@ -156,9 +156,9 @@
 	j.job.Postpone(i, until)
 }
 
-func (o *Owner) pickEngine(service string, start batch.Start, request endpoints.Request) *directory.Pick {
-	if start.Last != "" {
-		request.Tried = []string{start.Last}
+func (o *Owner) pickEngine(service string, start batch.RunStart, request endpoints.Request) *directory.Pick {
+	if start.PreviousEngine != "" {
+		request.Tried = []string{start.PreviousEngine}
 		if pick := o.Directory.Pick(service, request); pick != nil {
 			return pick
 		}
