--- a/internal/agentless/cluster/relay.go
+++ b/internal/agentless/cluster/relay.go
@@ -49,7 +49,7 @@
 func (r *Relay) Carry(prefix string, wait, gather time.Duration, scope func(kv.Record) string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.topics.Carry(prefix, gather+max(wait, watchWait)+freshSlack)
+	r.topics.Add(prefix, gather+max(wait, watchWait)+freshSlack)
 	r.scopes[prefix] = scope
 }
 
@@ -57,7 +57,7 @@
 func (r *Relay) put(prefix string, c kv.Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change := news.Change[kv.Change]{Key: c.Record.Key, Revision: c.Record.Revision, Gone: c.Deleted, Payload: c}
+	change := news.Change[kv.Change]{Key: c.Record.Key, Revision: c.Record.Revision, Deleted: c.Deleted, Payload: c}
 	if scope := r.scopes[prefix]; scope != nil && !c.Deleted {
 		change.Scope = scope(c.Record)
 	}
@@ -68,7 +68,7 @@
 func (r *Relay) listed(prefix string, asOf int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.topics.Get(prefix).Listed(asOf)
+	r.topics.Get(prefix).MarkListed(asOf)
 }
 
 // Heard notes that the store answered, with everything told up to a revision, and
@@ -76,9 +76,9 @@
 func (r *Relay) Heard(prefix string, asOf int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.topics.Get(prefix).Heard(time.Now(), asOf)
-	if r.told != r.topics.Now() {
-		r.told = r.topics.Now()
+	r.topics.Get(prefix).MarkSynced(time.Now(), asOf)
+	if r.told != r.topics.Position() {
+		r.told = r.topics.Position()
 		close(r.wake)
 		r.wake = make(chan struct{})
 	}
@@ -124,7 +124,7 @@
 	deadline := time.Now().Add(min(args.Wait, relayWait))
 	for {
 		r.mu.Lock()
-		fresh := r.topics.FreshFor(time.Now(), args.Interests)
+		fresh := r.topics.RemainingTTL(time.Now(), args.Interests)
 		reply, any := r.answer(args, fresh)
 		wake := r.wake
 		r.mu.Unlock()
@@ -146,10 +146,10 @@
 	if fresh <= 0 {
 		return NewsReply{Stale: true}, false
 	}
-	reply = NewsReply{Position: r.topics.Now(), Topics: make(map[string]TopicNews, len(args.Interests))}
+	reply = NewsReply{Position: r.topics.Position(), Topics: make(map[string]TopicNews, len(args.Interests))}
 	for i := range args.Interests {
 		interest := &args.Interests[i]
-		n := r.topics.Get(interest.Prefix).After(args.Position, interest)
+		n := r.topics.Get(interest.Prefix).Since(args.Position, interest)
 		reply.Topics[interest.Prefix] = TopicNews(n)
 		any = any || n.Full || len(n.Changes) > 0
 	}
--- a/internal/lab/fleetnews/fleetnews.go
+++ b/internal/lab/fleetnews/fleetnews.go
@@ -75,7 +75,7 @@
 
 func (f *fleet) scout(boot int64) *news.Topics[kv.Change] {
 	t := news.NewTopics[kv.Change](boot)
-	t.Carry(prefix, time.Second)
+	t.Add(prefix, time.Second)
 	return t
 }
 
@@ -98,14 +98,14 @@
 
 func (f *fleet) listed(scouts ...*news.Topics[kv.Change]) {
 	for _, s := range scouts {
-		s.Get(prefix).Listed(f.revision)
-		s.Get(prefix).Heard(time.Time{}, f.revision)
+		s.Get(prefix).MarkListed(f.revision)
+		s.Get(prefix).MarkSynced(time.Time{}, f.revision)
 	}
 }
 
 // restarted returns a scout that has just listed everything.
 func (f *fleet) restarted(from *news.Topics[kv.Change]) (*news.Topics[kv.Change], error) {
-	whole := from.Get(prefix).After(news.Position{}, &news.Interest{Prefix: prefix})
+	whole := from.Get(prefix).Since(news.Position{}, &news.Interest{Prefix: prefix})
 	if len(whole.Changes) != endpoints {
 		return nil, errors.Errorf("fleetnews: %d of %d endpoints are known", len(whole.Changes), endpoints)
 	}
@@ -125,8 +125,8 @@
 
 // ask takes news from a scout and returns how many bytes they are.
 func (p *follower) ask(s *news.Topics[kv.Change]) (float64, error) {
-	n := s.Get(prefix).After(p.at, &p.interest)
-	p.at, p.interest.AsOf = s.Now(), n.AsOf
+	n := s.Get(prefix).Since(p.at, &p.interest)
+	p.at, p.interest.AsOf = s.Position(), n.AsOf
 	var b bytes.Buffer
 	err := gob.NewEncoder(&b).Encode(cluster.TopicNews(n))
 	return float64(b.Len()), err
--- a/internal/policy/news/news.go
+++ b/internal/policy/news/news.go
@@ -26,7 +26,7 @@
 type Change[C any] struct {
 	Key      string
 	Revision int64
-	Gone     bool
+	Deleted  bool
 	Scope    string // the part that the key belongs to; empty: all of them
 	Payload  C
 }
@@ -54,7 +54,7 @@
 
 // Topic is what is known of one prefix. It is not safe for concurrent use.
 type Topic[C any] struct {
-	Lasting time.Duration // how long the store's last word may be passed on
+	TTL time.Duration // how long the store's last word may be passed on
 
 	boot  int64
 	seq   *int64 // of the last change of any topic
@@ -92,26 +92,26 @@
 }
 
 // Carry adds a topic whose last word from the store may be passed on for so long.
-func (t *Topics[C]) Carry(prefix string, lasting time.Duration) {
-	t.byName[prefix] = &Topic[C]{Lasting: lasting, boot: t.boot, seq: &t.seq, keys: map[string]*entry[C]{}}
+func (t *Topics[C]) Add(prefix string, lasting time.Duration) {
+	t.byName[prefix] = &Topic[C]{TTL: lasting, boot: t.boot, seq: &t.seq, keys: map[string]*entry[C]{}}
 }
 
 // Get returns a topic, or nil.
 func (t *Topics[C]) Get(prefix string) *Topic[C] { return t.byName[prefix] }
 
 // Now returns the position after everything that is known.
-func (t *Topics[C]) Now() Position { return Position{Boot: t.boot, Seq: t.seq} }
+func (t *Topics[C]) Position() Position { return Position{Boot: t.boot, Seq: t.seq} }
 
 // FreshFor returns how long what is known of all the interests may yet be passed
 // on; 0 or less: it may not.
-func (t *Topics[C]) FreshFor(now time.Time, interests []Interest) time.Duration {
+func (t *Topics[C]) RemainingTTL(now time.Time, interests []Interest) time.Duration {
 	least := time.Duration(1<<63 - 1)
 	for i := range interests {
 		topic := t.byName[interests[i].Prefix]
 		if topic == nil || topic.since == 0 {
 			return 0
 		}
-		least = min(least, topic.Lasting-now.Sub(topic.heard))
+		least = min(least, topic.TTL-now.Sub(topic.heard))
 	}
 	return least
 }
@@ -125,11 +125,11 @@
 		t.keys[c.Key] = e
 	} else {
 		e.before = e.Scope
-		if e.Gone {
+		if e.Deleted {
 			t.gone--
 		}
 	}
-	if c.Gone {
+	if c.Deleted {
 		c.Scope = e.before
 		t.gone++
 	}
@@ -156,7 +156,7 @@
 	t.compact()
 	t.log = slices.DeleteFunc(t.log, func(l logged) bool {
 		e := t.keys[l.key]
-		if !e.Gone || t.gone <= mostGone/2 {
+		if !e.Deleted || t.gone <= mostGone/2 {
 			return false
 		}
 		t.gone--
@@ -167,7 +167,7 @@
 }
 
 // Listed notes that a whole listing was taken in.
-func (t *Topic[C]) Listed(asOf int64) {
+func (t *Topic[C]) MarkListed(asOf int64) {
 	if t.since == 0 {
 		t.since = asOf
 	}
@@ -175,13 +175,13 @@
 }
 
 // Heard notes that the store answered and everything up to a revision was taken in.
-func (t *Topic[C]) Heard(now time.Time, asOf int64) {
+func (t *Topic[C]) MarkSynced(now time.Time, asOf int64) {
 	t.asOf = max(t.asOf, asOf)
 	t.heard = now
 }
 
 // News are what a follower needs to know.
-type News[C any] struct {
+type Update[C any] struct {
 	Full    bool // Changes and Stands are all keys that stand; others have gone
 	AsOf    int64
 	Changes []C
@@ -190,8 +190,8 @@
 
 // After returns what changed for a follower since a position. One that comes from
 // another process goes on from the revision that it had reached.
-func (t *Topic[C]) After(p Position, i *Interest) News[C] {
-	n := News[C]{AsOf: t.asOf}
+func (t *Topic[C]) Since(p Position, i *Interest) Update[C] {
+	n := Update[C]{AsOf: t.asOf}
 	same := p.Boot == t.boot
 	switch {
 	case i.AsOf == 0, same && p.Seq < t.kept, !same && i.AsOf < t.since:
@@ -207,11 +207,11 @@
 }
 
 // standing adds what stands: by its key alone what the follower has come past.
-func (t *Topic[C]) standing(n *News[C], i *Interest) {
+func (t *Topic[C]) standing(n *Update[C], i *Interest) {
 	for _, l := range t.log {
 		e := t.keys[l.key]
 		switch {
-		case e == nil, e.seq != l.seq, e.Gone, !i.wants(l.key, e.Scope, ""):
+		case e == nil, e.seq != l.seq, e.Deleted, !i.wants(l.key, e.Scope, ""):
 		case e.Revision <= i.AsOf:
 			n.Stands = append(n.Stands, l.key)
 		default:
@@ -221,7 +221,7 @@
 }
 
 // changed adds what the part of the log says of keys changed after a revision.
-func (t *Topic[C]) changed(n *News[C], part []logged, after int64, i *Interest) {
+func (t *Topic[C]) changed(n *Update[C], part []logged, after int64, i *Interest) {
 	for _, l := range part {
 		if e := t.keys[l.key]; e != nil && e.seq == l.seq && e.Revision > after && i.wants(l.key, e.Scope, e.before) {
 			n.Changes = append(n.Changes, e.Payload)
--- a/internal/policy/news/news_test.go
+++ b/internal/policy/news/news_test.go
@@ -28,13 +28,13 @@
 
 func newScout(boot int64) *scout {
 	s := &scout{Topics: news.NewTopics[string](boot)}
-	s.Carry("p/", time.Second)
+	s.Add("p/", time.Second)
 	s.topic = s.Get("p/")
 	return s
 }
 
 func (s *scout) put(key string, revision int64, gone bool, scope string) {
-	s.topic.Put(news.Change[string]{Key: key, Revision: revision, Gone: gone, Scope: scope, Payload: fmt.Sprintf("%s@%d", key, revision)})
+	s.topic.Put(news.Change[string]{Key: key, Revision: revision, Deleted: gone, Scope: scope, Payload: fmt.Sprintf("%s@%d", key, revision)})
 }
 
 var _ = Describe("what a process knows of a prefix", func() {
@@ -47,16 +47,16 @@
 			for i := range 3000 {
 				s.put(fmt.Sprintf("p/%04d", i), int64(i+1), false, "llm")
 			}
-			s.topic.Listed(3000)
+			s.topic.MarkListed(3000)
 		}
-		whole := first.topic.After(news.Position{}, &news.Interest{Prefix: "p/"})
+		whole := first.topic.Since(news.Position{}, &news.Interest{Prefix: "p/"})
 		Expect(whole.Full).To(BeTrue())
 		Expect(whole.Changes).To(HaveLen(3000))
-		at := first.Now()
+		at := first.Position()
 		second.put("p/0007", 3001, false, "llm")
 		second.put("p/0008", 3002, true, "llm")
-		second.topic.Heard(start, 3002)
-		moved := second.topic.After(at, &news.Interest{Prefix: "p/", AsOf: whole.AsOf})
+		second.topic.MarkSynced(start, 3002)
+		moved := second.topic.Since(at, &news.Interest{Prefix: "p/", AsOf: whole.AsOf})
 		Expect(moved.Full).To(BeFalse())
 		Expect(moved.Changes).To(Equal([]string{"p/0007@3001", "p/0008@3002"}))
 		Expect(moved.AsOf).To(Equal(int64(3002)))
@@ -66,12 +66,12 @@
 		// The process began to watch after a removal, of which it knows nothing.
 		s := newScout(1)
 		s.put("p/b", 5, false, "")
-		s.topic.Listed(9)
-		got := s.topic.After(news.Position{Boot: 7, Seq: 100}, &news.Interest{Prefix: "p/", AsOf: 8})
+		s.topic.MarkListed(9)
+		got := s.topic.Since(news.Position{Boot: 7, Seq: 100}, &news.Interest{Prefix: "p/", AsOf: 8})
 		Expect(got.Full).To(BeTrue())
 		Expect(got.Stands).To(Equal([]string{"p/b"}), "the follower has it")
 		Expect(got.Changes).To(BeEmpty())
-		got = s.topic.After(news.Position{Boot: 7, Seq: 100}, &news.Interest{Prefix: "p/", AsOf: 4})
+		got = s.topic.Since(news.Position{Boot: 7, Seq: 100}, &news.Interest{Prefix: "p/", AsOf: 4})
 		Expect(got.Full).To(BeTrue())
 		Expect(got.Changes).To(Equal([]string{"p/b@5"}))
 		Expect(got.Stands).To(BeEmpty())
@@ -80,12 +80,12 @@
 	It("is not passed on before a listing, nor long after the store's last word", func() {
 		s := newScout(1)
 		interests := []news.Interest{{Prefix: "p/"}}
-		s.topic.Heard(start, 3)
-		Expect(s.FreshFor(start, interests)).To(BeZero())
-		s.topic.Listed(3)
-		Expect(s.FreshFor(start.Add(300*time.Millisecond), interests)).To(Equal(700 * time.Millisecond))
-		Expect(s.FreshFor(start.Add(2*time.Second), interests)).To(BeNumerically("<", 0))
-		Expect(s.FreshFor(start, []news.Interest{{Prefix: "q/"}})).To(BeZero(), "a topic that the process does not carry")
+		s.topic.MarkSynced(start, 3)
+		Expect(s.RemainingTTL(start, interests)).To(BeZero())
+		s.topic.MarkListed(3)
+		Expect(s.RemainingTTL(start.Add(300*time.Millisecond), interests)).To(Equal(700 * time.Millisecond))
+		Expect(s.RemainingTTL(start.Add(2*time.Second), interests)).To(BeNumerically("<", 0))
+		Expect(s.RemainingTTL(start, []news.Interest{{Prefix: "q/"}})).To(BeZero(), "a topic that the process does not carry")
 	})
 
 	It("is told to those only whom it concerns, and to whom it concerned before", func() {
@@ -93,33 +93,33 @@
 		s.put("p/1", 1, false, "llm")
 		s.put("p/2", 2, false, "app")
 		s.put("p/3", 3, false, "") // cannot be read: no part is known
-		s.topic.Listed(3)
+		s.topic.MarkListed(3)
 		app := &news.Interest{Prefix: "p/", Scopes: []string{"app"}}
-		Expect(s.topic.After(news.Position{}, app).Changes).To(Equal([]string{"p/2@2", "p/3@3"}))
-		at := s.Now()
+		Expect(s.topic.Since(news.Position{}, app).Changes).To(Equal([]string{"p/2@2", "p/3@3"}))
+		at := s.Position()
 		app.AsOf = 3
 		s.put("p/1", 4, false, "llm")
 		s.put("p/2", 5, false, "llm") // it serves another service from now on
 		s.put("p/3", 6, true, "")
-		Expect(s.topic.After(at, app).Changes).To(Equal([]string{"p/2@5", "p/3@6"}))
-		Expect(s.topic.After(at, &news.Interest{Prefix: "p/", Only: "p/1", AsOf: 3}).Changes).To(Equal([]string{"p/1@4"}))
+		Expect(s.topic.Since(at, app).Changes).To(Equal([]string{"p/2@5", "p/3@6"}))
+		Expect(s.topic.Since(at, &news.Interest{Prefix: "p/", Only: "p/1", AsOf: 3}).Changes).To(Equal([]string{"p/1@4"}))
 	})
 
 	It("keeps a bounded memory of keys that went", func() {
 		s := newScout(1)
-		s.topic.Listed(1)
+		s.topic.MarkListed(1)
 		const keys = 10_000
 		for i := range int64(keys) {
 			s.put(fmt.Sprint("p/", i), 2*i+2, false, "")
 			s.put(fmt.Sprint("p/", i), 2*i+3, true, "")
 		}
-		got := s.topic.After(news.Position{}, &news.Interest{Prefix: "p/", AsOf: 1})
+		got := s.topic.Since(news.Position{}, &news.Interest{Prefix: "p/", AsOf: 1})
 		Expect(got.Full).To(BeTrue(), "some removals were forgotten")
 		Expect(got.Changes).To(BeEmpty())
-		late := s.topic.After(news.Position{}, &news.Interest{Prefix: "p/", AsOf: 2*keys - 20})
+		late := s.topic.Since(news.Position{}, &news.Interest{Prefix: "p/", AsOf: 2*keys - 20})
 		Expect(late.Full).To(BeFalse())
 		Expect(late.Changes).To(HaveLen(11))
-		Expect(s.topic.After(news.Position{Boot: 1, Seq: 5}, &news.Interest{Prefix: "p/", AsOf: 4}).Full).To(BeTrue(), "one that slept through them")
+		Expect(s.topic.Since(news.Position{Boot: 1, Seq: 5}, &news.Interest{Prefix: "p/", AsOf: 4}).Full).To(BeTrue(), "one that slept through them")
 	})
 
 	It("brings followers that change between processes to what the store holds", func() {
@@ -139,8 +139,8 @@
 				if n > 0 {
 					revision = history[n-1].Revision
 				}
-				scouts[i].topic.Listed(revision)
-				scouts[i].topic.Heard(start, revision)
+				scouts[i].topic.MarkListed(revision)
+				scouts[i].topic.MarkSynced(start, revision)
 			}
 			list := func(i int) {
 				for _, c := range history {
@@ -157,7 +157,7 @@
 			var at news.Position
 			interest := &news.Interest{Prefix: "p/"}
 			ask := func(i int) {
-				got := scouts[i].topic.After(at, interest)
+				got := scouts[i].topic.Since(at, interest)
 				listed := map[string]bool{}
 				for _, key := range got.Stands {
 					listed[key] = true
@@ -184,7 +184,7 @@
 						revisions[key] = got.AsOf
 					}
 				}
-				at = scouts[i].Now()
+				at = scouts[i].Position()
 				interest.AsOf = max(interest.AsOf, got.AsOf)
 			}
 			for revision := int64(2); revision < 120; revision++ {
@@ -196,7 +196,7 @@
 				if gone {
 					delete(store, key)
 				}
-				history = append(history, news.Change[string]{Key: key, Revision: revision, Gone: gone, Payload: payload})
+				history = append(history, news.Change[string]{Key: key, Revision: revision, Deleted: gone, Payload: payload})
 				serving := len(scouts) // the last one starts later, from a listing
 				if revision < 60 {
 					serving--
@@ -225,10 +225,10 @@
 		for i := range 3000 {
 			s.put(fmt.Sprint("p/", i), int64(i+1), false, "")
 		}
-		s.topic.Listed(3000)
-		at := s.Now()
+		s.topic.MarkListed(3000)
+		at := s.Position()
 		s.put("p/5", 3001, false, "")
-		got := s.topic.After(at, &news.Interest{Prefix: "p/", AsOf: 3000})
+		got := s.topic.Since(at, &news.Interest{Prefix: "p/", AsOf: 3000})
 		Expect(slices.Equal(got.Changes, []string{"p/5@3001"})).To(BeTrue())
 	})
 })
