--- a/internal/policy/news/news.go
+++ b/internal/policy/news/news.go
@@ -1,15 +1,16 @@
-// Package news keeps what a process knows of a prefix of a shared store, for
-// others that take it up from there. It does no input or output and keeps no time.
+// Package news keeps a replica of the keys under some prefixes of a shared store
+// and computes incremental updates of it for followers. It does no I/O and reads no
+// clock.
 //
-// The load that it answers: hundreds of processes follow a list of thousands of
-// endpoints through a few that watch the store. When one of these few is slow
-// or gone, all its followers turn to another one at once. If each of them then
-// needs the whole list, the answers take longer than the followers wait, who turn
-// away again, and nobody hears of anything. So a follower says how far it has
-// come, in the store's own revisions, and any process goes on from there; and it
-// says which part it needs, so that what concerns few is not sent to all. A process
-// that began to watch later than that names the keys that stand, and sends of them
-// what has changed.
+// Hundreds of processes follow a list of thousands of endpoints through a few
+// processes that watch the store. When one of the few is slow or lost, all of its
+// followers switch to another one at once. If each of them then needed the whole
+// list, the answers would take longer than the followers' timeout, the followers
+// would switch again, and none would ever get an update. Therefore a follower sends
+// the store revision that it has reached, and any process can continue from there.
+// It also sends the scopes that it needs, so that changes that concern few followers
+// are not sent to all. A process that started to watch after the follower's revision
+// sends the names of all existing keys, and the values only of those that changed.
 package news
 
 import (
@@ -18,213 +19,218 @@
 	"time"
 )
 
-// mostGone bounds what is remembered of keys that went. Who comes from before the
-// oldest of them gets everything anew.
-const mostGone = 4096
+// maxTombstones limits how many deleted keys a topic remembers. A follower that
+// comes from before the oldest of them gets a full update.
+const maxTombstones = 4096
 
-// Change is a key as it stands, or that went, with what is passed on of it.
+// Change is the current state of a key, which may be deleted, with the payload that
+// followers get.
 type Change[C any] struct {
 	Key      string
 	Revision int64
 	Deleted  bool
-	Scope    string // the part that the key belongs to; empty: all of them
+	Scope    string // the scope that the key belongs to; empty: every scope
 	Payload  C
 }
 
-// Interest says what a follower needs of a topic, and how far it has come.
+// Interest says what a follower needs of a topic and how far it has come.
 type Interest struct {
 	Prefix string
-	Only   string   // keys with this prefix; empty: all
-	Scopes []string // keys of these parts; nil: all
-	AsOf   int64    // revision up to which it knows everything; 0: nothing yet
+	Only   string   // only keys with this prefix; empty: all keys
+	Scopes []string // only keys of these scopes; nil: all scopes
+	AsOf   int64    // the follower knows everything up to this revision; 0: it knows nothing
 }
 
-func (i *Interest) wants(key, scope, before string) bool {
+// matches reports whether the follower needs a key, given the key's scope now and
+// before its last change.
+func (i *Interest) matches(key, scope, prevScope string) bool {
 	if !strings.HasPrefix(key, i.Only) {
 		return false
 	}
-	return i.Scopes == nil || scope == "" || slices.Contains(i.Scopes, scope) || slices.Contains(i.Scopes, before)
+	return i.Scopes == nil || scope == "" || slices.Contains(i.Scopes, scope) || slices.Contains(i.Scopes, prevScope)
 }
 
-// Position is how far a follower has come with one process's numbering.
+// Position is how far a follower has come in one process's sequence of changes.
 type Position struct {
-	Boot int64 // names the numbering
+	Boot int64 // identifies the run of the process that numbered the changes
 	Seq  int64
 }
 
-// Topic is what is known of one prefix. It is not safe for concurrent use.
+// Topic is the replica of one prefix. It is not safe for concurrent use.
 type Topic[C any] struct {
-	TTL time.Duration // how long the store's last word may be passed on
+	TTL time.Duration // how long the data may be served after the store's last answer
 
-	boot  int64
-	seq   *int64 // of the last change of any topic
-	since int64  // every later change is known, removals too; 0: nothing was listed yet
-	kept  int64  // seq after which no removal was forgotten
-	asOf  int64
-	heard time.Time
-	keys  map[string]*entry[C]
-	log   []logged // in the order of seq; superseded ones are passed over
-	gone  int      // keys that went and are remembered
+	boot          int64
+	seq           *int64 // of the last change of any topic
+	completeSince int64  // every change after this revision is known, deletions included; 0: nothing was listed yet
+	prunedSeq     int64  // no tombstone after this sequence number was dropped
+	asOf          int64
+	syncedAt      time.Time
+	keys          map[string]*entry[C]
+	log           []logEntry // ordered by seq; superseded entries are skipped
+	tombstones    int        // deleted keys that are remembered
 }
 
 type entry[C any] struct {
 	Change[C]
-	seq    int64
-	before string // scope before the last change
+	seq       int64
+	prevScope string // scope before the last change
 }
 
-type logged struct {
+type logEntry struct {
 	seq int64
 	key string
 }
 
-// Topics are all topics of one process, under one numbering. They are not safe for
-// concurrent use.
+// Topics holds all topics of one process, which share one sequence of changes. It
+// is not safe for concurrent use.
 type Topics[C any] struct {
 	boot   int64
 	seq    int64
 	byName map[string]*Topic[C]
 }
 
-// NewTopics returns no topics; boot names the process's numbering.
+// NewTopics returns an empty set of topics; boot identifies this run of the process.
 func NewTopics[C any](boot int64) *Topics[C] {
 	return &Topics[C]{boot: boot, byName: map[string]*Topic[C]{}}
 }
 
-// Carry adds a topic whose last word from the store may be passed on for so long.
-func (t *Topics[C]) Add(prefix string, lasting time.Duration) {
-	t.byName[prefix] = &Topic[C]{TTL: lasting, boot: t.boot, seq: &t.seq, keys: map[string]*entry[C]{}}
+// Add adds a topic whose data may be served for ttl after the store's last answer.
+func (t *Topics[C]) Add(prefix string, ttl time.Duration) {
+	t.byName[prefix] = &Topic[C]{TTL: ttl, boot: t.boot, seq: &t.seq, keys: map[string]*entry[C]{}}
 }
 
-// Get returns a topic, or nil.
+// Get returns the topic of a prefix, or nil if there is none.
 func (t *Topics[C]) Get(prefix string) *Topic[C] { return t.byName[prefix] }
 
-// Now returns the position after everything that is known.
+// Position returns the position after all known changes.
 func (t *Topics[C]) Position() Position { return Position{Boot: t.boot, Seq: t.seq} }
 
-// FreshFor returns how long what is known of all the interests may yet be passed
-// on; 0 or less: it may not.
+// RemainingTTL returns how much longer the data of all the interests may be served.
+// At 0 or less it may not.
 func (t *Topics[C]) RemainingTTL(now time.Time, interests []Interest) time.Duration {
 	least := time.Duration(1<<63 - 1)
 	for i := range interests {
 		topic := t.byName[interests[i].Prefix]
-		if topic == nil || topic.since == 0 {
+		if topic == nil || topic.completeSince == 0 {
 			return 0
 		}
-		least = min(least, topic.TTL-now.Sub(topic.heard))
+		least = min(least, topic.TTL-now.Sub(topic.syncedAt))
 	}
 	return least
 }
 
-// Put takes in a change.
+// Put applies a change.
 func (t *Topic[C]) Put(c Change[C]) {
 	*t.seq++
 	e := t.keys[c.Key]
 	if e == nil {
-		e = &entry[C]{before: c.Scope}
+		e = &entry[C]{prevScope: c.Scope}
 		t.keys[c.Key] = e
 	} else {
-		e.before = e.Scope
+		e.prevScope = e.Scope
 		if e.Deleted {
-			t.gone--
+			t.tombstones--
 		}
 	}
 	if c.Deleted {
-		c.Scope = e.before
-		t.gone++
+		c.Scope = e.prevScope
+		t.tombstones++
 	}
 	e.Change, e.seq = c, *t.seq
-	t.log = append(t.log, logged{e.seq, c.Key})
-	if len(t.log) > 2*len(t.keys)+mostGone {
+	t.log = append(t.log, logEntry{e.seq, c.Key})
+	if len(t.log) > 2*len(t.keys)+maxTombstones {
 		t.compact()
 	}
-	if t.gone > mostGone {
-		t.forgetGone()
+	if t.tombstones > maxTombstones {
+		t.pruneTombstones()
 	}
 }
 
-// compact takes out what later changes superseded.
+// compact removes superseded entries from the log.
 func (t *Topic[C]) compact() {
-	t.log = slices.DeleteFunc(t.log, func(l logged) bool {
+	t.log = slices.DeleteFunc(t.log, func(l logEntry) bool {
 		e := t.keys[l.key]
 		return e == nil || e.seq != l.seq
 	})
 }
 
-// forgetGone forgets the older half of the keys that went.
-func (t *Topic[C]) forgetGone() {
+// pruneTombstones drops the older half of the deleted keys.
+func (t *Topic[C]) pruneTombstones() {
 	t.compact()
-	t.log = slices.DeleteFunc(t.log, func(l logged) bool {
+	t.log = slices.DeleteFunc(t.log, func(l logEntry) bool {
 		e := t.keys[l.key]
-		if !e.Deleted || t.gone <= mostGone/2 {
+		if !e.Deleted || t.tombstones <= maxTombstones/2 {
 			return false
 		}
-		t.gone--
-		t.since, t.kept = max(t.since, e.Revision), max(t.kept, l.seq)
+		t.tombstones--
+		t.completeSince, t.prunedSeq = max(t.completeSince, e.Revision), max(t.prunedSeq, l.seq)
 		delete(t.keys, l.key)
 		return true
 	})
 }
 
-// Listed notes that a whole listing was taken in.
+// MarkListed records that a complete listing as of a revision has been applied.
 func (t *Topic[C]) MarkListed(asOf int64) {
-	if t.since == 0 {
-		t.since = asOf
+	if t.completeSince == 0 {
+		t.completeSince = asOf
 	}
 	t.asOf = max(t.asOf, asOf)
 }
 
-// Heard notes that the store answered and everything up to a revision was taken in.
+// MarkSynced records that the store answered and that every change up to a revision
+// has been applied.
 func (t *Topic[C]) MarkSynced(now time.Time, asOf int64) {
 	t.asOf = max(t.asOf, asOf)
-	t.heard = now
+	t.syncedAt = now
 }
 
-// News are what a follower needs to know.
+// Update brings a follower up to date.
 type Update[C any] struct {
-	Full    bool // Changes and Stands are all keys that stand; others have gone
+	Full    bool // Changes and Stands cover all existing keys; every other key is deleted
 	AsOf    int64
 	Changes []C
-	Stands  []string // keys that are as the follower knows them, if Full
+	Stands  []string // if Full: existing keys that have not changed since the follower's revision
 }
 
-// After returns what changed for a follower since a position. One that comes from
-// another process goes on from the revision that it had reached.
+// Since returns what changed for a follower since a position. A follower that comes
+// from another process continues from the revision that it reached there.
 func (t *Topic[C]) Since(p Position, i *Interest) Update[C] {
-	n := Update[C]{AsOf: t.asOf}
-	same := p.Boot == t.boot
+	u := Update[C]{AsOf: t.asOf}
+	sameBoot := p.Boot == t.boot
 	switch {
-	case i.AsOf == 0, same && p.Seq < t.kept, !same && i.AsOf < t.since:
-		n.Full = true
-		t.standing(&n, i)
-	case same:
-		at, _ := slices.BinarySearchFunc(t.log, p.Seq+1, func(l logged, seq int64) int { return int(l.seq - seq) })
-		t.changed(&n, t.log[at:], 0, i)
+	case i.AsOf == 0, sameBoot && p.Seq < t.prunedSeq, !sameBoot && i.AsOf < t.completeSince:
+		u.Full = true
+		t.addExisting(&u, i)
+	case sameBoot:
+		at, _ := slices.BinarySearchFunc(t.log, p.Seq+1, func(l logEntry, seq int64) int { return int(l.seq - seq) })
+		t.addChanges(&u, t.log[at:], 0, i)
 	default:
-		t.changed(&n, t.log, i.AsOf, i)
+		t.addChanges(&u, t.log, i.AsOf, i)
 	}
-	return n
+	return u
 }
 
-// standing adds what stands: by its key alone what the follower has come past.
-func (t *Topic[C]) standing(n *Update[C], i *Interest) {
+// addExisting adds all existing keys to an update: the key alone if the follower has
+// its last change already.
+func (t *Topic[C]) addExisting(u *Update[C], i *Interest) {
 	for _, l := range t.log {
 		e := t.keys[l.key]
 		switch {
-		case e == nil, e.seq != l.seq, e.Deleted, !i.wants(l.key, e.Scope, ""):
+		case e == nil, e.seq != l.seq, e.Deleted, !i.matches(l.key, e.Scope, ""):
 		case e.Revision <= i.AsOf:
-			n.Stands = append(n.Stands, l.key)
+			u.Stands = append(u.Stands, l.key)
 		default:
-			n.Changes = append(n.Changes, e.Payload)
+			u.Changes = append(u.Changes, e.Payload)
 		}
 	}
 }
 
-// changed adds what the part of the log says of keys changed after a revision.
-func (t *Topic[C]) changed(n *Update[C], part []logged, after int64, i *Interest) {
+// addChanges adds the changes of a part of the log that came after a revision.
+func (t *Topic[C]) addChanges(u *Update[C], part []logEntry, after int64, i *Interest) {
 	for _, l := range part {
-		if e := t.keys[l.key]; e != nil && e.seq == l.seq && e.Revision > after && i.wants(l.key, e.Scope, e.before) {
-			n.Changes = append(n.Changes, e.Payload)
+		if e := t.keys[l.key]; e != nil && e.seq == l.seq && e.Revision > after && i.matches(l.key, e.Scope, e.prevScope) {
+			u.Changes = append(u.Changes, e.Payload)
 		}
 	}
 }
