--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -13,12 +13,12 @@
 // callers are the keys of one deployment's callers.
 type callers struct {
 	deployment *decl.Deployment
-	keys       *keys.Ring[wire.Principal]
+	keys       *keys.Index[wire.Principal]
 }
 
 // callersOf indexes a deployment's callers. Its digests were checked when it was read.
 func callersOf(deployment *decl.Deployment) *callers {
-	c := &callers{deployment: deployment, keys: keys.NewRing[wire.Principal](len(deployment.Callers))}
+	c := &callers{deployment: deployment, keys: keys.NewIndex[wire.Principal](len(deployment.Callers))}
 	for _, caller := range deployment.Callers {
 		digest, err := keys.Parse(caller.KeySHA256)
 		if err != nil {
--- a/internal/policy/keys/keys.go
+++ b/internal/policy/keys/keys.go
@@ -15,7 +15,7 @@
 type Digest [sha256.Size]byte
 
 // Of returns a key's digest.
-func Of(key string) Digest { return sha256.Sum256([]byte(key)) }
+func Hash(key string) Digest { return sha256.Sum256([]byte(key)) }
 
 // ErrMalformed is returned for text that is no digest in hexadecimal.
 var ErrMalformed = errors.New("keys: malformed digest")
@@ -32,15 +32,15 @@
 }
 
 // Ring is a set of keys with their owners. Once filled it is safe for concurrent use.
-type Ring[T any] struct {
+type Index[T any] struct {
 	owners map[Digest]T
 }
 
 // NewRing returns an empty ring with room for so many keys.
-func NewRing[T any](size int) *Ring[T] { return &Ring[T]{owners: make(map[Digest]T, size)} }
+func NewIndex[T any](size int) *Index[T] { return &Index[T]{owners: make(map[Digest]T, size)} }
 
 // Add gives a key to an owner unless it has one already, and returns whose it is.
-func (r *Ring[T]) Add(key Digest, owner T) (holder T, added bool) {
+func (r *Index[T]) Add(key Digest, owner T) (holder T, added bool) {
 	if standing, found := r.owners[key]; found {
 		return standing, false
 	}
@@ -49,16 +49,16 @@
 }
 
 // Owner returns the owner of a key. The empty key is nobody's.
-func (r *Ring[T]) Owner(key string) (owner T, found bool) {
+func (r *Index[T]) Owner(key string) (owner T, found bool) {
 	if r == nil || key == "" {
 		return owner, false
 	}
-	owner, found = r.owners[Of(key)]
+	owner, found = r.owners[Hash(key)]
 	return owner, found
 }
 
 // Len returns how many keys there are.
-func (r *Ring[T]) Len() int {
+func (r *Index[T]) Len() int {
 	if r == nil {
 		return 0
 	}
--- a/internal/policy/keys/keys_test.go
+++ b/internal/policy/keys/keys_test.go
@@ -18,9 +18,9 @@
 
 var _ = Describe("a ring of keys", func() {
 	It("knows each key's owner, and no other key", func() {
-		r := keys.NewRing[string](0)
+		r := keys.NewIndex[string](0)
 		for _, key := range []string{"one", "two"} {
-			_, added := r.Add(keys.Of(key), "desk")
+			_, added := r.Add(keys.Hash(key), "desk")
 			Expect(added).To(BeTrue())
 		}
 		owner, found := r.Owner("two")
@@ -34,15 +34,15 @@
 	})
 
 	It("leaves a key with its first owner", func() {
-		r := keys.NewRing[string](0)
-		r.Add(keys.Of("k"), "first")
-		holder, added := r.Add(keys.Of("k"), "second")
+		r := keys.NewIndex[string](0)
+		r.Add(keys.Hash("k"), "first")
+		holder, added := r.Add(keys.Hash("k"), "second")
 		Expect(added).To(BeFalse())
 		Expect(holder).To(Equal("first"))
 	})
 
 	It("has nobody's keys while there is none", func() {
-		var none *keys.Ring[string]
+		var none *keys.Index[string]
 		_, found := none.Owner("k")
 		Expect(found).To(BeFalse())
 		Expect(none.Len()).To(BeZero())
@@ -51,7 +51,7 @@
 
 var _ = Describe("a digest", func() {
 	It("is read from hexadecimal", func() {
-		want := keys.Of("k")
+		want := keys.Hash("k")
 		Expect(keys.Parse(hex.EncodeToString(want[:]))).To(Equal(want))
 	})
 
@@ -62,12 +62,12 @@
 })
 
 // A deployment of 10,000 customers with three keys each.
-func ring() *keys.Ring[int] {
+func ring() *keys.Index[int] {
 	const customers, each = 10_000, 3
-	r := keys.NewRing[int](customers * each)
+	r := keys.NewIndex[int](customers * each)
 	for c := range customers {
 		for k := range each {
-			r.Add(keys.Of(fmt.Sprintf("key-%d-%d", c, k)), c)
+			r.Add(keys.Hash(fmt.Sprintf("key-%d-%d", c, k)), c)
 		}
 	}
 	return r
--- a/internal/policy/routes/admit.go
+++ b/internal/policy/routes/admit.go
@@ -14,12 +14,12 @@
 
 // ring returns the customers' keys. A key that two of them have is the first one's;
 // whoever decodes a declaration refuses such a one.
-func ring(customers []deployment.Customer) *keys.Ring[*deployment.Customer] {
+func ring(customers []deployment.Customer) *keys.Index[*deployment.Customer] {
 	size := 0
 	for i := range customers {
 		size += len(customers[i].Keys)
 	}
-	r := keys.NewRing[*deployment.Customer](size)
+	r := keys.NewIndex[*deployment.Customer](size)
 	for i := range customers {
 		for _, key := range customers[i].Keys {
 			r.Add(key, &customers[i])
--- a/internal/policy/routes/admit_test.go
+++ b/internal/policy/routes/admit_test.go
@@ -13,7 +13,7 @@
 	customer := func(name string, held ...string) deployment.Customer {
 		c := deployment.Customer{Name: name}
 		for _, k := range held {
-			c.Keys = append(c.Keys, keys.Of(k))
+			c.Keys = append(c.Keys, keys.Hash(k))
 		}
 		return c
 	}
@@ -32,8 +32,8 @@
 	table := routes.NewTable(&deployment.Declaration{
 		Keyed: true,
 		Customers: []deployment.Customer{
-			{Name: "urgent", Keys: []keys.Digest{keys.Of("u1"), keys.Of("u2")}, Priority: &first},
-			{Name: "plain", Keys: []keys.Digest{keys.Of("p1")}},
+			{Name: "urgent", Keys: []keys.Digest{keys.Hash("u1"), keys.Hash("u2")}, Priority: &first},
+			{Name: "plain", Keys: []keys.Digest{keys.Hash("p1")}},
 			{Name: "keyless"},
 		},
 		Routes: []deployment.Route{
--- a/internal/policy/routes/routes.go
+++ b/internal/policy/routes/routes.go
@@ -17,7 +17,7 @@
 type Table struct {
 	Declaration *deployment.Declaration
 	byHost      map[string][]*deployment.Route // longest prefix first
-	customers   *keys.Ring[*deployment.Customer]
+	customers   *keys.Index[*deployment.Customer]
 }
 
 // NewTable indexes a declaration, which must not change afterwards.
