--- a/internal/policy/keys/keys.go
+++ b/internal/policy/keys/keys.go
@@ -1,7 +1,8 @@
-// Package keys finds whose API key a request bears. It does no input or output.
+// Package keys maps API keys to their owners. It does no I/O.
 //
-// Keys are held and compared as digests: a copy of the process's memory shows no key,
-// and how long a look-up takes tells nothing of how much of a key was right.
+// Keys are stored and compared as digests, so that a dump of the process's memory
+// contains no key and the time of a look-up does not reveal how much of a guessed key
+// was right.
 package keys
 
 import (
@@ -11,16 +12,16 @@
 	"github.com/pkg/errors"
 )
 
-// Digest stands for a key.
+// Digest is the SHA-256 digest of a key.
 type Digest [sha256.Size]byte
 
-// Of returns a key's digest.
+// Hash returns the digest of a key.
 func Hash(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// ErrMalformed is returned for text that is no digest in hexadecimal.
+// ErrMalformed is returned by Parse for text that is not a digest in hexadecimal.
 var ErrMalformed = errors.New("keys: malformed digest")
 
-// Parse reads a digest in hexadecimal.
+// Parse decodes a digest from hexadecimal.
 func Parse(text string) (Digest, error) {
 	var d Digest
 	raw, err := hex.DecodeString(text)
@@ -31,36 +32,39 @@
 	return d, nil
 }
 
-// Ring is a set of keys with their owners. Once filled it is safe for concurrent use.
+// Index maps key digests to the owners of the keys. It is safe for concurrent use once
+// no more keys are added.
 type Index[T any] struct {
 	owners map[Digest]T
 }
 
-// NewRing returns an empty ring with room for so many keys.
+// NewIndex returns an empty index with room for size keys.
 func NewIndex[T any](size int) *Index[T] { return &Index[T]{owners: make(map[Digest]T, size)} }
 
-// Add gives a key to an owner unless it has one already, and returns whose it is.
-func (r *Index[T]) Add(key Digest, owner T) (holder T, added bool) {
-	if standing, found := r.owners[key]; found {
-		return standing, false
+// Add assigns a key to an owner unless it has one already. It returns the owner that
+// the key has now, and whether the key was added.
+func (x *Index[T]) Add(key Digest, owner T) (holder T, added bool) {
+	if existing, found := x.owners[key]; found {
+		return existing, false
 	}
-	r.owners[key] = owner
+	x.owners[key] = owner
 	return owner, true
 }
 
-// Owner returns the owner of a key. The empty key is nobody's.
-func (r *Index[T]) Owner(key string) (owner T, found bool) {
-	if r == nil || key == "" {
+// Owner returns the owner of a key, and whether the key is known. The empty key has no
+// owner. A nil index knows no keys.
+func (x *Index[T]) Owner(key string) (owner T, found bool) {
+	if x == nil || key == "" {
 		return owner, false
 	}
-	owner, found = r.owners[Hash(key)]
+	owner, found = x.owners[Hash(key)]
 	return owner, found
 }
 
-// Len returns how many keys there are.
-func (r *Index[T]) Len() int {
-	if r == nil {
+// Len returns the number of keys.
+func (x *Index[T]) Len() int {
+	if x == nil {
 		return 0
 	}
-	return len(r.owners)
+	return len(x.owners)
 }
--- a/internal/policy/keys/keys_test.go
+++ b/internal/policy/keys/keys_test.go
@@ -16,32 +16,32 @@
 	RunSpecs(t, "Keys")
 }
 
-var _ = Describe("a ring of keys", func() {
-	It("knows each key's owner, and no other key", func() {
-		r := keys.NewIndex[string](0)
+var _ = Describe("Index", func() {
+	It("finds the owner of each key and of no other text", func() {
+		x := keys.NewIndex[string](0)
 		for _, key := range []string{"one", "two"} {
-			_, added := r.Add(keys.Hash(key), "desk")
+			_, added := x.Add(keys.Hash(key), "desk")
 			Expect(added).To(BeTrue())
 		}
-		owner, found := r.Owner("two")
+		owner, found := x.Owner("two")
 		Expect(found).To(BeTrue())
 		Expect(owner).To(Equal("desk"))
 		for _, key := range []string{"", "tw", "two ", "TWO", string(make([]byte, 100_000))} {
-			_, found := r.Owner(key)
+			_, found := x.Owner(key)
 			Expect(found).To(BeFalse())
 		}
-		Expect(r.Len()).To(Equal(2))
+		Expect(x.Len()).To(Equal(2))
 	})
 
 	It("leaves a key with its first owner", func() {
-		r := keys.NewIndex[string](0)
-		r.Add(keys.Hash("k"), "first")
-		holder, added := r.Add(keys.Hash("k"), "second")
+		x := keys.NewIndex[string](0)
+		x.Add(keys.Hash("k"), "first")
+		holder, added := x.Add(keys.Hash("k"), "second")
 		Expect(added).To(BeFalse())
 		Expect(holder).To(Equal("first"))
 	})
 
-	It("has nobody's keys while there is none", func() {
+	It("knows no keys if it is nil", func() {
 		var none *keys.Index[string]
 		_, found := none.Owner("k")
 		Expect(found).To(BeFalse())
@@ -49,35 +49,35 @@
 	})
 })
 
-var _ = Describe("a digest", func() {
-	It("is read from hexadecimal", func() {
+var _ = Describe("Digest", func() {
+	It("is parsed from hexadecimal", func() {
 		want := keys.Hash("k")
 		Expect(keys.Parse(hex.EncodeToString(want[:]))).To(Equal(want))
 	})
 
-	DescribeTable("is refused when it is malformed", func(text string) {
+	DescribeTable("is rejected if it is malformed", func(text string) {
 		_, err := keys.Parse(text)
 		Expect(err).To(MatchError(keys.ErrMalformed))
-	}, Entry("empty", ""), Entry("short", "ab"), Entry("no hexadecimal", fmt.Sprintf("%064s", "x")))
+	}, Entry("empty", ""), Entry("short", "ab"), Entry("not hexadecimal", fmt.Sprintf("%064s", "x")))
 })
 
-// A deployment of 10,000 customers with three keys each.
-func ring() *keys.Index[int] {
+// filledIndex returns the index of a deployment of 10,000 customers with three keys each.
+func filledIndex() *keys.Index[int] {
 	const customers, each = 10_000, 3
-	r := keys.NewIndex[int](customers * each)
+	x := keys.NewIndex[int](customers * each)
 	for c := range customers {
 		for k := range each {
-			r.Add(keys.Hash(fmt.Sprintf("key-%d-%d", c, k)), c)
+			x.Add(keys.Hash(fmt.Sprintf("key-%d-%d", c, k)), c)
 		}
 	}
-	return r
+	return x
 }
 
 func BenchmarkOwner(b *testing.B) {
-	r := ring()
+	x := filledIndex()
 	for b.Loop() {
-		if _, found := r.Owner("key-5000-1"); !found {
-			b.Fatal("key is not known")
+		if _, found := x.Owner("key-5000-1"); !found {
+			b.Fatal("key not found")
 		}
 	}
 }
@@ -85,6 +85,6 @@
 func BenchmarkFill(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		ring()
+		filledIndex()
 	}
 }
