--- a/internal/agentless/gate/usage_test.go
+++ b/internal/agentless/gate/usage_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("the usage of a request", func() {
-	rules := usage.Rules{Length: time.Hour, Late: time.Hour}
+	rules := usage.Config{WindowLength: time.Hour, DueAfter: time.Hour}
 
 	serve := func(kind deployment.Kind, customer string, replies ...reply) usage.Counts {
 		g := newGate(&script{replies: replies}, 4)
@@ -57,7 +57,7 @@
 	})
 
 	It("is not final while a request is under way that may have begun in the window", func() {
-		short := usage.Rules{Length: 50 * time.Millisecond, Late: time.Hour}
+		short := usage.Config{WindowLength: 50 * time.Millisecond, DueAfter: time.Hour}
 		s := &script{replies: []reply{{forever: true}}}
 		g := newGate(s, 1)
 		g.Usage = usagerun.NewCounter(short)
@@ -65,12 +65,12 @@
 		done := make(chan gate.Outcome)
 		r := request()
 		r.Customer = "desk"
-		entered := short.At(time.Now())
+		entered := short.WindowAt(time.Now())
 		go func() { done <- g.Serve(ctx, route(deployment.NonIdempotent), r) }()
 		Eventually(s.endpoints).Should(HaveLen(1))
-		time.Sleep(3 * short.Length)
+		time.Sleep(3 * short.WindowLength)
 		telling, _ := g.Usage.Telling(0, time.Now())
-		Expect(telling.Through).To(BeNumerically("<", short.At(time.Now())-1))
+		Expect(telling.Through).To(BeNumerically("<", short.WindowAt(time.Now())-1))
 		cancel()
 		<-done
 		telling, _ = g.Usage.Telling(0, time.Now())
--- a/internal/agentless/node/node.go
+++ b/internal/agentless/node/node.go
@@ -59,7 +59,7 @@
 	KeepResults   time.Duration // how long results stay readable after submission
 	FirstStart    bool          // the whole system starts for the first time
 	// Usage says how usage is reported at BillingAddress; zero: it is not.
-	Usage          usage.Rules
+	Usage          usage.Config
 	BillingAddress string
 }
 
--- a/internal/agentless/node/usage.go
+++ b/internal/agentless/node/usage.go
@@ -22,7 +22,7 @@
 func (n *Node) addUsage(self cluster.Member, peers *rpcpool.Pool) {
 	rules := n.settings.Usage
 	switch {
-	case !rules.On():
+	case !rules.Enabled():
 	case self.Worker:
 		n.usage.books = usagerun.NewBooks(rules, self.Boot)
 	default:
--- a/internal/agentless/usagerun/counter.go
+++ b/internal/agentless/usagerun/counter.go
@@ -19,8 +19,8 @@
 }
 
 // NewCounter returns a counter, or nil if usage is not reported.
-func NewCounter(rules usage.Rules) *Counter {
-	if !rules.On() {
+func NewCounter(rules usage.Config) *Counter {
+	if !rules.Enabled() {
 		return nil
 	}
 	return &Counter{meter: usage.NewMeter(rules, time.Now()), wake: make(chan struct{}, 1)}
@@ -52,7 +52,7 @@
 	r.begun = true
 	c := r.counter
 	c.mu.Lock()
-	c.meter.Began(r.customer, at)
+	c.meter.CountStart(r.customer, at)
 	c.mu.Unlock()
 	c.kick()
 }
@@ -75,10 +75,10 @@
 }
 
 // Telling returns what is to be told to one who was told everything up to a version.
-func (c *Counter) Telling(after int64, now time.Time) (telling usage.Telling, version int64) {
+func (c *Counter) Telling(after int64, now time.Time) (telling usage.Update, version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	telling.Through = c.meter.Through(now)
+	telling.Through = c.meter.FinalThrough(now)
 	telling.Tallies = c.meter.Since(after)
 	return telling, c.meter.Version()
 }
--- a/internal/agentless/usagerun/reporter.go
+++ b/internal/agentless/usagerun/reporter.go
@@ -61,7 +61,7 @@
 // Reporter reports usage while this process holds the duty. It carries out what
 // usage.Holder decides.
 type Reporter struct {
-	Rules    usage.Rules
+	Rules    usage.Config
 	Self     string
 	Books    *Books
 	Members  *cluster.Members
@@ -71,28 +71,28 @@
 	Log      *logrus.Logger
 	Registry metrics.Registry
 
-	holder *usage.Holder
+	holder *usage.Planner
 	proved time.Time // when the call began that last proved the term
 	stale  []string  // keys of reports in the store, the oldest first
 }
 
 // Run reports until ctx ends.
 func (r *Reporter) Run(ctx context.Context) error {
-	r.holder = usage.NewHolder(r.Rules)
+	r.holder = usage.NewPlanner(r.Rules)
 	periodic.Run(ctx, lookEvery, func(now time.Time) { r.look(ctx, now) })
 	return nil
 }
 
 func (r *Reporter) look(ctx context.Context, now time.Time) {
 	expected := r.expected()
-	r.Books.with(func(l *usage.Ledger) { l.Forget(r.Rules.At(now)-r.Rules.Kept(), expected) })
+	r.Books.with(func(l *usage.Ledger) { l.Prune(r.Rules.WindowAt(now)-r.Rules.RetainedWindows(), expected) })
 	term, leads := r.Leader.Term(now)
 	if !leads {
 		term = 0
 	}
-	r.holder.Lead(term)
-	var closed []usage.Closing
-	r.Books.with(func(l *usage.Ledger) { closed = r.holder.Close(now, l, expected) })
+	r.holder.SetTerm(term)
+	var closed []usage.ClosedWindow
+	r.Books.with(func(l *usage.Ledger) { closed = r.holder.CloseWindows(now, l, expected) })
 	for _, c := range closed {
 		r.noteClosed(c, now)
 	}
@@ -102,13 +102,13 @@
 			break
 		}
 		answer := r.carryOut(ctx, command)
-		answer.Again = time.Now().Add(againAfter + rand.N(againSpread))
-		r.holder.Take(time.Now(), answer)
+		answer.RetryAt = time.Now().Add(againAfter + rand.N(againSpread))
+		r.holder.HandleResult(time.Now(), answer)
 	}
-	for _, w := range r.holder.Lost() {
+	for _, w := range r.holder.TakeLost() {
 		r.noteLost(w, "too late")
 	}
-	if r.holder.Resigned() {
+	if r.holder.ShouldResign() {
 		r.Leader.Resign()
 	}
 }
@@ -124,30 +124,30 @@
 	return sources
 }
 
-func (r *Reporter) carryOut(ctx context.Context, command usage.Command) usage.Answer {
+func (r *Reporter) carryOut(ctx context.Context, command usage.Command) usage.Result {
 	switch c := command.(type) {
-	case usage.Load:
+	case usage.LoadReports:
 		return r.load(ctx)
-	case usage.Fix:
+	case usage.StoreReport:
 		return r.fix(ctx, c)
-	case usage.Look:
+	case usage.ReadReport:
 		return r.read(ctx, c.Window)
-	case usage.Confirm:
+	case usage.ConfirmTerm:
 		return r.confirm(ctx)
-	case usage.Send:
+	case usage.SendReport:
 		return r.send(ctx, c)
 	default:
-		return usage.Answer{}
+		return usage.Result{}
 	}
 }
 
-func (r *Reporter) load(ctx context.Context) usage.Answer {
+func (r *Reporter) load(ctx context.Context) usage.Result {
 	page, err := kv.ReadAll(ctx, r.Store, prefixReports)
 	if err != nil {
-		return usage.Answer{}
+		return usage.Result{}
 	}
 	r.stale = nil
-	answer := usage.Answer{Outcome: usage.Done}
+	answer := usage.Result{Outcome: usage.Done}
 	for _, record := range page.Records {
 		report, err := decodeReport(record)
 		if err != nil {
@@ -160,11 +160,11 @@
 	return answer
 }
 
-func (r *Reporter) fix(ctx context.Context, c usage.Fix) usage.Answer {
+func (r *Reporter) fix(ctx context.Context, c usage.StoreReport) usage.Result {
 	raw, err := encodeCounts(c.Counts)
 	if err != nil {
 		events.UsageUnreadable.Log(r.Log, logrus.Fields{"window": c.Window, "error": err.Error()})
-		return usage.Answer{}
+		return usage.Result{}
 	}
 	key, removed := reportKey(c.Window), r.removable(c.Window)
 	began := time.Now()
@@ -175,18 +175,18 @@
 	})
 	switch {
 	case err != nil:
-		return usage.Answer{}
+		return usage.Result{}
 	case !committed.Done:
-		return usage.Answer{Outcome: usage.NotDone}
+		return usage.Result{Outcome: usage.NotDone}
 	}
 	r.proved = began
 	r.stale = append(r.stale[len(removed):], key)
-	return usage.Answer{Outcome: usage.Done}
+	return usage.Result{Outcome: usage.Done}
 }
 
 // removable returns the oldest keys that nobody needs once a window is fixed.
 func (r *Reporter) removable(w usage.Window) []string {
-	oldest := reportKey(w - r.Rules.Kept())
+	oldest := reportKey(w - r.Rules.RetainedWindows())
 	n := 0
 	for n < min(len(r.stale), mostRemoved) && r.stale[n] < oldest {
 		n++
@@ -194,40 +194,40 @@
 	return r.stale[:n:n]
 }
 
-func (r *Reporter) read(ctx context.Context, w usage.Window) usage.Answer {
+func (r *Reporter) read(ctx context.Context, w usage.Window) usage.Result {
 	record, err := r.Store.Read(ctx, reportKey(w))
 	switch {
 	case err != nil:
-		return usage.Answer{}
+		return usage.Result{}
 	case record.Revision == 0:
-		return usage.Answer{Outcome: usage.NotDone}
+		return usage.Result{Outcome: usage.NotDone}
 	}
 	report, err := decodeReport(record)
 	if err != nil {
 		events.UsageUnreadable.Log(r.Log, logrus.Fields{"key": record.Key, "error": err.Error()})
-		return usage.Answer{}
+		return usage.Result{}
 	}
-	return usage.Answer{Outcome: usage.Done, Reports: []usage.Report{report}}
+	return usage.Result{Outcome: usage.Done, Reports: []usage.Report{report}}
 }
 
-func (r *Reporter) confirm(ctx context.Context) usage.Answer {
+func (r *Reporter) confirm(ctx context.Context) usage.Result {
 	began := time.Now()
 	_, confirmed := r.Leader.Confirm(ctx)
 	_, holds := r.Leader.Term(time.Now())
 	switch {
 	case confirmed:
 		r.proved = began
-		return usage.Answer{Outcome: usage.Done}
+		return usage.Result{Outcome: usage.Done}
 	case holds:
-		return usage.Answer{} // the store did not answer, or too late
+		return usage.Result{} // the store did not answer, or too late
 	default:
-		return usage.Answer{Outcome: usage.NotDone}
+		return usage.Result{Outcome: usage.NotDone}
 	}
 }
 
-func (r *Reporter) send(ctx context.Context, c usage.Send) usage.Answer {
+func (r *Reporter) send(ctx context.Context, c usage.SendReport) usage.Result {
 	if !cluster.Fresh(r.proved) {
-		return usage.Answer{}
+		return usage.Result{}
 	}
 	verdict, err := r.Biller.Report(ctx, Report{Report: c.Report, Holder: r.Self, Term: c.Term})
 	switch {
@@ -236,17 +236,17 @@
 	case verdict == Accepted:
 		r.count("accepted")
 		events.UsageReported.Log(r.Log, logrus.Fields{"window": c.Window, "requests": c.Counts.Sum(), "customers": len(c.Counts), "term": c.Term})
-		return usage.Answer{Outcome: usage.Done}
+		return usage.Result{Outcome: usage.Done}
 	case verdict == Outdated:
 		r.failed(c, "a higher fencing token was seen")
-		return usage.Answer{Outcome: usage.Outdated}
+		return usage.Result{Outcome: usage.Outdated}
 	default:
 		r.failed(c, "the platform is busy")
 	}
-	return usage.Answer{}
+	return usage.Result{}
 }
 
-func (r *Reporter) failed(c usage.Send, why string) {
+func (r *Reporter) failed(c usage.SendReport, why string) {
 	r.count("failed")
 	events.UsageNotReported.Log(r.Log, logrus.Fields{"window": c.Window, "term": c.Term, "error": why})
 }
@@ -257,14 +257,14 @@
 }
 
 // noteClosed says what a window's counts consist of.
-func (r *Reporter) noteClosed(c usage.Closing, now time.Time) {
+func (r *Reporter) noteClosed(c usage.ClosedWindow, now time.Time) {
 	if c.Lost {
 		r.noteLost(c.Window, "closed too late")
 		return
 	}
 	fields := logrus.Fields{
 		"window": c.Window, "requests": c.Counts.Sum(), "customers": len(c.Counts),
-		"age_ms": now.Sub(r.Rules.End(c.Window)).Milliseconds(), "missing": c.Missing,
+		"age_ms": now.Sub(r.Rules.WindowEnd(c.Window)).Milliseconds(), "missing": c.Missing,
 	}
 	if len(c.Counts) <= mostLogged {
 		fields["counts"] = c.Counts
--- a/internal/agentless/usagerun/service.go
+++ b/internal/agentless/usagerun/service.go
@@ -29,7 +29,7 @@
 }
 
 // NewBooks returns the books of a process that started at boot, in Unix nanoseconds.
-func NewBooks(rules usage.Rules, boot int64) *Books {
+func NewBooks(rules usage.Config, boot int64) *Books {
 	return &Books{boot: boot, ledger: usage.NewLedger(rules)}
 }
 
@@ -49,8 +49,8 @@
 type Service struct{ books *Books }
 
 // Tell implements the call of that name.
-func (s *Service) Tell(telling usage.Telling, reply *TellReply) error {
-	s.books.with(func(l *usage.Ledger) { l.Take(telling) })
+func (s *Service) Tell(telling usage.Update, reply *TellReply) error {
+	s.books.with(func(l *usage.Ledger) { l.Apply(telling) })
 	reply.Boot = s.books.boot
 	return nil
 }
--- a/internal/agentless/usagerun/size_test.go
+++ b/internal/agentless/usagerun/size_test.go
@@ -28,7 +28,7 @@
 			gap       = 370 * 2 * time.Millisecond
 			every     = time.Second * 370 / 4300
 		)
-		rules := usage.Rules{Length: 5 * time.Second, Late: 10 * time.Second}
+		rules := usage.Config{WindowLength: 5 * time.Second, DueAfter: 10 * time.Second}
 		rnd := rand.New(rand.NewPCG(1, 2))
 		now := time.Unix(1_000_000, 0)
 		meter := usage.NewMeter(rules, now)
@@ -36,12 +36,12 @@
 		encoder := gob.NewEncoder(sent)
 		version, told := int64(0), now
 		for end := now.Add(seconds * time.Second); now.Before(end); now = now.Add(every) {
-			meter.Began(fmt.Sprintf("customer-%d", rnd.IntN(10_000)), now)
+			meter.CountStart(fmt.Sprintf("customer-%d", rnd.IntN(10_000)), now)
 			if now.Sub(told) < gap {
 				continue
 			}
-			through := meter.Through(now)
-			Expect(encoder.Encode(usage.Telling{Process: "edge-failure-domain-a-17", Boot: now.UnixNano(), Through: through, Tallies: meter.Since(version)})).To(Succeed())
+			through := meter.FinalThrough(now)
+			Expect(encoder.Encode(usage.Update{Process: "edge-failure-domain-a-17", Boot: now.UnixNano(), Through: through, Tallies: meter.Since(version)})).To(Succeed())
 			version, told = meter.Version(), now
 		}
 		Expect(listeners * sent.bytes / seconds).To(BeNumerically("<", 2000))
--- a/internal/agentless/usagerun/teller.go
+++ b/internal/agentless/usagerun/teller.go
@@ -27,7 +27,7 @@
 // Teller tells a process's counts to those who may have to report them. What began and
 // was not told yet is lost if this process dies, so that counts are told at once.
 type Teller struct {
-	Rules   usage.Rules
+	Rules   usage.Config
 	Counter *Counter
 	Self    cluster.Member
 	Members *cluster.Members
@@ -65,7 +65,7 @@
 
 // untilFinal returns how long it is until a window's counts may be final.
 func (t *Teller) untilFinal(now time.Time) time.Duration {
-	return t.Rules.End(t.Rules.At(now)).Add(windowSlack).Sub(now)
+	return t.Rules.WindowEnd(t.Rules.WindowAt(now)).Add(windowSlack).Sub(now)
 }
 
 func (t *Teller) await(ctx context.Context, wait time.Duration) {
@@ -125,7 +125,7 @@
 }
 
 // call tells one process. The listener is this call's until it is over.
-func (t *Teller) call(ctx context.Context, to cluster.Member, l *listener, telling usage.Telling, version int64) {
+func (t *Teller) call(ctx context.Context, to cluster.Member, l *listener, telling usage.Update, version int64) {
 	ctx, cancel := context.WithTimeout(ctx, tellLimit)
 	defer cancel()
 	var reply TellReply
--- a/internal/agentless/usagerun/usagerun_test.go
+++ b/internal/agentless/usagerun/usagerun_test.go
@@ -27,7 +27,7 @@
 
 const duty = cluster.DutyKey + "weights"
 
-var rules = usage.Rules{Length: 300 * time.Millisecond, Late: 3 * time.Second}
+var rules = usage.Config{WindowLength: 300 * time.Millisecond, DueAfter: 3 * time.Second}
 
 func TestUsagerun(t *testing.T) {
 	RegisterFailHandler(Fail)
@@ -155,7 +155,7 @@
 		s := newSite()
 		Eventually(leads(s.worker("a"))).WithTimeout(patience).Should(BeTrue())
 		s.serve("desk", 3)
-		time.Sleep(rules.Length)
+		time.Sleep(rules.WindowLength)
 		s.serve("desk", 2)
 		s.serve("billing", 1)
 		Eventually(s.bills.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 5, "billing": 1}))
@@ -212,9 +212,9 @@
 		Eventually(leads(s.worker("a"))).WithTimeout(patience).Should(BeTrue())
 		Eventually(s.bills.seen).WithTimeout(patience).ShouldNot(BeEmpty())
 		s.store.SetDown(true)
-		time.Sleep(2 * rules.Length)
+		time.Sleep(2 * rules.WindowLength)
 		before := len(s.bills.seen())
-		Consistently(func() int { return len(s.bills.seen()) }).WithTimeout(rules.Length).Should(Equal(before))
+		Consistently(func() int { return len(s.bills.seen()) }).WithTimeout(rules.WindowLength).Should(Equal(before))
 		s.serve("desk", 1)
 		s.store.SetDown(false)
 		Eventually(s.bills.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 1}))
@@ -223,7 +223,7 @@
 	It("leaves no more reports in the store than a next holder needs", func() {
 		s := newSite()
 		Eventually(leads(s.worker("a"))).WithTimeout(patience).Should(BeTrue())
-		most := int(rules.Kept()) + 2
+		most := int(rules.RetainedWindows()) + 2
 		Eventually(func() int { return len(s.bills.seen()) }).WithTimeout(patience).Should(BeNumerically(">", most+3))
 		page, err := kv.ReadAll(context.Background(), s.store, "usage/")
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/policy/usage/book.go
+++ b/internal/policy/usage/book.go
@@ -16,8 +16,8 @@
 )
 
 // Book is what the holder of the duty has to report. It is not safe for concurrent use.
-type Book struct {
-	rules   Rules
+type ReportQueue struct {
+	rules   Config
 	next    Window // the first that is not closed
 	reports map[Window]*report
 	first   bool // no report stands, and none was closed yet
@@ -37,8 +37,8 @@
 
 // NewBook returns the book of a process that takes the duty. Fixed are the reports that
 // stand: those that may not have been told are told again.
-func NewBook(rules Rules, now time.Time, fixed []Report) *Book {
-	b := &Book{rules: rules, next: rules.At(now), reports: map[Window]*report{}, first: len(fixed) == 0}
+func NewReportQueue(rules Config, now time.Time, fixed []Report) *ReportQueue {
+	b := &ReportQueue{rules: rules, next: rules.WindowAt(now), reports: map[Window]*report{}, first: len(fixed) == 0}
 	for i, f := range fixed {
 		if i == 0 || f.Window >= b.next {
 			b.next = f.Window + 1
@@ -47,16 +47,16 @@
 			b.reports[f.Window] = &report{counts: f.Counts, fixed: true}
 		}
 	}
-	b.next = max(b.next, rules.At(now)-rules.Kept())
+	b.next = max(b.next, rules.WindowAt(now)-rules.RetainedWindows())
 	return b
 }
 
-func (b *Book) abandoned(w Window, now time.Time) bool {
-	return now.Sub(b.rules.End(w)) > abandonAfter*b.rules.Late
+func (b *ReportQueue) abandoned(w Window, now time.Time) bool {
+	return now.Sub(b.rules.WindowEnd(w)) > abandonAfter*b.rules.DueAfter
 }
 
 // Closing is a window that is closed now.
-type Closing struct {
+type ClosedWindow struct {
 	Report
 	Missing []string // processes whose counts are not final
 	Lost    bool     // it is too late to report the window
@@ -64,19 +64,19 @@
 
 // Close returns the windows that are closed at a moment: all processes have told them,
 // or it cannot be waited for longer.
-func (b *Book) Close(now time.Time, l *Ledger, expected []Source) []Closing {
-	if oldest, found := l.Oldest(); found && b.first {
+func (b *ReportQueue) CloseWindows(now time.Time, l *Ledger, expected []Source) []ClosedWindow {
+	if oldest, found := l.OldestWindow(); found && b.first {
 		// The first holder there ever was: requests may have begun before it took the duty.
-		b.next = max(min(b.next, oldest), b.rules.At(now)-b.rules.Kept())
+		b.next = max(min(b.next, oldest), b.rules.WindowAt(now)-b.rules.RetainedWindows())
 	}
-	var closed []Closing
-	for ; !b.rules.End(b.next).After(now); b.next++ {
+	var closed []ClosedWindow
+	for ; !b.rules.WindowEnd(b.next).After(now); b.next++ {
 		missing := l.Missing(b.next, expected)
-		patient := now.Sub(b.rules.End(b.next)) < time.Duration(patienceShare*float64(b.rules.Late))
+		patient := now.Sub(b.rules.WindowEnd(b.next)) < time.Duration(patienceShare*float64(b.rules.DueAfter))
 		if len(missing) > 0 && patient {
 			break
 		}
-		c := Closing{Report: Report{Window: b.next, Counts: l.Sum(b.next)}, Missing: missing, Lost: b.abandoned(b.next, now)}
+		c := ClosedWindow{Report: Report{Window: b.next, Counts: l.Sum(b.next)}, Missing: missing, Lost: b.abandoned(b.next, now)}
 		if !c.Lost {
 			b.reports[b.next] = &report{counts: c.Counts}
 		}
@@ -88,7 +88,7 @@
 
 // Due returns the reports to be fixed or told at a moment, the oldest first, and those
 // that are given up.
-func (b *Book) Due(now time.Time) (due []Report, abandoned []Window) {
+func (b *ReportQueue) Due(now time.Time) (due []Report, abandoned []Window) {
 	for _, w := range slices.Sorted(maps.Keys(b.reports)) {
 		r := b.reports[w]
 		switch {
@@ -103,20 +103,20 @@
 }
 
 // Fixed tells whether a window's report stands in the store.
-func (b *Book) Fixed(w Window) bool { return b.reports[w] != nil && b.reports[w].fixed }
+func (b *ReportQueue) Stored(w Window) bool { return b.reports[w] != nil && b.reports[w].fixed }
 
 // Fix notes the report of a window that stands in the store, whoever wrote it.
-func (b *Book) Fix(stands Report) {
+func (b *ReportQueue) MarkStored(stands Report) {
 	if r := b.reports[stands.Window]; r != nil {
 		r.counts, r.fixed = stands.Counts, true
 	}
 }
 
 // Told notes that a window's report was accepted.
-func (b *Book) Told(w Window) { delete(b.reports, w) }
+func (b *ReportQueue) MarkAccepted(w Window) { delete(b.reports, w) }
 
 // Postpone puts off a window's report.
-func (b *Book) Postpone(w Window, until time.Time) {
+func (b *ReportQueue) Postpone(w Window, until time.Time) {
 	if r := b.reports[w]; r != nil {
 		r.notTill = until
 	}
--- a/internal/policy/usage/holder.go
+++ b/internal/policy/usage/holder.go
@@ -7,34 +7,34 @@
 type Command interface{ command() }
 
 // Load reads the reports that earlier holders fixed.
-type Load struct{}
+type LoadReports struct{}
 
 // Fix writes a window's report to the store, if none stands there and the store still
 // says that this process holds the duty.
-type Fix struct {
+type StoreReport struct {
 	Report
 	Term int64
 }
 
 // Look reads a window's report from the store: an earlier write whose answer was lost, or
 // an earlier holder's, may have taken effect.
-type Look struct{ Window Window }
+type ReadReport struct{ Window Window }
 
 // Confirm asks the store whether this process still holds the duty.
-type Confirm struct{}
+type ConfirmTerm struct{}
 
 // Send sends a report that stands in the store. It must not be carried out later than the
 // word of the store that it follows allows.
-type Send struct {
+type SendReport struct {
 	Report
 	Term int64 // fencing token
 }
 
-func (Load) command()    {}
-func (Fix) command()     {}
-func (Look) command()    {}
-func (Confirm) command() {}
-func (Send) command()    {}
+func (LoadReports) command() {}
+func (StoreReport) command() {}
+func (ReadReport) command()  {}
+func (ConfirmTerm) command() {}
+func (SendReport) command()  {}
 
 // Outcome is how a command ended.
 type Outcome int
@@ -48,20 +48,20 @@
 )
 
 // Answer is how a command ended, with what it read.
-type Answer struct {
+type Result struct {
 	Outcome Outcome
 	Reports []Report  // of Load and Look
-	Again   time.Time // when what failed may be tried again
+	RetryAt time.Time // when what failed may be tried again
 }
 
 // Holder decides what the holder of the duty does, whichever calls fail or take effect
 // late. A window's counts are sent only once they stand in the store, where they are
 // written at most once, so that they are never told in two ways. It is not safe for
 // concurrent use.
-type Holder struct {
-	rules  Rules
+type Planner struct {
+	rules  Config
 	term   int64
-	book   *Book // nil: not loaded
+	book   *ReportQueue // nil: not loaded
 	asked  Command
 	proved bool            // the store said just now that the term stands
 	look   map[Window]bool // windows whose report may stand
@@ -72,38 +72,38 @@
 }
 
 // NewHolder returns a holder without the duty.
-func NewHolder(rules Rules) *Holder { return &Holder{rules: rules} }
+func NewPlanner(rules Config) *Planner { return &Planner{rules: rules} }
 
 // Lead notes under which term this process holds the duty; 0: it does not.
-func (h *Holder) Lead(term int64) {
+func (h *Planner) SetTerm(term int64) {
 	if term == h.term {
 		return
 	}
-	*h = Holder{rules: h.rules, term: term, look: map[Window]bool{}}
+	*h = Planner{rules: h.rules, term: term, look: map[Window]bool{}}
 }
 
 // Close returns the windows that are closed at a moment.
-func (h *Holder) Close(now time.Time, l *Ledger, expected []Source) []Closing {
+func (h *Planner) CloseWindows(now time.Time, l *Ledger, expected []Source) []ClosedWindow {
 	if h.book == nil {
 		return nil
 	}
-	return h.book.Close(now, l, expected)
+	return h.book.CloseWindows(now, l, expected)
 }
 
 // Next returns what is to be done at a moment, nil for nothing.
-func (h *Holder) Next(now time.Time) Command {
+func (h *Planner) Next(now time.Time) Command {
 	h.asked = h.next(now)
 	return h.asked
 }
 
-func (h *Holder) next(now time.Time) Command {
+func (h *Planner) next(now time.Time) Command {
 	switch {
 	case h.term == 0 || h.resign || now.Before(h.until):
 		return nil
 	case h.book == nil:
-		return Load{}
+		return LoadReports{}
 	case h.doubt:
-		return Confirm{}
+		return ConfirmTerm{}
 	}
 	due, abandoned := h.book.Due(now)
 	h.lost = append(h.lost, abandoned...)
@@ -113,88 +113,88 @@
 	}
 	report := due[0]
 	switch {
-	case !h.book.Fixed(report.Window) && h.look[report.Window]:
-		return Look{Window: report.Window}
-	case !h.book.Fixed(report.Window):
-		return Fix{Report: report, Term: h.term}
+	case !h.book.Stored(report.Window) && h.look[report.Window]:
+		return ReadReport{Window: report.Window}
+	case !h.book.Stored(report.Window):
+		return StoreReport{Report: report, Term: h.term}
 	case !h.proved:
-		return Confirm{}
+		return ConfirmTerm{}
 	default:
-		return Send{Report: report, Term: h.term}
+		return SendReport{Report: report, Term: h.term}
 	}
 }
 
 // Lost returns the windows that were given up since it was last asked.
-func (h *Holder) Lost() []Window {
+func (h *Planner) TakeLost() []Window {
 	lost := h.lost
 	h.lost = nil
 	return lost
 }
 
 // Resigned tells whether another process holds the duty.
-func (h *Holder) Resigned() bool { return h.resign }
+func (h *Planner) ShouldResign() bool { return h.resign }
 
 // Take takes in the answer to the last command.
-func (h *Holder) Take(now time.Time, a Answer) {
+func (h *Planner) HandleResult(now time.Time, a Result) {
 	asked := h.asked
 	h.asked = nil
 	switch c := asked.(type) {
-	case Load:
+	case LoadReports:
 		if a.Outcome == Done {
-			h.book = NewBook(h.rules, now, a.Reports)
+			h.book = NewReportQueue(h.rules, now, a.Reports)
 			return
 		}
-		h.until = a.Again
-	case Fix:
+		h.until = a.RetryAt
+	case StoreReport:
 		h.fixed(c, a)
-	case Look:
+	case ReadReport:
 		h.looked(c, a)
-	case Confirm:
+	case ConfirmTerm:
 		h.proved = a.Outcome == Done
 		h.resign = a.Outcome == NotDone
 		if a.Outcome == Failed {
-			h.until = a.Again
+			h.until = a.RetryAt
 			return
 		}
 		h.doubt = false
-	case Send:
+	case SendReport:
 		h.sent(c, a)
 	}
 }
 
-func (h *Holder) fixed(c Fix, a Answer) {
+func (h *Planner) fixed(c StoreReport, a Result) {
 	h.proved = a.Outcome == Done
 	if h.proved {
-		h.book.Fix(c.Report)
+		h.book.MarkStored(c.Report)
 		return
 	}
 	h.look[c.Window] = true
 	if a.Outcome == Failed {
-		h.book.Postpone(c.Window, a.Again)
+		h.book.Postpone(c.Window, a.RetryAt)
 	}
 }
 
-func (h *Holder) looked(c Look, a Answer) {
+func (h *Planner) looked(c ReadReport, a Result) {
 	switch a.Outcome {
 	case Done:
-		h.book.Fix(a.Reports[0])
+		h.book.MarkStored(a.Reports[0])
 	case NotDone:
 		// The write did not take effect, or the duty is another's.
 		delete(h.look, c.Window)
 		h.doubt = true
 	default:
-		h.book.Postpone(c.Window, a.Again)
+		h.book.Postpone(c.Window, a.RetryAt)
 	}
 }
 
-func (h *Holder) sent(c Send, a Answer) {
+func (h *Planner) sent(c SendReport, a Result) {
 	h.proved = false
 	switch a.Outcome {
 	case Done:
-		h.book.Told(c.Window)
+		h.book.MarkAccepted(c.Window)
 	case Outdated:
 		h.resign = true
 	default:
-		h.book.Postpone(c.Window, a.Again)
+		h.book.Postpone(c.Window, a.RetryAt)
 	}
 }
--- a/internal/policy/usage/ledger.go
+++ b/internal/policy/usage/ledger.go
@@ -13,7 +13,7 @@
 
 // Ledger holds what processes told of their counts. It is not safe for concurrent use.
 type Ledger struct {
-	rules   Rules
+	rules   Config
 	sources map[Source]*told
 }
 
@@ -23,10 +23,10 @@
 }
 
 // NewLedger returns a ledger that was told nothing.
-func NewLedger(rules Rules) *Ledger { return &Ledger{rules: rules, sources: map[Source]*told{}} }
+func NewLedger(rules Config) *Ledger { return &Ledger{rules: rules, sources: map[Source]*told{}} }
 
 // Take takes in what a process told.
-func (l *Ledger) Take(t Telling) {
+func (l *Ledger) Apply(t Update) {
 	source := Source{Process: t.Process, Boot: t.Boot}
 	known := l.sources[source]
 	if known == nil {
@@ -47,7 +47,7 @@
 // Missing returns the processes, of those given, whose counts of a window are not final.
 // One that started after the window's end has none.
 func (l *Ledger) Missing(w Window, expected []Source) []string {
-	end := l.rules.End(w).UnixNano()
+	end := l.rules.WindowEnd(w).UnixNano()
 	var missing []string
 	for _, source := range expected {
 		known := l.sources[source]
@@ -59,7 +59,7 @@
 }
 
 // Oldest returns the first window of which counts were told; found is false if none were.
-func (l *Ledger) Oldest() (oldest Window, found bool) {
+func (l *Ledger) OldestWindow() (oldest Window, found bool) {
 	for _, known := range l.sources {
 		for w := range known.windows {
 			if !found || w < oldest {
@@ -81,7 +81,7 @@
 
 // Forget forgets the windows before one, and processes of which nothing else is known
 // and that are not among those expected.
-func (l *Ledger) Forget(before Window, expected []Source) {
+func (l *Ledger) Prune(before Window, expected []Source) {
 	for source, known := range l.sources {
 		maps.DeleteFunc(known.windows, func(w Window, _ Counts) bool { return w < before })
 		if len(known.windows) == 0 && known.through < before && !slices.Contains(expected, source) {
--- a/internal/policy/usage/meter.go
+++ b/internal/policy/usage/meter.go
@@ -13,7 +13,7 @@
 
 // Telling is what a process tells of its counts. Tallies are sums, so that one may be
 // told again, and one that was overtaken changes nothing.
-type Telling struct {
+type Update struct {
 	Process string
 	Boot    int64  // Unix nanoseconds of the process's start
 	Through Window // counts of this window and of those before it are final
@@ -22,7 +22,7 @@
 
 // Meter counts one process's requests. It is not safe for concurrent use.
 type Meter struct {
-	rules   Rules
+	rules   Config
 	version int64
 	tallies map[Window]map[string]*count // by customer
 	open    map[Window]int               // requests under way by the window in which they came
@@ -35,21 +35,21 @@
 }
 
 // NewMeter returns a meter of a process that starts now.
-func NewMeter(rules Rules, now time.Time) *Meter {
-	return &Meter{rules: rules, tallies: map[Window]map[string]*count{}, open: map[Window]int{}, through: rules.At(now) - 1}
+func NewMeter(rules Config, now time.Time) *Meter {
+	return &Meter{rules: rules, tallies: map[Window]map[string]*count{}, open: map[Window]int{}, through: rules.WindowAt(now) - 1}
 }
 
 // Enter notes that a request came. Its window, and those after it, stay open until it
 // leaves.
 func (m *Meter) Enter(now time.Time) Window {
-	w := m.rules.At(now)
+	w := m.rules.WindowAt(now)
 	m.open[w]++
 	return w
 }
 
 // Began counts a request that an endpoint began to run.
-func (m *Meter) Began(customer string, at time.Time) {
-	w := m.rules.At(at)
+func (m *Meter) CountStart(customer string, at time.Time) {
+	w := m.rules.WindowAt(at)
 	if m.tallies[w] == nil {
 		m.tallies[w] = map[string]*count{}
 	}
@@ -73,15 +73,15 @@
 
 // Through returns the last window whose counts are final: it is over, and no request
 // is under way that may have begun in it.
-func (m *Meter) Through(now time.Time) Window {
-	last := m.rules.At(now) - 1
+func (m *Meter) FinalThrough(now time.Time) Window {
+	last := m.rules.WindowAt(now) - 1
 	for w := range m.open {
 		last = min(last, w-1)
 	}
 	if last > m.through {
 		m.through = last
 		m.version++
-		maps.DeleteFunc(m.tallies, func(w Window, _ map[string]*count) bool { return last-w > m.rules.Kept() })
+		maps.DeleteFunc(m.tallies, func(w Window, _ map[string]*count) bool { return last-w > m.rules.RetainedWindows() })
 	}
 	return m.through
 }
--- a/internal/policy/usage/schedule_test.go
+++ b/internal/policy/usage/schedule_test.go
@@ -58,7 +58,7 @@
 
 type process struct {
 	name    int
-	holder  *usage.Holder
+	holder  *usage.Planner
 	ledger  *usage.Ledger
 	term    int64
 	from    time.Time // may act
@@ -66,14 +66,14 @@
 	thawed  time.Time
 	command usage.Command
 	doneAt  time.Time
-	outcome usage.Answer
+	outcome usage.Result
 	proof   time.Time
 }
 
 func newWorld(seed uint64, fences bool) *world {
 	w := &world{rnd: rand.New(rand.NewPCG(seed, 1)), now: at(0), fences: fences, revision: 10, fixed: map[usage.Window]usage.Counts{}, accepted: map[usage.Window]usage.Counts{}}
 	for i := range holders {
-		w.processes = append(w.processes, &process{name: i, holder: usage.NewHolder(rules), ledger: usage.NewLedger(rules)})
+		w.processes = append(w.processes, &process{name: i, holder: usage.NewPlanner(rules), ledger: usage.NewLedger(rules)})
 	}
 	return w
 }
@@ -115,7 +115,7 @@
 		p.thawed = p.paused
 		return
 	case w.chance(900): // killed, and back at once
-		*p = process{name: p.name, holder: usage.NewHolder(rules), ledger: usage.NewLedger(rules)}
+		*p = process{name: p.name, holder: usage.NewPlanner(rules), ledger: usage.NewLedger(rules)}
 		return
 	}
 	w.hear(p)
@@ -124,12 +124,12 @@
 		if w.now.Before(p.doneAt) {
 			return
 		}
-		p.holder.Take(w.now, p.outcome)
+		p.holder.HandleResult(w.now, p.outcome)
 		p.command = nil
 	}
-	p.holder.Lead(p.acting(w.now))
-	p.holder.Close(w.now, p.ledger, nil)
-	if p.holder.Resigned() {
+	p.holder.SetTerm(p.acting(w.now))
+	p.holder.CloseWindows(w.now, p.ledger, nil)
+	if p.holder.ShouldResign() {
 		p.term = 0
 		return
 	}
@@ -141,8 +141,8 @@
 // hear has a process be told counts that differ between processes, as some tellings are
 // lost.
 func (w *world) hear(p *process) {
-	window := rules.At(w.now)
-	p.ledger.Take(usage.Telling{Process: "entry", Boot: 1, Through: window - 1, Tallies: []usage.Tally{{Window: window, Counts: usage.Counts{"desk": w.rnd.Int64N(50)}}}})
+	window := rules.WindowAt(w.now)
+	p.ledger.Apply(usage.Update{Process: "entry", Boot: 1, Through: window - 1, Tallies: []usage.Tally{{Window: window, Counts: usage.Counts{"desk": w.rnd.Int64N(50)}}}})
 }
 
 func (p *process) acting(now time.Time) int64 {
@@ -177,16 +177,16 @@
 func (w *world) carryOut(p *process) {
 	p.doneAt = w.now.Add(time.Duration(w.rnd.IntN(300)) * time.Millisecond)
 	again := w.now.Add(250*time.Millisecond + time.Duration(w.rnd.IntN(250))*time.Millisecond)
-	p.outcome = usage.Answer{Again: again}
+	p.outcome = usage.Result{RetryAt: again}
 	if w.now.Before(w.down) {
 		return
 	}
 	command, proof, thawed := p.command, p.proof, p.thawed
 	send := false
-	if _, send = command.(usage.Send); send && w.now.Sub(proof) >= actWithin/2 {
+	if _, send = command.(usage.SendReport); send && w.now.Sub(proof) >= actWithin/2 {
 		return // the word of the store is too old to act on
 	}
-	do := func(late bool) usage.Answer {
+	do := func(late bool) usage.Result {
 		return w.effect(p.name, command, late || w.now.Sub(thawed) < freezeSlack)
 	}
 	switch {
@@ -196,48 +196,48 @@
 		do(false)
 	default:
 		p.outcome = do(false)
-		p.outcome.Again = again
+		p.outcome.RetryAt = again
 		if p.outcome.Outcome == usage.Done && !send {
 			p.proof = w.now
 		}
 	}
 }
 
-func (w *world) effect(name int, command usage.Command, excused bool) usage.Answer {
+func (w *world) effect(name int, command usage.Command, excused bool) usage.Result {
 	switch c := command.(type) {
-	case usage.Load:
-		a := usage.Answer{Outcome: usage.Done}
+	case usage.LoadReports:
+		a := usage.Result{Outcome: usage.Done}
 		for window, counts := range w.fixed {
 			a.Reports = append(a.Reports, usage.Report{Window: window, Counts: counts})
 		}
 		sort.Slice(a.Reports, func(i, j int) bool { return a.Reports[i].Window < a.Reports[j].Window })
 		return a
-	case usage.Fix:
+	case usage.StoreReport:
 		if _, stands := w.fixed[c.Window]; stands || w.duty.term != c.Term {
-			return usage.Answer{Outcome: usage.NotDone}
+			return usage.Result{Outcome: usage.NotDone}
 		}
 		w.fixed[c.Window] = c.Counts
-		return usage.Answer{Outcome: usage.Done}
-	case usage.Look:
+		return usage.Result{Outcome: usage.Done}
+	case usage.ReadReport:
 		if counts, stands := w.fixed[c.Window]; stands {
-			return usage.Answer{Outcome: usage.Done, Reports: []usage.Report{{Window: c.Window, Counts: counts}}}
+			return usage.Result{Outcome: usage.Done, Reports: []usage.Report{{Window: c.Window, Counts: counts}}}
 		}
-		return usage.Answer{Outcome: usage.NotDone}
-	case usage.Confirm:
+		return usage.Result{Outcome: usage.NotDone}
+	case usage.ConfirmTerm:
 		if w.duty.term != 0 && w.duty.holder == name && w.processes[name].term == w.duty.term {
-			return usage.Answer{Outcome: usage.Done}
+			return usage.Result{Outcome: usage.Done}
 		}
-		return usage.Answer{Outcome: usage.NotDone}
-	case usage.Send:
+		return usage.Result{Outcome: usage.NotDone}
+	case usage.SendReport:
 		return w.bill(name, c, excused)
 	}
-	return usage.Answer{}
+	return usage.Result{}
 }
 
 // bill takes a report, and notes what no report may do.
-func (w *world) bill(name int, c usage.Send, excused bool) usage.Answer {
+func (w *world) bill(name int, c usage.SendReport, excused bool) usage.Result {
 	if w.fences && c.Term < w.highest {
-		return usage.Answer{Outcome: usage.Outdated}
+		return usage.Result{Outcome: usage.Outdated}
 	}
 	w.highest = max(w.highest, c.Term)
 	if standing, found := w.accepted[c.Window]; found && fmt.Sprint(standing) != fmt.Sprint(c.Counts) {
@@ -245,7 +245,7 @@
 	}
 	w.accepted[c.Window] = c.Counts
 	w.acts = append(w.acts, act{name, c.Term, w.now, excused})
-	return usage.Answer{Outcome: usage.Done}
+	return usage.Result{Outcome: usage.Done}
 }
 
 // check returns what was broken: two counts of a window, a term of two holders, or
@@ -281,7 +281,7 @@
 			ExpectWithOffset(1, w.check()).To(BeEmpty(), "seed %d", seed)
 			reported += len(w.accepted)
 		}
-		windows := int(duration / rules.Length)
+		windows := int(duration / rules.WindowLength)
 		Expect(reported).To(BeNumerically(">", schedules*windows/2), "most windows are reported")
 	}, Entry("to a platform that checks tokens", true), Entry("to one that does not", false))
 })
--- a/internal/policy/usage/window.go
+++ b/internal/policy/usage/window.go
@@ -17,21 +17,21 @@
 type Window int64
 
 // Rules say how usage is reported.
-type Rules struct {
-	Length time.Duration // of a window
-	Late   time.Duration // a report is due this long after its window's end
+type Config struct {
+	WindowLength time.Duration // of a window
+	DueAfter     time.Duration // a report is due this long after its window's end
 }
 
 // On tells whether usage is reported at all.
-func (r Rules) On() bool { return r.Length > 0 }
+func (r Config) Enabled() bool { return r.WindowLength > 0 }
 
 // Kept returns how many windows are kept: a report may be sent until it is too late, and
 // looked up once more by the next holder.
-func (r Rules) Kept() Window { return 2 + Window(abandonAfter*r.Late/r.Length) }
+func (r Config) RetainedWindows() Window { return 2 + Window(abandonAfter*r.DueAfter/r.WindowLength) }
 
 // At returns the window of a moment.
-func (r Rules) At(t time.Time) Window {
-	ns, length := t.UnixNano(), int64(r.Length)
+func (r Config) WindowAt(t time.Time) Window {
+	ns, length := t.UnixNano(), int64(r.WindowLength)
 	w := ns / length
 	if ns < 0 && ns%length != 0 {
 		w--
@@ -40,7 +40,9 @@
 }
 
 // End returns when a window ends.
-func (r Rules) End(w Window) time.Time { return time.Unix(0, (int64(w)+1)*int64(r.Length)) }
+func (r Config) WindowEnd(w Window) time.Time {
+	return time.Unix(0, (int64(w)+1)*int64(r.WindowLength))
+}
 
 // Counts are begun requests by customer.
 type Counts map[string]int64
