--- a/internal/policy/usage/ledger.go
+++ b/internal/policy/usage/ledger.go
@@ -5,49 +5,53 @@
 	"slices"
 )
 
-// Source is one start of a process that counts.
+// Source is one run of a process that counts requests.
 type Source struct {
 	Process string
-	Boot    int64 // Unix nanoseconds of its start
+	Boot    int64 // start of the run in Unix nanoseconds
 }
 
-// Ledger holds what processes told of their counts. It is not safe for concurrent use.
+// Ledger holds the counts that processes have sent. It is not safe for concurrent use.
 type Ledger struct {
-	rules   Config
-	sources map[Source]*told
+	config  Config
+	sources map[Source]*sourceCounts
 }
 
-type told struct {
-	through Window
+// sourceCounts are the counts that one source has sent.
+type sourceCounts struct {
+	through Window // counts of this window and of those before it are final
 	windows map[Window]Counts
 }
 
-// NewLedger returns a ledger that was told nothing.
-func NewLedger(rules Config) *Ledger { return &Ledger{rules: rules, sources: map[Source]*told{}} }
+// NewLedger returns a ledger without counts.
+func NewLedger(config Config) *Ledger {
+	return &Ledger{config: config, sources: map[Source]*sourceCounts{}}
+}
 
-// Take takes in what a process told.
-func (l *Ledger) Apply(t Update) {
-	source := Source{Process: t.Process, Boot: t.Boot}
+// Apply merges an update. Each count is kept at the highest value received, so that
+// repeated and reordered updates change nothing.
+func (l *Ledger) Apply(u Update) {
+	source := Source{Process: u.Process, Boot: u.Boot}
 	known := l.sources[source]
 	if known == nil {
-		known = &told{through: t.Through, windows: map[Window]Counts{}}
+		known = &sourceCounts{through: u.Through, windows: map[Window]Counts{}}
 		l.sources[source] = known
 	}
-	known.through = max(known.through, t.Through)
-	for _, tally := range t.Tallies {
+	known.through = max(known.through, u.Through)
+	for _, tally := range u.Tallies {
 		counts := known.windows[tally.Window]
 		if counts == nil {
 			counts = Counts{}
 			known.windows[tally.Window] = counts
 		}
-		counts.raise(tally.Counts)
+		counts.mergeMax(tally.Counts)
 	}
 }
 
-// Missing returns the processes, of those given, whose counts of a window are not final.
-// One that started after the window's end has none.
+// Missing returns the expected processes that have not sent final counts of a window.
+// Processes that started after the window's end are never missing.
 func (l *Ledger) Missing(w Window, expected []Source) []string {
-	end := l.rules.WindowEnd(w).UnixNano()
+	end := l.config.WindowEnd(w).UnixNano()
 	var missing []string
 	for _, source := range expected {
 		known := l.sources[source]
@@ -58,7 +62,7 @@
 	return missing
 }
 
-// Oldest returns the first window of which counts were told; found is false if none were.
+// OldestWindow returns the first window that has counts, and whether there is any.
 func (l *Ledger) OldestWindow() (oldest Window, found bool) {
 	for _, known := range l.sources {
 		for w := range known.windows {
@@ -70,7 +74,8 @@
 	return oldest, found
 }
 
-// Sum returns a window's counts of all processes, also of those that are gone.
+// Sum returns the counts of a window over all processes, including those that have
+// ended.
 func (l *Ledger) Sum(w Window) Counts {
 	sum := Counts{}
 	for _, known := range l.sources {
@@ -79,8 +84,8 @@
 	return sum
 }
 
-// Forget forgets the windows before one, and processes of which nothing else is known
-// and that are not among those expected.
+// Prune removes the windows before the given one, and the sources that have no other
+// counts and are not expected.
 func (l *Ledger) Prune(before Window, expected []Source) {
 	for source, known := range l.sources {
 		maps.DeleteFunc(known.windows, func(w Window, _ Counts) bool { return w < before })
--- a/internal/policy/usage/meter.go
+++ b/internal/policy/usage/meter.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Tally is what one process counted in a window since its start.
+// Tally holds what one process has counted in a window since its start.
 type Tally struct {
 	Window Window
 	Counts Counts
 }
 
-// Telling is what a process tells of its counts. Tallies are sums, so that one may be
-// told again, and one that was overtaken changes nothing.
+// Update carries counts of one process. Its tallies are cumulative, so that an update can
+// be sent again and one that arrives out of order changes nothing.
 type Update struct {
 	Process string
-	Boot    int64  // Unix nanoseconds of the process's start
+	Boot    int64  // start of the process in Unix nanoseconds
 	Through Window // counts of this window and of those before it are final
 	Tallies []Tally
 }
 
-// Meter counts one process's requests. It is not safe for concurrent use.
+// Meter counts the requests of one process. It is not safe for concurrent use.
 type Meter struct {
-	rules   Config
+	config  Config
 	version int64
 	tallies map[Window]map[string]*count // by customer
-	open    map[Window]int               // requests under way by the window in which they came
-	through Window
+	open    map[Window]int               // number of requests in flight by the window of their arrival
+	through Window                       // counts of this window and of those before it are final
 }
 
 type count struct {
@@ -34,22 +34,22 @@
 	changed int64 // version of the last change
 }
 
-// NewMeter returns a meter of a process that starts now.
-func NewMeter(rules Config, now time.Time) *Meter {
-	return &Meter{rules: rules, tallies: map[Window]map[string]*count{}, open: map[Window]int{}, through: rules.WindowAt(now) - 1}
+// NewMeter returns the meter of a process that starts now.
+func NewMeter(config Config, now time.Time) *Meter {
+	return &Meter{config: config, tallies: map[Window]map[string]*count{}, open: map[Window]int{}, through: config.WindowAt(now) - 1}
 }
 
-// Enter notes that a request came. Its window, and those after it, stay open until it
-// leaves.
+// Enter records the arrival of a request and returns the window of the arrival. That
+// window and all later ones stay open until Leave is called with it.
 func (m *Meter) Enter(now time.Time) Window {
-	w := m.rules.WindowAt(now)
+	w := m.config.WindowAt(now)
 	m.open[w]++
 	return w
 }
 
-// Began counts a request that an endpoint began to run.
+// CountStart counts a request that an endpoint started to run.
 func (m *Meter) CountStart(customer string, at time.Time) {
-	w := m.rules.WindowAt(at)
+	w := m.config.WindowAt(at)
 	if m.tallies[w] == nil {
 		m.tallies[w] = map[string]*count{}
 	}
@@ -63,7 +63,7 @@
 	c.changed = m.version
 }
 
-// Leave notes that a request that came in a window is over.
+// Leave records the end of a request that arrived in the given window.
 func (m *Meter) Leave(entered Window) {
 	m.open[entered]--
 	if m.open[entered] <= 0 {
@@ -71,25 +71,27 @@
 	}
 }
 
-// Through returns the last window whose counts are final: it is over, and no request
-// is under way that may have begun in it.
+// FinalThrough returns the last window whose counts are final: the window has ended, and
+// no request in flight may have started in it.
 func (m *Meter) FinalThrough(now time.Time) Window {
-	last := m.rules.WindowAt(now) - 1
+	last := m.config.WindowAt(now) - 1
 	for w := range m.open {
 		last = min(last, w-1)
 	}
 	if last > m.through {
 		m.through = last
 		m.version++
-		maps.DeleteFunc(m.tallies, func(w Window, _ map[string]*count) bool { return last-w > m.rules.RetainedWindows() })
+		maps.DeleteFunc(m.tallies, func(w Window, _ map[string]*count) bool { return last-w > m.config.RetainedWindows() })
 	}
 	return m.through
 }
 
-// Version grows with each change. Who was told of one needs no more until it grows.
+// Version returns the version of the counts, which grows with each change. A receiver
+// that has the counts of a version needs no update until it grows.
 func (m *Meter) Version() int64 { return m.version }
 
-// Since returns the sums that changed after a version; after 0 all that are kept.
+// Since returns the cumulative counts that changed after a version; 0 returns all that
+// are retained.
 func (m *Meter) Since(version int64) []Tally {
 	var changed []Tally
 	for w, customers := range m.tallies {
--- a/internal/policy/usage/holder_test.go
+++ b/internal/policy/usage/planner_test.go
@@ -9,86 +9,86 @@
 	"siskinloom.example/siskinloom/internal/policy/usage"
 )
 
-var _ = Describe("the holder of the duty", func() {
+var _ = Describe("Planner", func() {
 	now := at(6 * time.Second)
 	done := usage.Result{Outcome: usage.Done}
 	notDone := usage.Result{Outcome: usage.NotDone}
 	failed := usage.Result{Outcome: usage.Failed, RetryAt: now.Add(time.Second)}
 	desk := usage.Counts{"desk": 2}
-	var h *usage.Planner
+	var p *usage.Planner
 
-	// do expects a command and answers it.
-	do := func(want usage.Command, a usage.Result) {
-		ExpectWithOffset(1, h.Next(now)).To(Equal(want))
-		h.HandleResult(now, a)
+	// do expects a command and passes its result.
+	do := func(want usage.Command, r usage.Result) {
+		ExpectWithOffset(1, p.Next(now)).To(Equal(want))
+		p.HandleResult(now, r)
 	}
 	report := func(w usage.Window) usage.Report { return usage.Report{Window: w, Counts: desk} }
 
 	BeforeEach(func() {
-		h = usage.NewPlanner(rules)
-		h.SetTerm(7)
-		ledger := usage.NewLedger(rules)
+		p = usage.NewPlanner(config)
+		p.SetTerm(7)
+		ledger := usage.NewLedger(config)
 		ledger.Apply(usage.Update{Process: "one", Through: 100, Tallies: []usage.Tally{{Window: 100, Counts: desk}}})
 		do(usage.LoadReports{}, usage.Result{Outcome: usage.Done, Reports: []usage.Report{{Window: 99}}})
-		h.CloseWindows(now, ledger, nil)
+		p.CloseWindows(now, ledger, nil)
 		do(usage.ConfirmTerm{}, done)
 		do(usage.SendReport{Report: usage.Report{Window: 99}, Term: 7}, done)
 	})
 
-	It("writes a report down before it sends it", func() {
+	It("stores a report before it sends it", func() {
 		do(usage.StoreReport{Report: report(100), Term: 7}, done)
 		do(usage.SendReport{Report: report(100), Term: 7}, done)
-		Expect(h.Next(now)).To(BeNil())
+		Expect(p.Next(now)).To(BeNil())
 	})
 
-	It("sends what stands, when its own write came too late", func() {
-		// A write of an earlier holder was carried out seconds late, just before this one.
-		stands := usage.Report{Window: 100, Counts: usage.Counts{"desk": 1}}
+	It("sends the stored report if its own write came too late", func() {
+		// A write of an earlier holder was carried out seconds late, just before this one's.
+		stored := usage.Report{Window: 100, Counts: usage.Counts{"desk": 1}}
 		do(usage.StoreReport{Report: report(100), Term: 7}, notDone)
-		do(usage.ReadReport{Window: 100}, usage.Result{Outcome: usage.Done, Reports: []usage.Report{stands}})
+		do(usage.ReadReport{Window: 100}, usage.Result{Outcome: usage.Done, Reports: []usage.Report{stored}})
 		do(usage.ConfirmTerm{}, done)
-		do(usage.SendReport{Report: stands, Term: 7}, done)
+		do(usage.SendReport{Report: stored, Term: 7}, done)
 	})
 
-	It("looks for its own write when its answer was lost", func() {
+	It("reads its own write back if the answer was lost", func() {
 		do(usage.StoreReport{Report: report(100), Term: 7}, failed)
-		Expect(h.Next(now)).To(BeNil())
+		Expect(p.Next(now)).To(BeNil())
 		now := now.Add(time.Second)
-		Expect(h.Next(now)).To(Equal(usage.ReadReport{Window: 100}))
+		Expect(p.Next(now)).To(Equal(usage.ReadReport{Window: 100}))
 	})
 
-	It("resigns when nothing stands and another process has the duty", func() {
+	It("resigns if no report is stored and another process holds the duty", func() {
 		do(usage.StoreReport{Report: report(100), Term: 7}, notDone)
 		do(usage.ReadReport{Window: 100}, notDone)
 		do(usage.ConfirmTerm{}, notDone)
-		Expect(h.ShouldResign()).To(BeTrue())
-		Expect(h.Next(now)).To(BeNil())
+		Expect(p.ShouldResign()).To(BeTrue())
+		Expect(p.Next(now)).To(BeNil())
 	})
 
-	It("asks the store again before it sends a report again", func() {
+	It("confirms its term again before it sends a report again", func() {
 		do(usage.StoreReport{Report: report(100), Term: 7}, done)
 		do(usage.SendReport{Report: report(100), Term: 7}, usage.Result{Outcome: usage.Failed, RetryAt: now})
 		do(usage.ConfirmTerm{}, done)
 		do(usage.SendReport{Report: report(100), Term: 7}, done)
 	})
 
-	It("stops when the platform knows a higher token", func() {
+	It("resigns if the platform knows a higher fencing token", func() {
 		do(usage.StoreReport{Report: report(100), Term: 7}, done)
 		do(usage.SendReport{Report: report(100), Term: 7}, usage.Result{Outcome: usage.Outdated})
-		Expect(h.ShouldResign()).To(BeTrue())
+		Expect(p.ShouldResign()).To(BeTrue())
 	})
 
-	It("asks a store that does not answer no more often than it may", func() {
-		h.SetTerm(8)
+	It("waits until the retry time after a failed call to the store", func() {
+		p.SetTerm(8)
 		do(usage.LoadReports{}, failed)
-		Expect(h.Next(now)).To(BeNil())
-		Expect(h.Next(now.Add(time.Second))).To(Equal(usage.LoadReports{}))
+		Expect(p.Next(now)).To(BeNil())
+		Expect(p.Next(now.Add(time.Second))).To(Equal(usage.LoadReports{}))
 	})
 
-	It("forgets everything with its term", func() {
-		h.SetTerm(0)
-		Expect(h.Next(now)).To(BeNil())
-		h.SetTerm(9)
-		Expect(h.Next(now)).To(Equal(usage.LoadReports{}))
+	It("discards its state when the term changes", func() {
+		p.SetTerm(0)
+		Expect(p.Next(now)).To(BeNil())
+		p.SetTerm(9)
+		Expect(p.Next(now)).To(Equal(usage.LoadReports{}))
 	})
 })
--- a/internal/policy/usage/window.go
+++ b/internal/policy/usage/window.go
@@ -1,37 +1,37 @@
-// Package usage counts what customers' requests endpoints began to run, in windows of
-// the wall clock, and decides when a window's counts are reported. It does no input or
-// output and keeps no time.
+// Package usage counts the requests of each customer that endpoints started to run, in
+// windows of the wall clock, and decides when the counts of a window are reported. It
+// does no I/O and reads no clock.
 //
-// The load that it answers: many processes serve a few requests of each of many
-// customers in a window, so that one request that is missed or counted twice makes a
-// customer's count wrong; any process may die, be paused or be cut off at any moment;
-// and the report of a window must never be told with two different counts. So each
-// process tells its own counts as sums, which may be told again; a window is closed
-// once all have told it, or after a wait that leaves time for another process to
-// report it; and what is reported is written down first.
+// Many processes serve a few requests of each of many customers in a window, so that one
+// request missed or counted twice makes a customer's count wrong. Any process may die, be
+// paused or be partitioned at any moment. A window must never be reported with two
+// different counts. Therefore each process sends its own counts as cumulative sums, which
+// are safe to send again. A window is closed once all processes have sent their counts,
+// or after a timeout that leaves another process time to take over the reporting duty and
+// report it. A report is stored before it is sent.
 package usage
 
 import "time"
 
-// Window is the number of a span of the wall clock. Window 0 begins with 1970.
+// Window is the number of a window of the wall clock. Window 0 starts at the Unix epoch.
 type Window int64
 
-// Rules say how usage is reported.
+// Config says how usage is reported.
 type Config struct {
-	WindowLength time.Duration // of a window
+	WindowLength time.Duration // 0: usage is not reported
 	DueAfter     time.Duration // a report is due this long after its window's end
 }
 
-// On tells whether usage is reported at all.
-func (r Config) Enabled() bool { return r.WindowLength > 0 }
+// Enabled reports whether usage is reported at all.
+func (c Config) Enabled() bool { return c.WindowLength > 0 }
 
-// Kept returns how many windows are kept: a report may be sent until it is too late, and
-// looked up once more by the next holder.
-func (r Config) RetainedWindows() Window { return 2 + Window(abandonAfter*r.DueAfter/r.WindowLength) }
+// RetainedWindows returns how many windows are retained: a report may be sent until it is
+// abandoned, and the next holder of the duty may read it once more after that.
+func (c Config) RetainedWindows() Window { return 2 + Window(abandonFactor*c.DueAfter/c.WindowLength) }
 
-// At returns the window of a moment.
-func (r Config) WindowAt(t time.Time) Window {
-	ns, length := t.UnixNano(), int64(r.WindowLength)
+// WindowAt returns the window that contains a time.
+func (c Config) WindowAt(t time.Time) Window {
+	ns, length := t.UnixNano(), int64(c.WindowLength)
 	w := ns / length
 	if ns < 0 && ns%length != 0 {
 		w--
@@ -39,15 +39,15 @@
 	return Window(w)
 }
 
-// End returns when a window ends.
-func (r Config) WindowEnd(w Window) time.Time {
-	return time.Unix(0, (int64(w)+1)*int64(r.WindowLength))
+// WindowEnd returns the end of a window.
+func (c Config) WindowEnd(w Window) time.Time {
+	return time.Unix(0, (int64(w)+1)*int64(c.WindowLength))
 }
 
-// Counts are begun requests by customer.
+// Counts holds the number of started requests by customer.
 type Counts map[string]int64
 
-// Sum returns the requests of all customers.
+// Sum returns the number of requests of all customers.
 func (c Counts) Sum() int64 {
 	sum := int64(0)
 	for _, n := range c {
@@ -56,15 +56,15 @@
 	return sum
 }
 
-// add adds other counts.
+// add adds the other counts to these.
 func (c Counts) add(other Counts) {
 	for customer, n := range other {
 		c[customer] += n
 	}
 }
 
-// raise sets each count to the other's where that is higher.
-func (c Counts) raise(other Counts) {
+// mergeMax sets each count to the higher of the two.
+func (c Counts) mergeMax(other Counts) {
 	for customer, n := range other {
 		c[customer] = max(c[customer], n)
 	}
