--- a/internal/entry/pool/peer.go
+++ b/internal/entry/pool/peer.go
@@ -197,20 +197,20 @@
 }
 
 // broke forgets a connection that ended by itself. The caller holds the lock.
-func (p *peer) broke(now time.Time, l *link, which conn.Which) {
+func (p *peer) broke(now time.Time, l *link, which conn.Connection) {
 	go l.close()
-	if which == conn.Fresh {
+	if which == conn.Candidate {
 		p.fresh = nil
 	}
 	p.apply(p.monitor.Failed(now, which))
 }
 
-func (p *peer) which(l *link) (conn.Which, bool) {
+func (p *peer) which(l *link) (conn.Connection, bool) {
 	switch l {
 	case p.standing:
-		return conn.Standing, true
+		return conn.Active, true
 	case p.fresh:
-		return conn.Fresh, true
+		return conn.Candidate, true
 	default:
 		return 0, false
 	}
@@ -253,21 +253,21 @@
 func (p *peer) apply(actions []conn.Action) {
 	for _, a := range actions {
 		switch a.Kind {
-		case conn.Beat:
-			go p.beat(p.linkOf(a.Which))
-		case conn.Open:
+		case conn.SendHeartbeat:
+			go p.beat(p.linkOf(a.Connection))
+		case conn.OpenCandidate:
 			p.opening++
 			go p.open(p.opening)
-		case conn.Drop:
+		case conn.CloseCandidate:
 			p.opening++
 			p.closeLink(&p.fresh)
-		case conn.Promote:
+		case conn.PromoteCandidate:
 			p.standing, p.fresh = p.fresh, nil
-		case conn.GiveUp:
+		case conn.CloseActive:
 			p.giveUp(a.Verdict)
-		case conn.Doubt:
+		case conn.Suspend:
 			p.shard.setSuspect(p, true)
-		case conn.Trust:
+		case conn.Resume:
 			p.shard.setSuspect(p, false)
 		case conn.Unreachable:
 			go p.pool.silent(p.id)
@@ -289,8 +289,8 @@
 	}
 }
 
-func (p *peer) linkOf(which conn.Which) *link {
-	if which == conn.Standing {
+func (p *peer) linkOf(which conn.Connection) *link {
+	if which == conn.Active {
 		return p.standing
 	}
 	return p.fresh
@@ -317,7 +317,7 @@
 			go l.close()
 		}
 	case err != nil:
-		p.apply(p.monitor.Failed(now, conn.Fresh))
+		p.apply(p.monitor.Failed(now, conn.Candidate))
 	default:
 		p.fresh = l
 		p.apply(p.monitor.Opened(now))
--- a/internal/lab/routing/storm.go
+++ b/internal/lab/routing/storm.go
@@ -76,7 +76,7 @@
 		domain[a.ID] = a.Domain == "domain-0"
 	}
 	for i, e := range entries {
-		for _, k := range membership.Watch(e, entries, agents, membership.DefaultFanout(), cfg.Interval) {
+		for _, k := range membership.Watch(e, entries, agents, membership.DefaultFanout(), cfg.HeartbeatInterval) {
 			if !domain[k.ID] {
 				continue
 			}
@@ -96,15 +96,15 @@
 func (s *stormRun) take(p *stormPeer, actions []conn.Action) {
 	for _, a := range append([]conn.Action(nil), actions...) {
 		switch a.Kind {
-		case conn.Open:
+		case conn.OpenCandidate:
 			s.open(p)
-		case conn.Beat:
+		case conn.SendHeartbeat:
 			if s.up {
-				s.take(p, p.monitor.Answered(s.now, a.Which))
+				s.take(p, p.monitor.Answered(s.now, a.Connection))
 			}
-		case conn.Doubt:
+		case conn.Suspend:
 			s.doubted++
-		case conn.Trust:
+		case conn.Resume:
 			s.doubted--
 		}
 	}
@@ -119,5 +119,5 @@
 		s.take(p, p.monitor.Opened(s.now))
 		return
 	}
-	s.take(p, p.monitor.Failed(s.now, conn.Fresh))
+	s.take(p, p.monitor.Failed(s.now, conn.Candidate))
 }
--- a/internal/policy/conn/conn.go
+++ b/internal/policy/conn/conn.go
@@ -15,12 +15,12 @@
 )
 
 // Which names one of the two connections to a peer.
-type Which int
+type Connection int
 
 // The connections to a peer.
 const (
-	Standing Which = iota // carries the requests
-	Fresh                 // opened beside it, or before there is one
+	Active    Connection = iota // carries the requests
+	Candidate                   // opened beside it, or before there is one
 )
 
 // ActionKind says what the runtime has to do.
@@ -28,14 +28,14 @@
 
 // The kinds of action.
 const (
-	Beat        ActionKind = iota // send a heartbeat on the connection Which
-	Open                          // open a fresh connection; report Opened or Failed
-	Drop                          // close the fresh connection
-	Promote                       // the fresh connection becomes the standing one
-	GiveUp                        // close the standing connection and settle what is in flight on it
-	Doubt                         // give the peer no new requests for now
-	Trust                         // the peer may have requests again
-	Unreachable                   // the peer answers on no connection
+	SendHeartbeat    ActionKind = iota // send a heartbeat on the connection Which
+	OpenCandidate                      // open a fresh connection; report Opened or Failed
+	CloseCandidate                     // close the fresh connection
+	PromoteCandidate                   // the fresh connection becomes the standing one
+	CloseActive                        // close the standing connection and settle what is in flight on it
+	Suspend                            // give the peer no new requests for now
+	Resume                             // the peer may have requests again
+	Unreachable                        // the peer answers on no connection
 )
 
 // Verdict tells why a standing connection was given up.
@@ -43,40 +43,40 @@
 
 // The verdicts.
 const (
-	None             Verdict = iota
+	NoVerdict        Verdict = iota
 	ConnectionSilent         // only the standing connection is silent
 	PeerDown                 // the peer answers on no connection
 )
 
 // Action is one step for the runtime, in the order given.
 type Action struct {
-	Kind    ActionKind
-	Which   Which   // of Beat
-	Verdict Verdict // of GiveUp
+	Kind       ActionKind
+	Connection Connection // of Beat
+	Verdict    Verdict    // of GiveUp
 }
 
 // Config holds the times of a monitor.
 type Config struct {
-	Interval time.Duration // between heartbeats on an idle connection
-	Quiet    time.Duration // between them while requests wait and nothing comes
-	Doubt    time.Duration // a heartbeat unanswered this long opens a fresh connection
-	Silent   time.Duration // and this long, with an answer on the fresh one, is the connection's fault
-	Down     time.Duration // and this long, with no answer at all, is the peer's
-	RetryMin time.Duration // pause between attempts to connect; doubles up to RetryMax
-	RetryMax time.Duration
+	HeartbeatInterval time.Duration // between heartbeats on an idle connection
+	BusyInterval      time.Duration // between them while requests wait and nothing comes
+	SuspectTimeout    time.Duration // a heartbeat unanswered this long opens a fresh connection
+	ConnectionTimeout time.Duration // and this long, with an answer on the fresh one, is the connection's fault
+	PeerTimeout       time.Duration // and this long, with no answer at all, is the peer's
+	InitialBackoff    time.Duration // pause between attempts to connect; doubles up to RetryMax
+	MaxBackoff        time.Duration
 }
 
 // DefaultConfig returns the times in use: a silent connection under a waiting
 // request is found in at most Quiet + Silent, 850 ms, plus a tick.
 func DefaultConfig(interval time.Duration) Config {
 	return Config{
-		Interval: interval,
-		Quiet:    250 * time.Millisecond,
-		Doubt:    250 * time.Millisecond,
-		Silent:   600 * time.Millisecond,
-		Down:     1500 * time.Millisecond,
-		RetryMin: 200 * time.Millisecond,
-		RetryMax: 5 * time.Second,
+		HeartbeatInterval: interval,
+		BusyInterval:      250 * time.Millisecond,
+		SuspectTimeout:    250 * time.Millisecond,
+		ConnectionTimeout: 600 * time.Millisecond,
+		PeerTimeout:       1500 * time.Millisecond,
+		InitialBackoff:    200 * time.Millisecond,
+		MaxBackoff:        5 * time.Second,
 	}
 }
 
@@ -115,7 +115,7 @@
 }
 
 // SetInterval changes how often an idle connection is asked.
-func (m *Monitor) SetInterval(interval time.Duration) { m.cfg.Interval = interval }
+func (m *Monitor) SetInterval(interval time.Duration) { m.cfg.HeartbeatInterval = interval }
 
 // Tick moves time on. Busy tells whether requests wait on the standing
 // connection. The actions are valid until the next call.
@@ -139,14 +139,14 @@
 	}
 	m.fresh = opened
 	m.freshSince = now
-	m.act(Action{Kind: Beat, Which: Fresh})
+	m.act(Action{Kind: SendHeartbeat, Connection: Candidate})
 	return m.actions
 }
 
 // Answered reports an answer on a connection, to a heartbeat or a request.
-func (m *Monitor) Answered(now time.Time, which Which) []Action {
+func (m *Monitor) Answered(now time.Time, which Connection) []Action {
 	m.begin()
-	if which == Standing {
+	if which == Active {
 		m.answeredStanding(now)
 	} else {
 		m.answeredFresh(now)
@@ -155,14 +155,14 @@
 }
 
 // Failed reports that a connection broke or could not be opened.
-func (m *Monitor) Failed(now time.Time, which Which) []Action {
+func (m *Monitor) Failed(now time.Time, which Connection) []Action {
 	m.begin()
-	if which == Fresh {
+	if which == Candidate {
 		m.failFresh(now)
 		return m.actions
 	}
 	if m.standing {
-		m.loseStanding(now, None)
+		m.loseStanding(now, NoVerdict)
 		m.doubt()
 		m.nextOpen = now
 		m.connect(now)
@@ -171,7 +171,7 @@
 }
 
 // Doubted tells whether the peer should get no new requests.
-func (m *Monitor) Doubted() bool { return m.doubted }
+func (m *Monitor) Suspended() bool { return m.doubted }
 
 func (m *Monitor) begin()       { m.actions = m.actions[:0] }
 func (m *Monitor) act(a Action) { m.actions = append(m.actions, a) }
@@ -182,7 +182,7 @@
 // although the answers lie unread in its own buffers.
 func (m *Monitor) forgivePause(now time.Time) {
 	gap := now.Sub(m.ticked)
-	if !m.ticked.IsZero() && gap >= m.cfg.Doubt {
+	if !m.ticked.IsZero() && gap >= m.cfg.SuspectTimeout {
 		if !m.asked.IsZero() {
 			m.asked = m.asked.Add(gap)
 		}
@@ -196,25 +196,25 @@
 // verdict when they stay away.
 func (m *Monitor) watch(now time.Time, busy bool) {
 	if m.asked.IsZero() {
-		interval := m.cfg.Interval
+		interval := m.cfg.HeartbeatInterval
 		if busy {
-			interval = min(m.cfg.Quiet, interval)
+			interval = min(m.cfg.BusyInterval, interval)
 		}
 		if now.Sub(m.heard) >= interval {
 			m.asked = now
-			m.act(Action{Kind: Beat, Which: Standing})
+			m.act(Action{Kind: SendHeartbeat, Connection: Active})
 		}
 		return
 	}
 	silence := now.Sub(m.asked)
-	if silence < m.cfg.Doubt {
+	if silence < m.cfg.SuspectTimeout {
 		return
 	}
 	m.doubt()
 	switch {
-	case m.fresh == answered && silence >= m.cfg.Silent:
+	case m.fresh == answered && silence >= m.cfg.ConnectionTimeout:
 		m.replace(now)
-	case m.fresh != answered && silence >= m.cfg.Down:
+	case m.fresh != answered && silence >= m.cfg.PeerTimeout:
 		m.loseStanding(now, PeerDown)
 		m.unreachable()
 	default:
@@ -224,7 +224,7 @@
 
 // connect opens a first or next connection while there is none.
 func (m *Monitor) connect(now time.Time) {
-	if now.Sub(m.lost) >= m.cfg.Down {
+	if now.Sub(m.lost) >= m.cfg.PeerTimeout {
 		m.unreachable()
 	}
 	m.open(now)
@@ -236,7 +236,7 @@
 	}
 	m.fresh = opening
 	m.freshSince = now
-	m.act(Action{Kind: Open})
+	m.act(Action{Kind: OpenCandidate})
 }
 
 func (m *Monitor) answeredStanding(now time.Time) {
@@ -247,7 +247,7 @@
 	m.asked = time.Time{}
 	if m.fresh != noFresh {
 		m.fresh = noFresh
-		m.act(Action{Kind: Drop})
+		m.act(Action{Kind: CloseCandidate})
 	}
 	m.trust()
 }
@@ -260,7 +260,7 @@
 	switch {
 	case !m.standing:
 		m.promote(now)
-	case !m.asked.IsZero() && now.Sub(m.asked) >= m.cfg.Silent:
+	case !m.asked.IsZero() && now.Sub(m.asked) >= m.cfg.ConnectionTimeout:
 		m.replace(now)
 	}
 }
@@ -268,7 +268,7 @@
 // replace gives the standing connection up for the fresh one. The order
 // matters: requests that fail by the closing are settled on the new one.
 func (m *Monitor) replace(now time.Time) {
-	m.act(Action{Kind: GiveUp, Verdict: ConnectionSilent})
+	m.act(Action{Kind: CloseActive, Verdict: ConnectionSilent})
 	m.promote(now)
 }
 
@@ -279,7 +279,7 @@
 	m.fresh = noFresh
 	m.retry = 0
 	m.down = false
-	m.act(Action{Kind: Promote})
+	m.act(Action{Kind: PromoteCandidate})
 	m.trust()
 }
 
@@ -287,7 +287,7 @@
 	m.standing = false
 	m.asked = time.Time{}
 	m.lost = now
-	m.act(Action{Kind: GiveUp, Verdict: verdict})
+	m.act(Action{Kind: CloseActive, Verdict: verdict})
 }
 
 // expireFresh gives up a fresh connection that does not open or answer.
@@ -295,8 +295,8 @@
 	if m.fresh != opening && m.fresh != opened {
 		return
 	}
-	if now.Sub(m.freshSince) >= m.cfg.Down {
-		m.act(Action{Kind: Drop})
+	if now.Sub(m.freshSince) >= m.cfg.PeerTimeout {
+		m.act(Action{Kind: CloseCandidate})
 		m.failFresh(now)
 	}
 }
@@ -308,7 +308,7 @@
 		return
 	}
 	m.fresh = noFresh
-	m.retry = min(max(m.retry*2, m.cfg.RetryMin), m.cfg.RetryMax)
+	m.retry = min(max(m.retry*2, m.cfg.InitialBackoff), m.cfg.MaxBackoff)
 	pause := m.retry/2 + time.Duration(m.rng.Int64N(int64(m.retry/2)+1))
 	m.nextOpen = now.Add(pause)
 }
@@ -318,7 +318,7 @@
 		return
 	}
 	m.doubted = true
-	m.act(Action{Kind: Doubt})
+	m.act(Action{Kind: Suspend})
 }
 
 func (m *Monitor) trust() {
@@ -326,7 +326,7 @@
 		return
 	}
 	m.doubted = false
-	m.act(Action{Kind: Trust})
+	m.act(Action{Kind: Resume})
 }
 
 func (m *Monitor) unreachable() {
--- a/internal/policy/conn/conn_test.go
+++ b/internal/policy/conn/conn_test.go
@@ -22,7 +22,7 @@
 type peer struct {
 	monitor  *conn.Monitor
 	now      time.Time
-	answers  map[conn.Which]bool
+	answers  map[conn.Connection]bool
 	connects bool
 	seen     []conn.Action
 	at       map[conn.ActionKind]time.Duration // of the last action of a kind
@@ -35,7 +35,7 @@
 		monitor:  conn.New(conn.DefaultConfig(time.Second), rand.New(rand.NewPCG(1, 1)), begun),
 		now:      begun,
 		begun:    begun,
-		answers:  map[conn.Which]bool{conn.Standing: true, conn.Fresh: true},
+		answers:  map[conn.Connection]bool{conn.Active: true, conn.Candidate: true},
 		connects: true,
 		at:       map[conn.ActionKind]time.Duration{},
 	}
@@ -46,14 +46,14 @@
 		p.seen = append(p.seen, a)
 		p.at[a.Kind] = p.now.Sub(p.begun)
 		switch {
-		case a.Kind == conn.Open && p.connects:
+		case a.Kind == conn.OpenCandidate && p.connects:
 			p.take(p.monitor.Opened(p.now))
-		case a.Kind == conn.Open:
-			p.take(p.monitor.Failed(p.now, conn.Fresh))
-		case a.Kind == conn.Beat && p.answers[a.Which]:
-			p.take(p.monitor.Answered(p.now, a.Which))
-		case a.Kind == conn.Promote:
-			p.answers[conn.Standing] = p.answers[conn.Fresh]
+		case a.Kind == conn.OpenCandidate:
+			p.take(p.monitor.Failed(p.now, conn.Candidate))
+		case a.Kind == conn.SendHeartbeat && p.answers[a.Connection]:
+			p.take(p.monitor.Answered(p.now, a.Connection))
+		case a.Kind == conn.PromoteCandidate:
+			p.answers[conn.Active] = p.answers[conn.Candidate]
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	BeforeEach(func() {
 		p = newPeer()
 		p.run(200*time.Millisecond, false)
-		Expect(p.kinds()).To(Equal([]conn.ActionKind{conn.Open, conn.Beat, conn.Promote, conn.Trust}))
+		Expect(p.kinds()).To(Equal([]conn.ActionKind{conn.OpenCandidate, conn.SendHeartbeat, conn.PromoteCandidate, conn.Resume}))
 		p.restart()
 	})
 
@@ -95,54 +95,54 @@
 		// The verdict has to name the connection, the new one has to stand
 		// when the requests in flight fail, and no request may go there
 		// meanwhile.
-		p.answers[conn.Standing] = false
+		p.answers[conn.Active] = false
 		p.run(2*time.Second, true)
-		Expect(p.kinds()[:7]).To(HaveExactElements(conn.Beat, conn.Doubt, conn.Open, conn.Beat, conn.GiveUp, conn.Promote, conn.Trust))
-		Expect(p.kinds()[7:]).To(HaveEach(conn.Beat))
+		Expect(p.kinds()[:7]).To(HaveExactElements(conn.SendHeartbeat, conn.Suspend, conn.OpenCandidate, conn.SendHeartbeat, conn.CloseActive, conn.PromoteCandidate, conn.Resume))
+		Expect(p.kinds()[7:]).To(HaveEach(conn.SendHeartbeat))
 		Expect(p.seen[4].Verdict).To(Equal(conn.ConnectionSilent))
-		Expect(p.at[conn.GiveUp]).To(BeNumerically("<=", time.Second))
+		Expect(p.at[conn.CloseActive]).To(BeNumerically("<=", time.Second))
 	})
 
 	It("finds a peer down that answers on neither connection", func() {
-		p.answers[conn.Standing], p.answers[conn.Fresh], p.connects = false, false, false
+		p.answers[conn.Active], p.answers[conn.Candidate], p.connects = false, false, false
 		p.run(4*time.Second, true)
-		Expect(p.kinds()).To(ContainElements(conn.Doubt, conn.GiveUp, conn.Unreachable))
-		Expect(p.seen).To(ContainElement(conn.Action{Kind: conn.GiveUp, Verdict: conn.PeerDown}))
-		Expect(p.kinds()).NotTo(ContainElement(conn.Promote))
+		Expect(p.kinds()).To(ContainElements(conn.Suspend, conn.CloseActive, conn.Unreachable))
+		Expect(p.seen).To(ContainElement(conn.Action{Kind: conn.CloseActive, Verdict: conn.PeerDown}))
+		Expect(p.kinds()).NotTo(ContainElement(conn.PromoteCandidate))
 		p.restart()
-		p.connects, p.answers[conn.Fresh] = true, true
+		p.connects, p.answers[conn.Candidate] = true, true
 		p.run(6*time.Second, false)
-		Expect(p.kinds()).To(ContainElements(conn.Promote, conn.Trust))
+		Expect(p.kinds()).To(ContainElements(conn.PromoteCandidate, conn.Resume))
 	})
 
 	It("keeps a connection whose answer was only late", func() {
-		p.answers[conn.Standing], p.answers[conn.Fresh] = false, false
+		p.answers[conn.Active], p.answers[conn.Candidate] = false, false
 		p.run(700*time.Millisecond, true)
-		Expect(p.monitor.Doubted()).To(BeTrue())
-		p.take(p.monitor.Answered(p.now, conn.Standing))
-		Expect(p.monitor.Doubted()).To(BeFalse())
-		Expect(p.kinds()).To(ContainElement(conn.Drop))
-		Expect(p.kinds()).NotTo(ContainElement(conn.GiveUp))
+		Expect(p.monitor.Suspended()).To(BeTrue())
+		p.take(p.monitor.Answered(p.now, conn.Active))
+		Expect(p.monitor.Suspended()).To(BeFalse())
+		Expect(p.kinds()).To(ContainElement(conn.CloseCandidate))
+		Expect(p.kinds()).NotTo(ContainElement(conn.CloseActive))
 	})
 
 	It("does not take its own pause for the silence of its peers", func() {
 		// This process is stopped for a minute with a heartbeat under way. It
 		// wakes to a tick before it has read the answers in its buffers.
-		p.answers[conn.Standing] = false
+		p.answers[conn.Active] = false
 		p.run(300*time.Millisecond, true)
 		p.now = p.now.Add(time.Minute)
 		p.take(p.monitor.Tick(p.now, true))
-		Expect(p.kinds()).NotTo(ContainElement(conn.GiveUp))
+		Expect(p.kinds()).NotTo(ContainElement(conn.CloseActive))
 	})
 
 	It("connects again at once when a connection breaks, then ever more rarely", func() {
 		p.connects = false
-		p.take(p.monitor.Failed(p.now, conn.Standing))
-		Expect(p.kinds()).To(Equal([]conn.ActionKind{conn.GiveUp, conn.Doubt, conn.Open}))
+		p.take(p.monitor.Failed(p.now, conn.Active))
+		Expect(p.kinds()).To(Equal([]conn.ActionKind{conn.CloseActive, conn.Suspend, conn.OpenCandidate}))
 		p.run(time.Minute, false)
 		opens := 0
 		for _, kind := range p.kinds() {
-			if kind == conn.Open {
+			if kind == conn.OpenCandidate {
 				opens++
 			}
 		}
