--- a/internal/policy/conn/conn.go
+++ b/internal/policy/conn/conn.go
@@ -1,12 +1,13 @@
-// Package conn judges the connection to one peer by heartbeats, and tells a
-// connection that went silent from a peer that does not answer at all.
+// Package conn monitors the connection to one peer with heartbeats and
+// distinguishes a dead connection from a peer that is down.
 //
-// TCP reports neither: when something between the two ends has lost track of a
-// connection, writes are taken and nothing comes back, while new connections
-// work. So when a heartbeat on the standing connection stays unanswered, a new
-// connection is opened beside it and a heartbeat is sent there too. Only the
-// new one answers: the standing one is given up and the requests in flight on
-// it must be settled. Neither answers: the peer is down.
+// TCP reports neither: when a device between the two ends has lost the state of
+// a connection, writes succeed and nothing comes back, while new connections
+// work. So when a heartbeat on the active connection stays unanswered, a
+// candidate connection is opened beside it and a heartbeat is sent there too. If
+// only the candidate answers, the active connection is closed, the candidate
+// takes its place and the requests in flight must be settled. If neither
+// answers, the peer is down.
 package conn
 
 import (
@@ -14,60 +15,61 @@
 	"time"
 )
 
-// Which names one of the two connections to a peer.
+// Connection identifies one of the two connections to a peer.
 type Connection int
 
 // The connections to a peer.
 const (
-	Active    Connection = iota // carries the requests
-	Candidate                   // opened beside it, or before there is one
+	Active    Connection = iota // the connection that carries the requests
+	Candidate                   // a connection opened beside the active one or while there is none
 )
 
-// ActionKind says what the runtime has to do.
+// ActionKind says what the caller has to do.
 type ActionKind int
 
 // The kinds of action.
 const (
-	SendHeartbeat    ActionKind = iota // send a heartbeat on the connection Which
-	OpenCandidate                      // open a fresh connection; report Opened or Failed
-	CloseCandidate                     // close the fresh connection
-	PromoteCandidate                   // the fresh connection becomes the standing one
-	CloseActive                        // close the standing connection and settle what is in flight on it
-	Suspend                            // give the peer no new requests for now
-	Resume                             // the peer may have requests again
+	SendHeartbeat    ActionKind = iota // send a heartbeat on Action.Connection
+	OpenCandidate                      // open a candidate connection; report Opened or Failed
+	CloseCandidate                     // close the candidate connection
+	PromoteCandidate                   // make the candidate connection the active one
+	CloseActive                        // close the active connection and settle the requests in flight on it
+	Suspend                            // send the peer no new requests for now
+	Resume                             // send the peer requests again
 	Unreachable                        // the peer answers on no connection
 )
 
-// Verdict tells why a standing connection was given up.
+// Verdict says why an active connection is closed.
 type Verdict int
 
 // The verdicts.
 const (
 	NoVerdict        Verdict = iota
-	ConnectionSilent         // only the standing connection is silent
+	ConnectionSilent         // the active connection does not answer, the candidate does
 	PeerDown                 // the peer answers on no connection
 )
 
-// Action is one step for the runtime, in the order given.
+// Action is one step for the caller. Actions are carried out in the given order.
 type Action struct {
 	Kind       ActionKind
-	Connection Connection // of Beat
-	Verdict    Verdict    // of GiveUp
+	Connection Connection // of SendHeartbeat
+	Verdict    Verdict    // of CloseActive
 }
 
-// Config holds the times of a monitor.
+// Config holds the intervals and timeouts of a monitor.
 type Config struct {
 	HeartbeatInterval time.Duration // between heartbeats on an idle connection
-	BusyInterval      time.Duration // between them while requests wait and nothing comes
-	SuspectTimeout    time.Duration // a heartbeat unanswered this long opens a fresh connection
-	ConnectionTimeout time.Duration // and this long, with an answer on the fresh one, is the connection's fault
-	PeerTimeout       time.Duration // and this long, with no answer at all, is the peer's
-	InitialBackoff    time.Duration // pause between attempts to connect; doubles up to RetryMax
+	BusyInterval      time.Duration // between heartbeats while requests wait and nothing is received
+	SuspectTimeout    time.Duration // after this long without an answer to a heartbeat, a candidate is opened
+	ConnectionTimeout time.Duration // after this long, with an answer on the candidate, the connection is dead
+	PeerTimeout       time.Duration // after this long without an answer on either, the peer is down
+	InitialBackoff    time.Duration // delay between connection attempts; doubles up to MaxBackoff
 	MaxBackoff        time.Duration
 }
 
-// DefaultConfig returns the times in use: a silent connection under a waiting
-// request is found in at most Quiet + Silent, 850 ms, plus a tick.
+// DefaultConfig returns the default configuration. A dead connection with a
+// waiting request is detected within BusyInterval + ConnectionTimeout, 850 ms,
+// plus a tick.
 func DefaultConfig(interval time.Duration) Config {
 	return Config{
 		HeartbeatInterval: interval,
@@ -80,259 +82,260 @@
 	}
 }
 
-type freshState int
+type candidateState int
 
 const (
-	noFresh freshState = iota
+	noCandidate candidateState = iota
 	opening
 	opened
 	answered
 )
 
-// Monitor watches one peer. It is not safe for concurrent use.
+// Monitor monitors one peer. It is not safe for concurrent use.
 type Monitor struct {
 	cfg Config
 	rng *rand.Rand
 
-	standing bool
-	heard    time.Time // last sign of life on the standing connection
-	asked    time.Time // the oldest heartbeat there without an answer; zero: none
-	doubted  bool
-	down     bool
-	lost     time.Time // when the last standing connection broke or was given up
-
-	fresh      freshState
-	freshSince time.Time
-	retry      time.Duration
-	nextOpen   time.Time
-	ticked     time.Time
-	actions    []Action
+	active       bool
+	lastAnswer   time.Time // on the active connection, or when it became active
+	pendingSince time.Time // when the oldest unanswered heartbeat was sent on the active connection; zero: none
+	suspended    bool
+	down         bool
+	lostAt       time.Time // when the last active connection broke or was closed
+
+	candidate      candidateState
+	candidateSince time.Time
+	backoff        time.Duration
+	nextOpenAt     time.Time
+	lastTick       time.Time
+	actions        []Action
 }
 
-// New returns the monitor of a peer that was not connected to yet.
+// New returns the monitor of a peer that has not been connected to yet.
 func New(cfg Config, rng *rand.Rand, now time.Time) *Monitor {
-	return &Monitor{cfg: cfg, rng: rng, doubted: true, lost: now}
+	return &Monitor{cfg: cfg, rng: rng, suspended: true, lostAt: now}
 }
 
-// SetInterval changes how often an idle connection is asked.
+// SetInterval sets the interval of heartbeats on an idle connection.
 func (m *Monitor) SetInterval(interval time.Duration) { m.cfg.HeartbeatInterval = interval }
 
-// Tick moves time on. Busy tells whether requests wait on the standing
-// connection. The actions are valid until the next call.
+// Tick advances the clock. Busy says whether requests wait on the active
+// connection. The returned actions are valid until the next call.
 func (m *Monitor) Tick(now time.Time, busy bool) []Action {
-	m.begin()
-	m.forgivePause(now)
-	m.expireFresh(now)
-	if m.standing {
-		m.watch(now, busy)
+	m.resetActions()
+	m.excludePause(now)
+	m.expireCandidate(now)
+	if m.active {
+		m.checkActive(now, busy)
 	} else {
 		m.connect(now)
 	}
 	return m.actions
 }
 
-// Opened reports that the fresh connection stands.
+// Opened records that the candidate connection has been established.
 func (m *Monitor) Opened(now time.Time) []Action {
-	m.begin()
-	if m.fresh != opening {
+	m.resetActions()
+	if m.candidate != opening {
 		return m.actions
 	}
-	m.fresh = opened
-	m.freshSince = now
-	m.act(Action{Kind: SendHeartbeat, Connection: Candidate})
+	m.candidate = opened
+	m.candidateSince = now
+	m.emit(Action{Kind: SendHeartbeat, Connection: Candidate})
 	return m.actions
 }
 
-// Answered reports an answer on a connection, to a heartbeat or a request.
-func (m *Monitor) Answered(now time.Time, which Connection) []Action {
-	m.begin()
-	if which == Active {
-		m.answeredStanding(now)
+// Answered records an answer to a heartbeat or a request on a connection.
+func (m *Monitor) Answered(now time.Time, c Connection) []Action {
+	m.resetActions()
+	if c == Active {
+		m.answeredOnActive(now)
 	} else {
-		m.answeredFresh(now)
+		m.answeredOnCandidate(now)
 	}
 	return m.actions
 }
 
-// Failed reports that a connection broke or could not be opened.
-func (m *Monitor) Failed(now time.Time, which Connection) []Action {
-	m.begin()
-	if which == Candidate {
-		m.failFresh(now)
+// Failed records that a connection broke or could not be opened.
+func (m *Monitor) Failed(now time.Time, c Connection) []Action {
+	m.resetActions()
+	if c == Candidate {
+		m.failCandidate(now)
 		return m.actions
 	}
-	if m.standing {
-		m.loseStanding(now, NoVerdict)
-		m.doubt()
-		m.nextOpen = now
+	if m.active {
+		m.closeActive(now, NoVerdict)
+		m.suspend()
+		m.nextOpenAt = now
 		m.connect(now)
 	}
 	return m.actions
 }
 
-// Doubted tells whether the peer should get no new requests.
-func (m *Monitor) Suspended() bool { return m.doubted }
+// Suspended reports whether the peer should get no new requests.
+func (m *Monitor) Suspended() bool { return m.suspended }
 
-func (m *Monitor) begin()       { m.actions = m.actions[:0] }
-func (m *Monitor) act(a Action) { m.actions = append(m.actions, a) }
+func (m *Monitor) resetActions() { m.actions = m.actions[:0] }
+func (m *Monitor) emit(a Action) { m.actions = append(m.actions, a) }
 
-// forgivePause takes a gap between ticks out of the measured silences. A
+// excludePause excludes a gap between ticks from all measured waiting times. A
 // process that was itself stopped for seconds finds every heartbeat unanswered
-// when it wakes; without this it would give up all its connections at once,
-// although the answers lie unread in its own buffers.
-func (m *Monitor) forgivePause(now time.Time) {
-	gap := now.Sub(m.ticked)
-	if !m.ticked.IsZero() && gap >= m.cfg.SuspectTimeout {
-		if !m.asked.IsZero() {
-			m.asked = m.asked.Add(gap)
+// when it resumes. Without this it would close all its connections at once,
+// although the answers are in its own receive buffers, unread.
+func (m *Monitor) excludePause(now time.Time) {
+	gap := now.Sub(m.lastTick)
+	if !m.lastTick.IsZero() && gap >= m.cfg.SuspectTimeout {
+		if !m.pendingSince.IsZero() {
+			m.pendingSince = m.pendingSince.Add(gap)
 		}
-		m.freshSince = m.freshSince.Add(gap)
-		m.lost = m.lost.Add(gap)
+		m.candidateSince = m.candidateSince.Add(gap)
+		m.lostAt = m.lostAt.Add(gap)
 	}
-	m.ticked = now
+	m.lastTick = now
 }
 
-// watch asks for signs of life on the standing connection and draws the
-// verdict when they stay away.
-func (m *Monitor) watch(now time.Time, busy bool) {
-	if m.asked.IsZero() {
+// checkActive sends heartbeats on the active connection and reaches a verdict
+// when they stay unanswered.
+func (m *Monitor) checkActive(now time.Time, busy bool) {
+	if m.pendingSince.IsZero() {
 		interval := m.cfg.HeartbeatInterval
 		if busy {
 			interval = min(m.cfg.BusyInterval, interval)
 		}
-		if now.Sub(m.heard) >= interval {
-			m.asked = now
-			m.act(Action{Kind: SendHeartbeat, Connection: Active})
+		if now.Sub(m.lastAnswer) >= interval {
+			m.pendingSince = now
+			m.emit(Action{Kind: SendHeartbeat, Connection: Active})
 		}
 		return
 	}
-	silence := now.Sub(m.asked)
-	if silence < m.cfg.SuspectTimeout {
+	waited := now.Sub(m.pendingSince)
+	if waited < m.cfg.SuspectTimeout {
 		return
 	}
-	m.doubt()
+	m.suspend()
 	switch {
-	case m.fresh == answered && silence >= m.cfg.ConnectionTimeout:
-		m.replace(now)
-	case m.fresh != answered && silence >= m.cfg.PeerTimeout:
-		m.loseStanding(now, PeerDown)
-		m.unreachable()
+	case m.candidate == answered && waited >= m.cfg.ConnectionTimeout:
+		m.replaceActive(now)
+	case m.candidate != answered && waited >= m.cfg.PeerTimeout:
+		m.closeActive(now, PeerDown)
+		m.markDown()
 	default:
-		m.open(now)
+		m.openCandidate(now)
 	}
 }
 
-// connect opens a first or next connection while there is none.
+// connect opens a candidate connection while there is no active one.
 func (m *Monitor) connect(now time.Time) {
-	if now.Sub(m.lost) >= m.cfg.PeerTimeout {
-		m.unreachable()
+	if now.Sub(m.lostAt) >= m.cfg.PeerTimeout {
+		m.markDown()
 	}
-	m.open(now)
+	m.openCandidate(now)
 }
 
-func (m *Monitor) open(now time.Time) {
-	if m.fresh != noFresh || now.Before(m.nextOpen) {
+func (m *Monitor) openCandidate(now time.Time) {
+	if m.candidate != noCandidate || now.Before(m.nextOpenAt) {
 		return
 	}
-	m.fresh = opening
-	m.freshSince = now
-	m.act(Action{Kind: OpenCandidate})
+	m.candidate = opening
+	m.candidateSince = now
+	m.emit(Action{Kind: OpenCandidate})
 }
 
-func (m *Monitor) answeredStanding(now time.Time) {
-	if !m.standing {
+func (m *Monitor) answeredOnActive(now time.Time) {
+	if !m.active {
 		return
 	}
-	m.heard = now
-	m.asked = time.Time{}
-	if m.fresh != noFresh {
-		m.fresh = noFresh
-		m.act(Action{Kind: CloseCandidate})
+	m.lastAnswer = now
+	m.pendingSince = time.Time{}
+	if m.candidate != noCandidate {
+		m.candidate = noCandidate
+		m.emit(Action{Kind: CloseCandidate})
 	}
-	m.trust()
+	m.resume()
 }
 
-func (m *Monitor) answeredFresh(now time.Time) {
-	if m.fresh != opened {
+func (m *Monitor) answeredOnCandidate(now time.Time) {
+	if m.candidate != opened {
 		return
 	}
-	m.fresh = answered
+	m.candidate = answered
 	switch {
-	case !m.standing:
+	case !m.active:
 		m.promote(now)
-	case !m.asked.IsZero() && now.Sub(m.asked) >= m.cfg.ConnectionTimeout:
-		m.replace(now)
+	case !m.pendingSince.IsZero() && now.Sub(m.pendingSince) >= m.cfg.ConnectionTimeout:
+		m.replaceActive(now)
 	}
 }
 
-// replace gives the standing connection up for the fresh one. The order
-// matters: requests that fail by the closing are settled on the new one.
-func (m *Monitor) replace(now time.Time) {
-	m.act(Action{Kind: CloseActive, Verdict: ConnectionSilent})
+// replaceActive replaces the active connection by the candidate. The order of
+// the actions matters: requests that fail because the old connection is closed
+// are settled on the new one.
+func (m *Monitor) replaceActive(now time.Time) {
+	m.emit(Action{Kind: CloseActive, Verdict: ConnectionSilent})
 	m.promote(now)
 }
 
 func (m *Monitor) promote(now time.Time) {
-	m.standing = true
-	m.heard = now
-	m.asked = time.Time{}
-	m.fresh = noFresh
-	m.retry = 0
+	m.active = true
+	m.lastAnswer = now
+	m.pendingSince = time.Time{}
+	m.candidate = noCandidate
+	m.backoff = 0
 	m.down = false
-	m.act(Action{Kind: PromoteCandidate})
-	m.trust()
+	m.emit(Action{Kind: PromoteCandidate})
+	m.resume()
 }
 
-func (m *Monitor) loseStanding(now time.Time, verdict Verdict) {
-	m.standing = false
-	m.asked = time.Time{}
-	m.lost = now
-	m.act(Action{Kind: CloseActive, Verdict: verdict})
+func (m *Monitor) closeActive(now time.Time, verdict Verdict) {
+	m.active = false
+	m.pendingSince = time.Time{}
+	m.lostAt = now
+	m.emit(Action{Kind: CloseActive, Verdict: verdict})
 }
 
-// expireFresh gives up a fresh connection that does not open or answer.
-func (m *Monitor) expireFresh(now time.Time) {
-	if m.fresh != opening && m.fresh != opened {
+// expireCandidate closes a candidate connection that does not open or answer.
+func (m *Monitor) expireCandidate(now time.Time) {
+	if m.candidate != opening && m.candidate != opened {
 		return
 	}
-	if now.Sub(m.freshSince) >= m.cfg.PeerTimeout {
-		m.act(Action{Kind: CloseCandidate})
-		m.failFresh(now)
+	if now.Sub(m.candidateSince) >= m.cfg.PeerTimeout {
+		m.emit(Action{Kind: CloseCandidate})
+		m.failCandidate(now)
 	}
 }
 
-// failFresh pauses before the next attempt. The pause is drawn at random, so
-// that a failure domain that comes back is not met by all its peers at once.
-func (m *Monitor) failFresh(now time.Time) {
-	if m.fresh == noFresh {
+// failCandidate backs off before the next attempt. The delay is random, so that
+// not all peers of a failure domain reconnect at once when it recovers.
+func (m *Monitor) failCandidate(now time.Time) {
+	if m.candidate == noCandidate {
 		return
 	}
-	m.fresh = noFresh
-	m.retry = min(max(m.retry*2, m.cfg.InitialBackoff), m.cfg.MaxBackoff)
-	pause := m.retry/2 + time.Duration(m.rng.Int64N(int64(m.retry/2)+1))
-	m.nextOpen = now.Add(pause)
+	m.candidate = noCandidate
+	m.backoff = min(max(m.backoff*2, m.cfg.InitialBackoff), m.cfg.MaxBackoff)
+	delay := m.backoff/2 + time.Duration(m.rng.Int64N(int64(m.backoff/2)+1))
+	m.nextOpenAt = now.Add(delay)
 }
 
-func (m *Monitor) doubt() {
-	if m.doubted {
+func (m *Monitor) suspend() {
+	if m.suspended {
 		return
 	}
-	m.doubted = true
-	m.act(Action{Kind: Suspend})
+	m.suspended = true
+	m.emit(Action{Kind: Suspend})
 }
 
-func (m *Monitor) trust() {
-	if !m.doubted {
+func (m *Monitor) resume() {
+	if !m.suspended {
 		return
 	}
-	m.doubted = false
-	m.act(Action{Kind: Resume})
+	m.suspended = false
+	m.emit(Action{Kind: Resume})
 }
 
-func (m *Monitor) unreachable() {
+func (m *Monitor) markDown() {
 	if m.down {
 		return
 	}
 	m.down = true
-	m.act(Action{Kind: Unreachable})
+	m.emit(Action{Kind: Unreachable})
 }
--- a/internal/policy/conn/conn_test.go
+++ b/internal/policy/conn/conn_test.go
@@ -18,14 +18,14 @@
 
 const tick = 50 * time.Millisecond
 
-// peer steps a monitor against a peer that answers on some connections.
+// peer drives a monitor of a simulated peer that answers on some connections.
 type peer struct {
 	monitor  *conn.Monitor
 	now      time.Time
 	answers  map[conn.Connection]bool
 	connects bool
-	seen     []conn.Action
-	at       map[conn.ActionKind]time.Duration // of the last action of a kind
+	recorded []conn.Action
+	at       map[conn.ActionKind]time.Duration // when the last action of a kind came, since begun
 	begun    time.Time
 }
 
@@ -41,17 +41,17 @@
 	}
 }
 
-func (p *peer) take(actions []conn.Action) {
+func (p *peer) carryOut(actions []conn.Action) {
 	for _, a := range append([]conn.Action(nil), actions...) {
-		p.seen = append(p.seen, a)
+		p.recorded = append(p.recorded, a)
 		p.at[a.Kind] = p.now.Sub(p.begun)
 		switch {
 		case a.Kind == conn.OpenCandidate && p.connects:
-			p.take(p.monitor.Opened(p.now))
+			p.carryOut(p.monitor.Opened(p.now))
 		case a.Kind == conn.OpenCandidate:
-			p.take(p.monitor.Failed(p.now, conn.Candidate))
+			p.carryOut(p.monitor.Failed(p.now, conn.Candidate))
 		case a.Kind == conn.SendHeartbeat && p.answers[a.Connection]:
-			p.take(p.monitor.Answered(p.now, a.Connection))
+			p.carryOut(p.monitor.Answered(p.now, a.Connection))
 		case a.Kind == conn.PromoteCandidate:
 			p.answers[conn.Active] = p.answers[conn.Candidate]
 		}
@@ -61,26 +61,26 @@
 func (p *peer) run(d time.Duration, busy bool) {
 	for end := p.now.Add(d); p.now.Before(end); {
 		p.now = p.now.Add(tick)
-		p.take(p.monitor.Tick(p.now, busy))
+		p.carryOut(p.monitor.Tick(p.now, busy))
 	}
 }
 
-// restart forgets what was seen so far.
+// restart clears the recorded actions and restarts the clock of at.
 func (p *peer) restart() {
-	p.seen = nil
+	p.recorded = nil
 	p.begun = p.now
 	p.at = map[conn.ActionKind]time.Duration{}
 }
 
 func (p *peer) kinds() []conn.ActionKind {
 	var kinds []conn.ActionKind
-	for _, a := range p.seen {
+	for _, a := range p.recorded {
 		kinds = append(kinds, a.Kind)
 	}
 	return kinds
 }
 
-var _ = Describe("the monitor", func() {
+var _ = Describe("Monitor", func() {
 	var p *peer
 
 	BeforeEach(func() {
@@ -90,24 +90,24 @@
 		p.restart()
 	})
 
-	It("replaces a connection that went silent under a waiting request within a second", func() {
-		// The standing connection carries nothing any more, a new one works.
-		// The verdict has to name the connection, the new one has to stand
-		// when the requests in flight fail, and no request may go there
-		// meanwhile.
+	It("replaces a dead connection with a waiting request within a second", func() {
+		// The active connection no longer carries anything, a new one works. The
+		// verdict must blame the connection, the new one must be active when the
+		// requests in flight fail, and the peer must get no new requests before
+		// that.
 		p.answers[conn.Active] = false
 		p.run(2*time.Second, true)
 		Expect(p.kinds()[:7]).To(HaveExactElements(conn.SendHeartbeat, conn.Suspend, conn.OpenCandidate, conn.SendHeartbeat, conn.CloseActive, conn.PromoteCandidate, conn.Resume))
 		Expect(p.kinds()[7:]).To(HaveEach(conn.SendHeartbeat))
-		Expect(p.seen[4].Verdict).To(Equal(conn.ConnectionSilent))
+		Expect(p.recorded[4].Verdict).To(Equal(conn.ConnectionSilent))
 		Expect(p.at[conn.CloseActive]).To(BeNumerically("<=", time.Second))
 	})
 
-	It("finds a peer down that answers on neither connection", func() {
+	It("detects that a peer that answers on neither connection is down", func() {
 		p.answers[conn.Active], p.answers[conn.Candidate], p.connects = false, false, false
 		p.run(4*time.Second, true)
 		Expect(p.kinds()).To(ContainElements(conn.Suspend, conn.CloseActive, conn.Unreachable))
-		Expect(p.seen).To(ContainElement(conn.Action{Kind: conn.CloseActive, Verdict: conn.PeerDown}))
+		Expect(p.recorded).To(ContainElement(conn.Action{Kind: conn.CloseActive, Verdict: conn.PeerDown}))
 		Expect(p.kinds()).NotTo(ContainElement(conn.PromoteCandidate))
 		p.restart()
 		p.connects, p.answers[conn.Candidate] = true, true
@@ -115,29 +115,29 @@
 		Expect(p.kinds()).To(ContainElements(conn.PromoteCandidate, conn.Resume))
 	})
 
-	It("keeps a connection whose answer was only late", func() {
+	It("keeps a connection whose answer is only late", func() {
 		p.answers[conn.Active], p.answers[conn.Candidate] = false, false
 		p.run(700*time.Millisecond, true)
 		Expect(p.monitor.Suspended()).To(BeTrue())
-		p.take(p.monitor.Answered(p.now, conn.Active))
+		p.carryOut(p.monitor.Answered(p.now, conn.Active))
 		Expect(p.monitor.Suspended()).To(BeFalse())
 		Expect(p.kinds()).To(ContainElement(conn.CloseCandidate))
 		Expect(p.kinds()).NotTo(ContainElement(conn.CloseActive))
 	})
 
-	It("does not take its own pause for the silence of its peers", func() {
-		// This process is stopped for a minute with a heartbeat under way. It
-		// wakes to a tick before it has read the answers in its buffers.
+	It("does not mistake its own pause for silent peers", func() {
+		// This process is stopped for a minute with a heartbeat in flight. After it
+		// resumes, a tick comes before it has read the answers in its buffers.
 		p.answers[conn.Active] = false
 		p.run(300*time.Millisecond, true)
 		p.now = p.now.Add(time.Minute)
-		p.take(p.monitor.Tick(p.now, true))
+		p.carryOut(p.monitor.Tick(p.now, true))
 		Expect(p.kinds()).NotTo(ContainElement(conn.CloseActive))
 	})
 
-	It("connects again at once when a connection breaks, then ever more rarely", func() {
+	It("reconnects at once when a connection breaks, then with exponential backoff", func() {
 		p.connects = false
-		p.take(p.monitor.Failed(p.now, conn.Active))
+		p.carryOut(p.monitor.Failed(p.now, conn.Active))
 		Expect(p.kinds()).To(Equal([]conn.ActionKind{conn.CloseActive, conn.Suspend, conn.OpenCandidate}))
 		p.run(time.Minute, false)
 		opens := 0
