--- a/internal/agentless/batchrun/starts.go
+++ b/internal/agentless/batchrun/starts.go
@@ -142,10 +142,10 @@
 		return endpoints.Placement{}
 	}
 	weight := r.load.Weight(&j.view, c.RemainingWork, c.Spare)
-	p := endpoints.Placement{Rest: c.RemainingWork, Weight: weight, Heavy: weight >= schedule.CriticalWeight}
+	p := endpoints.Placement{RemainingWork: c.RemainingWork, Weight: weight, Critical: weight >= schedule.CriticalWeight}
 	if r.owner.Switches.On(mechanism.KeepNarrow) {
 		_, engines := r.owner.Directory.Pace(service)
-		p.Narrow = r.load.CriticalBatchLimit(&j.view, engines)
+		p.CriticalBatchLimit = r.load.CriticalBatchLimit(&j.view, engines)
 	}
 	return p
 }
--- a/internal/policy/admission/queue.go
+++ b/internal/policy/admission/queue.go
@@ -68,10 +68,10 @@
 	return q.actions
 }
 
-// SetPeers tells over how many queues callers' requests are spread. Each grants
+// SetAgentCount tells over how many queues callers' requests are spread. Each grants
 // a caller that part of its declared rate, and the whole burst, as requests do
 // not come evenly.
-func (q *Queue) SetPeers(now time.Time, n int) {
+func (q *Queue) SetAgentCount(now time.Time, n int) {
 	n = max(n, 1)
 	if n == q.peers {
 		return
@@ -91,7 +91,7 @@
 		return q.actions
 	}
 	t := q.treeOf(item)
-	e := &entry{item: item, leaf: t.leaf(item.Principal), cost: max(item.Cost, minCost), order: q.order, expIndex: indexheap.None}
+	e := &entry{item: item, leaf: t.leaf(item.Principal), cost: max(item.Cost, minCost), order: q.order, expIndex: indexheap.NotInHeap}
 	q.order++
 	e.setLatest()
 	if wait := q.wait(e); q.tooLate(now, e, wait) {
@@ -315,7 +315,7 @@
 }
 
 func (q *Queue) unexpire(e *entry) {
-	if e.expIndex != indexheap.None {
+	if e.expIndex != indexheap.NotInHeap {
 		q.expiry.Remove(e)
 	}
 }
