--- a/internal/feedrun/carry.go
+++ b/internal/feedrun/carry.go
@@ -23,7 +23,7 @@
 
 // assumedCarry is what the journey of a KV cache is taken to cost until one was
 // seen.
-var assumedCarry = rollout.MoveCost{Fixed: 200 * time.Millisecond, Each: 100 * time.Microsecond}
+var assumedCarry = rollout.MoveCost{Fixed: 200 * time.Millisecond, PerToken: 100 * time.Microsecond}
 
 // importedCache is a KV cache that an engine holds for a sample's next attempt.
 type importedCache struct {
@@ -73,7 +73,7 @@
 	case m.each == 0:
 		return assumedCarry
 	default:
-		return rollout.MoveCost{Fixed: assumedCarry.Fixed, Each: m.each}
+		return rollout.MoveCost{Fixed: assumedCarry.Fixed, PerToken: m.each}
 	}
 }
 
--- a/internal/feedrun/generation.go
+++ b/internal/feedrun/generation.go
@@ -18,8 +18,8 @@
 
 // What is assumed of engines until their pace is seen.
 var (
-	assumedPace = rollout.Pace{Base: 20 * time.Millisecond, Each: 500 * time.Microsecond}
-	moveCost    = rollout.MoveCost{Fixed: 200 * time.Millisecond, Each: 100 * time.Microsecond}
+	assumedPace = rollout.Pace{Base: 20 * time.Millisecond, PerSample: 500 * time.Microsecond}
+	moveCost    = rollout.MoveCost{Fixed: 200 * time.Millisecond, PerToken: 100 * time.Microsecond}
 )
 
 // runKey names a run: a sample runs at most once at a time on this entry.
@@ -52,7 +52,7 @@
 		service:   service,
 		ctx:       ctx,
 		wake:      make(chan struct{}, 1),
-		scheduler: rollout.New(rollout.Options{Pace: assumedPace, Move: moveCost, SwapWait: swapWait}),
+		scheduler: rollout.New(rollout.Options{Pace: assumedPace, RecomputeCost: moveCost, MaxSwapWait: swapWait}),
 		owners:    map[string]*owner{},
 		marks:     map[string]demandMark{},
 		runs:      map[runKey]*run{},
@@ -131,9 +131,9 @@
 	}
 	g.scheduler.SetPace(g.pace.estimate())
 	if g.options.Caches != nil {
-		g.scheduler.SetCarry(g.carry.estimate(now))
+		g.scheduler.SetTransferCost(g.carry.estimate(now))
 	}
-	g.scheduler.SetShares(g.shares())
+	g.scheduler.SetTotalShares(g.shares())
 	g.scheduler.SetEngines(now, g.engines())
 	for _, a := range g.scheduler.Plan(now) {
 		g.carryOut(a)
@@ -171,12 +171,12 @@
 		g.addresses[e.ID] = e.Address
 		others := max(0, e.Load.Running+e.Load.Queued-ours[e.ID])
 		all = append(all, rollout.Engine{
-			ID:      e.ID,
-			Domain:  e.Domain,
-			Slots:   e.Load.Slots,
-			Others:  others,
-			Feeds:   min(others, max(0, e.Load.Rollouts-ours[e.ID])),
-			Version: e.Load.WeightVersion,
+			ID:               e.ID,
+			Domain:           e.Domain,
+			Slots:            e.Load.Slots,
+			UsedByOthers:     others,
+			UsedByOtherFeeds: min(others, max(0, e.Load.Rollouts-ours[e.ID])),
+			Version:          e.Load.WeightVersion,
 		})
 	}
 	return all
@@ -201,7 +201,7 @@
 			return
 		}
 		r.engine = a.To
-		if a.Carry {
+		if a.WithCache {
 			go r.carryTo(a.To, g.addresses[a.From])
 			return
 		}
--- a/internal/feedrun/owner.go
+++ b/internal/feedrun/owner.go
@@ -240,7 +240,7 @@
 		Version:  mark.version,
 		Training: mark.training,
 		Current:  o.state.Wanted(step),
-		Ahead:    o.state.Wanted(step + 1),
+		Next:     o.state.Wanted(step + 1),
 	}, mark, true
 }
 
--- a/internal/feedrun/pace.go
+++ b/internal/feedrun/pace.go
@@ -45,7 +45,7 @@
 	if p.token == 0 {
 		return assumedPace
 	}
-	return rollout.Pace{Base: p.token, Each: time.Duration(paceShare * float64(p.token))}
+	return rollout.Pace{Base: p.token, PerSample: time.Duration(paceShare * float64(p.token))}
 }
 
 func schedulerFeed(feed decl.Feed) rollout.Feed {
--- a/internal/lab/enginemodel/enginemodel.go
+++ b/internal/lab/enginemodel/enginemodel.go
@@ -143,7 +143,7 @@
 // BeginStep returns the time that the next step takes, with the prefill of the
 // jobs that came to a slot since the last one.
 func (e *Engine) BeginStep() time.Duration {
-	took := e.Pace.Token(len(e.running)+e.others) + e.pending
+	took := e.Pace.TokenTime(len(e.running)+e.others) + e.pending
 	e.pending = 0
 	return took
 }
--- a/internal/lab/rollout/generation.go
+++ b/internal/lab/rollout/generation.go
@@ -24,7 +24,7 @@
 			Version:  l.owner.Version(),
 			Training: training,
 			Current:  l.owner.Wanted(step),
-			Ahead:    l.owner.Wanted(step + 1),
+			Next:     l.owner.Wanted(step + 1),
 		})
 	}
 	l.planner.SetEngines(l.time.Now(), l.engineStates())
@@ -39,7 +39,7 @@
 func (l *pipeline) engineStates() []policy.Engine {
 	states := make([]policy.Engine, len(l.engines))
 	for i, e := range l.engines {
-		states[i] = policy.Engine{ID: strconv.Itoa(i), Slots: e.Slots, Others: e.Others(), Version: e.Version}
+		states[i] = policy.Engine{ID: strconv.Itoa(i), Slots: e.Slots, UsedByOthers: e.Others(), Version: e.Version}
 	}
 	return states
 }
@@ -51,7 +51,7 @@
 	case policy.Cancel:
 		l.takeOff(a.ID)
 	case policy.Move:
-		if a.Carry {
+		if a.WithCache {
 			l.transfer(a)
 			return
 		}
@@ -68,7 +68,7 @@
 	}
 	job := l.engines[from].Find(feedName, a.ID)
 	cached := job.Cached
-	l.time.After(l.carry.Of(cached), func() {
+	l.time.After(l.carry.Total(cached), func() {
 		if l.places[a.ID] == from && l.engines[from].Find(feedName, a.ID) == job {
 			l.resume(a, cached)
 		}
@@ -85,7 +85,7 @@
 	job.Cached = min(job.Cached, cached)
 	takes := l.move.Fixed
 	if l.prefill == 0 {
-		takes = l.move.Of(job.Tokens)
+		takes = l.move.Total(job.Tokens)
 	}
 	l.places[a.ID] = -1
 	l.time.After(takes, func() {
--- a/internal/lab/rollout/moves.go
+++ b/internal/lab/rollout/moves.go
@@ -36,8 +36,8 @@
 func (s scenario) with(prompt int, prefill, carry time.Duration) scenario {
 	s.prompt = prompt
 	s.prefill = prefill
-	s.move = policy.MoveCost{Fixed: 100 * time.Millisecond, Each: prefill}
-	s.carry = policy.MoveCost{Fixed: 100 * time.Millisecond, Each: carry}
+	s.move = policy.MoveCost{Fixed: 100 * time.Millisecond, PerToken: prefill}
+	s.carry = policy.MoveCost{Fixed: 100 * time.Millisecond, PerToken: carry}
 	return s
 }
 
--- a/internal/lab/rollout/pipeline.go
+++ b/internal/lab/rollout/pipeline.go
@@ -98,7 +98,7 @@
 
 // newPolicy returns the scheduler for a scenario under weights.
 func newPolicy(s scenario, idle, staleness float64) *policy.Scheduler {
-	p := policy.New(policy.Options{Pace: s.pace, Move: s.move, Carry: s.carry, SwapWait: 5 * time.Second})
+	p := policy.New(policy.Options{Pace: s.pace, RecomputeCost: s.move, TransferCost: s.carry, MaxSwapWait: 5 * time.Second})
 	p.SetFeed(policy.Feed{
 		Name:            feedName,
 		Shape:           s.shape,
--- a/internal/lab/rollout/scenario.go
+++ b/internal/lab/rollout/scenario.go
@@ -76,8 +76,8 @@
 		name:    "ledgerwise",
 		engines: 10,
 		slots:   8,
-		pace:    policy.Pace{Base: 20 * time.Millisecond, Each: 500 * time.Microsecond},
-		move:    policy.MoveCost{Fixed: 100 * time.Millisecond, Each: 50 * time.Microsecond},
+		pace:    policy.Pace{Base: 20 * time.Millisecond, PerSample: 500 * time.Microsecond},
+		move:    policy.MoveCost{Fixed: 100 * time.Millisecond, PerToken: 50 * time.Microsecond},
 		shape:   sample.Shape{Groups: 128, Size: 8},
 		classes: []lengthClass{
 			{median: 600, between: 0.4, within: 0.4},
@@ -145,6 +145,6 @@
 		longest = max(longest, n)
 	}
 	work := float64(total) / (float64(s.engines) * s.pace.Rate(s.slots))
-	alone := float64(longest) * s.pace.Token(1).Seconds()
+	alone := float64(longest) * s.pace.TokenTime(1).Seconds()
 	return time.Duration(max(work, alone) * float64(time.Second))
 }
--- a/internal/lab/rollout/shares.go
+++ b/internal/lab/rollout/shares.go
@@ -76,8 +76,8 @@
 
 // own starts an entry that owns a feed.
 func (m *sharing) own(feed string) {
-	m.entries[feed] = policy.New(policy.Options{Pace: m.pace, Move: m.move})
-	m.entries[feed].SetShares(1)
+	m.entries[feed] = policy.New(policy.Options{Pace: m.pace, RecomputeCost: m.move})
+	m.entries[feed].SetTotalShares(1)
 	m.order = append(m.order, feed)
 }
 
@@ -115,7 +115,7 @@
 			}
 		}
 		load := q.Load()
-		states[i] = policy.Engine{ID: strconv.Itoa(i), Slots: load.Slots, Others: load.Running + load.Queued - ours, Feeds: load.Rollouts - ours, Version: 1}
+		states[i] = policy.Engine{ID: strconv.Itoa(i), Slots: load.Slots, UsedByOthers: load.Running + load.Queued - ours, UsedByOtherFeeds: load.Rollouts - ours, Version: 1}
 	}
 	return states
 }
--- a/internal/policy/rollout/move.go
+++ b/internal/policy/rollout/move.go
@@ -46,7 +46,7 @@
 	}
 	least := leastStill
 	if r.tokens == 0 || r.tokens <= r.moved {
-		least += time.Duration(moveMargin * float64(s.options.Move.Of(f.PromptTokens+r.tokens)))
+		least += time.Duration(moveMargin * float64(s.options.RecomputeCost.Total(f.PromptTokens+r.tokens)))
 	}
 	if waited := now.Sub(r.since); waited >= least {
 		return waited
@@ -72,7 +72,7 @@
 		if r == nil {
 			return acts
 		}
-		acts = append(acts, Move{Feed: r.feed.Name, ID: r.id, From: r.engine, To: to.ID, Carry: way.carry})
+		acts = append(acts, Move{Feed: r.feed.Name, ID: r.id, From: r.engine, To: to.ID, WithCache: way.carry})
 		s.engines[r.engine].runs--
 		to.runs++
 		r.engine = to.ID
@@ -147,18 +147,18 @@
 		return saving{}
 	}
 	left := f.lengths.Remaining(f.class(r.id), r.id, r.tokens)
-	slow, fast := s.options.Pace.Token(from.busy()), s.options.Pace.Token(to.busy()+1)
+	slow, fast := s.options.Pace.TokenTime(from.busy()), s.options.Pace.TokenTime(to.busy()+1)
 	// One that has stood still for a while is expected to for as long again.
 	context := f.PromptTokens + r.tokens
 	recompute := saving{gain: beyond(still+gained(left, slow-fast), s.recompute(context, to))}
-	if s.options.Carry == (MoveCost{}) || still > 0 {
+	if s.options.TransferCost == (MoveCost{}) || still > 0 {
 		// What stands still has lost its slot, and its cache with it, or is on
 		// an engine that answers to nothing now.
 		return recompute
 	}
 	// The sample runs on while its cache travels; what it makes meanwhile is
 	// computed anew at the other engine.
-	made := min(left, float64(s.options.Carry.Of(context))/float64(slow))
+	made := min(left, float64(s.options.TransferCost.Total(context))/float64(slow))
 	carry := saving{gain: beyond(gained(left-made, slow-fast), s.recompute(int(made), to)), carry: true}
 	if carry.gain > recompute.gain {
 		return carry
@@ -170,8 +170,8 @@
 // time of the sample itself, and that of each in the batch, which stands still
 // meanwhile.
 func (s *Scheduler) recompute(context int, to *engine) time.Duration {
-	own := s.options.Move.Of(context)
-	return own + time.Duration(to.busy())*(own-s.options.Move.Fixed)
+	own := s.options.RecomputeCost.Total(context)
+	return own + time.Duration(to.busy())*(own-s.options.RecomputeCost.Fixed)
 }
 
 func gained(tokens float64, each time.Duration) time.Duration {
--- a/internal/policy/rollout/place.go
+++ b/internal/policy/rollout/place.go
@@ -231,7 +231,7 @@
 
 // swapsSoon tells whether an engine is expected to swap to the trainer's version.
 func (s *Scheduler) swapsSoon(now time.Time, f *feed, e *engine) bool {
-	return e.Version < f.demand.Version && now.Sub(f.since) < s.options.SwapWait
+	return e.Version < f.demand.Version && now.Sub(f.since) < s.options.MaxSwapWait
 }
 
 // worthWaiting weighs a wait against a version behind, in the units of the
--- a/internal/policy/rollout/predict.go
+++ b/internal/policy/rollout/predict.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Forget drops the groups of the steps before step.
-func (p *Predictor) Forget(step int64) {
+// ForgetBefore drops the groups of the steps before step.
+func (p *Predictor) ForgetBefore(step int64) {
 	for _, k := range p.classes {
 		for group := range k.groups {
 			if group.Step < step {
--- a/internal/policy/rollout/rollout_test.go
+++ b/internal/policy/rollout/rollout_test.go
@@ -53,9 +53,9 @@
 	}
 	BeforeEach(func() {
 		s = rollout.New(rollout.Options{
-			Pace:     rollout.Pace{Base: 10 * time.Millisecond, Each: 10 * time.Millisecond},
-			Move:     rollout.MoveCost{Fixed: 100 * time.Millisecond},
-			SwapWait: 5 * time.Second,
+			Pace:          rollout.Pace{Base: 10 * time.Millisecond, PerSample: 10 * time.Millisecond},
+			RecomputeCost: rollout.MoveCost{Fixed: 100 * time.Millisecond},
+			MaxSwapWait:   5 * time.Second,
 		})
 		s.SetFeed(feed)
 	})
@@ -129,8 +129,8 @@
 		// token takes a third less. With dear moves it stays.
 		for _, cost := range []time.Duration{100 * time.Millisecond, time.Hour} {
 			s = rollout.New(rollout.Options{
-				Pace: rollout.Pace{Base: 10 * time.Millisecond, Each: 10 * time.Millisecond},
-				Move: rollout.MoveCost{Fixed: cost},
+				Pace:          rollout.Pace{Base: 10 * time.Millisecond, PerSample: 10 * time.Millisecond},
+				RecomputeCost: rollout.MoveCost{Fixed: cost},
 			})
 			s.SetFeed(feed)
 			s.SetEngines(begin, engines(1))
@@ -160,7 +160,7 @@
 		s.Plan(begin)
 		later := begin.Add(3 * time.Second)
 		s.SetEngines(later, []rollout.Engine{
-			{ID: "a", Slots: 2, Others: 2, Version: 1}, {ID: "b", Slots: 1, Version: 1},
+			{ID: "a", Slots: 2, UsedByOthers: 2, Version: 1}, {ID: "b", Slots: 1, Version: 1},
 		})
 		Expect(s.Plan(later)).To(Equal([]rollout.Action{rollout.Move{Feed: "f", ID: first, From: "a", To: "b"}}))
 	})
@@ -168,9 +168,9 @@
 	DescribeTable("takes the KV cache along where that is cheaper than its computation",
 		func(prompt int, carry rollout.MoveCost, want []rollout.Action) {
 			s = rollout.New(rollout.Options{
-				Pace:  rollout.Pace{Base: 10 * time.Millisecond, Each: 10 * time.Millisecond},
-				Move:  rollout.MoveCost{Fixed: 100 * time.Millisecond, Each: time.Millisecond},
-				Carry: carry,
+				Pace:          rollout.Pace{Base: 10 * time.Millisecond, PerSample: 10 * time.Millisecond},
+				RecomputeCost: rollout.MoveCost{Fixed: 100 * time.Millisecond, PerToken: time.Millisecond},
+				TransferCost:  carry,
 			})
 			long := feed
 			long.PromptTokens = prompt
@@ -181,11 +181,11 @@
 			s.SetEngines(begin, engines(1, 1))
 			Expect(s.Plan(begin)).To(Equal(want))
 		},
-		Entry("a long prompt over a fast link", 4000, rollout.MoveCost{Fixed: 100 * time.Millisecond, Each: 10 * time.Microsecond},
-			[]rollout.Action{rollout.Move{Feed: "f", From: "a", To: "b", Carry: true}}),
+		Entry("a long prompt over a fast link", 4000, rollout.MoveCost{Fixed: 100 * time.Millisecond, PerToken: 10 * time.Microsecond},
+			[]rollout.Action{rollout.Move{Feed: "f", From: "a", To: "b", WithCache: true}}),
 		Entry("a long prompt without export", 4000, rollout.MoveCost{}, nil),
-		Entry("a link so slow that the sample ends first", 4000, rollout.MoveCost{Each: 10 * time.Millisecond}, nil),
-		Entry("a short prompt over a slow link", 10, rollout.MoveCost{Fixed: 5 * time.Second, Each: time.Millisecond},
+		Entry("a link so slow that the sample ends first", 4000, rollout.MoveCost{PerToken: 10 * time.Millisecond}, nil),
+		Entry("a short prompt over a slow link", 10, rollout.MoveCost{Fixed: 5 * time.Second, PerToken: time.Millisecond},
 			[]rollout.Action{rollout.Move{Feed: "f", From: "a", To: "b"}}),
 	)
 
@@ -204,21 +204,21 @@
 		// first, and fills each slot that gets free before the other sees it. The
 		// other must have samples in the agents' queues, which take turns by
 		// share; where callers have the slots, none.
-		s.SetShares(2)
+		s.SetTotalShares(2)
 		s.SetDemand(begin, rollout.Demand{Feed: "f", Version: 1, Current: ids(0, 4, 2)})
-		taken := rollout.Engine{Slots: 4, Others: 4, Version: 1}
-		taken.ID, taken.Feeds = "feeds", 4
+		taken := rollout.Engine{Slots: 4, UsedByOthers: 4, Version: 1}
+		taken.ID, taken.UsedByOtherFeeds = "feeds", 4
 		half := taken
-		half.ID, half.Feeds = "half", 2
+		half.ID, half.UsedByOtherFeeds = "half", 2
 		callers := taken
-		callers.ID, callers.Feeds = "callers", 0
+		callers.ID, callers.UsedByOtherFeeds = "callers", 0
 		s.SetEngines(begin, []rollout.Engine{taken, half, callers})
 		count := map[string]int{}
 		for _, engine := range starts(s.Plan(begin)) {
 			count[engine]++
 		}
 		Expect(count).To(Equal(map[string]int{"feeds": 2, "half": 1}))
-		s.SetShares(1)
+		s.SetTotalShares(1)
 		s.Failed("f", sample.ID{})
 		Expect(s.Plan(begin)).To(BeEmpty(), "no other feed has a share")
 	})
--- a/internal/policy/rollout/scheduler.go
+++ b/internal/policy/rollout/scheduler.go
@@ -28,12 +28,12 @@
 
 // Engine is one engine as it was last heard of.
 type Engine struct {
-	ID      string
-	Domain  string // failure domain
-	Slots   int    // samples it may run at once
-	Others  int    // of them used or queued for by others than this scheduler
-	Feeds   int    // of Others, samples of feeds that other entries own
-	Version int64  // weight version
+	ID               string
+	Domain           string // failure domain
+	Slots            int    // samples it may run at once
+	UsedByOthers     int    // of them used or queued for by others than this scheduler
+	UsedByOtherFeeds int    // of Others, samples of feeds that other entries own
+	Version          int64  // weight version
 }
 
 // Demand is what a feed's hand-over needs now.
@@ -43,20 +43,20 @@
 	Version  int64 // of the trainer
 	Training bool  // the trainer holds the whole step and works on it
 	Current  []sample.ID
-	Ahead    []sample.ID // of the step after Step
+	Next     []sample.ID // of the step after Step
 }
 
 // Options are the scheduler's own.
 type Options struct {
 	Pace Pace
-	// Move is the cost of a move after which the engine computes the KV cache
+	// RecomputeCost is the cost of a move after which the engine computes the KV cache
 	// anew, Carry that of the cache's way from engine to engine; zero: there is
 	// none.
-	Move  MoveCost
-	Carry MoveCost
-	// SwapWait is how long a feed waits at most for engines that have not yet
+	RecomputeCost MoveCost
+	TransferCost  MoveCost
+	// MaxSwapWait is how long a feed waits at most for engines that have not yet
 	// swapped to its trainer's version: a swap that fails must not idle it.
-	SwapWait time.Duration
+	MaxSwapWait time.Duration
 }
 
 // Action is something that the scheduler's runtime is to do.
@@ -77,10 +77,10 @@
 
 // Move lets a running sample go on at another engine.
 type Move struct {
-	Feed     string
-	ID       sample.ID
-	From, To string
-	Carry    bool // with its KV cache; it runs on at From until To has it
+	Feed      string
+	ID        sample.ID
+	From, To  string
+	WithCache bool // with its KV cache; it runs on at From until To has it
 }
 
 func (Start) action()  {}
@@ -119,8 +119,8 @@
 	runs int
 }
 
-func (e *engine) free() int { return e.Slots - e.Others - e.runs }
-func (e *engine) busy() int { return e.Others + e.runs }
+func (e *engine) free() int { return e.Slots - e.UsedByOthers - e.runs }
+func (e *engine) busy() int { return e.UsedByOthers + e.runs }
 
 // Scheduler places the samples of the feeds that this process owns.
 type Scheduler struct {
@@ -161,8 +161,8 @@
 // SetPace takes the engines' measured pace.
 func (s *Scheduler) SetPace(p Pace) { s.options.Pace = p }
 
-// SetCarry takes what the way of a KV cache costs; zero: there is none.
-func (s *Scheduler) SetCarry(m MoveCost) { s.options.Carry = m }
+// SetTransferCost takes what the way of a KV cache costs; zero: there is none.
+func (s *Scheduler) SetTransferCost(m MoveCost) { s.options.TransferCost = m }
 
 // SetEngines replaces what is known of the engines. Runs on one that is gone
 // stay until the runtime tells that they ended.
@@ -210,10 +210,10 @@
 	}
 	f.observeTrainer(now, d)
 	f.demand = d
-	f.wanted = make(map[sample.ID]bool, len(d.Current)+len(d.Ahead))
+	f.wanted = make(map[sample.ID]bool, len(d.Current)+len(d.Next))
 	f.groups = nil
 	f.want(d.Current)
-	f.want(d.Ahead)
+	f.want(d.Next)
 	f.share = aheadShare(s.outlook(f))
 }
 
@@ -265,7 +265,7 @@
 		f.train = took
 	}
 	if d.Step != f.demand.Step {
-		f.lengths.Forget(d.Step)
+		f.lengths.ForgetBefore(d.Step)
 	}
 }
 
@@ -392,7 +392,7 @@
 		bound:     f.Limits.MaxVersionLag,
 		train:     f.train.Seconds(),
 		rate:      rate,
-		token:     s.options.Pace.Token(slots).Seconds(),
+		token:     s.options.Pace.TokenTime(slots).Seconds(),
 	}
 	for c := range f.Classes {
 		n := classSize(f.Shape, f.Classes, c)
--- a/internal/policy/rollout/share.go
+++ b/internal/policy/rollout/share.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// SetShares takes the sum of the shares of all feeds that the engines generate
+// SetTotalShares takes the sum of the shares of all feeds that the engines generate
 // for, those that other entries own included.
-func (s *Scheduler) SetShares(sum float64) { s.shares = sum }
+func (s *Scheduler) SetTotalShares(sum float64) { s.shares = sum }
 
 func (s *Scheduler) ownShares() float64 {
 	sum := 0.0
@@ -20,7 +20,7 @@
 // gives them the slots that get free by the feeds' shares. Were they not sent, a
 // feed whose entry always sees the engines full would get nothing at all.
 func (s *Scheduler) room(e *engine) int {
-	if e.Feeds == 0 || e.free() > 0 {
+	if e.UsedByOtherFeeds == 0 || e.free() > 0 {
 		return e.free()
 	}
 	return s.due(e) - e.runs
@@ -33,6 +33,6 @@
 	if s.shares <= own {
 		return 0
 	}
-	left := max(0, e.Slots-(e.Others-e.Feeds))
+	left := max(0, e.Slots-(e.UsedByOthers-e.UsedByOtherFeeds))
 	return int(math.Ceil(float64(left)*own/s.shares - 1e-9))
 }
