--- a/internal/policy/rollout/ahead.go
+++ b/internal/policy/rollout/ahead.go
@@ -5,40 +5,41 @@
 	"sort"
 )
 
-// aheadParts is the number of sizes of run-ahead that are weighed.
-const aheadParts = 16
+// aheadSteps is the number of steps in which chooseAheadShare searches shares from 0 to 1.
+const aheadSteps = 16
 
-// outlook is what the choice of run-ahead needs to know of a feed.
-type outlook struct {
-	idle, staleness float64 // the feed's declared weights
-	bound           int64   // staleness bound in versions
-	train           float64 // seconds that the trainer takes for a step
-	rate            float64 // tokens a second of the feed's share of the engines
-	token           float64 // seconds of one token in a full batch
-	classes         []classOutlook
+// aheadInputs is the state of a feed that determines its run-ahead, the share of the next
+// step that is generated while the trainer still works on the current one.
+type aheadInputs struct {
+	idleWeight, stalenessWeight float64 // the feed's declared weights
+	maxVersionLag               int64   // staleness bound in versions
+	trainTime                   float64 // seconds that the trainer takes for a step
+	tokensPerSecond             float64 // of the feed's share of the engines
+	tokenSeconds                float64 // seconds per token in a full batch
+	classes                     []classInputs
 }
 
-// classOutlook is a class of prompts within the next step.
-type classOutlook struct {
+// classInputs describes a class of prompts within the next step.
+type classInputs struct {
 	samples int
-	mean    float64 // tokens
-	longest float64 // expected longest of the samples, in tokens
+	mean    float64 // mean length in tokens
+	longest float64 // expected length of the longest sample in tokens
 }
 
-// aheadShare returns the share of the next step's samples to begin before the
-// trainer has the version that it will take them with. Each one begun early is a
-// version behind when it is taken; each one left for later may keep the trainer
-// waiting. The classes expected to be longest go first: they cut the most
-// waiting for the same staleness.
-func aheadShare(o outlook) float64 {
-	if o.bound < 1 || o.train <= 0 {
+// chooseAheadShare returns the share of the next step's samples to start before the
+// trainer has the version with which it will take them. Each sample that is started early
+// is a version behind when it is taken; each one that is left for later may keep the
+// trainer waiting. The classes with the longest expected samples start first, as they
+// reduce the waiting time most for the same staleness.
+func chooseAheadShare(o aheadInputs) float64 {
+	if o.maxVersionLag < 1 || o.trainTime <= 0 {
 		return 0
 	}
-	classes := append([]classOutlook(nil), o.classes...)
+	classes := append([]classInputs(nil), o.classes...)
 	sort.Slice(classes, func(i, j int) bool { return classes[i].longest > classes[j].longest })
 	best, bestCost := 0.0, math.Inf(1)
-	for part := 0; part <= aheadParts; part++ {
-		share := float64(part) / aheadParts
+	for step := 0; step <= aheadSteps; step++ {
+		share := float64(step) / aheadSteps
 		cost := o.cost(classes, share)
 		if cost < bestCost-1e-9 {
 			best, bestCost = share, cost
@@ -47,15 +48,15 @@
 	return best
 }
 
-// cost is the feed's weighted measure: the seconds that the trainer waits for
-// each second that it trains, and the mean number of versions behind.
-func (o outlook) cost(classes []classOutlook, share float64) float64 {
-	return o.idle*o.wait(classes, share)/o.train + o.staleness*share
+// cost returns the feed's weighted cost: the seconds that the trainer waits per second of
+// training, and the mean number of versions that samples are behind.
+func (o aheadInputs) cost(classes []classInputs, share float64) float64 {
+	return o.idleWeight*o.waitSeconds(classes, share)/o.trainTime + o.stalenessWeight*share
 }
 
-// wait returns the seconds that the trainer waits for a step of which a share
-// was begun while it trained on the one before.
-func (o outlook) wait(classes []classOutlook, share float64) float64 {
+// waitSeconds returns the seconds that the trainer waits for a step of which the given
+// share was started while it trained on the previous one.
+func (o aheadInputs) waitSeconds(classes []classInputs, share float64) float64 {
 	total := 0
 	for _, c := range classes {
 		total += c.samples
@@ -74,11 +75,11 @@
 			lateTail = max(lateTail, c.longest)
 		}
 	}
-	done := min(earlyWork, o.rate*o.train)
+	done := min(earlyWork, o.tokensPerSecond*o.trainTime)
 	return max(
-		(earlyWork-done+lateWork)/max(o.rate, 1e-9),
-		lateTail*o.token,
-		earlyTail*o.token-o.train,
+		(earlyWork-done+lateWork)/max(o.tokensPerSecond, 1e-9),
+		lateTail*o.tokenSeconds,
+		earlyTail*o.tokenSeconds-o.trainTime,
 		0,
 	)
 }
--- a/internal/policy/rollout/move.go
+++ b/internal/policy/rollout/move.go
@@ -6,83 +6,86 @@
 )
 
 const (
-	// maxMoves bounds how often one sample moves.
+	// maxMoves is the maximum number of moves per sample.
 	maxMoves = 4
-	// moveMargin is how many times its cost a move must save: the saving rests
-	// on a prediction, the cost is certain.
+	// moveMargin is the factor by which the saving of a move must exceed its cost: the
+	// saving is a prediction, while the cost is certain.
 	moveMargin = 1.5
-	// leastStill is how long a sample makes no token before it is taken to stand
-	// still: reads and reports lag.
-	leastStill = time.Second
-	// leastGain is what a move must save beyond the margin: moves that cost next
-	// to nothing would be spent on next to nothing, and use the sample's few up.
-	leastGain = time.Second
+	// minStall is how long a sample must generate no token before it counts as stalled, as
+	// reads and reports lag behind.
+	minStall = time.Second
+	// minGain is the time that a move must save beyond the margin. Otherwise, moves that
+	// cost almost nothing would be made for almost no gain, and would use up the sample's
+	// limited number of moves.
+	minGain = time.Second
 )
 
-// saving is what a move is expected to bring.
-type saving struct {
-	gain  time.Duration // beyond the margin; at most 0 if the sample should stay
-	carry bool          // with its KV cache
+// moveEstimate is the expected effect of moving a sample.
+type moveEstimate struct {
+	gain     time.Duration // time saved beyond the margin; 0 or less if the sample should stay
+	transfer bool          // the KV cache moves along
 }
 
-// observeRuns notes which runs went on since the last plan.
-func (s *Scheduler) observeRuns(now time.Time) {
+// observeProgress records which runs generated tokens since the last plan.
+func (s *Scheduler) observeProgress(now time.Time) {
 	for _, f := range s.feeds {
 		for _, r := range f.runs {
-			if r.tokens != r.seen {
-				r.seen = r.tokens
-				r.since = now
+			if r.tokens != r.lastTokens {
+				r.lastTokens = r.tokens
+				r.lastProgress = now
 			}
 		}
 	}
 }
 
-// still returns how long a run has made no token on an engine where more than
-// its neighbours' prompts keep it: callers have its slot, or the engine swaps.
-func (s *Scheduler) still(now time.Time, f *feed, r *run) time.Duration {
+// stalledFor returns how long a run has generated no token, provided that its engine runs
+// more requests than it has slots, so that others have its slot, or is expected to swap
+// weights. It returns 0 otherwise, and while a pause may be due to the prefill after a
+// start or a move.
+func (s *Scheduler) stalledFor(now time.Time, f *feed, r *run) time.Duration {
 	from := s.engines[r.engine]
-	if from == nil || from.free() >= 0 && !s.swapsSoon(now, f, from) {
+	if from == nil || from.free() >= 0 && !s.swapExpected(now, f, from) {
 		return 0
 	}
-	least := leastStill
-	if r.tokens == 0 || r.tokens <= r.moved {
-		least += time.Duration(moveMargin * float64(s.options.RecomputeCost.Total(f.PromptTokens+r.tokens)))
+	minimum := minStall
+	if r.tokens == 0 || r.tokens <= r.tokensAtMove {
+		minimum += time.Duration(moveMargin * float64(s.options.RecomputeCost.Total(f.PromptTokens+r.tokens)))
 	}
-	if waited := now.Sub(r.since); waited >= least {
+	if waited := now.Sub(r.lastProgress); waited >= minimum {
 		return waited
 	}
 	return 0
 }
 
-// moveRuns moves running samples to engines with smaller batches where that
-// saves more than it costs: those that stand still, or, once nothing waits to
-// begin, any. Before that a free slot is better used for a new sample.
-func (s *Scheduler) moveRuns(now time.Time, onlyStill bool) []Action {
-	var acts []Action
+// moveRuns moves running samples to engines with smaller batches if that saves more than
+// it costs. With onlyStalled it considers stalled samples only; other samples are moved
+// after waiting samples have been placed, as a free slot is better used for a new sample.
+func (s *Scheduler) moveRuns(now time.Time, onlyStalled bool) []Action {
+	var actions []Action
 	var runs []*run
 	for {
-		to := s.idlest()
+		to := s.leastBusy()
 		if to == nil {
-			return acts
+			return actions
 		}
 		if runs == nil {
-			runs = s.movable(now, to, onlyStill)
+			runs = s.movable(now, to, onlyStalled)
 		}
-		r, way := s.worthMoving(now, to, runs, onlyStill)
+		r, estimate := s.bestMove(now, to, runs, onlyStalled)
 		if r == nil {
-			return acts
+			return actions
 		}
-		acts = append(acts, Move{Feed: r.feed.Name, ID: r.id, From: r.engine, To: to.ID, WithCache: way.carry})
+		actions = append(actions, Move{Feed: r.feed.Name, ID: r.id, From: r.engine, To: to.ID, WithCache: estimate.transfer})
 		s.engines[r.engine].runs--
 		to.runs++
 		r.engine = to.ID
 		r.moves++
-		r.moved = r.tokens
-		r.since = now
+		r.tokensAtMove = r.tokens
+		r.lastProgress = now
 	}
 }
 
-func (s *Scheduler) idlest() *engine {
+func (s *Scheduler) leastBusy() *engine {
 	var best *engine
 	for _, e := range s.engines {
 		if e.free() <= 0 {
@@ -95,11 +98,11 @@
 	return best
 }
 
-// movable returns the runs that might move to an engine or to a busier one, in
-// order of feed and id. With even batches they are few, and only they are sorted.
-func (s *Scheduler) movable(now time.Time, to *engine, onlyStill bool) []*run {
+// movable returns the runs that might move to the given engine or to a busier one, sorted
+// by feed and ID. If batches are of even size they are few, and only they are sorted.
+func (s *Scheduler) movable(now time.Time, to *engine, onlyStalled bool) []*run {
 	var runs []*run
-	for _, name := range s.names() {
+	for _, name := range s.feedNames() {
 		f := s.feeds[name]
 		from := len(runs)
 		for _, r := range f.runs {
@@ -108,7 +111,7 @@
 			}
 			from := s.engines[r.engine]
 			crowded := from != nil && from.busy() > to.busy()+1
-			if s.still(now, f, r) > 0 || crowded && !onlyStill {
+			if s.stalledFor(now, f, r) > 0 || crowded && !onlyStalled {
 				runs = append(runs, r)
 			}
 		}
@@ -118,66 +121,65 @@
 	return runs
 }
 
-// worthMoving returns the run that gains most from moving to an engine and how
-// it goes; nil if none gains enough.
-func (s *Scheduler) worthMoving(now time.Time, to *engine, runs []*run, onlyStill bool) (*run, saving) {
+// bestMove returns the run that gains most from moving to an engine, with the estimate of
+// the move. The run is nil if no run gains enough.
+func (s *Scheduler) bestMove(now time.Time, to *engine, runs []*run, onlyStalled bool) (*run, moveEstimate) {
 	var best *run
-	var bestWay saving
+	var bestEstimate moveEstimate
 	for _, r := range runs {
-		if onlyStill && s.still(now, r.feed, r) == 0 {
-			continue // its engine has room for it since others left
+		if onlyStalled && s.stalledFor(now, r.feed, r) == 0 {
+			continue // its engine has a slot for it again, as other runs moved away
 		}
-		if way := s.saves(now, r.feed, r, to); way.gain > bestWay.gain {
-			best, bestWay = r, way
+		if estimate := s.estimateMove(now, r.feed, r, to); estimate.gain > bestEstimate.gain {
+			best, bestEstimate = r, estimate
 		}
 	}
-	return best, bestWay
+	return best, bestEstimate
 }
 
-// saves returns what a run saves by moving. It never goes to older weights: its
-// staleness would grow.
-func (s *Scheduler) saves(now time.Time, f *feed, r *run, to *engine) saving {
+// estimateMove returns what a run gains by moving to an engine. A run never moves to older
+// weights, as its staleness would grow.
+func (s *Scheduler) estimateMove(now time.Time, f *feed, r *run, to *engine) moveEstimate {
 	from := s.engines[r.engine]
-	underWay := r.moves > 0 && r.tokens <= r.moved
-	if from == nil || to == from || underWay || r.moves >= maxMoves || to.Version < from.Version {
-		return saving{}
+	moveInProgress := r.moves > 0 && r.tokens <= r.tokensAtMove
+	if from == nil || to == from || moveInProgress || r.moves >= maxMoves || to.Version < from.Version {
+		return moveEstimate{}
 	}
-	still := s.still(now, f, r)
-	if still == 0 && from.busy() <= to.busy()+1 || still > 0 && s.swapsSoon(now, f, to) {
-		return saving{}
+	stalledFor := s.stalledFor(now, f, r)
+	if stalledFor == 0 && from.busy() <= to.busy()+1 || stalledFor > 0 && s.swapExpected(now, f, to) {
+		return moveEstimate{}
 	}
-	left := f.lengths.Remaining(f.class(r.id), r.id, r.tokens)
+	remaining := f.lengths.Remaining(f.class(r.id), r.id, r.tokens)
 	slow, fast := s.options.Pace.TokenTime(from.busy()), s.options.Pace.TokenTime(to.busy()+1)
-	// One that has stood still for a while is expected to for as long again.
+	// A stalled run is expected to stay stalled for as long as it has been already.
 	context := f.PromptTokens + r.tokens
-	recompute := saving{gain: beyond(still+gained(left, slow-fast), s.recompute(context, to))}
-	if s.options.TransferCost == (MoveCost{}) || still > 0 {
-		// What stands still has lost its slot, and its cache with it, or is on
-		// an engine that answers to nothing now.
+	recompute := moveEstimate{gain: netGain(stalledFor+timeFor(remaining, slow-fast), s.recompute(context, to))}
+	if s.options.TransferCost == (MoveCost{}) || stalledFor > 0 {
+		// A stalled run has lost its slot and with it its KV cache, or its engine
+		// swaps weights and responds to nothing.
 		return recompute
 	}
-	// The sample runs on while its cache travels; what it makes meanwhile is
-	// computed anew at the other engine.
-	made := min(left, float64(s.options.TransferCost.Total(context))/float64(slow))
-	carry := saving{gain: beyond(gained(left-made, slow-fast), s.recompute(int(made), to)), carry: true}
-	if carry.gain > recompute.gain {
-		return carry
+	// The sample keeps running while its cache is transferred; the cache of the tokens
+	// that it generates in the meantime is recomputed at the other engine.
+	generated := min(remaining, float64(s.options.TransferCost.Total(context))/float64(slow))
+	transfer := moveEstimate{gain: netGain(timeFor(remaining-generated, slow-fast), s.recompute(int(generated), to)), transfer: true}
+	if transfer.gain > recompute.gain {
+		return transfer
 	}
 	return recompute
 }
 
-// recompute is what computing the KV cache of a context at an engine costs: the
-// time of the sample itself, and that of each in the batch, which stands still
-// meanwhile.
+// recompute returns the cost of computing the KV cache of a context at an engine: the time
+// for the sample itself, and for each request in the batch, which stalls meanwhile.
 func (s *Scheduler) recompute(context int, to *engine) time.Duration {
 	own := s.options.RecomputeCost.Total(context)
 	return own + time.Duration(to.busy())*(own-s.options.RecomputeCost.Fixed)
 }
 
-func gained(tokens float64, each time.Duration) time.Duration {
+func timeFor(tokens float64, each time.Duration) time.Duration {
 	return time.Duration(tokens * float64(each))
 }
 
-func beyond(saved, cost time.Duration) time.Duration {
-	return saved - time.Duration(moveMargin*float64(cost)) - leastGain
+func netGain(saved, cost time.Duration) time.Duration {
+	return saved - time.Duration(moveMargin*float64(cost)) - minGain
 }
--- a/internal/policy/rollout/place.go
+++ b/internal/policy/rollout/place.go
@@ -8,34 +8,35 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-// probes is how many samples of a group go before all others: one alone says
-// little of its siblings, and more of them delay the groups found to be long.
-const probes = 2
+// probeSamples is the number of samples of each group that start before all others. A
+// single one predicts little about the rest of its group, and more of them delay the
+// groups that turn out to be long.
+const probeSamples = 2
 
-// candidate is a sample that could be begun.
+// candidate is a sample that could be started.
 type candidate struct {
 	id      sample.ID
-	version int64 // the trainer's when it will take the sample
+	version int64 // version that the trainer will have when it takes the sample
 }
 
-// queue is what one feed may begin: the current step, then the part of the next
-// one that may run ahead.
+// queue holds the samples that one feed may start: those of the current step, then those
+// of the next step within the run-ahead.
 type queue struct {
-	feed    *feed
-	current []*urgentGroup
-	ahead   []*urgentGroup
-	budget  int // of ahead
+	feed        *feed
+	current     []*urgentGroup
+	ahead       []*urgentGroup
+	aheadBudget int // number of samples of ahead that may start
 }
 
 type urgentGroup struct {
 	*group
-	unknown bool // fewer than probes of it have begun
+	unknown bool // fewer than probeSamples of its samples have started
 	urgency float64
 }
 
-// before tells whether g goes before other. A group of which little is known goes
-// first, whatever its class: its first samples tell how long its siblings will
-// be, and a long group that is found late holds up the whole step.
+// before reports whether g goes before other. A group of unknown length goes first,
+// whatever its class: its first samples predict the length of the others, and a long group
+// that is detected late delays the whole step.
 func (g *urgentGroup) before(other *urgentGroup) bool {
 	if g.unknown != other.unknown {
 		return g.unknown
@@ -47,21 +48,22 @@
 }
 
 func (q *queue) empty() bool {
-	return len(q.current) == 0 && (len(q.ahead) == 0 || q.budget <= 0)
+	return len(q.current) == 0 && (len(q.ahead) == 0 || q.aheadBudget <= 0)
 }
 
-// pop takes the most urgent candidate.
+// pop removes and returns the most urgent candidate.
 func (q *queue) pop() candidate {
 	version := q.feed.demand.Version
 	if len(q.current) > 0 {
 		return candidate{id: popUrgent(&q.current), version: version}
 	}
-	q.budget--
+	q.aheadBudget--
 	return candidate{id: popUrgent(&q.ahead), version: version + 1}
 }
 
-// putBack returns a candidate for which no engine will do. None will then for
-// the other samples of its step, as they differ from it in length only.
+// putBack returns a candidate to the queue for which no engine is suitable. No engine is
+// then suitable for the other samples of its step, which differ in length only, so they
+// are removed from the queue.
 func (q *queue) putBack(c candidate) {
 	for _, g := range q.feed.groups {
 		if g.id == groupOf(c.id) {
@@ -69,14 +71,14 @@
 		}
 	}
 	if c.version == q.feed.demand.Version {
-		// The next step must not take the engines that this one waits for.
+		// The next step must not use the engines that the current one waits for.
 		q.current = nil
 	}
 	q.ahead = nil
 }
 
-// popUrgent takes the first sample of the group that goes first. Few samples are
-// taken at a time, so that a search is cheaper than keeping the groups in order.
+// popUrgent removes and returns the first sample of the group that goes first. Few samples
+// are taken at a time, so a linear search is cheaper than keeping the groups sorted.
 func popUrgent(groups *[]*urgentGroup) sample.ID {
 	all := *groups
 	best := 0
@@ -96,8 +98,8 @@
 	return id
 }
 
-// place begins samples while engines have room. The feed that has least of its
-// share goes next, so that a burst of one cannot keep another from its own.
+// place starts samples while engines have capacity. The feed with the lowest use relative
+// to its share goes next, so that a burst of one feed cannot starve another.
 func (s *Scheduler) place(now time.Time) []Action {
 	free := s.freeSlots()
 	if free == 0 {
@@ -107,24 +109,24 @@
 	for name, f := range s.feeds {
 		queues[name] = s.candidates(now, f)
 	}
-	var acts []Action
+	var actions []Action
 	for free > 0 {
-		f := s.neediest(queues)
+		f := s.leastServed(queues)
 		if f == nil {
 			break
 		}
 		next := queues[f.Name].pop()
-		e := s.choose(now, f, next)
+		e := s.chooseEngine(now, f, next)
 		if e == nil {
 			queues[f.Name].putBack(next)
 			continue
 		}
 		free--
 		e.runs++
-		f.runs[next.id] = &run{feed: f, id: next.id, engine: e.ID, since: now}
-		acts = append(acts, Start{Feed: f.Name, ID: next.id, Engine: e.ID})
+		f.runs[next.id] = &run{feed: f, id: next.id, engine: e.ID, lastProgress: now}
+		actions = append(actions, Start{Feed: f.Name, ID: next.id, Engine: e.ID})
 	}
-	return acts
+	return actions
 }
 
 func (s *Scheduler) freeSlots() int {
@@ -135,11 +137,12 @@
 	return free
 }
 
-// neediest returns the feed with candidates that uses least against its share.
-func (s *Scheduler) neediest(queues map[string]*queue) *feed {
+// leastServed returns the feed with the fewest running samples relative to its share, among
+// the feeds with candidates. It returns nil if there is none.
+func (s *Scheduler) leastServed(queues map[string]*queue) *feed {
 	var best *feed
 	bestUse := math.Inf(1)
-	for _, name := range s.names() {
+	for _, name := range s.feedNames() {
 		f := s.feeds[name]
 		use := float64(len(f.runs)) / max(f.Share, 1e-6)
 		if !queues[name].empty() && use < bestUse {
@@ -149,7 +152,7 @@
 	return best
 }
 
-// candidates lists what a feed may begin.
+// candidates returns the samples that a feed may start.
 func (s *Scheduler) candidates(now time.Time, f *feed) *queue {
 	q := &queue{feed: f}
 	running := f.runningTokens()
@@ -160,50 +163,50 @@
 		}
 		u := &urgentGroup{group: g, urgency: f.lengths.Urgency(f.class(g.id), g.id, running[g.id])}
 		if g.id.Step == f.demand.Step {
-			u.unknown = len(g.waiting) > f.Shape.PerGroup()-probes
+			u.unknown = len(g.waiting) > f.Shape.PerGroup()-probeSamples
 			q.current = append(q.current, u)
 			continue
 		}
 		q.ahead = append(q.ahead, u)
 		waiting += len(g.waiting)
 	}
-	begun := f.Shape.Slots() - waiting
+	started := f.Shape.Slots() - waiting
 	if !s.tooEarly(now, f) {
-		q.budget = int(math.Round(f.share*float64(f.Shape.Slots()))) - begun
+		q.aheadBudget = int(math.Round(f.aheadShare*float64(f.Shape.Slots()))) - started
 	}
 	return q
 }
 
-// runningTokens returns the tokens so far of each group's running samples.
+// runningTokens returns, by group, the tokens so far of the running samples.
 func (f *feed) runningTokens() map[sample.ID][]int {
 	all := make(map[sample.ID][]int, len(f.runs))
 	for id, r := range f.runs {
 		all[groupOf(id)] = append(all[groupOf(id)], r.tokens)
 	}
 	for _, tokens := range all {
-		// The order of a map must not change a sum's last digit.
+		// Map iteration order must not affect the rounding of sums.
 		sort.Ints(tokens)
 	}
 	return all
 }
 
-// tooEarly tells whether a sample begun now would be past the feed's age limit
-// when the trainer comes for the next step.
+// tooEarly reports whether a sample started now would exceed the feed's age limit when the
+// trainer takes the next step.
 func (s *Scheduler) tooEarly(now time.Time, f *feed) bool {
-	if f.Limits.MaxAge == 0 || f.train == 0 {
+	if f.Limits.MaxAge == 0 || f.trainTime == 0 {
 		return false
 	}
-	comes := now.Add(f.train)
+	nextTake := now.Add(f.trainTime)
 	if f.demand.Training {
-		comes = f.held.Add(f.train)
+		nextTake = f.trainingSince.Add(f.trainTime)
 	}
-	return comes.Sub(now) > f.Limits.MaxAge
+	return nextTake.Sub(now) > f.Limits.MaxAge
 }
 
-// choose returns the engine for a candidate: of those with room whose version
-// will still be accepted, the one that generates fastest, then the newest, then
-// the one that spreads the group most.
-func (s *Scheduler) choose(now time.Time, f *feed, c candidate) *engine {
+// chooseEngine returns the engine for a candidate, or nil if none is suitable. Of the
+// engines with room whose version the trainer will still accept, it prefers the fastest,
+// then the one with the newest version, then the one with the fewest samples of the group.
+func (s *Scheduler) chooseEngine(now time.Time, f *feed, c candidate) *engine {
 	var best *engine
 	for _, e := range s.engines {
 		if s.room(e) <= 0 || c.version-e.Version > f.Limits.MaxVersionLag || s.waitsForSwap(now, f, c, e) {
@@ -216,31 +219,31 @@
 	return best
 }
 
-// waitsForSwap holds a sample back from an engine that is about to swap to the
-// trainer's version: one of the next step always, as nobody waits for it yet, and
-// one of the current step while a version behind costs its feed more than the
-// waiting does.
+// waitsForSwap reports whether a sample should wait until an engine has swapped to the
+// trainer's version. A sample of the next step always waits, as the trainer does not need
+// it yet. A sample of the current step waits as long as being a version behind costs its
+// feed more than the waiting does.
 func (s *Scheduler) waitsForSwap(now time.Time, f *feed, c candidate, e *engine) bool {
-	if !s.swapsSoon(now, f, e) {
+	if !s.swapExpected(now, f, e) {
 		return false
 	}
-	waited := now.Sub(f.since)
+	waited := now.Sub(f.versionSince)
 	ahead := c.version > f.demand.Version
-	return ahead || f.worthWaiting(max(waited, f.swap))
+	return ahead || f.worthWaiting(max(waited, f.swapTime))
 }
 
-// swapsSoon tells whether an engine is expected to swap to the trainer's version.
-func (s *Scheduler) swapsSoon(now time.Time, f *feed, e *engine) bool {
-	return e.Version < f.demand.Version && now.Sub(f.since) < s.options.MaxSwapWait
+// swapExpected reports whether an engine is expected to swap to the trainer's version.
+func (s *Scheduler) swapExpected(now time.Time, f *feed, e *engine) bool {
+	return e.Version < f.demand.Version && now.Sub(f.versionSince) < s.options.MaxSwapWait
 }
 
-// worthWaiting weighs a wait against a version behind, in the units of the
-// feed's weighted measure.
+// worthWaiting reports whether waiting costs the feed less than being a version behind,
+// both in terms of the feed's weighted cost.
 func (f *feed) worthWaiting(wait time.Duration) bool {
-	if f.train <= 0 {
+	if f.trainTime <= 0 {
 		return f.WeightStaleness > f.WeightIdle
 	}
-	return f.WeightStaleness > f.WeightIdle*wait.Seconds()/f.train.Seconds()
+	return f.WeightStaleness > f.WeightIdle*wait.Seconds()/f.trainTime.Seconds()
 }
 
 func (s *Scheduler) better(f *feed, c candidate, a, b *engine) bool {
@@ -257,7 +260,7 @@
 	return a.ID < b.ID
 }
 
-// siblings counts the samples of a group that run on an engine.
+// siblings returns the number of samples of id's group that run on an engine.
 func (f *feed) siblings(id sample.ID, engine string) int {
 	n := 0
 	for index := range f.Shape.PerGroup() {
--- a/internal/policy/rollout/predict.go
+++ b/internal/policy/rollout/predict.go
@@ -8,20 +8,21 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-// What is assumed of lengths before any was seen, as a share of the longest
-// allowed and in units of the logarithm.
+// Parameters of the log-normal distribution of lengths.
 const (
-	assumedShare  = 0.25
-	assumedSpread = 0.8
-	// leastSpread keeps a prediction from being taken for certain.
-	leastSpread = 0.15
-	// assumedWithin is the share of the variance that lies within a group.
-	assumedWithin = 0.5
-	// assumedWeight is how many samples the assumption counts for.
-	assumedWeight = 2
-	// optimism is how many spreads above its mean a length is taken to be when
-	// samples are put in order.
-	optimism = 2
+	// priorLengthShare is the prior median length, as a share of the maximum length.
+	priorLengthShare = 0.25
+	// priorSigma is the prior standard deviation of the logarithm of a length.
+	priorSigma = 0.8
+	// minSigma is a lower bound that keeps predictions from being treated as certain.
+	minSigma = 0.15
+	// priorWithinShare is the prior share of the variance that lies within a group.
+	priorWithinShare = 0.5
+	// priorWeight is the weight of the prior, in samples.
+	priorWeight = 2
+	// urgencySigmas is the number of standard deviations above the mean at which Urgency
+	// estimates lengths to order samples.
+	urgencySigmas = 2
 )
 
 // moments accumulates logarithms of lengths (Welford's method).
@@ -36,24 +37,24 @@
 	m.m2 += delta * (x - m.mean)
 }
 
-// class is what was seen of one class of prompts.
+// class holds the observed lengths of one class of prompts.
 type class struct {
 	all    moments
-	within moments // m2 and n-1 of groups of at least two, pooled
+	within moments // pooled within-group moments: m2, and n as the sum of n-1 over the groups
 	groups map[sample.ID]*moments
 }
 
-// Predictor predicts lengths in tokens from what was seen, for each class of
-// prompts and each group. Lengths are taken as log-normal; the samples of a
-// group share a mean around that of their class.
+// Predictor predicts the lengths of samples in tokens from observed lengths, per class of
+// prompts and per group. Lengths are modelled as log-normal; the samples of a group share a
+// mean that varies around the mean of their class.
 type Predictor struct {
-	longest int
-	classes map[int]*class
+	maxTokens int
+	classes   map[int]*class
 }
 
-// NewPredictor returns a predictor of lengths up to longest tokens.
-func NewPredictor(longest int) *Predictor {
-	return &Predictor{longest: max(1, longest), classes: map[int]*class{}}
+// NewPredictor returns a predictor of lengths up to maxTokens.
+func NewPredictor(maxTokens int) *Predictor {
+	return &Predictor{maxTokens: max(1, maxTokens), classes: map[int]*class{}}
 }
 
 func groupOf(id sample.ID) sample.ID {
@@ -70,7 +71,7 @@
 	return found
 }
 
-// Observe takes the length of a complete sample.
+// Observe records the length of a complete sample.
 func (p *Predictor) Observe(c int, id sample.ID, tokens int) {
 	x := math.Log(float64(max(1, tokens)))
 	k := p.class(c)
@@ -88,7 +89,7 @@
 	}
 }
 
-// ForgetBefore drops the groups of the steps before step.
+// ForgetBefore drops the statistics of groups of the steps before step.
 func (p *Predictor) ForgetBefore(step int64) {
 	for _, k := range p.classes {
 		for group := range k.groups {
@@ -99,14 +100,14 @@
 	}
 }
 
-// distribution of the length of a sample of the class and group. running are
-// the tokens so far of the group's samples that still run.
+// distribution returns the distribution of the length of a sample of the given class and
+// group. running holds the tokens so far of the group's running samples.
 func (p *Predictor) distribution(c int, id sample.ID, running []int) distuv.LogNormal {
 	k := p.class(c)
 	mean, variance := p.prior(k)
-	within := variance * assumedWithin
+	within := variance * priorWithinShare
 	if k.within.n >= 4 {
-		within = min(variance, max(k.within.m2/k.within.n, leastSpread*leastSpread))
+		within = min(variance, max(k.within.m2/k.within.n, minSigma*minSigma))
 	}
 	between := max(variance-within, 0.05*variance)
 	var g moments
@@ -114,8 +115,8 @@
 		g = *seen
 	}
 	for _, tokens := range running {
-		// One that has outrun what was expected tells of its group long before
-		// it ends; a long group would else be known only when it is too late.
+		// A running sample that is longer than expected is evidence about its group long
+		// before it ends. Without it, a long group would be detected too late.
 		if x := math.Log(float64(max(1, tokens))) + math.Sqrt(within)/2; x > mean {
 			g.add(x)
 		}
@@ -128,50 +129,51 @@
 	return distuv.LogNormal{Mu: mu, Sigma: math.Sqrt(within + 1/precision)}
 }
 
-// prior returns mean and variance of the class with the assumption mixed in.
+// prior returns the mean and variance of a class, which combine its observed lengths with
+// the prior.
 func (p *Predictor) prior(k *class) (mean, variance float64) {
-	assumed := math.Log(assumedShare * float64(p.longest))
-	n := k.all.n + assumedWeight
-	mean = (k.all.n*k.all.mean + assumedWeight*assumed) / n
-	variance = (k.all.m2 + assumedWeight*assumedSpread*assumedSpread) / n
-	return mean, max(variance, leastSpread*leastSpread)
+	priorMean := math.Log(priorLengthShare * float64(p.maxTokens))
+	n := k.all.n + priorWeight
+	mean = (k.all.n*k.all.mean + priorWeight*priorMean) / n
+	variance = (k.all.m2 + priorWeight*priorSigma*priorSigma) / n
+	return mean, max(variance, minSigma*minSigma)
 }
 
-// Remaining returns the tokens that a sample is expected still to need after
-// done tokens.
-func (p *Predictor) Remaining(c int, id sample.ID, done int) float64 {
+// Remaining returns the expected number of tokens that a sample still needs after the
+// generated ones.
+func (p *Predictor) Remaining(c int, id sample.ID, generated int) float64 {
 	d := p.distribution(c, id, nil)
-	left := float64(p.longest - done)
-	if done <= 0 {
-		return min(d.Mean(), left)
+	limit := float64(p.maxTokens - generated)
+	if generated <= 0 {
+		return min(d.Mean(), limit)
 	}
 	// E[L | L > t] of a log-normal is its mean times the ratio of two tails.
-	z := (d.Mu - math.Log(float64(done))) / d.Sigma
+	z := (d.Mu - math.Log(float64(generated))) / d.Sigma
 	above := distuv.UnitNormal.CDF(z)
 	if above < 1e-9 {
-		return max(0, min(left, float64(done)*d.Sigma))
+		return max(0, min(limit, float64(generated)*d.Sigma))
 	}
 	expected := d.Mean() * distuv.UnitNormal.CDF(z+d.Sigma) / above
-	return max(1, min(expected-float64(done), left))
+	return max(1, min(expected-float64(generated), limit))
 }
 
-// Urgency orders samples that have not begun: the length that a sample is
-// unlikely to pass. A group of which nothing is known thus goes before one that
-// is known to be of the same mean length.
+// Urgency returns the priority of a sample that has not started: a length that the sample is
+// unlikely to exceed. A group without observations therefore goes before a group that is
+// known to have the same mean length.
 func (p *Predictor) Urgency(c int, id sample.ID, running []int) float64 {
 	d := p.distribution(c, id, running)
-	return min(d.Mean()*math.Exp(optimism*d.Sigma), 4*float64(p.longest))
+	return min(d.Mean()*math.Exp(urgencySigmas*d.Sigma), 4*float64(p.maxTokens))
 }
 
-// Quantile returns the length that a share q of the class's samples stay under.
+// Quantile returns the q-quantile of the lengths of the class's samples.
 func (p *Predictor) Quantile(c int, q float64) float64 {
 	mean, variance := p.prior(p.class(c))
 	d := distuv.LogNormal{Mu: mean, Sigma: math.Sqrt(variance)}
-	return min(d.Quantile(q), float64(p.longest))
+	return min(d.Quantile(q), float64(p.maxTokens))
 }
 
 // Mean returns the expected length of the class's samples.
 func (p *Predictor) Mean(c int) float64 {
 	mean, variance := p.prior(p.class(c))
-	return min(distuv.LogNormal{Mu: mean, Sigma: math.Sqrt(variance)}.Mean(), float64(p.longest))
+	return min(distuv.LogNormal{Mu: mean, Sigma: math.Sqrt(variance)}.Mean(), float64(p.maxTokens))
 }
--- a/internal/policy/rollout/scheduler.go
+++ b/internal/policy/rollout/scheduler.go
@@ -1,8 +1,8 @@
-// Package rollout decides where and when the samples of trainer feeds are
-// generated: which sample goes next, on which engine, which running one moves to
-// a free engine, and how much of the next step is begun while the trainer still
-// works on the current one. One policy serves every feed; the declared weights
-// of idle time and staleness tell it what to give up for what.
+// Package rollout schedules the generation of the samples of trainer feeds: which sample
+// starts next, on which engine, which running sample moves to a free engine, and how much
+// of the next step is generated while the trainer still works on the current one
+// (run-ahead). All feeds use the same policy; their declared weights of trainer idle time
+// and sample staleness determine the trade-off between the two.
 package rollout
 
 import (
@@ -13,74 +13,75 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-// Feed is a feed's declaration as far as scheduling needs it.
+// Feed is the part of a feed's declaration that scheduling needs.
 type Feed struct {
 	Name            string
 	Shape           sample.Shape
-	Classes         int     // prompts declared; a group's class is its number modulo this
-	Share           float64 // of the engines, against the other feeds' shares
+	Classes         int     // number of declared prompts; a group's class is its number modulo Classes
+	Share           float64 // share of the engines, relative to the shares of the other feeds
 	WeightIdle      float64
 	WeightStaleness float64
 	Limits          sample.Limits
 	MaxTokens       int
-	PromptTokens    int // of a usual prompt
+	PromptTokens    int // typical length of a prompt
 }
 
-// Engine is one engine as it was last heard of.
+// Engine is the last known state of an engine.
 type Engine struct {
 	ID               string
 	Domain           string // failure domain
-	Slots            int    // samples it may run at once
-	UsedByOthers     int    // of them used or queued for by others than this scheduler
-	UsedByOtherFeeds int    // of Others, samples of feeds that other entries own
+	Slots            int    // maximum number of concurrent samples
+	UsedByOthers     int    // requests of others than this scheduler that use or queue for slots
+	UsedByOtherFeeds int    // the part of UsedByOthers that are samples of feeds that other entries own
 	Version          int64  // weight version
 }
 
-// Demand is what a feed's hand-over needs now.
+// Demand is the set of samples that a feed needs now.
 type Demand struct {
 	Feed     string
-	Step     int64 // that is being handed over
-	Version  int64 // of the trainer
-	Training bool  // the trainer holds the whole step and works on it
-	Current  []sample.ID
-	Next     []sample.ID // of the step after Step
+	Step     int64       // step that is being handed over
+	Version  int64       // weight version of the trainer
+	Training bool        // the trainer has received the complete step and trains on it
+	Current  []sample.ID // samples of Step
+	Next     []sample.ID // samples of the step after Step
 }
 
-// Options are the scheduler's own.
+// Options are the options of a Scheduler.
 type Options struct {
 	Pace Pace
-	// RecomputeCost is the cost of a move after which the engine computes the KV cache
-	// anew, Carry that of the cache's way from engine to engine; zero: there is
-	// none.
+	// RecomputeCost is the cost of a move after which the new engine recomputes the KV
+	// cache.
 	RecomputeCost MoveCost
-	TransferCost  MoveCost
-	// MaxSwapWait is how long a feed waits at most for engines that have not yet
-	// swapped to its trainer's version: a swap that fails must not idle it.
+	// TransferCost is the cost of transferring the KV cache from engine to engine; the zero
+	// value means that caches cannot be transferred.
+	TransferCost MoveCost
+	// MaxSwapWait is the longest time that a feed waits for engines to swap to its trainer's
+	// version, so that a failed swap does not leave the feed idle.
 	MaxSwapWait time.Duration
 }
 
-// Action is something that the scheduler's runtime is to do.
+// Action is a decision of the scheduler that the caller must carry out.
 type Action interface{ action() }
 
-// Start begins a sample on an engine.
+// Start starts a sample on an engine.
 type Start struct {
 	Feed   string
 	ID     sample.ID
 	Engine string
 }
 
-// Cancel ends a run that nobody needs any more.
+// Cancel cancels the run of a sample that is no longer needed.
 type Cancel struct {
 	Feed string
 	ID   sample.ID
 }
 
-// Move lets a running sample go on at another engine.
+// Move moves a running sample to another engine.
 type Move struct {
 	Feed      string
 	ID        sample.ID
 	From, To  string
-	WithCache bool // with its KV cache; it runs on at From until To has it
+	WithCache bool // the KV cache is transferred; the sample keeps running at From until To has it
 }
 
 func (Start) action()  {}
@@ -88,30 +89,30 @@
 func (Move) action()   {}
 
 type run struct {
-	feed   *feed
-	id     sample.ID
-	engine string
-	tokens int
-	moves  int
-	moved  int // tokens when it was last moved; it has arrived once it has more
+	feed         *feed
+	id           sample.ID
+	engine       string
+	tokens       int
+	moves        int
+	tokensAtMove int // tokens at the last move, which is complete once there are more
 
-	seen  int       // tokens when it was last seen to go on
-	since time.Time // that it has no more
+	lastTokens   int       // tokens at the last progress
+	lastProgress time.Time // when a plan last found new tokens
 }
 
 type feed struct {
 	Feed
-	lengths *Predictor
-	demand  Demand
-	wanted  map[sample.ID]bool
-	groups  []*group // of the demand, in order
-	runs    map[sample.ID]*run
-	since   time.Time     // that the trainer is at its version
-	swapped bool          // most engines have that version
-	swap    time.Duration // that they took for the last versions
-	held    time.Time     // that the trainer holds the whole step
-	train   time.Duration // that it took for the last steps; 0: not seen yet
-	share   float64       // of the next step to begin early
+	lengths       *Predictor
+	demand        Demand
+	wanted        map[sample.ID]bool
+	groups        []*group // groups of the demand, in order
+	runs          map[sample.ID]*run
+	versionSince  time.Time     // when the trainer reached its current version
+	swapped       bool          // more than half of the engines have that version
+	swapTime      time.Duration // moving average of the time until that was so
+	trainingSince time.Time     // when the trainer last had a complete step
+	trainTime     time.Duration // moving average of the training time per step; 0 if not yet observed
+	aheadShare    float64       // share of the next step to start early
 }
 
 type engine struct {
@@ -125,7 +126,7 @@
 // Scheduler places the samples of the feeds that this process owns.
 type Scheduler struct {
 	options Options
-	shares  float64 // of all feeds on the engines, wherever owned; 0: of those here
+	shares  float64 // sum of the shares of all feeds that use the engines, including those of other entries; 0 if not known
 	feeds   map[string]*feed
 	engines map[string]*engine
 }
@@ -146,26 +147,27 @@
 	found.Feed = f
 }
 
-// DropFeed forgets a feed; its runs are the runtime's to end.
+// DropFeed removes a feed. The caller must end its runs.
 func (s *Scheduler) DropFeed(name string) {
 	f := s.feeds[name]
 	if f == nil {
 		return
 	}
 	for id := range f.runs {
-		s.drop(f, id)
+		s.removeRun(f, id)
 	}
 	delete(s.feeds, name)
 }
 
-// SetPace takes the engines' measured pace.
+// SetPace sets the measured pace of the engines.
 func (s *Scheduler) SetPace(p Pace) { s.options.Pace = p }
 
-// SetTransferCost takes what the way of a KV cache costs; zero: there is none.
+// SetTransferCost sets the cost of transferring a KV cache; the zero value disables
+// transfers.
 func (s *Scheduler) SetTransferCost(m MoveCost) { s.options.TransferCost = m }
 
-// SetEngines replaces what is known of the engines. Runs on one that is gone
-// stay until the runtime tells that they ended.
+// SetEngines replaces the known engines. Runs on an engine that is gone remain until the
+// caller reports that they ended.
 func (s *Scheduler) SetEngines(now time.Time, engines []Engine) {
 	known := map[string]*engine{}
 	for _, e := range engines {
@@ -184,9 +186,9 @@
 	}
 }
 
-// observeSwap learns how long engines take to have a new version.
+// observeSwap measures how long engines take to swap to a new version.
 func (f *feed) observeSwap(now time.Time, engines []Engine) {
-	if f.swapped || f.since.IsZero() {
+	if f.swapped || f.versionSince.IsZero() {
 		return
 	}
 	have := 0
@@ -199,10 +201,10 @@
 		return
 	}
 	f.swapped = true
-	f.swap = (f.swap + now.Sub(f.since)) / 2
+	f.swapTime = (f.swapTime + now.Sub(f.versionSince)) / 2
 }
 
-// SetDemand replaces what a feed needs.
+// SetDemand replaces the demand of a feed.
 func (s *Scheduler) SetDemand(now time.Time, d Demand) {
 	f := s.feeds[d.Feed]
 	if f == nil {
@@ -212,19 +214,19 @@
 	f.demand = d
 	f.wanted = make(map[sample.ID]bool, len(d.Current)+len(d.Next))
 	f.groups = nil
-	f.want(d.Current)
-	f.want(d.Next)
-	f.share = aheadShare(s.outlook(f))
+	f.addWanted(d.Current)
+	f.addWanted(d.Next)
+	f.aheadShare = chooseAheadShare(s.aheadInputs(f))
 }
 
-// group is the samples of one group that are wanted and do not run.
+// group holds the samples of one group that are wanted and not running.
 type group struct {
-	id      sample.ID // with index 0
+	id      sample.ID // ID with index 0
 	waiting []sample.ID
 }
 
-// want takes the samples wanted of one step, in order.
-func (f *feed) want(ids []sample.ID) {
+// addWanted adds the wanted samples of one step, in order.
+func (f *feed) addWanted(ids []sample.ID) {
 	var last *group
 	for _, id := range ids {
 		f.wanted[id] = true
@@ -238,8 +240,8 @@
 	}
 }
 
-// waitAgain puts a sample back whose run failed.
-func (f *feed) waitAgain(id sample.ID) {
+// requeue adds a sample whose run failed to its group's waiting samples again.
+func (f *feed) requeue(id sample.ID) {
 	for _, g := range f.groups {
 		if g.id == groupOf(id) {
 			g.waiting = append(g.waiting, id)
@@ -248,61 +250,62 @@
 	}
 }
 
-// observeTrainer learns how long the trainer takes for a step.
+// observeTrainer measures how long the trainer takes for a step.
 func (f *feed) observeTrainer(now time.Time, d Demand) {
-	if d.Version != f.demand.Version || f.since.IsZero() {
-		f.since = now
+	if d.Version != f.demand.Version || f.versionSince.IsZero() {
+		f.versionSince = now
 		f.swapped = false
 	}
 	switch {
 	case d.Training && !f.demand.Training:
-		f.held = now
-	case !d.Training && f.demand.Training && !f.held.IsZero():
-		took := now.Sub(f.held)
-		if f.train > 0 {
-			took = (took + f.train) / 2
+		f.trainingSince = now
+	case !d.Training && f.demand.Training && !f.trainingSince.IsZero():
+		took := now.Sub(f.trainingSince)
+		if f.trainTime > 0 {
+			took = (took + f.trainTime) / 2
 		}
-		f.train = took
+		f.trainTime = took
 	}
 	if d.Step != f.demand.Step {
 		f.lengths.ForgetBefore(d.Step)
 	}
 }
 
-// Progress takes the number of tokens that a run has generated.
+// Progress records the number of tokens that a run has generated.
 func (s *Scheduler) Progress(name string, id sample.ID, tokens int) {
 	if f := s.feeds[name]; f != nil && f.runs[id] != nil {
 		f.runs[id].tokens = tokens
 	}
 }
 
-// Complete takes the end of a run that generated all its tokens.
+// Complete records that a run generated all its tokens, or that its sample was given up if
+// tokens is 0.
 func (s *Scheduler) Complete(name string, id sample.ID, tokens int) {
 	f := s.feeds[name]
 	if f == nil {
 		return
 	}
-	if tokens > 0 { // one given up tells nothing of lengths
+	if tokens > 0 { // an abandoned sample has no known length
 		f.lengths.Observe(f.class(id), id, tokens)
 	}
 	delete(f.wanted, id)
-	s.drop(f, id)
+	s.removeRun(f, id)
 }
 
-// Failed takes the end of a run without a sample; it is begun again if it is
+// Failed records that a run ended without a sample. The sample is started again if it is
 // still wanted.
 func (s *Scheduler) Failed(name string, id sample.ID) {
 	f := s.feeds[name]
 	if f == nil || f.runs[id] == nil {
 		return
 	}
-	s.drop(f, id)
+	s.removeRun(f, id)
 	if f.wanted[id] {
-		f.waitAgain(id)
+		f.requeue(id)
 	}
 }
 
-func (s *Scheduler) drop(f *feed, id sample.ID) {
+func (s *Scheduler) removeRun(f *feed, id sample.ID) {
 	r := f.runs[id]
 	if r == nil {
 		return
@@ -313,46 +316,46 @@
 	delete(f.runs, id)
 }
 
-// AheadShare returns the share of the next step that is begun early.
+// AheadShare returns the share of a feed's next step that is started early.
 func (s *Scheduler) AheadShare(name string) float64 {
 	if f := s.feeds[name]; f != nil {
-		return f.share
+		return f.aheadShare
 	}
 	return 0
 }
 
 func (f *feed) class(id sample.ID) int { return int(id.Group) % f.Classes }
 
-// Plan returns what is to be done now.
+// Plan returns the actions to carry out now, and assumes that the caller does so.
 func (s *Scheduler) Plan(now time.Time) []Action {
-	acts := s.cancelUnwanted()
-	s.observeRuns(now)
-	// A sample that stands still goes first: it has been begun, so its step
-	// needs it, and another engine's free slot would go to a new one.
-	acts = append(acts, s.moveRuns(now, true)...)
-	acts = append(acts, s.place(now)...)
-	return append(acts, s.moveRuns(now, false)...)
+	actions := s.cancelUnwanted()
+	s.observeProgress(now)
+	// Stalled samples move first: they have been started, so their step needs them, and
+	// a free slot at another engine would otherwise go to a new sample.
+	actions = append(actions, s.moveRuns(now, true)...)
+	actions = append(actions, s.place(now)...)
+	return append(actions, s.moveRuns(now, false)...)
 }
 
-func (s *Scheduler) names() []string {
-	names := make([]string, 0, len(s.feeds))
+func (s *Scheduler) feedNames() []string {
+	feedNames := make([]string, 0, len(s.feeds))
 	for name := range s.feeds {
-		names = append(names, name)
+		feedNames = append(feedNames, name)
 	}
-	sort.Strings(names)
-	return names
+	sort.Strings(feedNames)
+	return feedNames
 }
 
 func (s *Scheduler) cancelUnwanted() []Action {
-	var acts []Action
-	for _, name := range s.names() {
+	var actions []Action
+	for _, name := range s.feedNames() {
 		f := s.feeds[name]
 		for _, id := range f.unwantedRuns() {
-			s.drop(f, id)
-			acts = append(acts, Cancel{Feed: name, ID: id})
+			s.removeRun(f, id)
+			actions = append(actions, Cancel{Feed: name, ID: id})
 		}
 	}
-	return acts
+	return actions
 }
 
 func (f *feed) unwantedRuns() []sample.ID {
@@ -376,30 +379,30 @@
 	return a.Group < b.Group
 }
 
-// outlook gathers what the size of the run-ahead depends on.
-func (s *Scheduler) outlook(f *feed) outlook {
-	slots, rate := 0, 0.0
+// aheadInputs returns the inputs of chooseAheadShare for a feed.
+func (s *Scheduler) aheadInputs(f *feed) aheadInputs {
+	slots, tokensPerSecond := 0, 0.0
 	for _, e := range s.engines {
 		slots = max(slots, e.Slots)
-		rate += s.options.Pace.Rate(e.Slots)
+		tokensPerSecond += s.options.Pace.Rate(e.Slots)
 	}
 	if shares := max(s.shares, s.ownShares()); shares > 0 {
-		rate *= f.Share / shares
+		tokensPerSecond *= f.Share / shares
 	}
-	o := outlook{
-		idle:      f.WeightIdle,
-		staleness: f.WeightStaleness,
-		bound:     f.Limits.MaxVersionLag,
-		train:     f.train.Seconds(),
-		rate:      rate,
-		token:     s.options.Pace.TokenTime(slots).Seconds(),
+	o := aheadInputs{
+		idleWeight:      f.WeightIdle,
+		stalenessWeight: f.WeightStaleness,
+		maxVersionLag:   f.Limits.MaxVersionLag,
+		trainTime:       f.trainTime.Seconds(),
+		tokensPerSecond: tokensPerSecond,
+		tokenSeconds:    s.options.Pace.TokenTime(slots).Seconds(),
 	}
 	for c := range f.Classes {
 		n := classSize(f.Shape, f.Classes, c)
 		if n == 0 {
 			continue
 		}
-		o.classes = append(o.classes, classOutlook{
+		o.classes = append(o.classes, classInputs{
 			samples: n,
 			mean:    f.lengths.Mean(c),
 			longest: f.lengths.Quantile(c, float64(n)/float64(n+1)),
--- a/internal/policy/rollout/share.go
+++ b/internal/policy/rollout/share.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// SetTotalShares takes the sum of the shares of all feeds that the engines generate
-// for, those that other entries own included.
+// SetTotalShares sets the sum of the shares of all feeds that the engines serve, including
+// feeds that other entries own.
 func (s *Scheduler) SetTotalShares(sum float64) { s.shares = sum }
 
 func (s *Scheduler) ownShares() float64 {
@@ -14,25 +14,25 @@
 	return sum
 }
 
-// room returns how many samples may be begun on an engine now: those that find a
-// free slot, or, where another entry's samples have the slots, those up to the
-// share of the feeds owned here. The latter wait in the agent's queue, which
-// gives them the slots that get free by the feeds' shares. Were they not sent, a
-// feed whose entry always sees the engines full would get nothing at all.
+// room returns how many samples may be started on an engine now: as many as there are free
+// slots or, if samples of other entries occupy the slots, as many as the feeds owned here
+// are entitled to. The latter wait in the agent's queue, which assigns slots that become
+// free by the feeds' shares. If they were not sent, a feed whose entry always sees the
+// engines full would never get a slot.
 func (s *Scheduler) room(e *engine) int {
 	if e.UsedByOtherFeeds == 0 || e.free() > 0 {
 		return e.free()
 	}
-	return s.due(e) - e.runs
+	return s.entitledSlots(e) - e.runs
 }
 
-// due returns the slots of an engine that the feeds owned here are due, of those
-// that callers leave. It is rounded up: a small feed would else be due none.
-func (s *Scheduler) due(e *engine) int {
+// entitledSlots returns how many of an engine's slots that callers leave free the feeds
+// owned here are entitled to. It rounds up, as a small feed would otherwise get none.
+func (s *Scheduler) entitledSlots(e *engine) int {
 	own := s.ownShares()
 	if s.shares <= own {
 		return 0
 	}
-	left := max(0, e.Slots-(e.UsedByOthers-e.UsedByOtherFeeds))
-	return int(math.Ceil(float64(left)*own/s.shares - 1e-9))
+	available := max(0, e.Slots-(e.UsedByOthers-e.UsedByOtherFeeds))
+	return int(math.Ceil(float64(available)*own/s.shares - 1e-9))
 }
