--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -155,7 +155,7 @@
 		return answer
 	}
 	if r.open || !time.Now().Before(r.deadline) {
-		return claims.Unproven(answer)
+		return claims.RefusalAsUnknown(answer)
 	}
 	return answer
 }
--- a/internal/entry/claims_fakes_test.go
+++ b/internal/entry/claims_fakes_test.go
@@ -233,8 +233,8 @@
 			Log:        log,
 			Metrics:    metrics.NewRegistry(),
 			Config: func(config *claims.Config) {
-				config.Interval = 5 * time.Millisecond
-				config.Pause = 10 * time.Millisecond
+				config.CommitInterval = 5 * time.Millisecond
+				config.RetryDelay = 10 * time.Millisecond
 				config.ReplyMargin = 600 * time.Millisecond
 			},
 		})
--- a/internal/entry/claims_handover.go
+++ b/internal/entry/claims_handover.go
@@ -30,7 +30,7 @@
 	tellBatch = 256
 	// runningEvery keeps a successor waiting for what still runs here; well
 	// under claims.DefaultSettleWait.
-	runningEvery = claims.DefaultSettleWait / 4
+	runningEvery = claims.DefaultResultTimeout / 4
 )
 
 // Close begins the graceful stop: calls go to the next owner from now on. It
@@ -77,11 +77,11 @@
 	if !p.machine.Owned() && len(p.machine.Running()) > 0 {
 		p.startTelling()
 	}
-	return p.machine.Quiet() && !p.telling
+	return p.machine.Idle() && !p.telling
 }
 
 // tell notes a result for the next owner; p.mu is held.
-func (p *claimPartition) tell(t claims.Tell) {
+func (p *claimPartition) tell(t claims.SendResult) {
 	p.results = append(p.results, t)
 	p.startTelling()
 }
@@ -136,7 +136,7 @@
 }
 
 // tellOwner makes one call and tells whether the owner took it.
-func (p *claimPartition) tellOwner(batch []claims.Tell) bool {
+func (p *claimPartition) tellOwner(batch []claims.SendResult) bool {
 	told := wire.ClaimsTold{Duty: p.duty}
 	for _, t := range batch {
 		r := t.Result
@@ -174,7 +174,7 @@
 	if !p.machine.Owned() {
 		return false
 	}
-	p.stepLocked(claims.Told{Results: told.Results, Running: told.Running})
+	p.stepLocked(claims.ResultsReceived{Results: told.Results, Running: told.Running})
 	return true
 }
 
@@ -191,7 +191,7 @@
 
 // ask puts one question to each agent. What comes late is still taken in; an
 // agent that does not answer changes nothing.
-func (p *claimPartition) ask(a claims.Ask) {
+func (p *claimPartition) ask(a claims.QueryAgents) {
 	if p.options.Agents == nil {
 		return
 	}
--- a/internal/entry/claims_partition.go
+++ b/internal/entry/claims_partition.go
@@ -31,10 +31,10 @@
 	waiters map[int64]*claimWaiter
 	last    int64 // waiter number
 	timer   *time.Timer
-	serving bool          // as last logged
-	stalled bool          // as last logged
-	results []claims.Tell // for the next owner, oldest first
-	telling bool          // they are being told
+	serving bool                // as last logged
+	stalled bool                // as last logged
+	results []claims.SendResult // for the next owner, oldest first
+	telling bool                // they are being told
 }
 
 // submission is a call that a partition is asked to run at most once.
@@ -137,9 +137,9 @@
 		p.run(a)
 	case claims.Reply:
 		p.reply(a)
-	case claims.Tell:
+	case claims.SendResult:
 		p.tell(a)
-	case claims.Ask:
+	case claims.QueryAgents:
 		p.ask(a)
 	case claims.Fault:
 		events.ClaimsUnreadable.Log(p.options.Log, logrus.Fields{"duty": p.duty, "error": a.Err.Error()})
@@ -155,7 +155,7 @@
 		return
 	}
 	if !r.LeaseUntil.IsZero() && !p.options.Duties.Promise(p.duty, p.machine.Epoch(), r.LeaseUntil) {
-		r.Answer = claims.Unproven(r.Answer)
+		r.Answer = claims.RefusalAsUnknown(r.Answer)
 	}
 	if !r.Moved {
 		p.count("claims." + r.Answer.Outcome.String())
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -260,6 +260,6 @@
 		answer := dispatchInTime(context.Background(), filing("f1", "body"), time.Now(), net.endpoint.dispatch)
 		Expect(answer.Outcome).To(Equal(wire.NotRun))
 		Expect(net.endpoint.count("f1")).To(BeZero())
-		Expect(claims.Unproven(answer).Outcome).To(Equal(wire.Unknown))
+		Expect(claims.RefusalAsUnknown(answer).Outcome).To(Equal(wire.Unknown))
 	})
 })
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -43,7 +43,7 @@
 // keyed request may have run before, and only its claim could tell.
 func (e *Server) notReadyFor(ctx *fasthttp.RequestCtx) wire.Answer {
 	if len(ctx.Request.Header.Peek(headerIdempotencyKey)) > 0 {
-		return claims.Unproven(notReady())
+		return claims.RefusalAsUnknown(notReady())
 	}
 	return notReady()
 }
--- a/internal/lab/callers/claims_crash.go
+++ b/internal/lab/callers/claims_crash.go
@@ -30,7 +30,7 @@
 // over and repeats every call that was in flight. Of the agents, lost ones
 // crashed too; without ask the successor asks none.
 func (t *crashTally) crashOwner(seed uint64, ask bool, lost int) {
-	l := newClaimLoad(seed, claims.DefaultPartitions, loadAgents, claims.DefaultInterval)
+	l := newClaimLoad(seed, claims.DefaultPartitions, loadAgents, claims.DefaultCommitInterval)
 	l.clock.runUntil(l.clock.now.Add(crashAfter + l.clock.between(0, crashSpread)))
 	l.stopped = true
 	var open []int64
@@ -62,14 +62,14 @@
 func (t *crashTally) successor(l *claimLoad, old *loadPart, i int, ask bool, lost int) *loadPart {
 	name := fmt.Sprintf("claims/%d", i)
 	p := &loadPart{load: l, machine: claims.New(claims.DefaultConfig(name, name, "successor")), kv: old.kv}
-	p.asked = func(a claims.Ask) {
+	p.asked = func(a claims.QueryAgents) {
 		if !ask {
 			return
 		}
 		t.asking++
 		t.calls += loadAgents
 		l.clock.after(l.clock.between(2*time.Millisecond, 5*time.Millisecond), func() {
-			p.step(claims.Told{Results: l.remembered(a, lost)})
+			p.step(claims.ResultsReceived{Results: l.remembered(a, lost)})
 		})
 	}
 	p.step(claims.Acquired{Epoch: 2, Until: l.clock.now.Add(time.Hour)})
@@ -78,7 +78,7 @@
 
 // remembered is what the agents tell together. A claim's agent is drawn from
 // its key, so that the share on lost ones is as large as theirs of all.
-func (l *claimLoad) remembered(a claims.Ask, lost int) []wire.ClaimResult {
+func (l *claimLoad) remembered(a claims.QueryAgents, lost int) []wire.ClaimResult {
 	var all []wire.ClaimResult
 	for _, ref := range a.Refs {
 		answer, ran := l.ran[ref]
--- a/internal/lab/callers/claims_entry.go
+++ b/internal/lab/callers/claims_entry.go
@@ -47,11 +47,11 @@
 	e.promised = time.Time{}
 	e.waiters = map[int64]*waitingCall{}
 	config := claims.DefaultConfig("claims/0", "claims/0", e.identity())
-	config.Interval = 10 * time.Millisecond
-	config.Pause = 30 * time.Millisecond
+	config.CommitInterval = 10 * time.Millisecond
+	config.RetryDelay = 30 * time.Millisecond
 	config.ReplyMargin = 10 * time.Millisecond
 	config.RetryAfter = 100 * time.Millisecond
-	config.SettleWait = 300 * time.Millisecond
+	config.ResultTimeout = 300 * time.Millisecond
 	config.SealBytes = 600
 	config.MaxAnswerBytes = len(longAnswer) - 1
 	e.part = claims.New(config)
@@ -181,9 +181,9 @@
 		w := e.waiters[a.Waiter]
 		delete(e.waiters, a.Waiter)
 		w.reply(a.Moved, e.checked(a))
-	case claims.Tell:
+	case claims.SendResult:
 		e.tell(a, e.world.clock.now.Add(tellTime))
-	case claims.Ask:
+	case claims.QueryAgents:
 		e.askAgents(a)
 	case claims.Fault:
 		e.world.faults++
@@ -193,7 +193,7 @@
 // checked holds the keeper of the duty to a refusal that rests on the lease.
 func (e *claimEntry) checked(r claims.Reply) wire.Answer {
 	if r.LeaseUntil.After(e.until) {
-		return claims.Unproven(r.Answer)
+		return claims.RefusalAsUnknown(r.Answer)
 	}
 	if r.LeaseUntil.After(e.promised) {
 		e.promised = r.LeaseUntil
--- a/internal/lab/callers/claims_load.go
+++ b/internal/lab/callers/claims_load.go
@@ -41,7 +41,7 @@
 	machine *claims.Partition
 	kv      *fakeKV
 	crashed bool
-	asked   func(claims.Ask)
+	asked   func(claims.QueryAgents)
 }
 
 // runLoad plays the load with the number of partitions and of agents.
@@ -63,7 +63,7 @@
 	for i := range partitions {
 		name := fmt.Sprintf("claims/%d", i)
 		config := claims.DefaultConfig(name, name, "owner")
-		config.Interval = interval
+		config.CommitInterval = interval
 		p := &loadPart{load: l, machine: claims.New(config), kv: newFakeKV(c)}
 		l.parts = append(l.parts, p)
 		p.step(claims.Acquired{Epoch: 1, Until: c.now.Add(time.Hour)})
@@ -130,7 +130,7 @@
 	case claims.Run:
 		l.waits = append(l.waits, l.clock.now.Sub(l.arrived[a.Waiter]))
 		l.serve(p, a)
-	case claims.Ask:
+	case claims.QueryAgents:
 		p.asked(a)
 	case claims.Reply:
 		l.replies[a.Waiter] = a.Answer.Outcome
@@ -168,8 +168,8 @@
 }
 
 func measureClaimWrites() ([]bounds.Figure, error) {
-	l := runLoad(claims.DefaultPartitions, loadAgents, claims.DefaultInterval)
-	many := runLoad(claims.DefaultPartitions, 10*loadAgents, claims.DefaultInterval)
+	l := runLoad(claims.DefaultPartitions, loadAgents, claims.DefaultCommitInterval)
+	many := runLoad(claims.DefaultPartitions, 10*loadAgents, claims.DefaultCommitInterval)
 	return []bounds.Figure{
 		{Name: "claims.kv_writes_per_s", Value: l.writesPerSecond()},
 		{Name: "claims.kv_writes_per_s_10x_agents", Value: many.writesPerSecond()},
--- a/internal/lab/callers/claims_told.go
+++ b/internal/lab/callers/claims_told.go
@@ -14,7 +14,7 @@
 
 // tell hands a result to the owner as last heard, again and again until one
 // takes it. It may arrive late, twice or never.
-func (e *claimEntry) tell(t claims.Tell, end time.Time) {
+func (e *claimEntry) tell(t claims.SendResult, end time.Time) {
 	now := e.world.clock.now
 	if now.After(end) {
 		return
@@ -29,7 +29,7 @@
 	}
 	r := t.Result
 	r.Hold = max(0, t.Hold.Sub(now))
-	told := claims.Told{Results: []wire.ClaimResult{r}, Running: e.part.Running()}
+	told := claims.ResultsReceived{Results: []wire.ClaimResult{r}, Running: e.part.Running()}
 	heard := false
 	arrive := func() {
 		if !owner.part.Owned() {
@@ -54,14 +54,14 @@
 // ran, as if silence proved it.
 func (e *claimEntry) tellNotRun() {
 	for _, ref := range e.part.Running() {
-		t := claims.Tell{Result: wire.ClaimResult{Claim: ref, Outcome: wire.NotRun}}
+		t := claims.SendResult{Result: wire.ClaimResult{Claim: ref, Outcome: wire.NotRun}}
 		e.tell(t, e.world.clock.now.Add(tellTime))
 	}
 }
 
 // askAgents asks each agent for the answers of claims. Questions and answers
 // may be lost and late; an agent may restart in between.
-func (e *claimEntry) askAgents(ask claims.Ask) {
+func (e *claimEntry) askAgents(ask claims.QueryAgents) {
 	e.world.asked++
 	for _, agent := range e.world.agents {
 		if e.world.lost() {
@@ -71,7 +71,7 @@
 			if !agent.up || e.world.lost() {
 				return
 			}
-			told := claims.Told{Results: agent.answers(ask.Refs, ask.MaxBody)}
+			told := claims.ResultsReceived{Results: agent.answers(ask.Refs, ask.MaxBody)}
 			e.world.adopted += len(told.Results)
 			e.world.clock.after(e.world.netDelay(), e.deliver(func() { e.step(told) }))
 		})
--- a/internal/policy/claims/claims.go
+++ b/internal/policy/claims/claims.go
@@ -49,39 +49,39 @@
 
 // Config shapes a partition.
 type Config struct {
-	Prefix   string        // of its keys in the service
-	Duty     string        // name of the duty that owns the partition
-	Writer   string        // instance id of this process
-	Interval time.Duration // least time between two commits
-	Pause    time.Duration // before a failed call to the service is repeated
+	Prefix         string        // of its keys in the service
+	Duty           string        // name of the duty that owns the partition
+	Writer         string        // instance id of this process
+	CommitInterval time.Duration // least time between two commits
+	RetryDelay     time.Duration // before a failed call to the service is repeated
 
 	// ReplyMargin is how long before its deadline a call is answered at the
 	// latest, so that the answer reaches the entry that waits for it.
 	ReplyMargin time.Duration
 	RetryAfter  time.Duration // told with refusals
-	// SettleWait is how long after a take-over, or after the word that a claim
+	// ResultTimeout is how long after a take-over, or after the word that a claim
 	// still runs, its result is waited for before a repeat is told "unknown".
-	SettleWait time.Duration
+	ResultTimeout time.Duration
 
 	SealBytes      int // size of the head's records at which they are sealed
 	MaxBatchBytes  int // of records added in one commit
 	MaxAnswerBytes int // body of a stored answer; a longer one is not kept
-	MaxWaiting     int // calls waiting at most
+	MaxWaiters     int // calls waiting at most
 }
 
 // Defaults of a partition. Two partitions that commit every 25 ms stay at 80
 // writes a second; see docs/design/claims.md.
 const (
 	DefaultPartitions     = 2
-	DefaultInterval       = 25 * time.Millisecond
-	DefaultPause          = 50 * time.Millisecond
+	DefaultCommitInterval = 25 * time.Millisecond
+	DefaultRetryDelay     = 50 * time.Millisecond
 	DefaultReplyMargin    = 20 * time.Millisecond
 	DefaultRetryAfter     = time.Second
-	DefaultSettleWait     = 2 * time.Second
+	DefaultResultTimeout  = 2 * time.Second
 	DefaultSealBytes      = 128 << 10
 	DefaultMaxBatchBytes  = 256 << 10
 	DefaultMaxAnswerBytes = 2 << 10
-	DefaultMaxWaiting     = 4096
+	DefaultMaxWaiters     = 4096
 )
 
 // DefaultConfig returns the defaults for a partition.
@@ -90,15 +90,15 @@
 		Prefix:         prefix,
 		Duty:           duty,
 		Writer:         writer,
-		Interval:       DefaultInterval,
-		Pause:          DefaultPause,
+		CommitInterval: DefaultCommitInterval,
+		RetryDelay:     DefaultRetryDelay,
 		ReplyMargin:    DefaultReplyMargin,
 		RetryAfter:     DefaultRetryAfter,
-		SettleWait:     DefaultSettleWait,
+		ResultTimeout:  DefaultResultTimeout,
 		SealBytes:      DefaultSealBytes,
 		MaxBatchBytes:  DefaultMaxBatchBytes,
 		MaxAnswerBytes: DefaultMaxAnswerBytes,
-		MaxWaiting:     DefaultMaxWaiting,
+		MaxWaiters:     DefaultMaxWaiters,
 	}
 }
 
@@ -150,9 +150,9 @@
 	Failed  bool
 }
 
-// Told is what an earlier owner tells of claims that it made: their results, and
+// ResultsReceived is what an earlier owner tells of claims that it made: their results, and
 // those that still run there.
-type Told struct {
+type ResultsReceived struct {
 	Results []wire.ClaimResult
 	Running []wire.ClaimRef
 }
@@ -160,15 +160,15 @@
 // Tick lets time-driven work happen; due at NextWake.
 type Tick struct{}
 
-func (Acquired) event()  {}
-func (Renewed) event()   {}
-func (Lost) event()      {}
-func (Submitted) event() {}
-func (Settled) event()   {}
-func (ReadDone) event()  {}
-func (WriteDone) event() {}
-func (Told) event()      {}
-func (Tick) event()      {}
+func (Acquired) event()        {}
+func (Renewed) event()         {}
+func (Lost) event()            {}
+func (Submitted) event()       {}
+func (Settled) event()         {}
+func (ReadDone) event()        {}
+func (WriteDone) event()       {}
+func (ResultsReceived) event() {}
+func (Tick) event()            {}
 
 // Action is what the host of a partition must do next.
 type Action interface{ action() }
@@ -218,17 +218,17 @@
 	LeaseUntil time.Time
 }
 
-// Tell asks that the owner of the partition is told what became of a claim that
+// SendResult asks that the owner of the partition is told what became of a claim that
 // was made here before the duty was lost. Hold is when a NotRun may run again.
-type Tell struct {
+type SendResult struct {
 	Result wire.ClaimResult
 	Hold   time.Time
 }
 
-// Ask asks for the answers of claims that a lost owner left without a result,
+// QueryAgents asks for the answers of claims that a lost owner left without a result,
 // to be told as Told. Only an agent's own record of the very claim with its
 // whole answer counts; no answer proves nothing.
-type Ask struct {
+type QueryAgents struct {
 	Refs    []wire.ClaimRef
 	Wait    time.Duration
 	MaxBody int
@@ -237,11 +237,11 @@
 // Fault reports a record that cannot be read; the partition does not serve.
 type Fault struct{ Err error }
 
-func (Read) action()   {}
-func (Write) action()  {}
-func (Delete) action() {}
-func (Run) action()    {}
-func (Reply) action()  {}
-func (Tell) action()   {}
-func (Ask) action()    {}
-func (Fault) action()  {}
+func (Read) action()        {}
+func (Write) action()       {}
+func (Delete) action()      {}
+func (Run) action()         {}
+func (Reply) action()       {}
+func (SendResult) action()  {}
+func (QueryAgents) action() {}
+func (Fault) action()       {}
--- a/internal/policy/claims/claims_test.go
+++ b/internal/policy/claims/claims_test.go
@@ -53,8 +53,8 @@
 	runs    []claims.Run
 	replies map[int64]claims.Reply
 	deleted []string
-	tells   []claims.Tell
-	asks    []claims.Ask
+	tells   []claims.SendResult
+	asks    []claims.QueryAgents
 }
 
 func newHost(kv *service, name string, change func(*claims.Config)) *host {
@@ -81,9 +81,9 @@
 			h.runs = append(h.runs, a)
 		case claims.Reply:
 			h.replies[a.Waiter] = a
-		case claims.Tell:
+		case claims.SendResult:
 			h.tells = append(h.tells, a)
-		case claims.Ask:
+		case claims.QueryAgents:
 			h.asks = append(h.asks, a)
 		case claims.Delete:
 			delete(h.kv.records, a.Key)
@@ -397,7 +397,7 @@
 	It("keeps a partition with an unreadable bucket out of service", func() {
 		kv := newService()
 		kv.records["claims/0/head"] = claims.Record{Value: []byte(`{"w":"a","e":1,"c":3,"b":[{"e":1,"n":1,"x":9999999999999}]}`), Revision: 5}
-		h := newHost(kv, "b", func(c *claims.Config) { c.Pause = time.Second })
+		h := newHost(kv, "b", func(c *claims.Config) { c.RetryDelay = time.Second })
 		h.own(2)
 		Expect(h.Serving()).To(BeFalse())
 	})
--- a/internal/policy/claims/commit.go
+++ b/internal/policy/claims/commit.go
@@ -92,7 +92,7 @@
 	if len(p.dirty) == 0 {
 		return
 	}
-	p.notYet = now.Add(p.config.Interval)
+	p.notYet = now.Add(p.config.CommitInterval)
 	size := 0
 	for _, e := range p.head.Entries {
 		size += entrySize(e)
@@ -245,7 +245,7 @@
 		c.out = false
 		c.probe = c.kind == swapAll && len(c.earlier) < maxEarlier
 		p.failing = true
-		p.notYet = now.Add(p.config.Pause)
+		p.notYet = now.Add(p.config.RetryDelay)
 		return
 	}
 	p.failing = false
@@ -286,7 +286,7 @@
 	}
 	c.out = false
 	if e.Failed {
-		p.notYet = now.Add(p.config.Pause)
+		p.notYet = now.Add(p.config.RetryDelay)
 		return
 	}
 	if e.Record.Revision != p.revision {
--- a/internal/policy/claims/handover.go
+++ b/internal/policy/claims/handover.go
@@ -48,7 +48,7 @@
 // tell has the owner told of a claim that ended here. One that was never
 // dispatched counts as not run: it is not dispatched from here any more.
 func (p *Partition) tell(c *claim) {
-	t := Tell{Result: wire.ClaimResult{Claim: c.ref()}}
+	t := SendResult{Result: wire.ClaimResult{Claim: c.ref()}}
 	switch c.state {
 	case done:
 		t.Result.Outcome = wire.Answered
@@ -67,7 +67,7 @@
 
 // told takes in what an earlier owner tells. Before the buckets are read it is
 // kept for the end of the take-over.
-func (p *Partition) told(now time.Time, e Told) {
+func (p *Partition) told(now time.Time, e ResultsReceived) {
 	if p.phase == idle {
 		return
 	}
@@ -84,7 +84,7 @@
 	for _, ref := range e.Running {
 		c := p.table[ref.Key]
 		if p.phase == serving && c != nil && c.state == unknown && c.ref() == ref {
-			p.keepOpen(c, now.Add(p.config.SettleWait))
+			p.keepOpen(c, now.Add(p.config.ResultTimeout))
 		}
 	}
 }
@@ -132,11 +132,11 @@
 
 // maxAsked bounds the claims asked for after one take-over; as many calls as
 // that can have waited.
-const maxAsked = DefaultMaxWaiting
+const maxAsked = DefaultMaxWaiters
 
 // ask asks for the claims that stay open after a take-over, all at once.
 func (p *Partition) ask() {
-	a := Ask{Wait: p.config.SettleWait, MaxBody: p.config.MaxAnswerBytes}
+	a := QueryAgents{Wait: p.config.ResultTimeout, MaxBody: p.config.MaxAnswerBytes}
 	for _, key := range sortedKeys(p.table) {
 		c := p.table[key]
 		if c.state == unknown && !c.openUntil.IsZero() && len(a.Refs) < maxAsked {
--- a/internal/policy/claims/handover_test.go
+++ b/internal/policy/claims/handover_test.go
@@ -24,13 +24,13 @@
 		next.own(2)
 	})
 	// told is what the old owner says in the end.
-	told := func(end wire.Answer) claims.Told {
+	told := func(end wire.Answer) claims.ResultsReceived {
 		old.settle("x", end)
 		Expect(old.replies).To(HaveKey(int64(1)))
 		Expect(old.tells).To(HaveLen(1))
 		r := old.tells[0].Result
 		r.Hold = max(0, old.tells[0].Hold.Sub(old.now))
-		return claims.Told{Results: []wire.ClaimResult{r}}
+		return claims.ResultsReceived{Results: []wire.ClaimResult{r}}
 	}
 
 	// The owner stops as planned while a sync runs, and the caller's entry asks
@@ -81,7 +81,7 @@
 	// Nothing is told: the old owner has crashed. Silence proves nothing, so the
 	// repeat is "unknown" once the wait has passed, and later ones at once.
 	It("says unknown when nothing is told in time", func() {
-		next.pass(claims.DefaultSettleWait - 500*time.Millisecond)
+		next.pass(claims.DefaultResultTimeout - 500*time.Millisecond)
 		next.submit(2, "x", 7)
 		next.pass(500 * time.Millisecond)
 		Expect(next.replies).To(HaveKey(int64(2)))
@@ -94,9 +94,9 @@
 
 	// The run takes longer than the successor would wait by itself.
 	It("waits on for what is told to run still", func() {
-		running := claims.Told{Running: old.Running()}
+		running := claims.ResultsReceived{Running: old.Running()}
 		Expect(running.Running).To(HaveLen(1))
-		next.pass(claims.DefaultSettleWait - time.Millisecond)
+		next.pass(claims.DefaultResultTimeout - time.Millisecond)
 		next.step(running)
 		next.pass(500 * time.Millisecond)
 		next.submit(2, "x", 7)
@@ -110,7 +110,7 @@
 	It("asks the agents once, for what has no result", func() {
 		Expect(next.asks).To(HaveLen(1))
 		Expect(next.asks[0].Refs).To(Equal([]wire.ClaimRef{old.runs[0].Claim}))
-		next.step(claims.Told{Results: []wire.ClaimResult{{
+		next.step(claims.ResultsReceived{Results: []wire.ClaimResult{{
 			Claim: old.runs[0].Claim, Outcome: wire.Answered, Kept: true, Status: 200, Body: []byte("done"),
 		}}})
 		next.submit(2, "x", 7)
@@ -128,7 +128,7 @@
 		result := told(ok("done"))
 		other := result.Results[0]
 		other.Claim.Expires++
-		next.step(claims.Told{Results: []wire.ClaimResult{other}})
+		next.step(claims.ResultsReceived{Results: []wire.ClaimResult{other}})
 		next.submit(2, "x", 7)
 		Expect(next.replies).NotTo(HaveKey(int64(2)))
 		third := newHost(next.kv, "c", nil)
--- a/internal/policy/claims/partition.go
+++ b/internal/policy/claims/partition.go
@@ -117,9 +117,9 @@
 // Epoch returns the highest epoch under which the partition was held here.
 func (p *Partition) Epoch() int64 { return p.epoch }
 
-// Quiet tells whether no call waits, nothing runs from here and everything is
+// Idle tells whether no call waits, nothing runs from here and everything is
 // written, so that a successor would know all that this owner does.
-func (p *Partition) Quiet() bool {
+func (p *Partition) Idle() bool {
 	return p.waiting == 0 && p.running == 0 && len(p.dirty) == 0 && p.inflight == nil
 }
 
@@ -141,7 +141,7 @@
 		p.readDone(now, e)
 	case WriteDone:
 		p.writeDone(now, e)
-	case Told:
+	case ResultsReceived:
 		p.told(now, e)
 	case Tick:
 		p.expireWaiters(now)
@@ -238,7 +238,7 @@
 
 func (p *Partition) submitNew(now time.Time, e Submitted, w waiter) {
 	c := &claim{key: e.Key, fingerprint: e.Fingerprint, window: e.Window, state: notRun}
-	if p.waiting < p.config.MaxWaiting {
+	if p.waiting < p.config.MaxWaiters {
 		p.table[c.key] = c
 		p.join(c, w)
 		p.claim(now, c)
@@ -289,7 +289,7 @@
 	}
 	standing := c.committed && w.deadline.Before(c.expires)
 	if !standing && w.deadline.After(p.provenUntil) {
-		r.Answer = Unproven(r.Answer)
+		r.Answer = RefusalAsUnknown(r.Answer)
 		return r
 	}
 	if !standing {
@@ -301,9 +301,9 @@
 	return r
 }
 
-// Unproven turns a refusal into the answer for when a repeat of the request
+// RefusalAsUnknown turns a refusal into the answer for when a repeat of the request
 // may have run elsewhere.
-func Unproven(refusal wire.Answer) wire.Answer {
+func RefusalAsUnknown(refusal wire.Answer) wire.Answer {
 	refusal.Outcome = wire.Unknown
 	refusal.Detail = "this attempt was not run; another one may have been. Repeat it with the same key"
 	return refusal
--- a/internal/policy/claims/takeover.go
+++ b/internal/policy/claims/takeover.go
@@ -65,7 +65,7 @@
 
 func (p *Partition) readAgain(now time.Time, key string) {
 	p.toRead = append(p.toRead, key)
-	p.notYet = now.Add(p.config.Pause)
+	p.notYet = now.Add(p.config.RetryDelay)
 }
 
 // startFence swaps the head that stands for the same one under this epoch.
@@ -212,7 +212,7 @@
 		if c.state == claimed {
 			c.state = unknown
 			c.reason = wire.ReasonUnsettled
-			c.openUntil = now.Add(p.config.SettleWait)
+			c.openUntil = now.Add(p.config.ResultTimeout)
 		}
 		if now.After(c.expires) {
 			delete(p.table, c.key)
