--- a/internal/policy/claims/claims.go
+++ b/internal/policy/claims/claims.go
@@ -1,19 +1,18 @@
-// Package claims decides how non-idempotent requests run at most once. A
-// Partition is the state machine of one claim partition at the entry that owns
-// it: it writes a claim to the key-value service before a request is
-// dispatched, many claims in one compare-and-swap, and answers repeats from
-// what it knows.
+// Package claims makes non-idempotent requests run at most once. A Partition is the
+// state machine of one claim partition at the entry that owns it. It writes a claim
+// to the key-value service before a request is dispatched, many claims in one
+// compare-and-swap, and answers retries from its table of claims.
 //
-// Each partition has one head record, which every commit swaps, and sealed
-// buckets that the head lists. A successor raises the epoch in the head before
-// it reads anything else. From then on every commit of its predecessor fails,
-// however long that one was paused, and since nothing is dispatched before its
-// claim is committed, only one party can ever run a request.
+// Each partition has one head record, which every commit swaps, and sealed buckets
+// that the head lists. A new owner raises the epoch in the head before it reads
+// anything else. From then on every commit of its predecessor fails, regardless of
+// how long the predecessor was paused. Since no request is dispatched before its
+// claim is committed, only one owner can ever run it.
 //
-// "Not run" is said only where no endpoint can have seen the request nor will:
-// either the claim stands in the service, so that nobody else runs it, and the
-// dispatch was refused; or the owner's lease provably holds and its complete
-// history does not know the request.
+// A request is answered "not run" only if no endpoint has received it or will
+// receive it. Either its claim is in the service, so that no other owner runs it,
+// and the dispatch was refused; or the owner's lease is provably valid and its
+// complete history doesn't contain the request.
 package claims
 
 import (
@@ -24,12 +23,12 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Key identifies a caller's request within its retry window: a digest of the
-// caller's name and its idempotency key.
+// Key identifies a caller's request within its retry window. It is a digest of the
+// caller's name and the idempotency key.
 type Key [16]byte
 
-// NewKey returns the key of a call id, scoped by its caller so that two
-// callers with the same id never meet.
+// NewKey returns the key for a call ID, scoped by the caller, so that equal IDs of
+// two callers never collide.
 func NewKey(caller, callID string) Key {
 	h := sha256.New()
 	var length [8]byte
@@ -42,35 +41,36 @@
 	return k
 }
 
-// Partition returns the partition of the key, 0 to count-1.
+// Partition returns the number of the key's partition, from 0 to count-1.
 func (k Key) Partition(count int) int {
 	return int(binary.BigEndian.Uint64(k[:8]) % uint64(count))
 }
 
-// Config shapes a partition.
+// Config holds the parameters of a Partition.
 type Config struct {
-	Prefix         string        // of its keys in the service
+	Prefix         string        // prefix of the partition's keys in the key-value service
 	Duty           string        // name of the duty that owns the partition
 	Writer         string        // instance id of this process
-	CommitInterval time.Duration // least time between two commits
-	RetryDelay     time.Duration // before a failed call to the service is repeated
+	CommitInterval time.Duration // minimum time between two commits
+	RetryDelay     time.Duration // delay before a failed call to the service is retried
 
-	// ReplyMargin is how long before its deadline a call is answered at the
-	// latest, so that the answer reaches the entry that waits for it.
+	// ReplyMargin is the time before its deadline at which a call is answered at
+	// the latest, so that the answer reaches the waiting entry in time.
 	ReplyMargin time.Duration
-	RetryAfter  time.Duration // told with refusals
-	// ResultTimeout is how long after a take-over, or after the word that a claim
-	// still runs, its result is waited for before a repeat is told "unknown".
+	RetryAfter  time.Duration // retry delay sent with refusals
+	// ResultTimeout is how long the result of an earlier owner's claim is awaited
+	// after a takeover, or after a report that its request still runs, before a
+	// retry is answered "unknown".
 	ResultTimeout time.Duration
 
-	SealBytes      int // size of the head's records at which they are sealed
-	MaxBatchBytes  int // of records added in one commit
-	MaxAnswerBytes int // body of a stored answer; a longer one is not kept
-	MaxWaiters     int // calls waiting at most
+	SealBytes      int // size of the head's entries above which they are sealed in a bucket
+	MaxBatchBytes  int // limit of the size of the entries added in one commit
+	MaxAnswerBytes int // limit of the body of a stored answer; a longer one is not kept
+	MaxWaiters     int // limit of waiting calls
 }
 
-// Defaults of a partition. Two partitions that commit every 25 ms stay at 80
-// writes a second; see docs/design/claims.md.
+// Defaults of Config and the default number of partitions. Two partitions that
+// commit every 25 ms make at most 80 writes per second; see docs/design/claims.md.
 const (
 	DefaultPartitions     = 2
 	DefaultCommitInterval = 25 * time.Millisecond
@@ -84,7 +84,7 @@
 	DefaultMaxWaiters     = 4096
 )
 
-// DefaultConfig returns the defaults for a partition.
+// DefaultConfig returns the default parameters of a Partition.
 func DefaultConfig(prefix, duty, writer string) Config {
 	return Config{
 		Prefix:         prefix,
@@ -102,47 +102,47 @@
 	}
 }
 
-// Event is what happened to a partition.
+// Event is an input of a Partition.
 type Event interface{ event() }
 
-// Acquired tells that this process holds the partition's duty. Epoch is higher
-// than that of every earlier holder. Until that time the lease provably holds:
-// counted from before its last renewal was sent, less a margin for the clocks.
-// A zero Until proves nothing.
+// Acquired reports that this process holds the partition's duty. Epoch is higher than
+// that of every earlier holder. The lease is provably valid until Until, which is
+// measured from before its last renewal was sent, less a margin for the clocks. A
+// zero Until proves nothing.
 type Acquired struct {
 	Epoch int64
 	Until time.Time
 }
 
-// Renewed moves the time until which the lease provably holds.
+// Renewed updates the time until which the lease is provably valid.
 type Renewed struct{ Until time.Time }
 
-// Lost tells that the duty is no longer held, or may not be.
+// Lost reports that the duty is no longer held or may no longer be held.
 type Lost struct{}
 
-// Submitted is a call that waits for its answer under the number Waiter.
+// Submitted reports a new call, which waits for its answer under the number Waiter.
 type Submitted struct {
 	Waiter      int64
 	Key         Key
-	Fingerprint uint64 // of service, method, path and body
+	Fingerprint uint64 // hash of service, method, path and body
 	Deadline    time.Time
-	Window      time.Duration // how long the caller may repeat the key
+	Window      time.Duration // how long the caller may retry with the same key
 }
 
-// Settled is what became of a dispatched request.
+// Settled reports the result of a dispatched request.
 type Settled struct {
 	Key    Key
 	Answer wire.Answer
 }
 
-// ReadDone answers a Read. Failed means that nothing was learned.
+// ReadDone reports the result of a Read. Failed is set if the record is unknown.
 type ReadDone struct {
 	Record Record
 	Failed bool
 }
 
-// WriteDone answers a Write. With Failed set the write may or may not have
-// taken effect; otherwise Current is the record after the call.
+// WriteDone reports the result of a Write. If Failed is set, the write may or may not
+// have taken effect; otherwise Current is the record after the call.
 type WriteDone struct {
 	ID      int64
 	Swapped bool
@@ -150,14 +150,14 @@
 	Failed  bool
 }
 
-// ResultsReceived is what an earlier owner tells of claims that it made: their results, and
-// those that still run there.
+// ResultsReceived reports the results of claims that an earlier owner made, as sent by
+// that owner or by agents, and the claims whose requests it still runs.
 type ResultsReceived struct {
 	Results []wire.ClaimResult
 	Running []wire.ClaimRef
 }
 
-// Tick lets time-driven work happen; due at NextWake.
+// Tick triggers the work that is due by time; see Partition.NextWake.
 type Tick struct{}
 
 func (Acquired) event()        {}
@@ -170,20 +170,20 @@
 func (ResultsReceived) event() {}
 func (Tick) event()            {}
 
-// Action is what the host of a partition must do next.
+// Action is an output of a Partition, to be carried out by its host.
 type Action interface{ action() }
 
-// Record is a key of the service with its value; revision 0 means absent.
+// Record is a record of the key-value service. Its revision is 0 if it is absent.
 type Record struct {
 	Key      string
 	Value    []byte
 	Revision int64
 }
 
-// Read asks for the record at Key; ReadDone answers it.
+// Read requests the record at Key. ReadDone reports the result.
 type Read struct{ Key string }
 
-// Write asks for a compare-and-swap; WriteDone with the same ID answers it.
+// Write requests a compare-and-swap. WriteDone with the same ID reports the result.
 type Write struct {
 	ID       int64
 	Key      string
@@ -191,14 +191,14 @@
 	Value    []byte
 }
 
-// Delete asks for the removal of a sealed bucket past its window. Its outcome
-// does not matter to correctness and is not told back.
+// Delete requests the deletion of an expired sealed bucket. Its outcome doesn't matter
+// for correctness and is not reported back.
 type Delete struct {
 	Key      string
 	Revision int64
 }
 
-// Run asks for the dispatch of the call of the waiter; Settled answers it.
+// Run requests the dispatch of the waiter's call. Settled reports the result.
 type Run struct {
 	Key      Key
 	Waiter   int64
@@ -207,10 +207,10 @@
 	Claim    wire.ClaimRef
 }
 
-// Reply ends a waiter. Moved means that nothing was done here and the call
-// belongs to another owner; Answer is then empty. A LeaseUntil means that the
-// answer rests on the lease alone: unless the holder of the duty can promise
-// not to give it up before that time, the host gives Unproven(Answer) instead.
+// Reply answers the call of a waiter. Moved means that the call was not processed here
+// and belongs to another owner; Answer is then empty. If LeaseUntil is set, the answer
+// relies on the lease alone: if the holder of the duty can't promise not to release it
+// before that time, the host must answer RefusalAsUnknown(Answer) instead.
 type Reply struct {
 	Waiter     int64
 	Moved      bool
@@ -218,23 +218,26 @@
 	LeaseUntil time.Time
 }
 
-// SendResult asks that the owner of the partition is told what became of a claim that
-// was made here before the duty was lost. Hold is when a NotRun may run again.
+// SendResult requests that the result of a claim is sent to the owner of the partition.
+// The claim was made here before the duty was lost. Hold is the time before which a
+// request that was not run must not be run.
 type SendResult struct {
 	Result wire.ClaimResult
 	Hold   time.Time
 }
 
-// QueryAgents asks for the answers of claims that a lost owner left without a result,
-// to be told as Told. Only an agent's own record of the very claim with its
-// whole answer counts; no answer proves nothing.
+// QueryAgents requests that the agents are queried for the answers of claims that a
+// lost owner left without a result, to be reported as ResultsReceived. A result counts
+// only if it is an agent's own record of the same claim with the complete answer. A
+// missing answer proves nothing.
 type QueryAgents struct {
 	Refs    []wire.ClaimRef
 	Wait    time.Duration
 	MaxBody int
 }
 
-// Fault reports a record that cannot be read; the partition does not serve.
+// Fault reports a record that can't be decoded. The partition doesn't serve
+// while it has to be read.
 type Fault struct{ Err error }
 
 func (Read) action()        {}
--- a/internal/policy/claims/claims_test.go
+++ b/internal/policy/claims/claims_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "claims")
 }
 
-// service is the key-value service at its simplest; calls wait until deliver.
+// service is a fake of the key-value service.
 type service struct {
 	records  map[string]claims.Record
 	revision int64
@@ -43,18 +43,18 @@
 	return claims.WriteDone{ID: w.ID, Swapped: true, Current: r}
 }
 
-// host steps a partition and keeps what it asked for.
+// host steps a Partition, executes its reads and writes, and records its other actions.
 type host struct {
 	*claims.Partition
-	kv      *service
-	now     time.Time
-	writes  []claims.Write // not carried out yet
-	hold    bool           // keep writes back
-	runs    []claims.Run
-	replies map[int64]claims.Reply
-	deleted []string
-	tells   []claims.SendResult
-	asks    []claims.QueryAgents
+	kv          *service
+	now         time.Time
+	writes      []claims.Write // not executed yet
+	hold        bool           // hold writes back until deliver
+	runs        []claims.Run
+	replies     map[int64]claims.Reply
+	deleted     []string
+	sentResults []claims.SendResult
+	queries     []claims.QueryAgents
 }
 
 func newHost(kv *service, name string, change func(*claims.Config)) *host {
@@ -82,9 +82,9 @@
 		case claims.Reply:
 			h.replies[a.Waiter] = a
 		case claims.SendResult:
-			h.tells = append(h.tells, a)
+			h.sentResults = append(h.sentResults, a)
 		case claims.QueryAgents:
-			h.asks = append(h.asks, a)
+			h.queries = append(h.queries, a)
 		case claims.Delete:
 			delete(h.kv.records, a.Key)
 			h.deleted = append(h.deleted, a.Key)
@@ -92,7 +92,7 @@
 	}
 }
 
-// deliver carries out the writes kept back.
+// deliver executes the writes held back.
 func (h *host) deliver() {
 	writes := h.writes
 	h.writes = nil
@@ -101,12 +101,12 @@
 	}
 }
 
-func (h *host) pass(d time.Duration) {
+func (h *host) advance(d time.Duration) {
 	h.now = h.now.Add(d)
 	h.step(claims.Tick{})
 }
 
-func (h *host) own(epoch int64) {
+func (h *host) acquire(epoch int64) {
 	h.step(claims.Acquired{Epoch: epoch, Until: h.now.Add(10 * time.Second)})
 }
 
@@ -129,9 +129,9 @@
 }
 
 var _ = Describe("Partition", func() {
-	It("dispatches after the commit, joins, replays, and refuses another body", func() {
+	It("dispatches after the commit, joins and replays retries, and refuses another body", func() {
 		h := newHost(newService(), "a", nil)
-		h.own(1)
+		h.acquire(1)
 		h.hold = true
 		h.submit(1, "x", 7)
 		h.submit(2, "x", 7)
@@ -154,39 +154,39 @@
 	It("commits many claims in one write", func() {
 		kv := newService()
 		h := newHost(kv, "a", nil)
-		h.own(1)
+		h.acquire(1)
 		h.submit(1, "first", 1)
 		before := kv.writes
 		for i := range int64(100) {
 			h.submit(10+i, fmt.Sprint(i), 1)
 		}
 		Expect(kv.writes).To(Equal(before))
-		h.pass(25 * time.Millisecond)
+		h.advance(25 * time.Millisecond)
 		Expect(kv.writes).To(Equal(before + 1))
 		Expect(h.runs).To(HaveLen(101))
 	})
 
-	// The owner crashes after its claim is written. Whether it dispatched is
-	// not known, so that the successor says "unknown" and never runs it; what
-	// was answered in time is replayed, even from a sealed bucket.
-	It("hands over through head and buckets", func() {
+	// The owner crashes after its claim is written. It isn't known whether it
+	// dispatched the request, so the successor answers "unknown" and never runs it.
+	// Answers that were stored in time are replayed, even from a sealed bucket.
+	It("hands claims over to a successor through the head and the buckets", func() {
 		kv := newService()
 		small := func(c *claims.Config) { c.SealBytes = 500 }
 		h := newHost(kv, "a", small)
-		h.own(1)
+		h.acquire(1)
 		for i := range int64(30) {
 			id := fmt.Sprint(i)
 			h.submit(i, id, 1)
-			h.pass(25 * time.Millisecond)
+			h.advance(25 * time.Millisecond)
 			if i != 13 && i != 29 {
 				h.settle(id, ok("answer "+id))
 			}
-			h.pass(25 * time.Millisecond)
+			h.advance(25 * time.Millisecond)
 		}
 		Expect(kv.records).To(HaveKey("claims/0/1-3"))
 		next := newHost(kv, "b", small)
 		next.now = h.now
-		next.own(2)
+		next.acquire(2)
 		for i := range int64(30) {
 			next.submit(i, fmt.Sprint(i), 1)
 			if i == 13 || i == 29 {
@@ -195,7 +195,7 @@
 			}
 			Expect(next.replies[i].Answer).To(Equal(ok("answer " + fmt.Sprint(i))))
 		}
-		next.pass(time.Second)
+		next.advance(time.Second)
 		for _, i := range []int64{13, 29} {
 			Expect(next.replies).To(HaveKey(i))
 			Expect(next.replies[i].Answer.Outcome).To(Equal(wire.Unknown))
@@ -203,34 +203,34 @@
 		}
 		Expect(next.runs).To(BeEmpty())
 		h.submit(100, "late", 1)
-		h.pass(25 * time.Millisecond)
+		h.advance(25 * time.Millisecond)
 		Expect(h.replies[100].Moved).To(BeTrue())
 		Expect(h.runs).To(HaveLen(30))
 	})
 
-	It("drops buckets past their window, from the head first", func() {
+	It("drops expired buckets, first from the head", func() {
 		kv := newService()
 		h := newHost(kv, "a", func(c *claims.Config) { c.SealBytes = 500 })
-		h.own(1)
+		h.acquire(1)
 		for i := range int64(20) {
 			h.submit(i, fmt.Sprint(i), 1)
 			h.settle(fmt.Sprint(i), ok(""))
-			h.pass(25 * time.Millisecond)
+			h.advance(25 * time.Millisecond)
 		}
 		Expect(h.deleted).To(BeEmpty())
-		h.pass(2 * time.Minute)
+		h.advance(2 * time.Minute)
 		h.submit(50, "new", 1)
-		h.pass(25 * time.Millisecond)
+		h.advance(25 * time.Millisecond)
 		Expect(h.deleted).NotTo(BeEmpty())
 		for _, key := range h.deleted {
 			Expect(string(kv.records["claims/0/head"].Value)).NotTo(ContainSubstring(key))
 		}
 	})
 
-	It("says that an answer too long to keep is gone, not that it was another one", func() {
+	It("reports an answer that is too long to store as lost, not as a conflict", func() {
 		kv := newService()
 		h := newHost(kv, "a", nil)
-		h.own(1)
+		h.acquire(1)
 		h.submit(1, "x", 1)
 		long := strings.Repeat("x", claims.DefaultMaxAnswerBytes+1)
 		h.settle("x", ok(long))
@@ -240,35 +240,35 @@
 		Expect(h.replies[2].Answer.Reason).To(Equal(wire.ReasonAnswerLost))
 	})
 
-	// The answer to a commit is lost and the service stays silent until the
-	// caller's deadline. The claim may stand, so it is not dispatched; the
-	// lease still holds, so nobody else ran it: "not run". Once the lease has
-	// lapsed a successor might have, and the same case is "unknown".
+	// The answer to a commit is lost and the service doesn't answer until the
+	// caller's deadline. The write may have taken effect or not, so the request is
+	// not dispatched. While the lease is valid, no other owner has run it: "not run".
+	// After the lease has expired a successor may have run it: "unknown".
 	DescribeTable("in an outage", func(lapsed bool, want wire.Outcome) {
 		h := newHost(newService(), "a", nil)
-		h.own(1)
+		h.acquire(1)
 		h.hold = true
 		if lapsed {
-			h.pass(10 * time.Second)
+			h.advance(10 * time.Second)
 		}
 		h.submit(1, "x", 1)
 		Expect(h.writes).To(HaveLen(1))
 		h.step(claims.WriteDone{ID: h.writes[0].ID, Failed: true})
-		h.pass(999 * time.Millisecond)
+		h.advance(999 * time.Millisecond)
 		Expect(h.replies[1].Answer.Outcome).To(Equal(want))
 		Expect(h.runs).To(BeEmpty())
 	},
-		Entry("within the lease", false, wire.NotRun),
-		Entry("after it", true, wire.Unknown),
+		Entry("while the lease is valid", false, wire.NotRun),
+		Entry("after the lease has expired", true, wire.Unknown),
 	)
 
-	// The owner is paused with a claim that is not committed; the successor
-	// runs the same key with another body, whose repeat then reaches the old
-	// owner. It must not refuse it as "not run" for its own stale claim.
-	// Found by schedule 4 of the lab, which saw "not run" after the run.
-	It("does not refuse on the strength of a claim that is not committed", func() {
+	// The owner is paused with an uncommitted claim. The successor runs a request
+	// with the same key and another body, and a retry of that request then reaches
+	// the old owner, which must not refuse it as "not run" because of its own outdated
+	// claim. Schedule 4 of the lab found "not run" answered after the request had run.
+	It("does not answer not-run based on an uncommitted claim", func() {
 		h := newHost(newService(), "a", nil)
-		h.own(1)
+		h.acquire(1)
 		h.hold = true
 		h.submit(1, "x", 1)
 		h.now = h.now.Add(20 * time.Second)
@@ -276,39 +276,39 @@
 		Expect(h.replies[2].Answer.Outcome).To(Equal(wire.Unknown))
 	})
 
-	// A call is refused by its endpoint, and the "not run" travels slowly to
-	// the caller. A repeat through another entry must not run before that
-	// answer can no longer arrive. Found by schedule 4773 of the lab.
-	It("holds a refused request until its refusal has been told", func() {
+	// An endpoint refuses a call, and the answer "not run" is delayed on its way to
+	// the caller. A retry through another entry must not run until that answer can no
+	// longer arrive. Found by schedule 4773 of the lab.
+	It("does not run a retry of a refused request while the refusal can still arrive", func() {
 		h := newHost(newService(), "a", nil)
-		h.own(1)
+		h.acquire(1)
 		h.submit(1, "x", 1)
 		h.settle("x", wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonQueueFull})
 		Expect(h.replies[1].Answer.Outcome).To(Equal(wire.NotRun))
-		h.pass(500 * time.Millisecond)
+		h.advance(500 * time.Millisecond)
 		h.submit(2, "x", 1)
-		h.pass(100 * time.Millisecond)
+		h.advance(100 * time.Millisecond)
 		Expect(h.runs).To(HaveLen(1))
-		h.pass(400 * time.Millisecond)
+		h.advance(400 * time.Millisecond)
 		Expect(h.runs).To(HaveLen(2))
 	})
 
-	// An outage outlasts the lease. A request that ended meanwhile, and one that
-	// was given up with its claim under way, are "unknown" to a successor, but
-	// not to their own process once it holds the duty again.
-	DescribeTable("after a lapse, remembers what ended here", func(same bool, ran, given wire.Outcome) {
+	// An outage lasts longer than the lease. A request that ended during it, and one
+	// that was abandoned while its claim was being written, are "unknown" to another
+	// successor, but not to the process that ran them once it holds the duty again.
+	DescribeTable("after a lapsed lease, knows the results of requests that ended here", func(same bool, ran, given wire.Outcome) {
 		kv := newService()
 		h := newHost(kv, "a", nil)
-		h.own(1)
+		h.acquire(1)
 		h.submit(1, "ran", 1)
 		h.hold = true
-		h.pass(30 * time.Millisecond)
+		h.advance(30 * time.Millisecond)
 		h.submit(2, "given up", 1)
 		h.settle("ran", ok("done"))
 		h.step(claims.WriteDone{ID: h.writes[0].ID, Failed: true})
 		kv.swap(h.writes[0])
 		h.writes = nil
-		h.pass(10 * time.Second)
+		h.advance(10 * time.Second)
 		next := h
 		if !same {
 			next = newHost(kv, "b", nil)
@@ -316,11 +316,11 @@
 		}
 		next.hold = false
 		next.writes = nil
-		next.own(2)
-		next.pass(time.Second)
+		next.acquire(2)
+		next.advance(time.Second)
 		next.submit(11, "ran", 1)
 		next.submit(12, "given up", 1)
-		next.pass(time.Second)
+		next.advance(time.Second)
 		Expect(next.replies[11].Answer.Outcome).To(Equal(ran))
 		if given == wire.Unknown {
 			Expect(next.replies[12].Answer.Outcome).To(Equal(wire.Unknown))
@@ -328,22 +328,22 @@
 		}
 		Expect(next.runs[len(next.runs)-1].Waiter).To(Equal(int64(12)))
 	},
-		Entry("when it is the next holder itself", true, wire.Answered, wire.Running),
-		Entry("unlike another holder", false, wire.Unknown, wire.Unknown),
+		Entry("if the same process is the next owner", true, wire.Answered, wire.Running),
+		Entry("but not if another process is the next owner", false, wire.Unknown, wire.Unknown),
 	)
 
-	// The write that carries a claim is lost, and its caller gives up in the
-	// outage. The write that follows the outage leaves the claim out.
-	It("does not write at the end of an outage what was given up in it", func() {
+	// The write of a claim is lost, and the deadline of its call passes during the
+	// outage. The next write omits the claim.
+	It("does not write claims after an outage that were abandoned during it", func() {
 		kv := newService()
 		h := newHost(kv, "a", nil)
-		h.own(1)
+		h.acquire(1)
 		h.hold = true
 		h.submit(1, "x", 1)
 		lost := h.writes[0]
 		h.writes = nil
 		h.step(claims.WriteDone{ID: lost.ID, Failed: true})
-		h.pass(2 * time.Second)
+		h.advance(2 * time.Second)
 		Expect(h.replies[1].Answer.Outcome).To(Equal(wire.NotRun))
 		Expect(h.writes).To(HaveLen(1))
 		Expect(string(h.writes[0].Value)).NotTo(ContainSubstring(`"s":"c"`))
@@ -353,52 +353,52 @@
 		Expect(h.runs).To(BeEmpty())
 	})
 
-	// The first write of a claim arrives late, after the read that still showed
+	// The first write of a claim takes effect late, after the read that still returned
 	// the old head and before the write that replaced it.
-	It("takes an earlier write that arrived late for what it is", func() {
+	It("recognizes an earlier write that took effect late", func() {
 		kv := newService()
 		h := newHost(kv, "a", nil)
-		h.own(1)
+		h.acquire(1)
 		h.hold = true
 		h.submit(1, "x", 1)
 		late := h.writes[0]
 		h.writes = nil
 		h.step(claims.WriteDone{ID: late.ID, Failed: true})
-		h.pass(100 * time.Millisecond)
+		h.advance(100 * time.Millisecond)
 		Expect(h.writes).To(HaveLen(1))
 		kv.swap(late)
 		h.hold = false
 		h.deliver()
 		Expect(h.runs).To(HaveLen(1))
-		h.pass(100 * time.Millisecond)
+		h.advance(100 * time.Millisecond)
 		h.settle("x", ok("done"))
-		h.pass(100 * time.Millisecond)
+		h.advance(100 * time.Millisecond)
 		Expect(h.runs).To(HaveLen(1))
 		Expect(string(kv.records["claims/0/head"].Value)).To(ContainSubstring(`"s":"d"`))
 	})
 
-	It("forgets in an outage what was never written", func() {
+	It("drops abandoned claims during an outage that were never written", func() {
 		kv := newService()
 		h := newHost(kv, "a", nil)
-		h.own(1)
+		h.acquire(1)
 		h.hold = true
 		h.submit(1, "first", 1)
 		for i := range int64(50) {
 			h.submit(10+i, fmt.Sprint(i), 1)
 		}
-		h.pass(2 * time.Second)
+		h.advance(2 * time.Second)
 		h.hold = false
 		h.deliver()
-		h.pass(time.Second)
+		h.advance(time.Second)
 		Expect(string(kv.records["claims/0/head"].Value)).NotTo(ContainSubstring(fmt.Sprintf("%x", claims.NewKey("caller", "7"))))
 		Expect(h.runs).To(BeEmpty())
 	})
 
-	It("keeps a partition with an unreadable bucket out of service", func() {
+	It("does not serve while a bucket can't be read", func() {
 		kv := newService()
 		kv.records["claims/0/head"] = claims.Record{Value: []byte(`{"w":"a","e":1,"c":3,"b":[{"e":1,"n":1,"x":9999999999999}]}`), Revision: 5}
 		h := newHost(kv, "b", func(c *claims.Config) { c.RetryDelay = time.Second })
-		h.own(2)
+		h.acquire(2)
 		Expect(h.Serving()).To(BeFalse())
 	})
 })
--- a/internal/policy/claims/commit.go
+++ b/internal/policy/claims/commit.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// writeKind is what a write is for.
+// writeKind is the purpose of a write.
 type writeKind int
 
 const (
-	fence   writeKind = iota // raises the epoch in the head
-	seal                     // moves the head's entries to a bucket of their own
-	swapAll                  // commits what is dirty
+	fence    writeKind = iota // raises the epoch in the head
+	seal                      // writes the head's entries to a new bucket
+	swapHead                  // commits the dirty claims to the head
 )
 
-// maxEarlier bounds how many unsettled writes of one revision are remembered;
-// past it the last one is repeated as it is.
-const maxEarlier = 8
+// maxEarlierWrites limits the unsettled writes per revision that are remembered. Beyond
+// it the last write is repeated unchanged.
+const maxEarlierWrites = 8
 
-// commit is the one write of a partition that is under way. A fence or seal is
-// repeated byte for byte until its outcome is known: after a lost answer either
-// the repeat takes effect, or it fails and shows the record that stands.
+// commit is the write of a partition that is in progress; there is at most one. A fence
+// or seal is repeated byte for byte until its outcome is known: if an answer was lost,
+// the repeated write either takes effect, or fails and returns the current record.
 //
-// A swap whose answer was lost is settled by a read. If the head is still the
-// old one, the write may be on its way yet, and a new one that expects the same
-// revision is sent: one of them at most can take effect. The new one leaves out
-// what was given up in the meantime, so that an outage does not end with
-// claims written that nobody waits for.
+// The outcome of a swap whose answer was lost is determined by a read. If the head is
+// unchanged, the write may still be in transit, and a new write that expects the same
+// revision is sent; at most one of them can take effect. The new write omits claims
+// that were abandoned in the meantime, so that an outage doesn't end with writing claims
+// that no call waits for.
 type commit struct {
-	write Write
-	kind  writeKind
-	out   bool // a call is out and not answered
-	probe bool // the next call is a read that settles the write
+	write        Write
+	kind         writeKind
+	pending      bool // a call is in flight
+	checkOutcome bool // the next call is a read of the head to determine the outcome of the write
 
-	earlier []*commit // unsettled writes that expect the same revision
+	earlier []*commit // writes of unknown outcome that expect the same revision
 
-	head   head    // that the write installs; fence and swapAll
-	holds  []entry // that the write adds; swapAll
-	bucket sealed  // seal
+	head   head    // new head; for fence and swapHead
+	added  []entry // entries that the write adds; for swapHead
+	bucket sealed  // for seal
 
-	entries []entry  // that the swap started from
-	buckets []sealed // likewise
-	drops   []Delete // buckets that the new head no longer lists
+	// For swapHead.
+	baseEntries []entry  // entries that the write adds to
+	baseBuckets []sealed // buckets listed before the expired ones are removed
+	deletions   []Delete // buckets that the new head no longer lists
 }
 
-// advance starts whatever the partition can do now.
+// advance starts the next call to the service if one is due.
 func (p *Partition) advance(now time.Time) {
-	if now.Before(p.notYet) {
+	if now.Before(p.nextCallAt) {
 		return
 	}
 	switch {
@@ -59,25 +60,25 @@
 	}
 }
 
-// wantsService tells whether a call to the service waits for its time.
-func (p *Partition) wantsService() bool {
+// hasPendingCall reports whether a call to the service is to be made at nextCallAt.
+func (p *Partition) hasPendingCall() bool {
 	if p.inflight != nil {
-		return !p.inflight.out
+		return !p.inflight.pending
 	}
 	return len(p.toRead) > 0 || p.phase == serving && len(p.dirty) > 0
 }
 
 func (p *Partition) send() {
-	if p.inflight.out {
+	if p.inflight.pending {
 		return
 	}
-	p.inflight.out = true
-	if p.inflight.probe {
+	p.inflight.pending = true
+	if p.inflight.checkOutcome {
 		p.reading[p.headKey()] = true
-		p.do(Read{Key: p.headKey()})
+		p.emit(Read{Key: p.headKey()})
 		return
 	}
-	p.do(p.inflight.write)
+	p.emit(p.inflight.write)
 }
 
 func (p *Partition) begin(c commit) {
@@ -88,11 +89,11 @@
 }
 
 func (p *Partition) startCommit(now time.Time) {
-	p.forgetUnsent()
+	p.pruneDirty()
 	if len(p.dirty) == 0 {
 		return
 	}
-	p.notYet = now.Add(p.config.CommitInterval)
+	p.nextCallAt = now.Add(p.config.CommitInterval)
 	size := 0
 	for _, e := range p.head.Entries {
 		size += entrySize(e)
@@ -104,8 +105,8 @@
 	p.startSwap(now, p.head.Entries, p.head.Sealed, nil)
 }
 
-// startSeal writes the head's entries to a bucket. Until a head lists the
-// bucket, the head itself still holds them.
+// startSeal writes the head's entries to a bucket. The stored head contains them until
+// it is replaced by one that lists the bucket.
 func (p *Partition) startSeal() {
 	s := sealed{Epoch: p.epoch, Number: 1}
 	for _, other := range p.head.Sealed {
@@ -119,24 +120,25 @@
 	p.begin(commit{
 		kind:   seal,
 		bucket: s,
-		write:  Write{Key: p.bucketKey(s), Value: encode(p.head.Entries)},
+		write:  Write{Key: p.bucketKey(s), Value: mustEncode(p.head.Entries)},
 	})
 }
 
-// startSwap commits as much of what is dirty as one batch may hold.
-func (p *Partition) startSwap(now time.Time, entries []entry, buckets []sealed, earlier []*commit) {
-	c := commit{kind: swapAll, earlier: earlier, entries: entries, buckets: buckets, head: head{
+// startSwap commits as many dirty claims as fit in one batch.
+func (p *Partition) startSwap(now time.Time, baseEntries []entry, baseBuckets []sealed, earlier []*commit) {
+	c := commit{kind: swapHead, earlier: earlier, baseEntries: baseEntries, baseBuckets: baseBuckets, head: head{
 		Writer: p.config.Writer,
 		Epoch:  p.epoch,
 		Commit: p.head.Commit + 1 + int64(len(earlier)),
 	}}
-	c.holds = p.takeDirty()
-	c.head.Entries = p.merge(now, entries, c.holds)
-	c.head.Sealed, c.drops = p.dropExpired(now, buckets)
-	c.write = Write{Key: p.headKey(), Expected: p.revision, Value: encode(c.head)}
+	c.added = p.takeDirty()
+	c.head.Entries = p.merge(now, baseEntries, c.added)
+	c.head.Sealed, c.deletions = p.expireBuckets(now, baseBuckets)
+	c.write = Write{Key: p.headKey(), Expected: p.revision, Value: mustEncode(c.head)}
 	p.begin(c)
 }
 
+// takeDirty removes up to one batch of keys from dirty and returns their entries.
 func (p *Partition) takeDirty() []entry {
 	var batch []entry
 	size := 0
@@ -145,7 +147,7 @@
 		p.dirty = p.dirty[1:]
 		delete(p.isDirty, key)
 		if c := p.table[key]; c != nil {
-			c.sent = true
+			c.mayBeStored = true
 			e := c.entry()
 			if c.state == notRun {
 				c.committed = false
@@ -157,6 +159,7 @@
 	return batch
 }
 
+// entry returns the stored form of the claim.
 func (c *claim) entry() entry {
 	e := entry{
 		Key:         c.key,
@@ -172,14 +175,14 @@
 	return e
 }
 
-// is tells whether the entry is of this very claim: an epoch has one holder,
-// which gives a key one expiry per claim.
-func (e entry) is(c *claim) bool {
+// matches reports whether the entry belongs to the same claim and not only to the same
+// key: an epoch has one owner, which gives each claim of a key another expiry.
+func (e entry) matches(c *claim) bool {
 	return e.Epoch == c.epoch && e.Expires == c.expires.UnixMilli()
 }
 
-// merge returns the old entries with the new ones in their places, less those
-// whose window has passed.
+// merge returns the old entries without the expired ones and those that are replaced,
+// followed by the added ones.
 func (p *Partition) merge(now time.Time, old, added []entry) []entry {
 	index := make(map[Key]int, len(added))
 	for i, e := range added {
@@ -190,7 +193,7 @@
 		if _, replaced := index[e.Key]; replaced {
 			continue
 		}
-		if p.forget(now, e) {
+		if p.dropIfExpired(now, e) {
 			continue
 		}
 		merged = append(merged, e)
@@ -198,8 +201,9 @@
 	return append(merged, added...)
 }
 
-// forget drops a claim whose window has passed, and tells whether it did.
-func (p *Partition) forget(now time.Time, e entry) bool {
+// dropIfExpired drops the claim of an expired entry unless it is still needed, and
+// reports whether the entry can be dropped.
+func (p *Partition) dropIfExpired(now time.Time, e entry) bool {
 	if !now.After(fromMilli(e.Expires)) {
 		return false
 	}
@@ -207,17 +211,17 @@
 	if c == nil {
 		return true
 	}
-	if !p.over(now, c) || p.isDirty[e.Key] {
+	if !p.expired(now, c) || p.isDirty[e.Key] {
 		return false
 	}
 	delete(p.table, e.Key)
 	return true
 }
 
-// dropExpired returns the buckets that a repeat can still concern, and the
-// deletions of the others. A bucket is deleted only after a head without it is
+// expireBuckets drops expired claims of expired buckets. It returns the other buckets and
+// the deletions of the expired ones. A bucket is deleted only after a head without it is
 // committed, so that a listed bucket always exists.
-func (p *Partition) dropExpired(now time.Time, all []sealed) ([]sealed, []Delete) {
+func (p *Partition) expireBuckets(now time.Time, all []sealed) ([]sealed, []Delete) {
 	var kept []sealed
 	var drops []Delete
 	for _, s := range all {
@@ -228,7 +232,7 @@
 		key := p.bucketKey(s)
 		drops = append(drops, Delete{Key: key, Revision: p.buckets[key].revision})
 		for _, k := range p.buckets[key].keys {
-			if c := p.table[k]; c != nil && p.over(now, c) && !p.isDirty[k] {
+			if c := p.table[k]; c != nil && p.expired(now, c) && !p.isDirty[k] {
 				delete(p.table, k)
 			}
 		}
@@ -242,30 +246,31 @@
 		return
 	}
 	if e.Failed {
-		c.out = false
-		c.probe = c.kind == swapAll && len(c.earlier) < maxEarlier
-		p.failing = true
-		p.notYet = now.Add(p.config.RetryDelay)
+		c.pending = false
+		c.checkOutcome = c.kind == swapHead && len(c.earlier) < maxEarlierWrites
+		p.lastCallFailed = true
+		p.nextCallAt = now.Add(p.config.RetryDelay)
 		return
 	}
-	p.failing = false
+	p.lastCallFailed = false
 	p.inflight = nil
 	switch c.kind {
 	case seal:
 		p.sealDone(now, c, e)
 	case fence:
 		p.fenceDone(now, c, e)
-	case swapAll:
+	case swapHead:
 		p.swapDone(now, c, e)
 	}
 }
 
 func (p *Partition) sealDone(now time.Time, c *commit, e WriteDone) {
 	if !e.Swapped && !bytes.Equal(e.Current.Value, c.write.Value) {
-		// A bucket of this epoch that no head lists: sealed before a reload.
+		// A bucket with this number was sealed under the same epoch before a
+		// reload, and no head lists it.
 		c.bucket.Number++
 		c.write.Key = p.bucketKey(c.bucket)
-		c.out = false
+		c.pending = false
 		p.begin(*c)
 		return
 	}
@@ -278,15 +283,16 @@
 	p.startSwap(now, nil, buckets, nil)
 }
 
-// probeDone takes in the head as it stands after a swap without an answer.
-func (p *Partition) probeDone(now time.Time, e ReadDone) {
+// outcomeChecked determines the outcome of a swap without an answer from the head that
+// was read.
+func (p *Partition) outcomeChecked(now time.Time, e ReadDone) {
 	c := p.inflight
-	if c == nil || !c.probe {
+	if c == nil || !c.checkOutcome {
 		return
 	}
-	c.out = false
+	c.pending = false
 	if e.Failed {
-		p.notYet = now.Add(p.config.RetryDelay)
+		p.nextCallAt = now.Add(p.config.RetryDelay)
 		return
 	}
 	if e.Record.Revision != p.revision {
@@ -295,22 +301,22 @@
 		return
 	}
 	p.requeue(c)
-	p.startSwap(now, c.entries, c.buckets, append(c.earlier, c))
+	p.startSwap(now, c.baseEntries, c.baseBuckets, append(c.earlier, c))
 }
 
-// requeue has what a write held written again, as it is by now.
+// requeue marks the claims that a write added as dirty, to be written in their current state.
 func (p *Partition) requeue(c *commit) {
-	for _, e := range c.holds {
+	for _, e := range c.added {
 		claim := p.table[e.Key]
-		if claim == nil || p.holding[e.Key] != nil && claim.state == notRun {
-			continue // written as not run once its hold ends
+		if claim == nil || p.delayed[e.Key] != nil && claim.state == notRun {
+			continue // is written as not run after its notBefore
 		}
 		p.markDirty(claim)
 	}
 }
 
-// installed returns the write that the standing head came from: this one, or
-// an earlier one that arrived late; nil if neither.
+// installed returns the write that created the current head, and that head: this write
+// or an earlier one that took effect late. It returns a nil commit if it was neither.
 func (c *commit) installed(e WriteDone) (*commit, head, error) {
 	if e.Swapped {
 		return c, c.head, nil
@@ -319,12 +325,12 @@
 	if err != nil {
 		return nil, current, err
 	}
-	for _, one := range append([]*commit{c}, c.earlier...) {
-		same := current.Writer == one.head.Writer &&
-			current.Epoch == one.head.Epoch &&
-			current.Commit == one.head.Commit
+	for _, candidate := range append([]*commit{c}, c.earlier...) {
+		same := current.Writer == candidate.head.Writer &&
+			current.Epoch == candidate.head.Epoch &&
+			current.Commit == candidate.head.Commit
 		if same {
-			return one, current, nil
+			return candidate, current, nil
 		}
 	}
 	return nil, current, nil
@@ -333,7 +339,7 @@
 func (p *Partition) swapDone(now time.Time, c *commit, e WriteDone) {
 	installed, current, err := c.installed(e)
 	if err != nil {
-		p.do(Fault{Err: err})
+		p.emit(Fault{Err: err})
 	}
 	if installed == nil {
 		p.displaced(current)
@@ -341,11 +347,11 @@
 	}
 	p.head = installed.head
 	p.revision = e.Current.Revision
-	for _, drop := range installed.drops {
+	for _, drop := range installed.deletions {
 		delete(p.buckets, drop.Key)
-		p.do(drop)
+		p.emit(drop)
 	}
-	for _, e := range installed.holds {
+	for _, e := range installed.added {
 		p.committed(now, e)
 	}
 	if installed != c {
@@ -353,22 +359,22 @@
 	}
 }
 
-// displaced ends the ownership after a commit that another head foiled. Calls
-// whose claims were in it are not dispatched: whether the successor found them
-// is for it to say.
+// displaced ends the ownership after a commit failed because of another head, and starts
+// over if the epoch in it is not a newer one. Calls whose claims were in the commit are
+// not dispatched; the successor knows whether it found them.
 func (p *Partition) displaced(current head) {
 	epoch := p.epoch
 	p.lose()
 	if current.Epoch <= epoch {
-		p.load()
+		p.startTakeover()
 	}
 }
 
-// committed dispatches a claim that now stands in the service.
+// committed dispatches the request of a claim that is now in the service.
 func (p *Partition) committed(now time.Time, e entry) {
 	c := p.table[e.Key]
 	current := c != nil && c.state == claimed &&
-		e.State == claimed && e.is(c)
+		e.State == claimed && e.matches(c)
 	if !current {
 		return
 	}
@@ -380,7 +386,7 @@
 	}
 	c.state = running
 	p.running++
-	p.do(Run{
+	p.emit(Run{
 		Key:      c.key,
 		Waiter:   c.waiters[0].id,
 		Deadline: c.waiters[0].replyBy,
--- a/internal/policy/claims/handover.go
+++ b/internal/policy/claims/handover.go
@@ -6,18 +6,18 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// An owner that loses the duty with requests running goes on with them and
-// tells the next owner what becomes of them. Without that, every request in
-// flight at a planned stop would be "unknown" to its successor, or the stop
-// would have to wait for the slowest one while new calls stand. Nothing is
-// derived from silence: a claim of which nothing is told stays "unknown".
+// An owner that loses the duty while requests run continues them and sends their
+// results to the next owner. Otherwise every request in flight at a planned stop would
+// be "unknown" to its successor, or the stop would have to wait for the slowest request
+// while new calls wait. A missing result proves nothing: a claim whose result isn't
+// received stays "unknown".
 
-// Owned tells whether the partition's duty is held here, as far as is known.
+// Owned reports whether this process holds the partition's duty as far as it knows.
 func (p *Partition) Owned() bool { return p.phase != idle }
 
-// Committing tells whether a call waits for its claim to be written. Giving the
-// duty up before would send it to the next owner, which then finds a claim
-// without a result until it is told otherwise.
+// Committing reports whether a call waits for its claim to be written. If the duty were
+// released before that, the call would be sent to the next owner, which would find a
+// claim without a result until it receives one.
 func (p *Partition) Committing() bool {
 	for _, c := range p.awaited {
 		if c.state == claimed {
@@ -27,7 +27,7 @@
 	return false
 }
 
-// Running lists the claims whose requests run from here.
+// Running returns the claims whose requests were dispatched here and still run.
 func (p *Partition) Running() []wire.ClaimRef {
 	if p.running == 0 {
 		return nil
@@ -41,13 +41,14 @@
 	return all
 }
 
+// ref returns the reference to the claim for messages to other processes.
 func (c *claim) ref() wire.ClaimRef {
 	return wire.ClaimRef{Key: c.key, Epoch: c.epoch, Expires: c.expires.UnixMilli()}
 }
 
-// tell has the owner told of a claim that ended here. One that was never
-// dispatched counts as not run: it is not dispatched from here any more.
-func (p *Partition) tell(c *claim) {
+// sendResult sends the result of a claim that ended here to the owner. A claim that was
+// never dispatched counts as not run, since it won't be dispatched here any more.
+func (p *Partition) sendResult(c *claim) {
 	t := SendResult{Result: wire.ClaimResult{Claim: c.ref()}}
 	switch c.state {
 	case done:
@@ -60,21 +61,21 @@
 		t.Result.Outcome = wire.Unknown
 	default:
 		t.Result.Outcome = wire.NotRun
-		t.Hold = c.hold
+		t.Hold = c.notBefore
 	}
-	p.do(t)
+	p.emit(t)
 }
 
-// told takes in what an earlier owner tells. Before the buckets are read it is
-// kept for the end of the take-over.
-func (p *Partition) told(now time.Time, e ResultsReceived) {
+// resultsReceived applies the results of earlier owners' claims. Until the partition
+// serves, the results are kept in unwritten, to be applied at the end of the takeover.
+func (p *Partition) resultsReceived(now time.Time, e ResultsReceived) {
 	if p.phase == idle {
 		return
 	}
 	for _, r := range e.Results {
-		old := claimOf(now, r)
+		old := claimFromResult(now, r)
 		if p.phase == serving {
-			p.restore(now, old)
+			p.resolveUnknown(now, old)
 			continue
 		}
 		if known := p.unwritten[old.key]; known == nil || known.epoch < old.epoch {
@@ -84,12 +85,13 @@
 	for _, ref := range e.Running {
 		c := p.table[ref.Key]
 		if p.phase == serving && c != nil && c.state == unknown && c.ref() == ref {
-			p.keepOpen(c, now.Add(p.config.ResultTimeout))
+			p.extendResultDeadline(c, now.Add(p.config.ResultTimeout))
 		}
 	}
 }
 
-func claimOf(now time.Time, r wire.ClaimResult) *claim {
+// claimFromResult returns the claim with the state that its result implies.
+func claimFromResult(now time.Time, r wire.ClaimResult) *claim {
 	c := &claim{
 		key:     r.Claim.Key,
 		epoch:   r.Claim.Epoch,
@@ -102,26 +104,27 @@
 		c.answer = &stored{Kept: r.Kept, Status: r.Status, ContentType: r.ContentType, Body: r.Body}
 	case wire.NotRun:
 		c.state = notRun
-		c.hold = now.Add(r.Hold)
+		c.notBefore = now.Add(r.Hold)
 	}
 	return c
 }
 
-// joinOpen has a repeat wait for the result of an earlier owner's claim, no
-// longer than one may still come.
-func (p *Partition) joinOpen(now time.Time, c *claim, w waiter) {
-	if !now.Before(c.openUntil) {
-		p.do(Reply{Waiter: w.id, Answer: c.verdict()})
+// joinUnknown makes a retry wait for the result of an earlier owner's claim, until
+// resultDeadline at the latest.
+func (p *Partition) joinUnknown(now time.Time, c *claim, w waiter) {
+	if !now.Before(c.resultDeadline) {
+		p.emit(Reply{Waiter: w.id, Answer: c.finalAnswer()})
 		return
 	}
-	if c.openUntil.Before(w.replyBy) {
-		w.replyBy = c.openUntil
+	if c.resultDeadline.Before(w.replyBy) {
+		w.replyBy = c.resultDeadline
 	}
 	p.join(c, w)
 }
 
-func (p *Partition) keepOpen(c *claim, until time.Time) {
-	c.openUntil = until
+// extendResultDeadline sets resultDeadline and adjusts the waiters' replyBy to it.
+func (p *Partition) extendResultDeadline(c *claim, until time.Time) {
+	c.resultDeadline = until
 	for i, w := range c.waiters {
 		c.waiters[i].replyBy = w.deadline.Add(-p.config.ReplyMargin)
 		if until.Before(c.waiters[i].replyBy) {
@@ -130,20 +133,21 @@
 	}
 }
 
-// maxAsked bounds the claims asked for after one take-over; as many calls as
-// that can have waited.
-const maxAsked = DefaultMaxWaiters
+// maxQueriedClaims limits the claims that agents are queried for after a takeover. Not
+// more calls than that can have been waiting.
+const maxQueriedClaims = DefaultMaxWaiters
 
-// ask asks for the claims that stay open after a take-over, all at once.
-func (p *Partition) ask() {
+// queryAgents requests one query of the agents for all claims whose results are still
+// awaited after a takeover.
+func (p *Partition) queryAgents() {
 	a := QueryAgents{Wait: p.config.ResultTimeout, MaxBody: p.config.MaxAnswerBytes}
 	for _, key := range sortedKeys(p.table) {
 		c := p.table[key]
-		if c.state == unknown && !c.openUntil.IsZero() && len(a.Refs) < maxAsked {
+		if c.state == unknown && !c.resultDeadline.IsZero() && len(a.Refs) < maxQueriedClaims {
 			a.Refs = append(a.Refs, c.ref())
 		}
 	}
 	if len(a.Refs) > 0 {
-		p.do(a)
+		p.emit(a)
 	}
 }
--- a/internal/policy/claims/partition.go
+++ b/internal/policy/claims/partition.go
@@ -7,7 +7,7 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// phase is how far the ownership of a partition has come.
+// phase is the progress of a takeover of a partition.
 type phase int
 
 const (
@@ -17,86 +17,89 @@
 	serving
 )
 
-// expiryMargin is added to each retry window: the owners' clocks need not
-// agree, and a claim dropped early could run twice.
+// expiryMargin is added to each retry window. The clocks of the owners may differ, and
+// a request whose claim is dropped too early could run twice.
 const expiryMargin = 5 * time.Second
 
-// claim is one request as this process knows it.
+// claim is the state of one request as known to this process.
 type claim struct {
 	key         Key
 	fingerprint uint64
-	epoch       int64 // under which it was claimed
+	epoch       int64 // epoch of the owner that made the claim
 	state       state
-	reason      wire.Reason // of unknown
+	reason      wire.Reason // of the state unknown
 	window      time.Duration
 	expires     time.Time
-	sent        bool    // was part of a write, so that it may stand in the service
-	committed   bool    // stands in the service: nobody else will run it before it expires
-	answer      *stored // of done
+	mayBeStored bool    // it was part of a write, so it may be in the service
+	committed   bool    // it is in the service, so no other owner runs it before it expires
+	answer      *stored // of the state done
 	waiters     []waiter
-	// openUntil is how long the result of an earlier owner's claim is waited for.
-	openUntil time.Time
+	// resultDeadline is the time until which the result of an earlier owner's
+	// claim is awaited.
+	resultDeadline time.Time
 
-	// hold is the latest deadline of a call that was answered "not run". The
-	// request is not run before it, and no "not run" reaches a caller after
-	// it; else an answer that travels slowly would arrive when a repeat of
+	// notBefore is the latest deadline of a call that was answered "not run". The
+	// request is not run before it, and no "not run" reaches a caller after it.
+	// Otherwise an answer that is delayed in transit could arrive after a retry of
 	// the request has run.
-	hold time.Time
+	notBefore time.Time
 }
 
+// waiter is a call that waits for the answer to a request.
 type waiter struct {
 	id       int64
-	deadline time.Time // its caller's entry says nothing but "unknown" after this
-	replyBy  time.Time // a little before deadline
+	deadline time.Time // after it the caller's entry answers only "unknown"
+	replyBy  time.Time // deadline less ReplyMargin, or earlier
 }
 
 // Partition is the state machine of one claim partition. It is not safe for
 // concurrent use.
 type Partition struct {
-	config      Config
-	phase       phase
-	epoch       int64     // highest epoch this process was given
-	provenUntil time.Time // no other process holds the duty before this
-
-	table   map[Key]*claim // complete while serving; only own running claims else
-	dirty   []Key          // to be written, each once, oldest first
-	isDirty map[Key]bool   // the same as a set
-
-	// unwritten are claims of earlier epochs of this process whose end, or
-	// whose not having run, it knows and the service may not. Without them
-	// what ended in an outage would be "unknown" to the very process that ran
-	// it, once that has renewed its lapsed lease under the next epoch.
+	config     Config
+	phase      phase
+	epoch      int64     // highest epoch under which this process has held the duty
+	leaseUntil time.Time // no other process holds the duty before it
+
+	table   map[Key]*claim // complete while serving; otherwise only the claims running here
+	dirty   []Key          // keys of claims to be written, each once, oldest first
+	isDirty map[Key]bool   // the keys in dirty, as a set
+
+	// unwritten holds claims of earlier epochs whose results this process knows,
+	// because they ended or were abandoned here or because it received the results
+	// before it serves, while the service may not have them. Without unwritten, a
+	// request that ended during an outage would be "unknown" even to the process
+	// that ran it, once that has renewed its lapsed lease under the next epoch.
 	unwritten map[Key]*claim
 
-	head     head // as last committed
-	revision int64
-	inflight *commit
-	lastID   int64
-	notYet   time.Time // no call to the service before this
-	failing  bool      // the last call to the service failed
-
-	toRead  []string // keys still to be read
-	reading map[string]bool
-	loaded  map[string][]entry // of the buckets read so far
+	head           head  // as last committed
+	revision       int64 // of the head in the service
+	inflight       *commit
+	lastID         int64
+	nextCallAt     time.Time // no call to the service starts before it
+	lastCallFailed bool      // the last call to the service failed
+
+	toRead  []string           // keys of records still to be read
+	reading map[string]bool    // keys of records with a read in flight
+	loaded  map[string][]entry // entries of the buckets read so far, by key
 	buckets map[string]bucket  // sealed buckets by key
 
-	running  int            // claims in state running
-	waiting  int            // calls, over all of awaited
-	awaited  map[Key]*claim // claims with waiters
-	earliest time.Time      // no waiter's replyBy is before this
+	running         int            // number of claims in the state running
+	waiting         int            // number of waiting calls, those of all claims in awaited
+	awaited         map[Key]*claim // claims with waiters
+	earliestReplyBy time.Time      // no waiter's replyBy is before it
 
-	holding map[Key]*claim // claims in state notRun before their hold ends
-	holdEnd time.Time      // no hold in holding ends before this
-	out     []Action
+	delayed  map[Key]*claim // claims in the state notRun before their notBefore
+	delayEnd time.Time      // no notBefore in delayed is before it
+	actions  []Action       // output of the current Step
 }
 
-// bucket is what the owner remembers of a sealed bucket.
+// bucket is what the owner has to know about a sealed bucket.
 type bucket struct {
 	revision int64
 	keys     []Key
 }
 
-// New returns a partition that is not owned yet.
+// New returns a Partition that this process doesn't own yet.
 func New(config Config) *Partition {
 	return &Partition{
 		config:  config,
@@ -104,28 +107,28 @@
 		isDirty: map[Key]bool{},
 		reading: map[string]bool{},
 		awaited: map[Key]*claim{},
-		holding: map[Key]*claim{},
+		delayed: map[Key]*claim{},
 
 		unwritten: map[Key]*claim{},
 		buckets:   map[string]bucket{},
 	}
 }
 
-// Serving tells whether the partition answers calls.
+// Serving reports whether the partition processes calls.
 func (p *Partition) Serving() bool { return p.phase == serving }
 
-// Epoch returns the highest epoch under which the partition was held here.
+// Epoch returns the highest epoch under which this process has owned the partition.
 func (p *Partition) Epoch() int64 { return p.epoch }
 
-// Idle tells whether no call waits, nothing runs from here and everything is
-// written, so that a successor would know all that this owner does.
+// Idle reports whether no call waits, no request runs here and everything is written,
+// so that a successor would know everything that this owner knows.
 func (p *Partition) Idle() bool {
 	return p.waiting == 0 && p.running == 0 && len(p.dirty) == 0 && p.inflight == nil
 }
 
-// Step takes an event and returns what to do, in order.
+// Step processes an event and returns the resulting actions in order.
 func (p *Partition) Step(now time.Time, e Event) []Action {
-	p.out = nil
+	p.actions = nil
 	switch e := e.(type) {
 	case Acquired:
 		p.acquired(now, e)
@@ -142,35 +145,35 @@
 	case WriteDone:
 		p.writeDone(now, e)
 	case ResultsReceived:
-		p.told(now, e)
+		p.resultsReceived(now, e)
 	case Tick:
 		p.expireWaiters(now)
 	}
-	p.endHolds(now)
+	p.endDelays(now)
 	p.advance(now)
-	return p.out
+	return p.actions
 }
 
-func (p *Partition) do(a Action) { p.out = append(p.out, a) }
+func (p *Partition) emit(a Action) { p.actions = append(p.actions, a) }
 
 func (p *Partition) renewed(e Renewed) {
 	if p.phase != idle {
-		p.provenUntil = e.Until
+		p.leaseUntil = e.Until
 	}
 }
 
-// lose forgets everything but the requests that run from here: their callers
-// still get their answers. Calls whose claim is not dispatched go to the next
-// owner; they are never dispatched from here again.
+// lose drops everything except the requests that run here, whose callers still get
+// their answers. Calls whose claim is not dispatched are sent to the next owner; this
+// process never dispatches them under this claim.
 func (p *Partition) lose() {
 	p.phase = idle
-	p.provenUntil = time.Time{}
-	p.keepUnwritten()
+	p.leaseUntil = time.Time{}
+	p.rememberUnwritten()
 	p.inflight = nil
 	p.toRead = nil
 	p.loaded = nil
 	clear(p.reading)
-	clear(p.holding)
+	clear(p.delayed)
 	clear(p.buckets)
 	for _, key := range sortedKeys(p.awaited) {
 		if c := p.awaited[key]; c.state != running {
@@ -182,37 +185,38 @@
 	clear(p.isDirty)
 }
 
-// keepUnwritten remembers what ended here and may not be written.
-func (p *Partition) keepUnwritten() {
+// rememberUnwritten adds the claims to unwritten that ended here and may not be stored
+// as such.
+func (p *Partition) rememberUnwritten() {
 	keys := p.dirty
 	if p.inflight != nil {
-		for _, e := range p.inflight.holds {
+		for _, e := range p.inflight.added {
 			keys = append(keys, e.Key)
 		}
 	}
-	keys = append(keys, sortedKeys(p.holding)...)
+	keys = append(keys, sortedKeys(p.delayed)...)
 	for _, key := range keys {
 		c := p.table[key]
-		if c != nil && c.sent && c.state != running && c.state != unknown {
+		if c != nil && c.mayBeStored && c.state != running && c.state != unknown {
 			p.unwritten[key] = c
-			p.tell(c)
+			p.sendResult(c)
 		}
 	}
 }
 
 func (p *Partition) submitted(now time.Time, e Submitted) {
 	if p.phase != serving {
-		p.do(Reply{Waiter: e.Waiter, Moved: true})
+		p.emit(Reply{Waiter: e.Waiter, Moved: true})
 		return
 	}
 	w := waiter{id: e.Waiter, deadline: e.Deadline, replyBy: e.Deadline.Add(-p.config.ReplyMargin)}
 	c := p.table[e.Key]
-	if c == nil || p.over(now, c) {
+	if c == nil || p.expired(now, c) {
 		p.submitNew(now, e, w)
 		return
 	}
 	if c.fingerprint != e.Fingerprint {
-		p.do(p.refuse(c, w, wire.ReasonConflict))
+		p.emit(p.refuse(c, w, wire.ReasonConflict))
 		return
 	}
 	c.window = max(c.window, e.Window)
@@ -221,21 +225,23 @@
 		p.join(c, w)
 	case notRun:
 		p.join(c, w)
-		if _, held := p.holding[c.key]; !held {
+		if _, isDelayed := p.delayed[c.key]; !isDelayed {
 			p.claim(now, c)
 		}
 	case unknown:
-		p.joinOpen(now, c, w)
+		p.joinUnknown(now, c, w)
 	default:
-		p.do(Reply{Waiter: w.id, Answer: c.verdict()})
+		p.emit(Reply{Waiter: w.id, Answer: c.finalAnswer()})
 	}
 }
 
-// over tells whether the caller's window for the claim has passed.
-func (p *Partition) over(now time.Time, c *claim) bool {
-	return now.After(c.expires) && now.After(c.hold) && c.state != running && len(c.waiters) == 0
+// expired reports whether the claim can be dropped: its retry window has passed, and it
+// neither runs nor has waiters.
+func (p *Partition) expired(now time.Time, c *claim) bool {
+	return now.After(c.expires) && now.After(c.notBefore) && c.state != running && len(c.waiters) == 0
 }
 
+// submitNew handles a call whose key has no claim, or only an expired one.
 func (p *Partition) submitNew(now time.Time, e Submitted, w waiter) {
 	c := &claim{key: e.Key, fingerprint: e.Fingerprint, window: e.Window, state: notRun}
 	if p.waiting < p.config.MaxWaiters {
@@ -247,16 +253,16 @@
 	refusal := p.refuse(c, w, wire.ReasonQueueFull)
 	if refusal.Answer.Outcome == wire.NotRun {
 		p.table[c.key] = c
-		p.holdOn(c)
+		p.delay(c)
 	}
-	p.do(refusal)
+	p.emit(refusal)
 }
 
-// claim begins to claim a request that has waiters.
+// claim starts to claim a request that has waiters.
 func (p *Partition) claim(now time.Time, c *claim) {
 	c.state = claimed
 	c.epoch = p.epoch
-	c.sent = false
+	c.mayBeStored = false
 	c.committed = false
 	c.answer = nil
 	c.expires = now.Add(c.window)
@@ -277,40 +283,40 @@
 	p.dirty = append(p.dirty, c.key)
 }
 
-// refuse is the answer to a call that was not dispatched and never will be. It
-// is "not run" only if nobody can run the request before the call's deadline:
-// not this owner, which keeps the hold, and no other one, either because the
-// claim stands in the service or because the lease holds until then. Otherwise
-// a successor may have run a repeat of it.
+// refuse returns the reply to a call that was not dispatched and never will be. It is
+// "not run" only if no owner can run the request before the call's deadline: this owner
+// doesn't because of notBefore, and no other one does, because the claim is in the
+// service or because the lease is valid until then. Otherwise the reply is "unknown",
+// since a successor may have run a retry.
 func (p *Partition) refuse(c *claim, w waiter, reason wire.Reason) Reply {
 	r := Reply{Waiter: w.id, Answer: wire.Answer{Outcome: wire.NotRun, Reason: reason}}
 	if reason != wire.ReasonConflict {
 		r.Answer.RetryAfter = p.config.RetryAfter
 	}
-	standing := c.committed && w.deadline.Before(c.expires)
-	if !standing && w.deadline.After(p.provenUntil) {
+	claimCovers := c.committed && w.deadline.Before(c.expires)
+	if !claimCovers && w.deadline.After(p.leaseUntil) {
 		r.Answer = RefusalAsUnknown(r.Answer)
 		return r
 	}
-	if !standing {
+	if !claimCovers {
 		r.LeaseUntil = w.deadline
 	}
-	if w.deadline.After(c.hold) {
-		c.hold = w.deadline
+	if w.deadline.After(c.notBefore) {
+		c.notBefore = w.deadline
 	}
 	return r
 }
 
-// RefusalAsUnknown turns a refusal into the answer for when a repeat of the request
-// may have run elsewhere.
+// RefusalAsUnknown turns a refusal into an unknown outcome, for the case that another
+// owner may have run a retry of the request.
 func RefusalAsUnknown(refusal wire.Answer) wire.Answer {
 	refusal.Outcome = wire.Unknown
 	refusal.Detail = "this attempt was not run; another one may have been. Repeat it with the same key"
 	return refusal
 }
 
-// verdict is the answer to a repeat of a claim that ended.
-func (c *claim) verdict() wire.Answer {
+// finalAnswer returns the answer to a retry of a request whose claim has ended.
+func (c *claim) finalAnswer() wire.Answer {
 	if c.state != done {
 		return wire.Answer{Outcome: wire.Unknown, Reason: c.reason}
 	}
@@ -329,8 +335,8 @@
 	}
 }
 
-// settled records the end of a run. A late answer to a run that was given up
-// as unknown still counts.
+// settled records the result of a dispatched request. A late answer still counts if the
+// result was unknown before.
 func (p *Partition) settled(now time.Time, e Settled) {
 	c := p.table[e.Key]
 	late := c != nil && c.state == unknown && e.Answer.Outcome == wire.Answered
@@ -344,7 +350,7 @@
 	switch e.Answer.Outcome {
 	case wire.Answered:
 		c.state = done
-		c.answer = p.store(e.Answer)
+		c.answer = p.newStored(e.Answer)
 		p.replyAll(c, Reply{Answer: e.Answer})
 	case wire.NotRun:
 		p.refuseAll(c, e.Answer)
@@ -361,7 +367,7 @@
 		}})
 	}
 	if p.phase == idle {
-		p.tell(c)
+		p.sendResult(c)
 		delete(p.table, c.key)
 		return
 	}
@@ -370,7 +376,7 @@
 	}
 }
 
-// refuseAll passes a dispatch's "not run" on to every call that waits for it.
+// refuseAll answers all calls that wait for a dispatch whose result is "not run".
 func (p *Partition) refuseAll(c *claim, cause wire.Answer) {
 	for _, w := range c.waiters {
 		r := p.refuse(c, w, cause.Reason)
@@ -378,22 +384,23 @@
 			r.Answer.Detail = cause.Detail
 		}
 		r.Answer.RetryAfter = max(r.Answer.RetryAfter, cause.RetryAfter)
-		p.do(r)
+		p.emit(r)
 	}
 	p.dropWaiters(c, nil)
 }
 
-// NextWake returns when the next Tick is due; false if nothing waits for time.
+// NextWake returns the time at which the next Tick is due, and false if nothing is
+// scheduled.
 func (p *Partition) NextWake() (time.Time, bool) {
 	var at time.Time
 	if p.waiting > 0 {
-		at = p.earliest
+		at = p.earliestReplyBy
 	}
-	if len(p.holding) > 0 && (at.IsZero() || p.holdEnd.Before(at)) {
-		at = p.holdEnd
+	if len(p.delayed) > 0 && (at.IsZero() || p.delayEnd.Before(at)) {
+		at = p.delayEnd
 	}
-	if p.wantsService() && (at.IsZero() || p.notYet.Before(at)) {
-		at = p.notYet
+	if p.hasPendingCall() && (at.IsZero() || p.nextCallAt.Before(at)) {
+		at = p.nextCallAt
 	}
 	return at, !at.IsZero()
 }
--- a/internal/policy/claims/record.go
+++ b/internal/policy/claims/record.go
@@ -11,33 +11,34 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// errRecord marks a record of the service that cannot be understood.
-var errRecord = errors.New("claims: unreadable record")
+// errUnreadable is the error for a record of the service that can't be decoded.
+var errUnreadable = errors.New("claims: unreadable record")
 
-// state is what is known of a request.
+// state is the state of a claim.
 type state string
 
-// The states. Stored records hold claimed, done, notRun or unknown.
+// The states of a claim. Stored entries have the states claimed, done, notRun or
+// unknown.
 const (
-	claimed state = "c" // pending here, or a predecessor's without a result
-	running state = "r" // dispatched from here; stored as claimed
+	claimed state = "c" // waiting for its commit here, or left by an earlier owner without a result
+	running state = "r" // dispatched by this process; stored as claimed
 	done    state = "d"
 	notRun  state = "n"
 	unknown state = "u"
 )
 
-// entry is one request in a stored record.
+// entry is the stored form of a claim.
 type entry struct {
 	Key         Key     `json:"k"`
-	Epoch       int64   `json:"e"` // under which it was claimed
+	Epoch       int64   `json:"e"` // epoch of the owner that made the claim
 	Fingerprint uint64  `json:"f"`
 	State       state   `json:"s"`
 	Expires     int64   `json:"x"` // Unix milliseconds
 	Answer      *stored `json:"a,omitempty"`
 }
 
-// stored is an answer kept for replay. Kept false means that the request ran
-// and its body was too long to keep.
+// stored is an answer that is stored for replay. If Kept is false, the request ran, but
+// the body of its answer was too long to store.
 type stored struct {
 	Kept        bool   `json:"k"`
 	Status      int    `json:"s"`
@@ -45,33 +46,34 @@
 	Body        []byte `json:"b,omitempty"`
 }
 
-// sealed names a bucket. Its epoch is part of its key, so that only the holder
-// of that epoch ever writes it.
+// sealed identifies a sealed bucket. The epoch is part of the bucket's key, so that only
+// the owner with that epoch ever writes it.
 type sealed struct {
 	Epoch   int64 `json:"e"`
 	Number  int64 `json:"n"`
-	Expires int64 `json:"x"` // of its last entry, Unix milliseconds
+	Expires int64 `json:"x"` // when its last entry expires, in Unix milliseconds
 }
 
-// head is the record that every commit swaps. Writer, Epoch and Commit tell
-// the writer of a swap whose answer was lost whether it took effect.
+// head is the record that every commit swaps. Writer, Epoch and Commit identify the
+// commit, so that its writer can find out whether it took effect if the answer was
+// lost.
 type head struct {
 	Writer  string   `json:"w"`
-	Epoch   int64    `json:"e"` // only grows
+	Epoch   int64    `json:"e"` // only increases
 	Commit  int64    `json:"c"`
 	Sealed  []sealed `json:"b,omitempty"` // oldest first
-	Entries []entry  `json:"r,omitempty"` // the newest state of each, later than any bucket's
+	Entries []entry  `json:"r,omitempty"` // newest entries, which take precedence over those in buckets
 }
 
-// MarshalText writes the key for JSON.
+// MarshalText implements encoding.TextMarshaler with the key in hexadecimal.
 func (k Key) MarshalText() ([]byte, error) {
 	return hex.AppendEncode(nil, k[:]), nil
 }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (k *Key) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(k)) {
-		return errRecord
+		return errUnreadable
 	}
 	_, err := hex.Decode(k[:], text)
 	return err
@@ -83,7 +85,7 @@
 		return h, nil
 	}
 	if err := json.Unmarshal(r.Value, &h); err != nil {
-		return h, errors.Wrapf(errRecord, "%s: %v", r.Key, err)
+		return h, errors.Wrapf(errUnreadable, "%s: %v", r.Key, err)
 	}
 	return h, nil
 }
@@ -91,16 +93,17 @@
 func decodeBucket(r Record) ([]entry, error) {
 	var all []entry
 	if r.Revision == 0 {
-		return nil, errors.Wrapf(errRecord, "%s: listed but absent", r.Key)
+		return nil, errors.Wrapf(errUnreadable, "%s: listed but absent", r.Key)
 	}
 	if err := json.Unmarshal(r.Value, &all); err != nil {
-		return nil, errors.Wrapf(errRecord, "%s: %v", r.Key, err)
+		return nil, errors.Wrapf(errUnreadable, "%s: %v", r.Key, err)
 	}
 	return all, nil
 }
 
-// encode panics on failure: the types above always encode.
-func encode(v any) []byte {
+// mustEncode returns v as JSON. It panics on failure, which can't happen with the types
+// above.
+func mustEncode(v any) []byte {
 	value, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -108,7 +111,7 @@
 	return value
 }
 
-// entrySize estimates the encoded size of an entry from above.
+// entrySize returns an upper bound of the encoded size of an entry.
 func entrySize(e entry) int {
 	const fixed = 160
 	if e.Answer == nil {
@@ -123,7 +126,8 @@
 	return fmt.Sprintf("%s/%d-%d", p.config.Prefix, s.Epoch, s.Number)
 }
 
-func (p *Partition) store(a wire.Answer) *stored {
+// newStored returns the stored form of an answer.
+func (p *Partition) newStored(a wire.Answer) *stored {
 	if len(a.Body) > p.config.MaxAnswerBytes {
 		return &stored{}
 	}
--- a/internal/policy/claims/takeover.go
+++ b/internal/policy/claims/takeover.go
@@ -6,9 +6,10 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// maxReads is how many buckets are read at once.
-const maxReads = 8
+// maxConcurrentReads limits the number of concurrent reads of buckets.
+const maxConcurrentReads = 8
 
+// fence returns the fencing token of this owner.
 func (p *Partition) fence() wire.Fence {
 	return wire.Fence{Duty: p.config.Duty, Epoch: p.epoch}
 }
@@ -19,25 +20,25 @@
 	}
 	p.lose()
 	p.epoch = e.Epoch
-	p.provenUntil = e.Until
-	p.notYet = now
-	p.load()
+	p.leaseUntil = e.Until
+	p.nextCallAt = now
+	p.startTakeover()
 }
 
-// load begins the takeover: the head is read, then swapped under the new
-// epoch. Only then are the buckets read; a predecessor could still add to
-// them before.
-func (p *Partition) load() {
+// startTakeover starts the takeover. The head is read and then swapped under the new
+// epoch. The buckets are read only after that, since a predecessor could still add
+// buckets before.
+func (p *Partition) startTakeover() {
 	p.phase = fencing
 	p.toRead = []string{p.headKey()}
 }
 
 func (p *Partition) sendReads() {
-	for len(p.toRead) > 0 && len(p.reading) < maxReads {
+	for len(p.toRead) > 0 && len(p.reading) < maxConcurrentReads {
 		key := p.toRead[0]
 		p.toRead = p.toRead[1:]
 		p.reading[key] = true
-		p.do(Read{Key: key})
+		p.emit(Read{Key: key})
 	}
 }
 
@@ -47,13 +48,13 @@
 		return
 	}
 	delete(p.reading, key)
-	p.failing = e.Failed
+	p.lastCallFailed = e.Failed
 	if p.phase == serving {
-		p.probeDone(now, e)
+		p.outcomeChecked(now, e)
 		return
 	}
 	if e.Failed {
-		p.readAgain(now, key)
+		p.retryRead(now, key)
 		return
 	}
 	if p.phase == fencing {
@@ -63,17 +64,17 @@
 	p.loadBucket(now, e.Record)
 }
 
-func (p *Partition) readAgain(now time.Time, key string) {
+func (p *Partition) retryRead(now time.Time, key string) {
 	p.toRead = append(p.toRead, key)
-	p.notYet = now.Add(p.config.RetryDelay)
+	p.nextCallAt = now.Add(p.config.RetryDelay)
 }
 
-// startFence swaps the head that stands for the same one under this epoch.
+// startFence swaps the current head for one with the same content and this epoch.
 func (p *Partition) startFence(now time.Time, record Record) {
 	h, err := decodeHead(record)
 	if err != nil {
-		p.do(Fault{Err: err})
-		p.readAgain(now, p.headKey())
+		p.emit(Fault{Err: err})
+		p.retryRead(now, p.headKey())
 		return
 	}
 	if h.Epoch > p.epoch || h.Epoch == p.epoch && h.Writer != p.config.Writer {
@@ -86,7 +87,7 @@
 	p.begin(commit{
 		kind:  fence,
 		head:  h,
-		write: Write{Key: p.headKey(), Expected: record.Revision, Value: encode(h)},
+		write: Write{Key: p.headKey(), Expected: record.Revision, Value: mustEncode(h)},
 	})
 }
 
@@ -103,16 +104,17 @@
 	for _, s := range p.head.Sealed {
 		p.toRead = append(p.toRead, p.bucketKey(s))
 	}
-	p.loadEnd(now)
+	p.finishLoad(now)
 }
 
-// loadBucket takes a bucket in. An unreadable one keeps the partition from
-// serving: its keys could have run, and would be taken for new ones.
+// loadBucket adds the entries of a bucket that was read. The partition doesn't serve
+// while a bucket can't be decoded: requests with its keys could have run and would be
+// treated as new ones.
 func (p *Partition) loadBucket(now time.Time, record Record) {
 	entries, err := decodeBucket(record)
 	if err != nil {
-		p.do(Fault{Err: err})
-		p.readAgain(now, record.Key)
+		p.emit(Fault{Err: err})
+		p.retryRead(now, record.Key)
 		return
 	}
 	b := bucket{revision: record.Revision}
@@ -121,38 +123,38 @@
 	}
 	p.buckets[record.Key] = b
 	p.loaded[record.Key] = entries
-	p.loadEnd(now)
+	p.finishLoad(now)
 }
 
-// loadEnd begins to serve once every bucket is read.
-func (p *Partition) loadEnd(now time.Time) {
+// finishLoad builds the table and starts to serve once every bucket has been read.
+func (p *Partition) finishLoad(now time.Time) {
 	if len(p.toRead) > 0 || len(p.reading) > 0 {
 		return
 	}
 	own := p.table
 	p.table = map[Key]*claim{}
 	for _, s := range p.head.Sealed {
-		p.apply(now, p.loaded[p.bucketKey(s)])
+		p.applyEntries(now, p.loaded[p.bucketKey(s)])
 	}
-	p.apply(now, p.head.Entries)
+	p.applyEntries(now, p.head.Entries)
 	p.loaded = nil
 	p.phase = serving
 	for _, key := range sortedKeys(own) {
-		p.keepOwn(own[key])
+		p.restoreOwn(own[key])
 	}
 	for _, key := range sortedKeys(p.unwritten) {
-		p.restore(now, p.unwritten[key])
+		p.resolveUnknown(now, p.unwritten[key])
 	}
 	clear(p.unwritten)
-	p.ask()
+	p.queryAgents()
 }
 
-// restore takes in what became of a claim of an earlier epoch, this process's
-// own or one told by the owner of that time. An owner in between has called it unknown, as it had to, and not run
-// it.
-func (p *Partition) restore(now time.Time, old *claim) {
+// resolveUnknown applies the result of a claim of an earlier epoch, which this process
+// made itself or which its owner or an agent reported. The claim in the table is
+// unknown: an owner in between could only treat it so, and has not run the request.
+func (p *Partition) resolveUnknown(now time.Time, old *claim) {
 	c := p.table[old.key]
-	if c == nil || c.state != unknown || !old.entry().is(c) {
+	if c == nil || c.state != unknown || !old.entry().matches(c) {
 		return
 	}
 	switch old.state {
@@ -160,17 +162,18 @@
 		c.state = done
 		c.answer = old.answer
 		p.markDirty(c)
-		p.replyAll(c, Reply{Answer: c.verdict()})
+		p.replyAll(c, Reply{Answer: c.finalAnswer()})
 	case unknown:
-		c.openUntil = now
-		p.replyAll(c, Reply{Answer: c.verdict()})
+		c.resultDeadline = now
+		p.replyAll(c, Reply{Answer: c.finalAnswer()})
 	default:
-		c.hold = old.hold
+		c.notBefore = old.notBefore
 		c.state = notRun
-		// Another owner may be told the same, so the stored claim no longer
-		// keeps everybody from running the request; the lease does.
+		// Another owner may receive the same result, so the stored claim no
+		// longer keeps other owners from running the request; only the lease
+		// does.
 		c.committed = false
-		if len(c.waiters) > 0 && !c.hold.After(now) {
+		if len(c.waiters) > 0 && !c.notBefore.After(now) {
 			p.claim(now, c)
 			return
 		}
@@ -178,9 +181,9 @@
 	}
 }
 
-// keepOwn takes back a request that ran here while the duty was lost, unless
-// its key was claimed anew after its window.
-func (p *Partition) keepOwn(c *claim) {
+// restoreOwn puts a claim whose request ran here while the duty was lost back into the
+// table, unless its key was claimed again after its window.
+func (p *Partition) restoreOwn(c *claim) {
 	other := p.table[c.key]
 	if other != nil && other.expires.After(c.expires) {
 		if c.state == running {
@@ -190,14 +193,14 @@
 		return
 	}
 	p.table[c.key] = c
-	if _, held := p.holding[c.key]; !held && c.state != running {
+	if _, isDelayed := p.delayed[c.key]; !isDelayed && c.state != running {
 		p.markDirty(c)
 	}
 }
 
-// apply takes entries in, later ones over earlier ones. A claim without a
-// result is unknown: its owner may have dispatched it.
-func (p *Partition) apply(now time.Time, entries []entry) {
+// applyEntries adds entries to the table; later ones replace earlier ones. A claim
+// without a result is unknown, since its owner may have dispatched it.
+func (p *Partition) applyEntries(now time.Time, entries []entry) {
 	for _, e := range entries {
 		c := &claim{
 			key:         e.Key,
@@ -206,13 +209,13 @@
 			state:       e.State,
 			expires:     fromMilli(e.Expires),
 			answer:      e.Answer,
-			sent:        true,
+			mayBeStored: true,
 			committed:   true,
 		}
 		if c.state == claimed {
 			c.state = unknown
 			c.reason = wire.ReasonUnsettled
-			c.openUntil = now.Add(p.config.ResultTimeout)
+			c.resultDeadline = now.Add(p.config.ResultTimeout)
 		}
 		if now.After(c.expires) {
 			delete(p.table, c.key)
