--- a/internal/policy/claims/commit.go
+++ b/internal/policy/claims/commit.go
@@ -30,7 +30,7 @@
 type commit struct {
 	write        Write
 	kind         writeKind
-	pending      bool // a call is in flight
+	sent         bool // a call was sent and is not answered yet
 	checkOutcome bool // the next call is a read of the head to determine the outcome of the write
 
 	earlier []*commit // writes of unknown outcome that expect the same revision
@@ -60,19 +60,19 @@
 	}
 }
 
-// hasPendingCall reports whether a call to the service is to be made at nextCallAt.
-func (p *Partition) hasPendingCall() bool {
+// hasNextCall reports whether a call to the service is to be made at nextCallAt.
+func (p *Partition) hasNextCall() bool {
 	if p.inflight != nil {
-		return !p.inflight.pending
+		return !p.inflight.sent
 	}
 	return len(p.toRead) > 0 || p.phase == serving && len(p.dirty) > 0
 }
 
 func (p *Partition) send() {
-	if p.inflight.pending {
+	if p.inflight.sent {
 		return
 	}
-	p.inflight.pending = true
+	p.inflight.sent = true
 	if p.inflight.checkOutcome {
 		p.reading[p.headKey()] = true
 		p.emit(Read{Key: p.headKey()})
@@ -246,7 +246,7 @@
 		return
 	}
 	if e.Failed {
-		c.pending = false
+		c.sent = false
 		c.checkOutcome = c.kind == swapHead && len(c.earlier) < maxEarlierWrites
 		p.lastCallFailed = true
 		p.nextCallAt = now.Add(p.config.RetryDelay)
@@ -270,7 +270,7 @@
 		// reload, and no head lists it.
 		c.bucket.Number++
 		c.write.Key = p.bucketKey(c.bucket)
-		c.pending = false
+		c.sent = false
 		p.begin(*c)
 		return
 	}
@@ -290,7 +290,7 @@
 	if c == nil || !c.checkOutcome {
 		return
 	}
-	c.pending = false
+	c.sent = false
 	if e.Failed {
 		p.nextCallAt = now.Add(p.config.RetryDelay)
 		return
--- a/internal/policy/claims/partition.go
+++ b/internal/policy/claims/partition.go
@@ -399,7 +399,7 @@
 	if len(p.delayed) > 0 && (at.IsZero() || p.delayEnd.Before(at)) {
 		at = p.delayEnd
 	}
-	if p.hasPendingCall() && (at.IsZero() || p.nextCallAt.Before(at)) {
+	if p.hasNextCall() && (at.IsZero() || p.nextCallAt.Before(at)) {
 		at = p.nextCallAt
 	}
 	return at, !at.IsZero()
--- a/internal/policy/membership/connections.go
+++ b/internal/policy/membership/connections.go
@@ -11,7 +11,7 @@
 type Fanout struct {
 	Watchers     int // minimum number of entries that keep a connection to each agent
 	PerService   int // minimum number of agents of each service that an entry keeps, if it has as many
-	MaxUnwatched int // limit of agents that an entry keeps without watching them; reduces PerService if there are many services
+	MaxUnwatched int // approximate limit of agents that an entry keeps without watching them; reduces PerService if there are many services
 }
 
 // DefaultFanout returns the bounds used in production.
