--- a/internal/policy/duties/steps.go
+++ b/internal/policy/duties/steps.go
@@ -70,9 +70,11 @@
 	return held > share+1
 }
 
-// mayTake reports whether this process may take over the duty now: its record is
-// absent or released, or has been unchanged for longer than its holder may act on
-// it, or the holder failed its probes.
+// mayTake reports whether this process may take over the duty now. A duty whose record
+// is absent or released goes to the preferred holder or to a process that it was offered
+// to, and after a whole TTL to any candidate. Otherwise the record must have been
+// unchanged for longer than its holder may act on it, or the holder must have failed its
+// probes, or the record must name this process.
 func (k *Keeper) mayTake(now time.Time, d *duty, rnd *rand.Rand) bool {
 	if d.mayTakeOffered() {
 		return true
