--- a/internal/confstate/applier.go
+++ b/internal/confstate/applier.go
@@ -63,12 +63,12 @@
 	switch step.Kind {
 	case config.StepRead:
 		record, revision, ok := r.read(ctx, step.Key)
-		return a.Read(record, revision, ok)
+		return a.ReadDone(record, revision, ok)
 	case config.StepArchive:
 		standing, ok := r.archive(ctx, step)
-		return a.Archived(standing, ok)
+		return a.ArchiveDone(standing, ok)
 	default:
-		return a.Wrote(r.write(ctx, step))
+		return a.WriteDone(r.write(ctx, step))
 	}
 }
 
@@ -93,7 +93,7 @@
 	swapped, _, err := r.store.CompareAndSwap(ctx, kv.UseConfig, kv.Write{Key: step.Key, Expected: step.Expected, Value: step.Value})
 	r.err = err
 	outcome := writeOutcome(swapped, err)
-	r.unclear = r.unclear || outcome == config.WriteUnclear
+	r.unclear = r.unclear || outcome == config.WriteIndeterminate
 	return outcome
 }
 
--- a/internal/confstate/confstate_test.go
+++ b/internal/confstate/confstate_test.go
@@ -68,7 +68,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	o := confstate.Options{Deployment: "d", Log: log, Config: config.DefaultFollowerConfig()}
-	o.Config.Poll, o.Config.Patience, o.Config.Bound = 100*time.Millisecond, 300*time.Millisecond, time.Second
+	o.Config.PollInterval, o.Config.OwnReadDelay, o.Config.MaxStaleness = 100*time.Millisecond, 300*time.Millisecond, time.Second
 	if i == 3 {
 		o.Self = config.Peer{ID: "agent", Domain: "hall-0"}
 		return confstate.New(o)
--- a/internal/confstate/holder.go
+++ b/internal/confstate/holder.go
@@ -48,7 +48,7 @@
 	Fetch      Fetch    // entries only
 	Log        *logrus.Logger
 	Config     config.FollowerConfig
-	Journal    config.JournalConfig // entries only; the zero value takes the defaults
+	Journal    config.RefusedLogConfig // entries only; the zero value takes the defaults
 }
 
 // Holder holds the configuration in force. It is safe for concurrent use.
@@ -63,7 +63,7 @@
 
 	mu       sync.Mutex
 	follower *config.Follower
-	journal  *config.Journal // entries only
+	journal  *config.RefusedLog // entries only
 	history  config.History
 	rnd      *rand.Rand
 }
@@ -71,13 +71,13 @@
 // New returns a holder of no configuration.
 func New(o Options) *Holder {
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	if o.Journal == (config.JournalConfig{}) {
-		o.Journal = config.DefaultJournalConfig()
+	if o.Journal == (config.RefusedLogConfig{}) {
+		o.Journal = config.DefaultRefusedLogConfig()
 	}
 	run := o.Self.ID + "/" + strconv.FormatUint(rnd.Uint64(), 36)
 	return &Holder{
 		options:  o,
-		journal:  config.NewJournal(o.Journal, o.Deployment, run),
+		journal:  config.NewRefusedLog(o.Journal, o.Deployment, run),
 		follower: config.NewFollower(o.Config, o.Self, o.Entry, time.Now(), rnd),
 		rnd:      rnd,
 	}
@@ -154,7 +154,7 @@
 func (h *Holder) Revisions() []wire.Revision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := h.follower.Tell(time.Now())
+	n := h.follower.Status(time.Now())
 	return []wire.Revision{{
 		Deployment: h.options.Deployment, Revision: n.Revision, ConfirmedAgo: n.ConfirmedAgo,
 		QuorumFor: n.QuorumFor, Boot: n.Boot, Clock: n.Clock, Whole: h.whole.Load(),
@@ -170,9 +170,9 @@
 			continue
 		}
 		h.mu.Lock()
-		need := h.follower.Heard(time.Now(), config.News{
+		need := h.follower.Heard(time.Now(), config.PeerStatus{
 			From: from, Revision: r.Revision, ConfirmedAgo: r.ConfirmedAgo,
-			QuorumFor: r.QuorumFor, Boot: r.Boot, Clock: r.Clock, Sent: sent,
+			QuorumFor: r.QuorumFor, Boot: r.Boot, Clock: r.Clock, SentAt: sent,
 		})
 		h.mu.Unlock()
 		h.meet(ctx, need)
--- a/internal/confstate/refused.go
+++ b/internal/confstate/refused.go
@@ -15,21 +15,21 @@
 
 // NoteRefused puts a change that was not accepted, or whose outcome is unknown,
 // into the audit trail. It does not wait for the platform's service.
-func (h *Holder) NoteRefused(r config.Refused) {
+func (h *Holder) NoteRefused(r config.RefusedChanges) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.journal.Note(time.Now(), r)
+	h.journal.Append(time.Now(), r)
 }
 
 // Refused returns the changes that were refused or whose outcome was unknown, as
 // far as they have reached the platform's service, and how many more there were
 // that are not listed.
-func (h *Holder) Refused(ctx context.Context) ([]config.Refused, int64, error) {
+func (h *Holder) Refused(ctx context.Context) ([]config.RefusedChanges, int64, error) {
 	found, err := h.options.Store.List(ctx, kv.UseStatus, config.RefusedPrefix(h.options.Deployment))
 	if err != nil {
 		return nil, 0, err
 	}
-	var all []config.Refused
+	var all []config.RefusedChanges
 	dropped := int64(0)
 	for _, record := range found {
 		decoded, err := config.DecodeRefused(record.Value)
@@ -80,23 +80,23 @@
 		}
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		return h.journal.Read(record, found.Revision, err == nil)
+		return h.journal.ReadDone(record, found.Revision, err == nil)
 	}
 	swapped, _, err := h.options.Store.CompareAndSwap(ctx, kv.UseStatus, kv.Write{Key: step.Key, Expected: step.Expected, Value: step.Value})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.journal.Wrote(time.Now(), writeOutcome(swapped, err), h.rnd)
+	return h.journal.WriteDone(time.Now(), writeOutcome(swapped, err), h.rnd)
 }
 
 func writeOutcome(swapped bool, err error) config.WriteOutcome {
 	switch {
 	case errors.Is(err, kv.ErrUnknown):
-		return config.WriteUnclear
+		return config.WriteIndeterminate
 	case err != nil:
-		return config.WriteNotSent
+		return config.WriteNotApplied
 	case swapped:
 		return config.WriteSwapped
 	default:
-		return config.WriteRefused
+		return config.WriteConflict
 	}
 }
--- a/internal/lab/config/faults.go
+++ b/internal/lab/config/faults.go
@@ -154,16 +154,16 @@
 			reads++
 			s.store.read(step.Key, func(value []byte, revision int64, ok bool) {
 				record, err := config.DecodeRecord(value)
-				next(func() config.Step { return attempt.Read(record, revision, ok && err == nil) })
+				next(func() config.Step { return attempt.ReadDone(record, revision, ok && err == nil) })
 			})
 		case config.StepArchive:
 			s.store.swap(step.Key, 0, step.Value, func(o outcome, value []byte, _ int64) {
 				entries, err := config.DecodeArchive(value)
-				next(func() config.Step { return attempt.Archived(entries, o <= refused && err == nil) })
+				next(func() config.Step { return attempt.ArchiveDone(entries, o <= refused && err == nil) })
 			})
 		default:
 			s.store.swap(step.Key, step.Expected, step.Value, func(o outcome, _ []byte, _ int64) {
-				next(func() config.Step { return attempt.Wrote(s.writeOutcome(o)) })
+				next(func() config.Step { return attempt.WriteDone(s.writeOutcome(o)) })
 			})
 		}
 	}
@@ -175,14 +175,14 @@
 	case swapped:
 		return config.WriteSwapped
 	case refused:
-		return config.WriteRefused
+		return config.WriteConflict
 	case notSent:
-		return config.WriteNotSent
+		return config.WriteNotApplied
 	default:
 		if s.variant == unclearFails {
-			return config.WriteNotSent
+			return config.WriteNotApplied
 		}
-		return config.WriteUnclear
+		return config.WriteIndeterminate
 	}
 }
 
--- a/internal/lab/config/fleet.go
+++ b/internal/lab/config/fleet.go
@@ -272,11 +272,11 @@
 
 func (n *fleetNode) heartbeat(to *fleetNode) {
 	sent := n.f.Now()
-	news := n.follower.Tell(sent) // Sent is zero: the receiver does not know
+	news := n.follower.Status(sent) // Sent is zero: the receiver does not know
 	n.send(to, func() {
 		to.meet(to.follower.Heard(n.f.Now(), news))
-		reply := to.follower.Tell(n.f.Now())
-		reply.Sent = sent
+		reply := to.follower.Status(n.f.Now())
+		reply.SentAt = sent
 		to.send(n, func() {
 			if to.entry {
 				n.meet(n.follower.Heard(n.f.Now(), reply))
--- a/internal/lab/config/flood.go
+++ b/internal/lab/config/flood.go
@@ -24,11 +24,11 @@
 	j := newJournals(s, 7)
 	s.store = newStore[[]byte](w, storeFaults{})
 	j.store.faults = storeFaults{}
-	p := &proc{s: s, self: config.Peer{ID: "e"}, up: true, journal: config.NewJournal(config.DefaultJournalConfig(), deployment, "e/1")}
+	p := &proc{s: s, self: config.Peer{ID: "e"}, up: true, journal: config.NewRefusedLog(config.DefaultRefusedLogConfig(), deployment, "e/1")}
 	var flood, tick func()
 	flood = func() {
 		from := fmt.Sprint(w.rnd.IntN(floodHosts))
-		p.journal.Note(w.Now(), config.Refused{Host: from, Action: config.ActionApply, Outcome: config.OutcomeRefused})
+		p.journal.Append(w.Now(), config.RefusedChanges{Host: from, Action: config.ActionApply, Outcome: config.OutcomeRefused})
 		j.noted++
 		w.After(floodEvery, flood)
 	}
@@ -47,7 +47,7 @@
 	return j.floodFigures(p.journal)
 }
 
-func (j *journals) floodFigures(journal *config.Journal) ([]bounds.Figure, error) {
+func (j *journals) floodFigures(journal *config.RefusedLog) ([]bounds.Figure, error) {
 	stored, bytes, operators := int64(0), 0, 0
 	for _, value := range j.store.values {
 		record, err := config.DecodeRefused(value)
--- a/internal/lab/config/journal.go
+++ b/internal/lab/config/journal.go
@@ -10,14 +10,14 @@
 const journalTick = 100 * time.Millisecond
 
 // journalSettings let a schedule's seconds hold several batches.
-var journalSettings = config.JournalConfig{Delay: 300 * time.Millisecond, Interval: time.Second, Retry: 200 * time.Millisecond, Groups: 2}
+var journalSettings = config.RefusedLogConfig{FirstWriteDelay: 300 * time.Millisecond, WriteInterval: time.Second, RetryDelay: 200 * time.Millisecond, MaxGroups: 2}
 
 // journals are the refused and unknown changes of a schedule. They draw from a
 // random source of their own, so that they do not change what else happens.
 type journals struct {
 	*world
 	store *store[[]byte]
-	all   []*config.Journal // of every life of an entry
+	all   []*config.RefusedLog // of every life of an entry
 	noted int64
 }
 
@@ -28,7 +28,7 @@
 
 // begin gives an entry that starts its journal.
 func (j *journals) begin(p *proc) {
-	p.journal = config.NewJournal(journalSettings, deployment, p.lifeName())
+	p.journal = config.NewRefusedLog(journalSettings, deployment, p.lifeName())
 	j.all = append(j.all, p.journal)
 	life := p.life
 	var next func()
@@ -51,7 +51,7 @@
 		outcome = config.OutcomeUnknown
 	}
 	j.noted++
-	p.journal.Note(p.s.Now(), config.Refused{Operator: r.Operator, Action: r.Action, Outcome: outcome, ChangeID: r.ChangeID})
+	p.journal.Append(p.s.Now(), config.RefusedChanges{Operator: r.Operator, Action: r.Action, Outcome: outcome, ChangeID: r.ChangeID})
 }
 
 // carryOut does a step of the life that began it; one that dies leaves its call.
@@ -65,11 +65,11 @@
 			if p.s.variant == forgetMarks {
 				record.Marks = nil
 			}
-			p.do(life, func() { j.carryOut(p, journal.Read(record, revision, ok && err == nil)) })
+			p.do(life, func() { j.carryOut(p, journal.ReadDone(record, revision, ok && err == nil)) })
 		})
 	case config.StepWrite:
 		j.store.swap(step.Key, step.Expected, step.Value, func(o outcome, _ []byte, _ int64) {
-			p.do(life, func() { j.carryOut(p, journal.Wrote(p.s.Now(), p.s.writeOutcome(o), j.rnd)) })
+			p.do(life, func() { j.carryOut(p, journal.WriteDone(p.s.Now(), p.s.writeOutcome(o), j.rnd)) })
 		})
 	}
 }
--- a/internal/lab/config/schedule.go
+++ b/internal/lab/config/schedule.go
@@ -91,7 +91,7 @@
 	up       bool
 	paused   time.Time // not before it is over does the process do anything
 	follower *config.Follower
-	journal  *config.Journal // entries only
+	journal  *config.RefusedLog // entries only
 	revision int64
 	content  decl.Deployment
 	blind    time.Time // when it last could not have learned of a newer revision
@@ -308,11 +308,11 @@
 			continue
 		}
 		sent, life := p.s.Now(), p.life
-		news := p.follower.Tell(sent) // Sent is zero: the receiver does not know
+		news := p.follower.Status(sent) // Sent is zero: the receiver does not know
 		p.send(peer, func() {
 			peer.meet(peer.follower.Heard(p.s.Now(), news))
-			reply := peer.follower.Tell(p.s.Now())
-			reply.Sent = sent
+			reply := peer.follower.Status(p.s.Now())
+			reply.SentAt = sent
 			peer.send(p, func() {
 				if p.life == life {
 					p.replied(peer, reply)
@@ -322,7 +322,7 @@
 	}
 }
 
-func (p *proc) replied(peer *proc, reply config.News) {
+func (p *proc) replied(peer *proc, reply config.PeerStatus) {
 	if peer.entry {
 		p.meet(p.follower.Heard(p.s.Now(), reply))
 	}
--- a/internal/lab/routing/control.go
+++ b/internal/lab/routing/control.go
@@ -41,7 +41,7 @@
 	// spreading is in how many rounds an entry's news of a duty crosses the
 	// fleet; heartbeats carry the whole list meanwhile.
 	spreading   = 5
-	configTrail = config.MaxTrail
+	configTrail = config.MaxTrailEntries
 	letterFeeds = 14
 	// letterCallers is assumed; the letter does not tell it.
 	letterCallers = 600
--- a/internal/operator/inspect.go
+++ b/internal/operator/inspect.go
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func refusedRecord(g config.Refused) *operatorpb.AuditRecord {
+func refusedRecord(g config.RefusedChanges) *operatorpb.AuditRecord {
 	return &operatorpb.AuditRecord{
 		Revision:   g.Revision,
 		UnixMs:     g.UnixMilli,
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -207,7 +207,7 @@
 	log := logrus.New()
 	log.SetOutput(logged)
 	self := config.Peer{ID: "e", Domain: "z"}
-	journal := config.JournalConfig{Delay: 100 * time.Millisecond, Interval: time.Second, Retry: 100 * time.Millisecond, Groups: 8}
+	journal := config.RefusedLogConfig{FirstWriteDelay: 100 * time.Millisecond, WriteInterval: time.Second, RetryDelay: 100 * time.Millisecond, MaxGroups: 8}
 	holder := confstate.New(confstate.Options{Journal: journal, Deployment: "ledgerwise", Self: self, Entry: true, Store: wrap(store), Log: log, Config: config.DefaultFollowerConfig()})
 	holder.SetEntries([]config.Peer{self})
 	server := grpc.NewServer()
--- a/internal/operator/refused.go
+++ b/internal/operator/refused.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		host = address
 	}
-	s.sources.Config.NoteRefused(config.Refused{
+	s.sources.Config.NoteRefused(config.RefusedChanges{
 		Operator: operator,
 		Host:     host,
 		Action:   t.action,
--- a/internal/policy/config/attempt.go
+++ b/internal/policy/config/attempt.go
@@ -72,10 +72,10 @@
 
 // The outcomes of a compare-and-swap.
 const (
-	WriteSwapped WriteOutcome = iota
-	WriteRefused              // another write was first
-	WriteNotSent              // certainly without effect
-	WriteUnclear              // it may have taken effect or may still do so
+	WriteSwapped       WriteOutcome = iota
+	WriteConflict                   // another write was first
+	WriteNotApplied                 // certainly without effect
+	WriteIndeterminate              // it may have taken effect or may still do so
 )
 
 // Attempt carries one change into the record.
@@ -101,7 +101,7 @@
 }
 
 // Read takes in the record; ok false means that it could not be read.
-func (a *Attempt) Read(record Record, keyRevision int64, ok bool) Step {
+func (a *Attempt) ReadDone(record Record, keyRevision int64, ok bool) Step {
 	if !ok {
 		return a.unanswered()
 	}
@@ -170,7 +170,7 @@
 // Archived takes in the entries that stand under the archive key; ok false
 // means that it is not known to stand. Only what stands there is dropped from
 // the record: an archive left by an attempt that died may hold fewer entries.
-func (a *Attempt) Archived(standing []Audit, ok bool) Step {
+func (a *Attempt) ArchiveDone(standing []Audit, ok bool) Step {
 	if !ok || len(standing) == 0 {
 		return a.unanswered()
 	}
@@ -201,14 +201,14 @@
 }
 
 // Wrote takes in what became of the write of the record.
-func (a *Attempt) Wrote(outcome WriteOutcome) Step {
+func (a *Attempt) WriteDone(outcome WriteOutcome) Step {
 	switch outcome {
 	case WriteSwapped:
 		return done(Result{Verdict: Accepted, Record: a.next, Changes: a.changes})
-	case WriteUnclear:
+	case WriteIndeterminate:
 		a.unclear, a.sentOn = true, a.base.Revision
 		return a.read()
-	case WriteNotSent:
+	case WriteNotApplied:
 		return a.unanswered()
 	default:
 		return a.read()
--- a/internal/policy/config/config_test.go
+++ b/internal/policy/config/config_test.go
@@ -50,17 +50,17 @@
 func (s *store) carryOut(a *config.Attempt, step config.Step) config.Step {
 	switch step.Kind {
 	case config.StepRead:
-		return a.Read(s.record(), s.revision[step.Key], true)
+		return a.ReadDone(s.record(), s.revision[step.Key], true)
 	case config.StepArchive:
 		s.swap(step)
 		standing, err := config.DecodeArchive(s.records[step.Key])
 		Expect(err).NotTo(HaveOccurred())
-		return a.Archived(standing, true)
+		return a.ArchiveDone(standing, true)
 	default:
 		if s.swap(step) {
-			return a.Wrote(config.WriteSwapped)
+			return a.WriteDone(config.WriteSwapped)
 		}
-		return a.Wrote(config.WriteRefused)
+		return a.WriteDone(config.WriteConflict)
 	}
 }
 
@@ -130,7 +130,7 @@
 		step = s.carryOut(a, step)
 		Expect(s.swap(step)).To(BeTrue())
 		s.apply(weight(2, "three", 3))
-		result := s.finish(a, a.Wrote(config.WriteUnclear))
+		result := s.finish(a, a.WriteDone(config.WriteIndeterminate))
 		Expect(result.Verdict).To(Equal(config.Accepted))
 	})
 
@@ -139,10 +139,10 @@
 	It("does not call a change failed while its write may arrive", func() {
 		a, step := config.NewAttempt(weight(1, "two", 2))
 		late := s.carryOut(a, step)
-		step = a.Wrote(config.WriteUnclear)
+		step = a.WriteDone(config.WriteIndeterminate)
 		step = s.carryOut(a, step)
 		Expect(step.Kind).To(Equal(config.StepWrite))
-		step = a.Wrote(config.WriteNotSent)
+		step = a.WriteDone(config.WriteNotApplied)
 		Expect(step.Result.Verdict).To(Equal(config.Unknown))
 		Expect(s.swap(late)).To(BeTrue())
 		Expect(s.apply(weight(1, "two", 2)).Verdict).To(Equal(config.Accepted))
@@ -150,7 +150,7 @@
 	})
 
 	It("archives the older half of a long trail before dropping it", func() {
-		for i := int64(1); i < 3*config.MaxTrail; i++ {
+		for i := int64(1); i < 3*config.MaxTrailEntries; i++ {
 			Expect(s.apply(weight(i, fmt.Sprint("c", i), float64(i+1))).Verdict).To(Equal(config.Accepted))
 		}
 		seen := map[int64]bool{}
@@ -166,8 +166,8 @@
 				seen[e.Revision] = true
 			}
 		}
-		Expect(seen).To(HaveLen(3 * config.MaxTrail))
-		Expect(len(s.record().Trail)).To(BeNumerically("<=", config.MaxTrail))
+		Expect(seen).To(HaveLen(3 * config.MaxTrailEntries))
+		Expect(len(s.record().Trail)).To(BeNumerically("<=", config.MaxTrailEntries))
 	})
 
 	// An attempt died after writing an archive of fewer entries than are due
@@ -176,13 +176,13 @@
 		a, step := config.NewAttempt(weight(1, "two", 2))
 		step = s.carryOut(a, step)
 		_ = step
-		for i := int64(1); i < config.MaxTrail; i++ {
+		for i := int64(1); i < config.MaxTrailEntries; i++ {
 			s.apply(weight(i, fmt.Sprint("c", i), float64(i+1)))
 		}
 		key := config.ArchiveKey("d", 1)
 		s.records[key] = config.EncodeArchive(s.record().Trail[:1])
 		s.revision[key] = 1
-		s.apply(weight(config.MaxTrail, "last", 0.5))
+		s.apply(weight(config.MaxTrailEntries, "last", 0.5))
 		Expect(s.record().Trail[0].Revision).To(Equal(int64(2)))
 	})
 })
@@ -191,11 +191,11 @@
 	var f *config.Follower
 	var now time.Time
 	rnd := rand.New(rand.NewPCG(1, 1))
-	bound := config.DefaultFollowerConfig().Bound
+	bound := config.DefaultFollowerConfig().MaxStaleness
 	entries := []config.Peer{{ID: "e1", Domain: "a"}, {ID: "e2", Domain: "b"}, {ID: "e3", Domain: "c"}, {ID: "e4", Domain: "c"}}
 
 	hear := func(peer config.Peer, revision int64, ago time.Duration) config.Need {
-		return f.Heard(now, config.News{From: peer, Revision: revision, ConfirmedAgo: ago, Sent: now})
+		return f.Heard(now, config.PeerStatus{From: peer, Revision: revision, ConfirmedAgo: ago, SentAt: now})
 	}
 
 	BeforeEach(func() {
@@ -318,8 +318,8 @@
 		asked := now
 		now = now.Add(bound + time.Millisecond)
 		for _, peer := range entries[1:] {
-			f.Heard(now, config.News{From: peer, Revision: 7, ConfirmedAgo: 0, Sent: asked})
-			f.Heard(now, config.News{From: peer, Revision: 7, ConfirmedAgo: 0}) // a request: sent at any time
+			f.Heard(now, config.PeerStatus{From: peer, Revision: 7, ConfirmedAgo: 0, SentAt: asked})
+			f.Heard(now, config.PeerStatus{From: peer, Revision: 7, ConfirmedAgo: 0}) // a request: sent at any time
 		}
 		Expect(f.Ready(now)).To(BeFalse())
 		Expect(f.MayAccept(now)).To(BeFalse())
@@ -329,11 +329,11 @@
 		f.Applied(now, 7)
 		hear(entries[1], 7, time.Hour)
 		now = now.Add(time.Second)
-		Expect(f.Tell(now).QuorumFor).To(BeZero())
+		Expect(f.Status(now).QuorumFor).To(BeZero())
 		hear(entries[2], 7, time.Hour)
-		Expect(f.Tell(now).QuorumFor).To(Equal(bound - time.Second))
+		Expect(f.Status(now).QuorumFor).To(Equal(bound - time.Second))
 		hear(entries[1], 8, time.Hour)
-		Expect(f.Tell(now).QuorumFor).To(BeZero(), "it knows of a newer revision")
+		Expect(f.Status(now).QuorumFor).To(BeZero(), "it knows of a newer revision")
 	})
 })
 
@@ -341,12 +341,12 @@
 	var f *config.Follower
 	var now time.Time
 	rnd := rand.New(rand.NewPCG(1, 1))
-	bound := config.DefaultFollowerConfig().Bound
+	bound := config.DefaultFollowerConfig().MaxStaleness
 	began := start.Add(-time.Hour)
 
 	// beat is an entry's heartbeat that was sent at a time and is read now.
 	beat := func(boot uint64, sent time.Time, revision int64, ago, quorum time.Duration) {
-		f.Heard(now, config.News{
+		f.Heard(now, config.PeerStatus{
 			From: config.Peer{ID: "e1", Domain: "a"}, Revision: revision, ConfirmedAgo: ago, QuorumFor: quorum,
 			Boot: boot, Clock: sent.Sub(began),
 		})
--- a/internal/policy/config/follower.go
+++ b/internal/policy/config/follower.go
@@ -9,23 +9,23 @@
 
 // FollowerConfig holds the parameters of following.
 type FollowerConfig struct {
-	Watchers   int           // entries that read the service at a time
-	Poll       time.Duration // between a watcher's reads
-	Patience   time.Duration // a fresh process waits this long for peers before it reads the service itself
-	Bound      time.Duration // without proof of being current for longer, a process takes no new work
-	RetryFetch time.Duration // before a fetch that did not answer is tried elsewhere
-	MinPeers   int           // entries heard that are enough in a large deployment; in a small one it takes most of them
+	Watchers        int           // entries that read the service at a time
+	PollInterval    time.Duration // between a watcher's reads
+	OwnReadDelay    time.Duration // a fresh process waits this long for peers before it reads the service itself
+	MaxStaleness    time.Duration // without proof of being current for longer, a process takes no new work
+	FetchRetryDelay time.Duration // before a fetch that did not answer is tried elsewhere
+	QuorumPeers     int           // entries heard that are enough in a large deployment; in a small one it takes most of them
 }
 
 // DefaultFollowerConfig returns the parameters that siskinloomd uses.
 func DefaultFollowerConfig() FollowerConfig {
 	return FollowerConfig{
-		Watchers:   3,
-		Poll:       time.Second,
-		Patience:   2 * time.Second,
-		Bound:      5 * time.Second,
-		RetryFetch: 500 * time.Millisecond,
-		MinPeers:   8,
+		Watchers:        3,
+		PollInterval:    time.Second,
+		OwnReadDelay:    2 * time.Second,
+		MaxStaleness:    5 * time.Second,
+		FetchRetryDelay: 500 * time.Millisecond,
+		QuorumPeers:     8,
 	}
 }
 
@@ -36,14 +36,14 @@
 }
 
 // News is what a heartbeat tells of a peer's configuration.
-type News struct {
+type PeerStatus struct {
 	From         Peer
 	Revision     int64
 	ConfirmedAgo time.Duration // age of its proof that there was no newer one; negative: it has none
 	QuorumFor    time.Duration // for so long it hears a quorum if nobody speaks again; 0: it hears none
 	Boot         uint64        // differs for each run of the peer's process
 	Clock        time.Duration // since that run began, by the peer's clock
-	Sent         time.Time     // own clock, not later than the peer sent it; zero: not known
+	SentAt       time.Time     // own clock, not later than the peer sent it; zero: not known
 }
 
 // NoConfirmation is the ConfirmedAgo of a process without proof.
@@ -114,7 +114,7 @@
 // NewFollower returns the follower of a process that holds no configuration.
 // An agent is not an entry: its entries bring it what it lacks.
 func NewFollower(config FollowerConfig, self Peer, entry bool, now time.Time, rnd *rand.Rand) *Follower {
-	wait := config.Patience + time.Duration(rnd.Int64N(int64(config.Patience)+1))
+	wait := config.OwnReadDelay + time.Duration(rnd.Int64N(int64(config.OwnReadDelay)+1))
 	return &Follower{
 		config:   config,
 		self:     self,
@@ -124,7 +124,7 @@
 		heard:    map[string]heardPeer{},
 		late:     newLateness(now),
 		nextRead: now.Add(wait),
-		ownRead:  config.Bound - config.Poll,
+		ownRead:  config.MaxStaleness - config.PollInterval,
 	}
 }
 
@@ -146,7 +146,7 @@
 // takeTurn becomes a watcher, or ceases to be one.
 func (f *Follower) takeTurn(now time.Time) {
 	was := f.watcher
-	f.watcher = f.entry && f.turn.mine(now, f.config.Poll, f.config.Watchers)
+	f.watcher = f.entry && f.turn.mine(now, f.config.PollInterval, f.config.Watchers)
 	if f.watcher && !was {
 		f.nextRead = now
 	}
@@ -161,33 +161,33 @@
 //
 // An answer cannot have been sent before its request. How late any other
 // heartbeat is shows by its sender's clock.
-func (f *Follower) Heard(now time.Time, n News) Need {
-	if n.Sent.IsZero() {
-		n.Sent = f.late.sent(now, n)
+func (f *Follower) Heard(now time.Time, n PeerStatus) Need {
+	if n.SentAt.IsZero() {
+		n.SentAt = f.late.sent(now, n)
 	}
 	f.noteHeard(now, n)
 	f.learn(now, n.Revision, n.From.ID)
 	// Proof counts only for a revision that is held here, and a quorum that does
 	// not know it is none.
-	if !n.Sent.IsZero() && n.Revision <= f.have {
+	if !n.SentAt.IsZero() && n.Revision <= f.have {
 		f.trust(n)
 	}
 	return f.fetch(now)
 }
 
-func (f *Follower) noteHeard(now time.Time, n News) {
-	h := heardPeer{peer: n.From, at: now, sent: n.Sent, revision: n.Revision}
+func (f *Follower) noteHeard(now time.Time, n PeerStatus) {
+	h := heardPeer{peer: n.From, at: now, sent: n.SentAt, revision: n.Revision}
 	if before := f.heard[n.From.ID].sent; before.After(h.sent) {
 		h.sent = before
 	}
 	f.heard[n.From.ID] = h
 }
 
-func (f *Follower) trust(n News) {
+func (f *Follower) trust(n PeerStatus) {
 	if n.ConfirmedAgo >= 0 {
-		f.confirm(n.Sent.Add(-n.ConfirmedAgo))
+		f.confirm(n.SentAt.Add(-n.ConfirmedAgo))
 	}
-	if until := n.Sent.Add(n.QuorumFor); !f.entry && n.Revision == f.have && until.After(f.vouched) {
+	if until := n.SentAt.Add(n.QuorumFor); !f.entry && n.Revision == f.have && until.After(f.vouched) {
 		f.vouched = until
 	}
 }
@@ -210,7 +210,7 @@
 	if !f.entry || f.have >= f.newest || now.Before(f.nextFetch) {
 		return Need{}
 	}
-	f.nextFetch = now.Add(f.config.RetryFetch)
+	f.nextFetch = now.Add(f.config.FetchRetryDelay)
 	return Need{Kind: NeedFetch, Peer: f.newestBy}
 }
 
@@ -225,7 +225,7 @@
 		}
 	}
 	if f.newestBy == peer {
-		f.nextFetch = now.Add(f.config.RetryFetch)
+		f.nextFetch = now.Add(f.config.FetchRetryDelay)
 	}
 	return f.fetch(now)
 }
@@ -259,7 +259,7 @@
 		return Need{}
 	}
 	if f.watcher {
-		f.nextRead = now.Add(f.config.Poll)
+		f.nextRead = now.Add(f.config.PollInterval)
 		return Need{Kind: NeedRead}
 	}
 	// Without a watcher's word for long enough, an entry reads for itself: all
@@ -270,15 +270,15 @@
 	if f.have > 0 && now.Sub(f.confirmed) < f.ownRead {
 		return Need{}
 	}
-	f.ownRead = f.config.Bound - f.config.Poll/2 - time.Duration(rnd.Int64N(int64(f.config.Poll/2)+1))
-	f.nextRead = now.Add(f.config.Patience + time.Duration(rnd.Int64N(int64(f.config.Patience)+1)))
+	f.ownRead = f.config.MaxStaleness - f.config.PollInterval/2 - time.Duration(rnd.Int64N(int64(f.config.PollInterval/2)+1))
+	f.nextRead = now.Add(f.config.OwnReadDelay + time.Duration(rnd.Int64N(int64(f.config.OwnReadDelay)+1)))
 	return Need{Kind: NeedRead}
 }
 
 // forget drops peers that have not been heard for long.
 func (f *Follower) forget(now time.Time) {
 	for id, h := range f.heard {
-		if now.Sub(h.at) > 2*f.config.Bound {
+		if now.Sub(h.at) > 2*f.config.MaxStaleness {
 			delete(f.heard, id)
 		}
 	}
@@ -305,10 +305,10 @@
 	}
 	domains := slices.Collect(maps.Values(byDomain))
 	last := earlier(
-		nthNewest(now, peers, min(f.config.MinPeers, len(f.entries)/2)),
+		nthNewest(now, peers, min(f.config.QuorumPeers, len(f.entries)/2)),
 		nthNewest(now, domains, f.domains/2), // and the own one
 	)
-	return last.Add(f.config.Bound)
+	return last.Add(f.config.MaxStaleness)
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -340,7 +340,7 @@
 	if f.have == 0 || behind && !f.seasoned {
 		return false
 	}
-	if !f.confirmed.IsZero() && now.Sub(f.confirmed) <= f.config.Bound {
+	if !f.confirmed.IsZero() && now.Sub(f.confirmed) <= f.config.MaxStaleness {
 		return true
 	}
 	return !behind && f.hearsQuorum(now)
@@ -361,8 +361,8 @@
 }
 
 // Tell returns the own news, for a heartbeat.
-func (f *Follower) Tell(now time.Time) News {
-	n := News{From: f.self, Boot: f.boot, Clock: now.Sub(f.started)}
+func (f *Follower) Status(now time.Time) PeerStatus {
+	n := PeerStatus{From: f.self, Boot: f.boot, Clock: now.Sub(f.started)}
 	n.Revision, n.ConfirmedAgo = f.Revision(now)
 	if f.entry && f.have >= f.newest {
 		n.QuorumFor = max(0, f.quorumUntil(now).Sub(now))
--- a/internal/policy/config/journal_test.go
+++ b/internal/policy/config/journal_test.go
@@ -14,26 +14,26 @@
 
 var _ = Describe("Journal", func() {
 	var s *store
-	var j *config.Journal
+	var j *config.RefusedLog
 	var now time.Time
 	var calls int
-	settings := config.DefaultJournalConfig()
+	settings := config.DefaultRefusedLogConfig()
 	var rnd *rand.Rand
 
 	BeforeEach(func() {
 		s, now, calls = newStore(), start, 0
 		rnd = rand.New(rand.NewPCG(1, 1))
-		j = config.NewJournal(settings, "d", "e1/a")
+		j = config.NewRefusedLog(settings, "d", "e1/a")
 	})
 
 	note := func(operator, host string) {
-		j.Note(now, config.Refused{Operator: operator, Host: host, Action: config.ActionApply, Outcome: config.OutcomeRefused, Reason: "r"})
+		j.Append(now, config.RefusedChanges{Operator: operator, Host: host, Action: config.ActionApply, Outcome: config.OutcomeRefused, Reason: "r"})
 	}
 	read := func(step config.Step) config.Step {
 		calls++
 		record, err := config.DecodeRefused(s.records[step.Key])
 		Expect(err).NotTo(HaveOccurred())
-		return j.Read(record, s.revision[step.Key], true)
+		return j.ReadDone(record, s.revision[step.Key], true)
 	}
 	// carryOut answers steps as a service without faults does.
 	carryOut := func(step config.Step) {
@@ -43,11 +43,11 @@
 				continue
 			}
 			calls++
-			outcome := config.WriteRefused
+			outcome := config.WriteConflict
 			if s.swap(step) {
 				outcome = config.WriteSwapped
 			}
-			step = j.Wrote(now, outcome, rnd)
+			step = j.WriteDone(now, outcome, rnd)
 		}
 	}
 	run := func(span time.Duration) {
@@ -78,7 +78,7 @@
 			now = now.Add(10 * time.Millisecond)
 			carryOut(j.Tick(now))
 		}
-		run(2 * settings.Interval)
+		run(2 * settings.WriteInterval)
 		Expect(calls).To(BeNumerically("<=", 2*9), "two for each interval of 80 s")
 		Expect(total()).To(Equal(int64(attempts)))
 		Expect(stored().Dropped).To(BeNumerically(">", 0))
@@ -96,7 +96,7 @@
 				note("ana", "10.0.1.1")
 			}
 			note("", fmt.Sprint("10.0.0.", i))
-			run(settings.Interval)
+			run(settings.WriteInterval)
 		}
 		Expect(stored().Groups).To(ContainElement(HaveField("Operator", "ana")))
 		Expect(total()).To(Equal(int64(501)))
@@ -108,14 +108,14 @@
 		for _, tookEffect := range []bool{true, false} {
 			note("ana", "10.0.1.1")
 			before := total()
-			now = now.Add(settings.Delay)
+			now = now.Add(settings.FirstWriteDelay)
 			write := read(j.Flush(now))
 			if tookEffect {
 				Expect(s.swap(write)).To(BeTrue())
 			}
-			Expect(j.Wrote(now, config.WriteUnclear, rnd).Kind).To(Equal(config.StepDone))
+			Expect(j.WriteDone(now, config.WriteIndeterminate, rnd).Kind).To(Equal(config.StepDone))
 			note("ana", "10.0.1.1")
-			run(3 * settings.Interval)
+			run(3 * settings.WriteInterval)
 			Expect(total()).To(Equal(before + 2))
 			Expect(s.swap(write)).To(BeFalse(), "too late")
 		}
@@ -131,11 +131,11 @@
 			now = now.Add(time.Second)
 			if j.Tick(now).Kind == config.StepRead {
 				tries++
-				Expect(j.Read(config.RefusedRecord{}, 0, false).Kind).To(Equal(config.StepDone))
+				Expect(j.ReadDone(config.RefusedRecord{}, 0, false).Kind).To(Equal(config.StepDone))
 			}
 		}
-		Expect(tries).To(BeNumerically("<=", attempts/int(settings.Interval.Seconds())))
-		run(2 * settings.Interval)
+		Expect(tries).To(BeNumerically("<=", attempts/int(settings.WriteInterval.Seconds())))
+		run(2 * settings.WriteInterval)
 		Expect(total()).To(Equal(int64(attempts)))
 		Expect(j.Unwritten()).To(BeZero())
 	})
@@ -146,14 +146,14 @@
 		other := write
 		Expect(s.swap(other)).To(BeTrue(), "another entry's write at the same revision")
 		s.records[write.Key] = nil // whatever it wrote
-		Expect(j.Wrote(now, config.WriteRefused, rnd).Kind).To(Equal(config.StepDone))
-		run(3 * settings.Retry)
+		Expect(j.WriteDone(now, config.WriteConflict, rnd).Kind).To(Equal(config.StepDone))
+		run(3 * settings.RetryDelay)
 		Expect(total()).To(Equal(int64(1)))
 	})
 
 	It("bounds the texts that a caller gives", func() {
-		j.Note(now, config.Refused{Operator: "ana", ChangeID: strings.Repeat("x", 1<<20)})
-		run(settings.Interval)
+		j.Append(now, config.RefusedChanges{Operator: "ana", ChangeID: strings.Repeat("x", 1<<20)})
+		run(settings.WriteInterval)
 		Expect(stored().Groups[0].ChangeID).To(HaveLen(80))
 	})
 })
--- a/internal/policy/config/lateness.go
+++ b/internal/policy/config/lateness.go
@@ -31,7 +31,7 @@
 
 // sent returns when the news was sent. Zero: not known, as it is a run's first
 // word, which nothing can be compared with.
-func (l *lateness) sent(now time.Time, n News) time.Time {
+func (l *lateness) sent(now time.Time, n PeerStatus) time.Time {
 	offset := now.Sub(l.origin) - n.Clock
 	s := l.senders[n.From.ID]
 	if s == nil || s.boot != n.Boot {
--- a/internal/policy/config/record.go
+++ b/internal/policy/config/record.go
@@ -21,7 +21,7 @@
 const (
 	// MaxTrail is how many audit entries the record holds before its older half
 	// goes to a key of its own.
-	MaxTrail = 64
+	MaxTrailEntries = 64
 	// trailBytes is the size of the entries at which that happens earlier.
 	trailBytes = 256 << 10
 	// MaxArchives is how many such keys are kept; older ones are deleted.
@@ -137,7 +137,7 @@
 
 // surplus returns the older half of a trail that has outgrown its limits.
 func (r Record) surplus() []Audit {
-	if len(r.Trail) < 2 || len(r.Trail) < MaxTrail && len(encode(r.Trail)) < trailBytes {
+	if len(r.Trail) < 2 || len(r.Trail) < MaxTrailEntries && len(encode(r.Trail)) < trailBytes {
 		return nil
 	}
 	return r.Trail[:len(r.Trail)/2]
--- a/internal/policy/config/refused.go
+++ b/internal/policy/config/refused.go
@@ -37,7 +37,7 @@
 
 // Refused is a group of like changes that were refused or whose outcome was
 // unknown: one operator, host, action, outcome and reason.
-type Refused struct {
+type RefusedChanges struct {
 	Operator string `json:"operator"` // empty: no operator has the key
 	Host     string `json:"host"`     // network address without the port, which differs with each call
 	Action   string `json:"action"`
@@ -52,12 +52,12 @@
 }
 
 // like tells whether two groups differ only in when and how often.
-func (r Refused) like(o Refused) bool {
+func (r RefusedChanges) like(o RefusedChanges) bool {
 	return r.Operator == o.Operator && r.Host == o.Host && r.Action == o.Action &&
 		r.Outcome == o.Outcome && r.Reason == o.Reason
 }
 
-func (r Refused) join(o Refused) Refused {
+func (r RefusedChanges) join(o RefusedChanges) RefusedChanges {
 	r.Count += o.Count
 	r.UnixMilli = min(r.UnixMilli, o.UnixMilli)
 	if o.LastMilli >= r.LastMilli {
@@ -67,7 +67,7 @@
 }
 
 // clean bounds what a caller can put into the group.
-func (r Refused) clean() Refused {
+func (r RefusedChanges) clean() RefusedChanges {
 	for _, text := range []*string{&r.Operator, &r.Host, &r.Reason, &r.ChangeID} {
 		if len(*text) > longestText {
 			*text = (*text)[:longestText]
@@ -79,9 +79,9 @@
 
 // RefusedRecord is what one key holds of a deployment's refused changes.
 type RefusedRecord struct {
-	Groups  []Refused   `json:"groups"`  // the one that grew last is last
-	Dropped int64       `json:"dropped"` // changes that no group tells of any more
-	Marks   []BatchMark `json:"marks"`   // the newest is last
+	Groups  []RefusedChanges `json:"groups"`  // the one that grew last is last
+	Dropped int64            `json:"dropped"` // changes that no group tells of any more
+	Marks   []BatchMark      `json:"marks"`   // the newest is last
 }
 
 // BatchMark is the last batch that a writer has put into the record. By it a
@@ -114,7 +114,7 @@
 	return r.Dropped + total(r.Groups)
 }
 
-func total(groups []Refused) int64 {
+func total(groups []RefusedChanges) int64 {
 	n := int64(0)
 	for _, g := range groups {
 		n += g.Count
@@ -128,14 +128,14 @@
 }
 
 // with returns the record with a writer's batch added.
-func (r RefusedRecord) with(writer string, batch int64, groups []Refused, dropped int64) RefusedRecord {
+func (r RefusedRecord) with(writer string, batch int64, groups []RefusedChanges, dropped int64) RefusedRecord {
 	r.Groups, r.Marks = slices.Clone(r.Groups), slices.Clone(r.Marks)
 	for _, g := range groups {
 		r.Groups, _ = addGroup(r.Groups, g, 0)
 	}
 	r.Dropped += dropped
-	r.trim(func(g Refused) bool { return g.Operator == "" })
-	r.trim(func(g Refused) bool { return g.Operator != "" })
+	r.trim(func(g RefusedChanges) bool { return g.Operator == "" })
+	r.trim(func(g RefusedChanges) bool { return g.Operator != "" })
 	r.Marks = slices.DeleteFunc(r.Marks, func(m BatchMark) bool { return m.Writer == writer })
 	r.Marks = append(r.Marks, BatchMark{Writer: writer, Batch: batch})
 	r.Marks = r.Marks[max(0, len(r.Marks)-keptMarks):]
@@ -143,9 +143,9 @@
 }
 
 // trim drops the oldest groups of a kind above their bound.
-func (r *RefusedRecord) trim(kind func(Refused) bool) {
+func (r *RefusedRecord) trim(kind func(RefusedChanges) bool) {
 	surplus := countGroups(r.Groups, kind) - keptRefused
-	r.Groups = slices.DeleteFunc(r.Groups, func(g Refused) bool {
+	r.Groups = slices.DeleteFunc(r.Groups, func(g RefusedChanges) bool {
 		if surplus <= 0 || !kind(g) {
 			return false
 		}
@@ -155,7 +155,7 @@
 	})
 }
 
-func countGroups(groups []Refused, kind func(Refused) bool) int {
+func countGroups(groups []RefusedChanges, kind func(RefusedChanges) bool) int {
 	n := 0
 	for _, g := range groups {
 		if kind(g) {
@@ -167,7 +167,7 @@
 
 // addGroup joins a group to the like one or appends it. With a limit, one that
 // would be more than so many of strangers, or of operators, is not added.
-func addGroup(groups []Refused, g Refused, limit int) ([]Refused, bool) {
+func addGroup(groups []RefusedChanges, g RefusedChanges, limit int) ([]RefusedChanges, bool) {
 	for i := len(groups) - 1; i >= 0; i-- {
 		old := groups[i]
 		if old.like(g) && g.UnixMilli-old.LastMilli < groupSpan.Milliseconds() {
@@ -175,7 +175,7 @@
 		}
 	}
 	stranger := g.Operator == ""
-	alike := func(o Refused) bool { return (o.Operator == "") == stranger }
+	alike := func(o RefusedChanges) bool { return (o.Operator == "") == stranger }
 	if limit > 0 && countGroups(groups, alike) >= limit {
 		return groups, false
 	}
--- a/internal/policy/config/turn_test.go
+++ b/internal/policy/config/turn_test.go
@@ -32,7 +32,7 @@
 			for i := range 10 * seconds {
 				now := begin.Add(time.Duration(i) * 100 * time.Millisecond)
 				if i%10 == 0 { // others tell that they have read
-					f.Heard(now, config.News{From: entries[i%7], Revision: 1, Sent: now})
+					f.Heard(now, config.PeerStatus{From: entries[i%7], Revision: 1, SentAt: now})
 				}
 				if f.Tick(now, rnd).Kind == config.NeedRead {
 					reads++
