--- a/internal/policy/config/attempt.go
+++ b/internal/policy/config/attempt.go
@@ -6,88 +6,88 @@
 	"siskinloom.example/siskinloom/internal/decl"
 )
 
-// maxRounds bounds how often an attempt that loses a race starts over. Each
-// round ends in a verdict unless yet another writer came in between.
+// maxRounds limits how often an attempt restarts after it lost a race. Each round
+// ends in a verdict unless another writer was faster again.
 const maxRounds = 8
 
-// Request is a change that an operator asks for.
+// Request is a change that an operator requests.
 type Request struct {
 	Deployment string
-	Expected   int64 // revision that the operator saw; AnyRevision: whichever
+	Expected   int64 // revision that the operator saw, or AnyRevision
 	Operator   string
 	From       string
-	ChangeID   string // the same over repeats of one change
+	ChangeID   string // the same in all retries of one change; makes them idempotent
 	Action     string
 	Now        time.Time
-	// Edit returns the declarations that should stand, given those that do,
-	// which it must not change. It may be called several times.
+	// Edit returns the wanted declarations, given the current ones, which it must
+	// not modify. It may be called several times.
 	Edit func(current *decl.Deployment) *decl.Deployment
 }
 
-// AnyRevision as the expected revision makes a change that does not depend on
-// what else was changed, such as a drain.
+// AnyRevision as the expected revision requests a change that does not depend on
+// other changes, such as a drain.
 const AnyRevision = -1
 
-// Verdict is how an attempt ended.
+// Verdict is the outcome of an attempt.
 type Verdict int
 
 // The verdicts.
 const (
 	Accepted  Verdict = iota // the change is in the record
-	Unchanged                // the record says that already
-	Conflict                 // refused: the record is not of the expected revision
-	Failed                   // refused: certainly not accepted, as the service did not answer
-	Unknown                  // it may be accepted; asking again with the same change id tells
+	Unchanged                // the record already has what was requested
+	Conflict                 // refused: the record does not have the expected revision
+	Failed                   // refused: the service did not answer and the change is certainly not accepted
+	Unknown                  // it may be accepted; a retry with the same change ID finds out
 )
 
-// Result is an attempt's end.
+// Result is the result of an attempt.
 type Result struct {
 	Verdict Verdict
-	Record  Record        // that stands, as far as known
-	Changes []decl.Change // made, or on a conflict those since the expected revision
+	Record  Record        // the current record, as far as known
+	Changes []decl.Change // the changes made or, on a conflict, those since the expected revision
 }
 
-// StepKind is what the runtime of an attempt does next.
+// StepKind says what the caller does next.
 type StepKind int
 
 // The kinds of step.
 const (
-	StepRead    StepKind = iota // read the record; pass it to Read
-	StepWrite                   // compare-and-swap Key; pass the outcome to Wrote
-	StepArchive                 // create Key if it is absent; pass what stands to Archived
-	StepDone                    // Result is the end
+	StepRead    StepKind = iota // read Key; pass the record to ReadDone
+	StepWrite                   // compare-and-swap Key; pass the outcome to WriteDone
+	StepArchive                 // create Key unless it exists; pass its content to ArchiveDone
+	StepDone                    // finished with Result
 )
 
-// Step is the next step of an attempt.
+// Step is the next step of an attempt or of a write of a RefusedLog.
 type Step struct {
 	Kind     StepKind
 	Key      string
-	Expected int64 // revision of the service's key
+	Expected int64 // revision of Key in the service
 	Value    []byte
 	Result   Result
 }
 
-// WriteOutcome is what became of a compare-and-swap.
+// WriteOutcome is the outcome of a compare-and-swap.
 type WriteOutcome int
 
 // The outcomes of a compare-and-swap.
 const (
 	WriteSwapped       WriteOutcome = iota
-	WriteConflict                   // another write was first
-	WriteNotApplied                 // certainly without effect
-	WriteIndeterminate              // it may have taken effect or may still do so
+	WriteConflict                   // another write was faster
+	WriteNotApplied                 // the call certainly had no effect
+	WriteIndeterminate              // the call may have taken effect or may still do so
 )
 
-// Attempt carries one change into the record.
+// Attempt writes one change to the record.
 type Attempt struct {
-	request Request
-	rounds  int
-	base    Record // read last
-	keyRev  int64  // of the service's key, read last
-	next    Record // written
-	changes []decl.Change
-	unclear bool  // a write of this change may be on its way
-	sentOn  int64 // revision of the record that the unclear write builds on
+	request           Request
+	rounds            int
+	base              Record // the record read last
+	keyRev            int64  // revision of the key in the service, read last
+	next              Record // the record that is written
+	changes           []decl.Change
+	indeterminate     bool  // a write of this change may still be in flight
+	indeterminateBase int64 // revision of the record that the write builds on
 }
 
 // NewAttempt returns an attempt and its first step.
@@ -100,7 +100,7 @@
 	return Step{Kind: StepRead, Key: Key(a.request.Deployment)}
 }
 
-// Read takes in the record; ok false means that it could not be read.
+// ReadDone processes the record that was read; ok is false if it could not be read.
 func (a *Attempt) ReadDone(record Record, keyRevision int64, ok bool) Step {
 	if !ok {
 		return a.unanswered()
@@ -109,7 +109,7 @@
 	if revision, found := record.find(a.request.ChangeID); found {
 		return done(Result{Verdict: Accepted, Record: record, Changes: a.acceptedAs(revision)})
 	}
-	if a.unclear {
+	if a.indeterminate {
 		if step, settled := a.settle(record); settled {
 			return step
 		}
@@ -117,22 +117,23 @@
 	return a.propose()
 }
 
-// settle judges a record that does not show the unclear write. Once the record
-// has moved on from what the write builds on, the write can no longer take
-// effect. While it has not, the write may still arrive: it is made again, as
-// only one of the two can succeed, and stays unclear until an answer comes.
+// settle judges a record that does not contain the indeterminate write. Once the
+// record has a newer revision than the one the write builds on, the write can no
+// longer take effect. Until then it may still arrive. It is repeated, since only
+// one of the two can succeed, and stays indeterminate until an answer comes.
 func (a *Attempt) settle(record Record) (Step, bool) {
 	switch {
-	case record.Revision == a.sentOn:
+	case record.Revision == a.indeterminateBase:
 		return Step{}, false
-	case record.covers(a.sentOn):
-		a.unclear = false
+	case record.covers(a.indeterminateBase):
+		a.indeterminate = false
 		return Step{}, false
 	default:
 		return done(Result{Verdict: Unknown, Record: record}), true
 	}
 }
 
+// acceptedAs returns the changes of an accepted revision.
 func (a *Attempt) acceptedAs(revision int64) []decl.Change {
 	for _, entry := range a.base.Trail {
 		if entry.Revision == revision {
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// propose builds the next record on the one read last.
+// propose builds the next record from the one read last.
 func (a *Attempt) propose() Step {
 	r := a.request
 	if a.rounds++; a.rounds > maxRounds {
@@ -167,14 +168,14 @@
 	return a.write(wanted)
 }
 
-// Archived takes in the entries that stand under the archive key; ok false
-// means that it is not known to stand. Only what stands there is dropped from
-// the record: an archive left by an attempt that died may hold fewer entries.
-func (a *Attempt) ArchiveDone(standing []Audit, ok bool) Step {
-	if !ok || len(standing) == 0 {
+// ArchiveDone processes the entries that the archive key holds; ok is false if they
+// are not known. Only entries in the archive are removed from the record, since an
+// archive left by an attempt that died may hold fewer entries.
+func (a *Attempt) ArchiveDone(archived []Audit, ok bool) Step {
+	if !ok || len(archived) == 0 {
 		return a.unanswered()
 	}
-	last := standing[len(standing)-1].Revision
+	last := archived[len(archived)-1].Revision
 	trail := a.base.Trail
 	for len(trail) > 0 && trail[0].Revision <= last {
 		trail = trail[1:]
@@ -200,13 +201,13 @@
 	return Step{Kind: StepWrite, Key: Key(r.Deployment), Expected: a.keyRev, Value: a.next.Encode()}
 }
 
-// Wrote takes in what became of the write of the record.
+// WriteDone processes the outcome of the write of the record.
 func (a *Attempt) WriteDone(outcome WriteOutcome) Step {
 	switch outcome {
 	case WriteSwapped:
 		return done(Result{Verdict: Accepted, Record: a.next, Changes: a.changes})
 	case WriteIndeterminate:
-		a.unclear, a.sentOn = true, a.base.Revision
+		a.indeterminate, a.indeterminateBase = true, a.base.Revision
 		return a.read()
 	case WriteNotApplied:
 		return a.unanswered()
@@ -215,9 +216,10 @@
 	}
 }
 
-// unanswered ends an attempt that the service does not answer.
+// unanswered ends an attempt because the service does not answer or another writer
+// was always faster.
 func (a *Attempt) unanswered() Step {
-	if a.unclear {
+	if a.indeterminate {
 		return done(Result{Verdict: Unknown, Record: a.base})
 	}
 	return done(Result{Verdict: Failed, Record: a.base})
--- a/internal/policy/config/config_test.go
+++ b/internal/policy/config/config_test.go
@@ -21,7 +21,7 @@
 
 var start = time.Unix(100, 0)
 
-// store is the key-value service as an attempt's runtime sees it.
+// store is the key-value service as the caller of an attempt sees it.
 type store struct {
 	records  map[string][]byte
 	revision map[string]int64
@@ -46,16 +46,16 @@
 	return r
 }
 
-// carryOut answers a step as a service without faults does.
+// carryOut carries out a step as a service without faults does.
 func (s *store) carryOut(a *config.Attempt, step config.Step) config.Step {
 	switch step.Kind {
 	case config.StepRead:
 		return a.ReadDone(s.record(), s.revision[step.Key], true)
 	case config.StepArchive:
 		s.swap(step)
-		standing, err := config.DecodeArchive(s.records[step.Key])
+		archived, err := config.DecodeArchive(s.records[step.Key])
 		Expect(err).NotTo(HaveOccurred())
-		return a.ArchiveDone(standing, true)
+		return a.ArchiveDone(archived, true)
 	default:
 		if s.swap(step) {
 			return a.WriteDone(config.WriteSwapped)
@@ -75,7 +75,7 @@
 	return s.finish(config.NewAttempt(r))
 }
 
-// weight asks for business b to have a weight.
+// weight returns a request that sets the weight of business b.
 func weight(expected int64, id string, w float64) config.Request {
 	return config.Request{
 		Deployment: "d", Expected: expected, Operator: "ana", From: "127.0.0.1:9", ChangeID: id, Action: config.ActionApply, Now: start,
@@ -107,15 +107,15 @@
 		}))
 	})
 
-	It("takes a repeat and equal declarations without a change", func() {
+	It("accepts a retry and equal declarations without a change", func() {
 		Expect(s.apply(weight(1, "one", 1)).Verdict).To(Equal(config.Accepted))
 		Expect(s.apply(weight(7, "other", 1)).Verdict).To(Equal(config.Unchanged))
 		Expect(s.record().Revision).To(Equal(int64(1)))
 	})
 
-	// Two operators saw revision 1. The second to arrive is told what the first
-	// one changed, and nothing of it is overwritten.
-	It("refuses the later of two racing changes and tells what changed", func() {
+	// Two operators saw revision 1. The second request is refused with what the first
+	// one changed, and overwrites nothing of it.
+	It("refuses the later of two racing changes and returns what changed", func() {
 		s.apply(weight(1, "two", 2))
 		result := s.apply(weight(1, "three", 3))
 		Expect(result.Verdict).To(Equal(config.Conflict))
@@ -124,8 +124,8 @@
 	})
 
 	// The write takes effect, its answer is lost and another operator's change
-	// follows at once. The trail still tells that the first was accepted.
-	It("finds an unclear change that was built upon", func() {
+	// follows at once. The trail still shows that the first change was accepted.
+	It("finds an indeterminate change that a later change builds on", func() {
 		a, step := config.NewAttempt(weight(1, "two", 2))
 		step = s.carryOut(a, step)
 		Expect(s.swap(step)).To(BeTrue())
@@ -134,9 +134,9 @@
 		Expect(result.Verdict).To(Equal(config.Accepted))
 	})
 
-	// The write is lost on its way and the service then stops answering. The
-	// write may still arrive: a "failed" would be followed by its taking effect.
-	It("does not call a change failed while its write may arrive", func() {
+	// The write is delayed on the network and the service then stops answering. The
+	// write may still take effect, so the verdict must not be Failed.
+	It("does not fail a change while its write may still take effect", func() {
 		a, step := config.NewAttempt(weight(1, "two", 2))
 		late := s.carryOut(a, step)
 		step = a.WriteDone(config.WriteIndeterminate)
@@ -162,7 +162,7 @@
 				Expect(err).NotTo(HaveOccurred())
 			}
 			for _, e := range entries {
-				Expect(seen[e.Revision]).To(BeFalse(), "entry %d stands twice", e.Revision)
+				Expect(seen[e.Revision]).To(BeFalse(), "entry %d is stored twice", e.Revision)
 				seen[e.Revision] = true
 			}
 		}
@@ -170,9 +170,9 @@
 		Expect(len(s.record().Trail)).To(BeNumerically("<=", config.MaxTrailEntries))
 	})
 
-	// An attempt died after writing an archive of fewer entries than are due
-	// now. Only those that stand there may leave the record.
-	It("drops no entry that an older archive does not hold", func() {
+	// An attempt died after it wrote an archive with fewer entries than must be
+	// archived now. Only the entries in that archive may be removed from the record.
+	It("removes no entry that an existing archive does not hold", func() {
 		a, step := config.NewAttempt(weight(1, "two", 2))
 		step = s.carryOut(a, step)
 		_ = step
@@ -204,7 +204,7 @@
 		f.SetEntries(now, "d", entries)
 	})
 
-	It("has a constant number of watchers", func() {
+	It("has a fixed number of watchers", func() {
 		watchers := 0
 		for _, e := range entries {
 			g := config.NewFollower(config.DefaultFollowerConfig(), e, true, now, rnd)
@@ -217,10 +217,10 @@
 		Expect(watchers).To(Equal(3))
 	})
 
-	// A region is apart with no watcher in it, and the service answers. An entry
-	// that asked only once its proof was old took no work until the answer; 8% of
-	// the time none of the region's entries did.
-	It("reads the service itself before its proof is too old, and seldom when it does not answer", func() {
+	// A region without a watcher is partitioned from the others, and the service
+	// answers. An entry that read the service only once its proof was too old took no
+	// work until the answer came. In 8% of the time no entry of the region took work.
+	It("reads the service itself before its proof is too old, and rarely when it does not answer", func() {
 		entries := slices.Clone(entries)
 		for i := range 366 {
 			entries = append(entries, config.Peer{ID: fmt.Sprint("other-", i), Domain: "d"})
@@ -263,16 +263,16 @@
 		Expect(ago).To(Equal(time.Second))
 	})
 
-	// The service is away for long, so no proof is younger than the bound. Two
-	// of three failure domains are heard: an entry may accept changes only with
-	// a majority too, so one of them would have told of a newer revision.
-	It("goes on in an outage while it hears most failure domains", func() {
+	// The service is down for long, so no proof is recent enough. The entry hears two
+	// of three failure domains. Since an entry may accept changes only with a majority
+	// too, one of the two would have reported a newer revision.
+	It("stays ready in an outage while it hears most failure domains", func() {
 		f.Applied(now, 7)
 		f.Stored(now, now, 7)
 		now = now.Add(time.Minute)
 		Expect(f.Ready(now)).To(BeFalse())
 		hear(entries[2], 7, time.Minute)
-		Expect(f.Ready(now)).To(BeFalse(), "one peer is not proof")
+		Expect(f.Ready(now)).To(BeFalse(), "one peer is no quorum")
 		hear(entries[1], 7, time.Minute)
 		Expect(f.Ready(now)).To(BeTrue())
 		Expect(f.MayAccept(now)).To(BeTrue())
@@ -281,7 +281,7 @@
 		Expect(f.MayAccept(now)).To(BeFalse())
 	})
 
-	It("stops taking work when it cannot fetch a newer revision within the bound", func() {
+	It("stops taking work if it cannot fetch a newer revision within MaxStaleness", func() {
 		f.Applied(now, 7)
 		f.Stored(now, now, 7)
 		f.Tick(now, rnd)
@@ -296,11 +296,11 @@
 		Expect(f.Ready(now)).To(BeFalse())
 	})
 
-	// A read of the service proved revision 7 a moment ago; then a peer tells of
-	// revision 8 and the service goes away. Peers that know of 8 do not vouch for
-	// 7: without this the entry went on for the bound since it heard of 8, on top
-	// of the age of its proof.
-	It("takes no work under a revision that its peers know to be replaced, once its proof is old", func() {
+	// A read of the service has just proved revision 7 when a peer reports revision 8
+	// and the service goes down. Peers that know of 8 must not confirm 7. Otherwise
+	// the entry would take work for MaxStaleness since it heard of 8, on top of the
+	// age of its proof.
+	It("takes no work under a revision that its peers know to be replaced once its proof is old", func() {
 		f.Applied(now, 7)
 		f.Stored(now, now.Add(-bound), 7)
 		f.Tick(now, rnd)
@@ -311,21 +311,21 @@
 		Expect(f.Ready(now.Add(time.Millisecond))).To(BeFalse())
 	})
 
-	// An entry is paused; two answers to heartbeats that it sent before wait in
-	// its sockets. It reads them when it goes on, and they prove nothing of now.
-	It("counts an answer from when it was asked for, not from when it is read", func() {
+	// An entry is paused while answers to heartbeats that it sent before wait in its
+	// sockets. When it resumes and reads them, they prove nothing about the present.
+	It("counts an answer from the time of its request, not of its arrival", func() {
 		f.Applied(now, 7)
-		asked := now
+		requested := now
 		now = now.Add(bound + time.Millisecond)
 		for _, peer := range entries[1:] {
-			f.Heard(now, config.PeerStatus{From: peer, Revision: 7, ConfirmedAgo: 0, SentAt: asked})
-			f.Heard(now, config.PeerStatus{From: peer, Revision: 7, ConfirmedAgo: 0}) // a request: sent at any time
+			f.Heard(now, config.PeerStatus{From: peer, Revision: 7, ConfirmedAgo: 0, SentAt: requested})
+			f.Heard(now, config.PeerStatus{From: peer, Revision: 7, ConfirmedAgo: 0}) // a request, sent at an unknown time
 		}
 		Expect(f.Ready(now)).To(BeFalse())
 		Expect(f.MayAccept(now)).To(BeFalse())
 	})
 
-	It("tells how long it hears a quorum", func() {
+	It("reports how long it hears a quorum", func() {
 		f.Applied(now, 7)
 		hear(entries[1], 7, time.Hour)
 		now = now.Add(time.Second)
@@ -344,7 +344,7 @@
 	bound := config.DefaultFollowerConfig().MaxStaleness
 	began := start.Add(-time.Hour)
 
-	// beat is an entry's heartbeat that was sent at a time and is read now.
+	// beat delivers a heartbeat of an entry now that was sent at the given time.
 	beat := func(boot uint64, sent time.Time, revision int64, ago, quorum time.Duration) {
 		f.Heard(now, config.PeerStatus{
 			From: config.Peer{ID: "e1", Domain: "a"}, Revision: revision, ConfirmedAgo: ago, QuorumFor: quorum,
@@ -357,23 +357,23 @@
 		f = config.NewFollower(config.DefaultFollowerConfig(), config.Peer{ID: "agent", Domain: "a"}, false, now, rnd)
 		f.Applied(now, 3)
 		beat(1, now, 3, 0, 0)
-		Expect(f.Ready(now)).To(BeFalse(), "a first word may be of any age")
+		Expect(f.Ready(now)).To(BeFalse(), "a first heartbeat may be of any age")
 	})
 
-	It("works while an entry has proof, and no longer", func() {
+	It("is ready while an entry has proof, and no longer", func() {
 		beat(1, now, 3, time.Second, 0)
 		Expect(f.Ready(now.Add(bound - time.Second))).To(BeTrue())
 		Expect(f.Ready(now.Add(bound - time.Second + time.Millisecond))).To(BeFalse())
 	})
 
-	It("works in an outage while an entry hears a quorum, and no longer", func() {
+	It("is ready in an outage while an entry hears a quorum, and no longer", func() {
 		beat(1, now, 3, time.Hour, 3*time.Second)
 		Expect(f.Ready(now.Add(3 * time.Second))).To(BeTrue())
 		Expect(f.Ready(now.Add(3*time.Second + time.Millisecond))).To(BeFalse())
 		Expect(f.MayAccept(now)).To(BeFalse())
 	})
 
-	It("takes no word for its revision from an entry that holds another one", func() {
+	It("ignores the quorum of an entry that holds another revision", func() {
 		beat(1, now, 2, time.Hour, bound)
 		Expect(f.Ready(now)).To(BeFalse())
 		beat(1, now, 4, time.Hour, bound)
@@ -383,10 +383,10 @@
 		Expect(f.Ready(now)).To(BeTrue())
 	})
 
-	// The agent is paused for 20 s while heartbeats of an entry that was then
-	// current wait in its socket. When it goes on it reads them all at once; the
-	// entry's clock in them tells that they are old.
-	It("is not made current by heartbeats that waited while it was paused", func() {
+	// The agent is paused for 20 s while heartbeats of an entry that was current then
+	// wait in its socket. When it resumes it reads them all at once. The entry's clock
+	// in them shows that they are old.
+	It("does not become ready through heartbeats that waited while it was paused", func() {
 		sent := now
 		now = now.Add(20 * time.Second)
 		for i := range 10 {
@@ -397,9 +397,9 @@
 		Expect(f.Ready(now)).To(BeTrue())
 	})
 
-	// The entry restarts; its clock begins anew and its first word may have
-	// waited anywhere.
-	It("compares no heartbeats of two runs of an entry", func() {
+	// The entry restarts. Its clock starts anew, and its first heartbeat may have been
+	// delayed for any time.
+	It("does not compare heartbeats of two runs of an entry", func() {
 		now = now.Add(time.Minute)
 		beat(2, now.Add(-bound), 3, 0, bound)
 		Expect(f.Ready(now)).To(BeFalse())
@@ -407,9 +407,9 @@
 		Expect(f.Ready(now)).To(BeTrue())
 	})
 
-	// Two clocks that run 0.01% apart are an hour apart after a year; the oldest
+	// Two clocks whose rates differ by 0.01% are an hour apart after a year. The oldest
 	// offset must not make every later heartbeat look late.
-	It("follows clocks that drift apart", func() {
+	It("tolerates clocks that drift apart", func() {
 		slow := now
 		for range 3 * 3600 {
 			now = now.Add(time.Second)
--- a/internal/policy/config/delta.go
+++ b/internal/policy/config/delta.go
@@ -2,24 +2,25 @@
 
 import "slices"
 
-// Limits of the missed changes that a process keeps for its peers.
+// Limits of the deltas that a process keeps for its peers.
 const (
-	maxDeltas  = 64
-	deltaBytes = 512 << 10
-	// deltaOverhead is what a delta costs beside its bytes when it is sent.
+	maxDeltas     = 64
+	maxDeltaBytes = 512 << 10
+	// deltaOverhead is the size in bytes that a sent delta takes in addition to its
+	// content.
 	deltaOverhead = 32
 )
 
-// Delta is one missed change, or several at once: what stands in the middle of
-// the encoded declarations after it. A change touches few places, which lie
-// close together in the encoding.
+// Delta is the difference between two revisions: the part of the newer encoding
+// between the prefix and the suffix that both have in common. This is small, since
+// a change touches few places, which are close together in the encoding.
 type Delta struct {
 	From, To   int64 // revisions
-	Head, Tail int   // bytes at either end that the change left alone
+	Head, Tail int   // lengths in bytes of the common prefix and suffix
 	Middle     []byte
 }
 
-// NewDelta returns the change between two encodings.
+// NewDelta returns the delta between two encodings.
 func NewDelta(from, to int64, before, after []byte) Delta {
 	limit := min(len(before), len(after))
 	head := 0
@@ -33,7 +34,8 @@
 	return Delta{From: from, To: to, Head: head, Tail: tail, Middle: slices.Clone(after[head : len(after)-tail])}
 }
 
-// apply returns the encoding after the change; false if it does not fit.
+// apply returns the newer encoding, or false if the delta does not fit the older
+// one.
 func (d Delta) apply(before []byte) ([]byte, bool) {
 	if d.Head < 0 || d.Tail < 0 || d.Head+d.Tail > len(before) {
 		return nil, false
@@ -44,9 +46,9 @@
 	return append(after, before[len(before)-d.Tail:]...), true
 }
 
-// ApplyDeltas carries an encoding of a revision over missed changes to another
-// revision. False: they do not fit together. That the result is the right one
-// only a digest of it tells.
+// ApplyDeltas applies consecutive deltas to the encoding of revision from and
+// returns the encoding of revision to, or false if they do not fit. Only a digest
+// proves that the result is right.
 func ApplyDeltas(deltas []Delta, from, to int64, encoded []byte) ([]byte, bool) {
 	for _, d := range deltas {
 		if d.From != from {
@@ -61,29 +63,31 @@
 	return encoded, from == to
 }
 
-// History holds the newest changes that a process has put in force. It is not
-// safe for concurrent use.
+// History holds the newest deltas that a process has applied. It is not safe for
+// concurrent use.
 type History struct {
 	deltas []Delta
 	bytes  int
 }
 
-// Add takes in a change; it begins where the last one ended.
+// Add appends a delta, which must start at the revision where the last one ended,
+// and drops the oldest ones that exceed the limits.
 func (h *History) Add(d Delta) {
 	h.deltas = append(h.deltas, d)
 	h.bytes += d.size()
-	for len(h.deltas) > maxDeltas || h.bytes > deltaBytes {
+	for len(h.deltas) > maxDeltas || h.bytes > maxDeltaBytes {
 		h.bytes -= h.deltas[0].size()
 		h.deltas = h.deltas[1:]
 	}
 }
 
+// size returns the size in bytes of the delta when it is sent.
 func (d Delta) size() int {
 	return len(d.Middle) + deltaOverhead
 }
 
-// Since returns the changes after a revision. False: they are not held, or are
-// more than half of a snapshot, whose size in bytes is given.
+// Since returns the deltas after a revision. It returns false if they are not held
+// or are larger than half of a snapshot, whose size is given in bytes.
 func (h *History) Since(have int64, snapshot int) ([]Delta, bool) {
 	bytes := 0
 	for i := len(h.deltas) - 1; i >= 0; i-- {
--- a/internal/policy/config/delta_test.go
+++ b/internal/policy/config/delta_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("Delta", func() {
-	It("carries any encoding over any changes", func() {
+	It("transforms any encoding by any changes", func() {
 		rnd := rand.New(rand.NewPCG(3, 3))
 		for range 200 {
 			encodings := [][]byte{bytes.Repeat([]byte("ab"), rnd.IntN(20))}
@@ -52,7 +52,7 @@
 })
 
 var _ = Describe("History", func() {
-	It("gives few changes and no more than half a snapshot", func() {
+	It("returns few deltas, of no more than half a snapshot", func() {
 		var h config.History
 		before := bytes.Repeat([]byte("x"), 10000)
 		for i := range int64(100) {
@@ -65,14 +65,14 @@
 		Expect(worth).To(BeTrue())
 		Expect(deltas).To(HaveLen(10))
 		_, worth = h.Since(90, 100)
-		Expect(worth).To(BeFalse(), "a snapshot is less")
+		Expect(worth).To(BeFalse(), "a snapshot is smaller")
 		_, worth = h.Since(1, len(before))
 		Expect(worth).To(BeFalse(), "no longer held")
 		_, worth = h.Since(100, len(before))
 		Expect(worth).To(BeFalse(), "nothing is missing")
 	})
 
-	It("forgets by size", func() {
+	It("drops the oldest deltas by size", func() {
 		var h config.History
 		large := bytes.Repeat([]byte("z"), 300<<10)
 		h.Add(config.NewDelta(1, 2, nil, large))
--- a/internal/policy/config/follower.go
+++ b/internal/policy/config/follower.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// FollowerConfig holds the parameters of following.
+// FollowerConfig holds the parameters of a Follower.
 type FollowerConfig struct {
-	Watchers        int           // entries that read the service at a time
-	PollInterval    time.Duration // between a watcher's reads
-	OwnReadDelay    time.Duration // a fresh process waits this long for peers before it reads the service itself
-	MaxStaleness    time.Duration // without proof of being current for longer, a process takes no new work
-	FetchRetryDelay time.Duration // before a fetch that did not answer is tried elsewhere
-	QuorumPeers     int           // entries heard that are enough in a large deployment; in a small one it takes most of them
+	Watchers        int           // number of entries that read the service at a time
+	PollInterval    time.Duration // between the reads of a watcher
+	OwnReadDelay    time.Duration // least delay before a new process, or an entry without a watcher, reads the service itself
+	MaxStaleness    time.Duration // a process whose last proof of being current is older takes no new work
+	FetchRetryDelay time.Duration // before a fetch without an answer is retried at another peer
+	QuorumPeers     int           // entries that suffice for a quorum in a large deployment; a small one needs most of its entries
 }
 
 // DefaultFollowerConfig returns the parameters that siskinloomd uses.
@@ -35,21 +35,21 @@
 	Domain string // failure domain
 }
 
-// News is what a heartbeat tells of a peer's configuration.
+// PeerStatus is what a heartbeat says about the configuration of a peer.
 type PeerStatus struct {
 	From         Peer
 	Revision     int64
-	ConfirmedAgo time.Duration // age of its proof that there was no newer one; negative: it has none
-	QuorumFor    time.Duration // for so long it hears a quorum if nobody speaks again; 0: it hears none
-	Boot         uint64        // differs for each run of the peer's process
-	Clock        time.Duration // since that run began, by the peer's clock
-	SentAt       time.Time     // own clock, not later than the peer sent it; zero: not known
+	ConfirmedAgo time.Duration // age of the proof that no newer revision existed; negative: no proof
+	QuorumFor    time.Duration // how long the peer still hears a quorum without further heartbeats; 0: it hears none
+	Boot         uint64        // identifies the run of the peer's process
+	Clock        time.Duration // time since that run started, by the peer's clock
+	SentAt       time.Time     // by the own clock, not later than the peer sent it; zero: unknown
 }
 
-// NoConfirmation is the ConfirmedAgo of a process without proof.
+// NoConfirmation is the ConfirmedAgo of a process that has no proof.
 const NoConfirmation = time.Duration(-1)
 
-// NeedKind is what a follower needs.
+// NeedKind says what a follower needs.
 type NeedKind int
 
 // The kinds of need.
@@ -59,76 +59,78 @@
 	NeedFetch            // fetch the configuration from Peer
 )
 
-// Need is what a follower's runtime does next.
+// Need is what the caller of a follower does next.
 type Need struct {
 	Kind NeedKind
 	Peer string
 }
 
-// Follower decides for one process what it has to fetch, and whether what it
-// holds is current. It is not safe for concurrent use.
+// Follower decides for one process what it has to fetch and whether the revision
+// it holds is current. It is not safe for concurrent use.
 //
-// A process is current while it has proof, not older than the bound, that there
-// is no newer revision: a read of the service, its own or one told along by its
-// peers. In an outage of the service nobody has such proof; then it has to hear
-// a quorum: entries in most failure domains. An entry in turn accepts a change
-// only while it hears a quorum (MayAccept). So a change accepted on one side of
-// a partition reaches, through a failure domain that both hear, every process
-// that still takes work on the other.
+// A process is current while it has proof, not older than MaxStaleness, that no
+// newer revision exists: a read of the service, its own or one that its peers
+// report. In an outage of the service no process has such proof. Then it must hear
+// a quorum: entries in most failure domains. An entry in turn accepts a change only
+// while it hears a quorum (MayAccept). So a change accepted on one side of a
+// partition reaches, through a failure domain that both sides hear, every process
+// on the other side that still takes work.
 //
-// What a peer said counts from when it was sent. Counted from its arrival, the
-// messages that wait in the sockets of a paused process would make it current
-// when it goes on, and it would work under a revision replaced long before.
+// The status of a peer counts from the time it was sent. If it counted from its
+// arrival, the messages waiting in the sockets of a paused process would make the
+// process current when it resumes, and it would work under a revision that was
+// replaced long before.
 type Follower struct {
-	config  FollowerConfig
-	self    Peer
-	entry   bool // entries may read the service and fetch from peers
-	watcher bool
-	turn    turn
-	boot    uint64
-	started time.Time
-
-	entries []Peer
-	domains int // failure domains that entries stand in
-	heard   map[string]heardPeer
-	late    lateness
-	vouched time.Time // agents only: until then an entry hears a quorum
-
-	have      int64 // revision in force here
-	newest    int64 // told by anyone
-	newestBy  string
-	confirmed time.Time // no newer revision than have at this time; zero: no proof
-	seasoned  bool      // it was ready before
-	nextRead  time.Time
-	ownRead   time.Duration // age of the proof at which an entry that is no watcher reads itself
-	nextFetch time.Time
+	config   FollowerConfig
+	self     Peer
+	entry    bool // entries may read the service and fetch from peers
+	watcher  bool
+	readTurn readTurn
+	boot     uint64
+	started  time.Time
+
+	entries          []Peer
+	domains          int // number of failure domains that have entries
+	heard            map[string]heardPeer
+	transit          transitEstimator
+	entryQuorumUntil time.Time // agents only: until then an entry hears a quorum
+
+	have       int64     // revision in force in this process
+	newest     int64     // newest revision that any process has reported
+	newestBy   string    // the process that reported it
+	confirmed  time.Time // when it was last proved that have is the newest revision; zero: no proof
+	wasReady   bool      // the process was ready before
+	nextRead   time.Time
+	ownReadAge time.Duration // age of the proof at which an entry that is not a watcher reads the service
+	nextFetch  time.Time
 }
 
 type heardPeer struct {
 	peer     Peer
 	at       time.Time // of arrival
-	sent     time.Time // not later than sent; zero: not known of any word
+	sentAt   time.Time // not after the last heartbeat was sent; zero: unknown for all of them
 	revision int64
 }
 
-// NewFollower returns the follower of a process that holds no configuration.
-// An agent is not an entry: its entries bring it what it lacks.
+// NewFollower returns the follower of a process that has no configuration yet. If
+// entry is false the process is an agent, which fetches nothing: its entries send it
+// what it lacks.
 func NewFollower(config FollowerConfig, self Peer, entry bool, now time.Time, rnd *rand.Rand) *Follower {
-	wait := config.OwnReadDelay + time.Duration(rnd.Int64N(int64(config.OwnReadDelay)+1))
+	delay := config.OwnReadDelay + time.Duration(rnd.Int64N(int64(config.OwnReadDelay)+1))
 	return &Follower{
-		config:   config,
-		self:     self,
-		entry:    entry,
-		boot:     rnd.Uint64(),
-		started:  now,
-		heard:    map[string]heardPeer{},
-		late:     newLateness(now),
-		nextRead: now.Add(wait),
-		ownRead:  config.MaxStaleness - config.PollInterval,
+		config:     config,
+		self:       self,
+		entry:      entry,
+		boot:       rnd.Uint64(),
+		started:    now,
+		heard:      map[string]heardPeer{},
+		transit:    newTransitEstimator(now),
+		nextRead:   now.Add(delay),
+		ownReadAge: config.MaxStaleness - config.PollInterval,
 	}
 }
 
-// SetEntries takes in the deployment's entries, whether reachable or not.
+// SetEntries sets the deployment's entries, whether reachable or not.
 func (f *Follower) SetEntries(now time.Time, deployment string, entries []Peer) {
 	if slices.Equal(f.entries, entries) {
 		return
@@ -139,59 +141,63 @@
 		domains[e.Domain] = true
 	}
 	f.domains = len(domains)
-	f.turn = newTurn(deployment, f.self.ID, entries)
-	f.takeTurn(now)
+	f.readTurn = newReadTurn(deployment, f.self.ID, entries)
+	f.updateWatcher(now)
 }
 
-// takeTurn becomes a watcher, or ceases to be one.
-func (f *Follower) takeTurn(now time.Time) {
+// updateWatcher makes the process a watcher, or stops it from being one, by turns.
+func (f *Follower) updateWatcher(now time.Time) {
 	was := f.watcher
-	f.watcher = f.entry && f.turn.mine(now, f.config.PollInterval, f.config.Watchers)
+	f.watcher = f.entry && f.readTurn.active(now, f.config.PollInterval, f.config.Watchers)
 	if f.watcher && !was {
 		f.nextRead = now
 	}
 }
 
-// Watcher tells whether this process reads the service for the others.
+// Watcher reports whether this process reads the service for the others.
 func (f *Follower) Watcher() bool {
 	return f.watcher
 }
 
-// Heard takes in a peer's news.
+// Heard processes the status of a peer and returns what to do about it.
 //
-// An answer cannot have been sent before its request. How late any other
-// heartbeat is shows by its sender's clock.
-func (f *Follower) Heard(now time.Time, n PeerStatus) Need {
-	if n.SentAt.IsZero() {
-		n.SentAt = f.late.sent(now, n)
+// The caller sets SentAt of an answer to the time of the request, since the answer
+// cannot have been sent before. For any other heartbeat the time is estimated from
+// the clock of the sender.
+func (f *Follower) Heard(now time.Time, s PeerStatus) Need {
+	if s.SentAt.IsZero() {
+		s.SentAt = f.transit.sentAt(now, s)
 	}
-	f.noteHeard(now, n)
-	f.learn(now, n.Revision, n.From.ID)
-	// Proof counts only for a revision that is held here, and a quorum that does
-	// not know it is none.
-	if !n.SentAt.IsZero() && n.Revision <= f.have {
-		f.trust(n)
+	f.recordPeer(now, s)
+	f.learn(now, s.Revision, s.From.ID)
+	// A peer's proof counts only if its revision is not newer than the one held here,
+	// and its quorum only if the revisions are the same.
+	if !s.SentAt.IsZero() && s.Revision <= f.have {
+		f.trust(s)
 	}
 	return f.fetch(now)
 }
 
-func (f *Follower) noteHeard(now time.Time, n PeerStatus) {
-	h := heardPeer{peer: n.From, at: now, sent: n.SentAt, revision: n.Revision}
-	if before := f.heard[n.From.ID].sent; before.After(h.sent) {
-		h.sent = before
+// recordPeer records when a peer was heard.
+func (f *Follower) recordPeer(now time.Time, s PeerStatus) {
+	h := heardPeer{peer: s.From, at: now, sentAt: s.SentAt, revision: s.Revision}
+	if before := f.heard[s.From.ID].sentAt; before.After(h.sentAt) {
+		h.sentAt = before
 	}
-	f.heard[n.From.ID] = h
+	f.heard[s.From.ID] = h
 }
 
-func (f *Follower) trust(n PeerStatus) {
-	if n.ConfirmedAgo >= 0 {
-		f.confirm(n.SentAt.Add(-n.ConfirmedAgo))
+// trust adopts the proof and, in an agent, the quorum of a peer.
+func (f *Follower) trust(s PeerStatus) {
+	if s.ConfirmedAgo >= 0 {
+		f.confirm(s.SentAt.Add(-s.ConfirmedAgo))
 	}
-	if until := n.SentAt.Add(n.QuorumFor); !f.entry && n.Revision == f.have && until.After(f.vouched) {
-		f.vouched = until
+	if until := s.SentAt.Add(s.QuorumFor); !f.entry && s.Revision == f.have && until.After(f.entryQuorumUntil) {
+		f.entryQuorumUntil = until
 	}
 }
 
+// learn records that a process knows of a revision.
 func (f *Follower) learn(now time.Time, revision int64, by string) {
 	if revision > f.newest {
 		f.newest, f.newestBy = revision, by
@@ -199,13 +205,14 @@
 	}
 }
 
+// confirm records proof that no newer revision existed at a time.
 func (f *Follower) confirm(at time.Time) {
 	if at.After(f.confirmed) {
 		f.confirmed = at
 	}
 }
 
-// fetch asks one peer at a time for what is missing.
+// fetch returns the need to fetch a newer revision, from one peer at a time.
 func (f *Follower) fetch(now time.Time) Need {
 	if !f.entry || f.have >= f.newest || now.Before(f.nextFetch) {
 		return Need{}
@@ -214,7 +221,7 @@
 	return Need{Kind: NeedFetch, Peer: f.newestBy}
 }
 
-// FetchFailed takes in that a peer did not answer; another that has the
+// FetchFailed records that a peer did not answer a fetch. Another peer that has the
 // revision is asked next.
 func (f *Follower) FetchFailed(now time.Time, peer string) Need {
 	f.nextFetch = now
@@ -230,8 +237,8 @@
 	return f.fetch(now)
 }
 
-// Stored takes in what the service holds, read or written by this process;
-// sent is when the call was sent. The runtime applies the record before.
+// Stored records the revision that the service holds, which this process has read
+// or written; sent is when it sent the call. The caller applies the record first.
 func (f *Follower) Stored(now, sent time.Time, revision int64) {
 	f.learn(now, revision, f.self.ID)
 	if revision <= f.have {
@@ -239,7 +246,7 @@
 	}
 }
 
-// Applied takes in that a revision is in force here.
+// Applied records that a revision is in force in this process.
 func (f *Follower) Applied(now time.Time, revision int64) {
 	if revision > f.have {
 		f.have = revision
@@ -247,11 +254,11 @@
 	}
 }
 
-// Tick returns what is due.
+// Tick advances the clock and returns what is due.
 func (f *Follower) Tick(now time.Time, rnd *rand.Rand) Need {
 	f.forget(now)
-	f.takeTurn(now)
-	f.seasoned = f.seasoned || f.Ready(now)
+	f.updateWatcher(now)
+	f.wasReady = f.wasReady || f.Ready(now)
 	if need := f.fetch(now); need.Kind != NeedNothing {
 		return need
 	}
@@ -262,32 +269,33 @@
 		f.nextRead = now.Add(f.config.PollInterval)
 		return Need{Kind: NeedRead}
 	}
-	// Without a watcher's word for long enough, an entry reads for itself: all
-	// watchers may have died or be cut off, or the deployment may just be
-	// starting. It reads before its own proof is too old, or the entries of a
-	// region that is apart would stop in turn although the service answers them;
-	// not all at the same age, as one read serves all.
-	if f.have > 0 && now.Sub(f.confirmed) < f.ownRead {
+	// An entry that has heard no proof from a watcher for long enough reads the
+	// service itself: all watchers may have died or be partitioned, or the
+	// deployment may just be starting. It reads before its own proof is too old.
+	// Otherwise the entries of a partitioned region would stop one after the other
+	// although the service answers them. The age is random, since one read serves
+	// all of them.
+	if f.have > 0 && now.Sub(f.confirmed) < f.ownReadAge {
 		return Need{}
 	}
-	f.ownRead = f.config.MaxStaleness - f.config.PollInterval/2 - time.Duration(rnd.Int64N(int64(f.config.PollInterval/2)+1))
+	f.ownReadAge = f.config.MaxStaleness - f.config.PollInterval/2 - time.Duration(rnd.Int64N(int64(f.config.PollInterval/2)+1))
 	f.nextRead = now.Add(f.config.OwnReadDelay + time.Duration(rnd.Int64N(int64(f.config.OwnReadDelay)+1)))
 	return Need{Kind: NeedRead}
 }
 
-// forget drops peers that have not been heard for long.
+// forget drops peers that have not been heard for 2 * MaxStaleness.
 func (f *Follower) forget(now time.Time) {
 	for id, h := range f.heard {
 		if now.Sub(h.at) > 2*f.config.MaxStaleness {
 			delete(f.heard, id)
 		}
 	}
-	f.late.forget(now)
+	f.transit.forget(now)
 }
 
-// quorumUntil returns when a quorum is no longer heard if nobody speaks again:
-// entries in most failure domains, and of a small deployment most entries. Any
-// two such sets meet.
+// quorumUntil returns until when this process hears a quorum if no further
+// heartbeats come. A quorum is entries in most failure domains and, in a small
+// deployment, most entries. Any two quorums intersect.
 func (f *Follower) quorumUntil(now time.Time) time.Time {
 	if f.domains == 0 {
 		return time.Time{}
@@ -295,22 +303,23 @@
 	var peers []time.Time
 	byDomain := map[string]time.Time{}
 	for id, h := range f.heard {
-		if id == f.self.ID || h.sent.IsZero() {
+		if id == f.self.ID || h.sentAt.IsZero() {
 			continue
 		}
-		peers = append(peers, h.sent)
-		if d := h.peer.Domain; d != f.self.Domain && h.sent.After(byDomain[d]) {
-			byDomain[d] = h.sent
+		peers = append(peers, h.sentAt)
+		if d := h.peer.Domain; d != f.self.Domain && h.sentAt.After(byDomain[d]) {
+			byDomain[d] = h.sentAt
 		}
 	}
 	domains := slices.Collect(maps.Values(byDomain))
 	last := earlier(
 		nthNewest(now, peers, min(f.config.QuorumPeers, len(f.entries)/2)),
-		nthNewest(now, domains, f.domains/2), // and the own one
+		nthNewest(now, domains, f.domains/2), // plus this process's own domain
 	)
 	return last.Add(f.config.MaxStaleness)
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -318,26 +327,27 @@
 	return b
 }
 
-// nthNewest returns the time since when n of the words have come; now if none
-// is needed, the zero time if there are fewer.
-func nthNewest(now time.Time, words []time.Time, n int) time.Time {
+// nthNewest returns the n-th newest of the times, now if n is 0, or the zero time if
+// there are fewer than n.
+func nthNewest(now time.Time, times []time.Time, n int) time.Time {
 	switch {
 	case n == 0:
 		return now
-	case len(words) < n:
+	case len(times) < n:
 		return time.Time{}
 	}
-	slices.SortFunc(words, func(a, b time.Time) int { return b.Compare(a) })
-	return words[n-1]
+	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
+	return times[n-1]
 }
 
-// Ready tells whether the process may take new work. A fresh one must hold the
-// newest revision it has heard of. One that was ready before goes on while its
-// proof is young, to fetch it meanwhile; a quorum is no proof then: those who
-// know of the newer revision do not vouch for the older.
+// Ready reports whether the process may take new work. A new process must hold the
+// newest revision that it has heard of. A process that was ready before and learns
+// of a newer revision continues while its proof is recent enough and fetches the
+// revision meanwhile. A quorum does not count as proof then, since peers that know
+// of the newer revision do not confirm the older one.
 func (f *Follower) Ready(now time.Time) bool {
 	behind := f.have < f.newest
-	if f.have == 0 || behind && !f.seasoned {
+	if f.have == 0 || behind && !f.wasReady {
 		return false
 	}
 	if !f.confirmed.IsZero() && now.Sub(f.confirmed) <= f.config.MaxStaleness {
@@ -346,31 +356,32 @@
 	return !behind && f.hearsQuorum(now)
 }
 
-// hearsQuorum tells whether a quorum is heard: by an agent, through an entry.
+// hearsQuorum reports whether the process hears a quorum. An agent relies on what an
+// entry reports.
 func (f *Follower) hearsQuorum(now time.Time) bool {
 	if !f.entry {
-		return !now.After(f.vouched)
+		return !now.After(f.entryQuorumUntil)
 	}
 	return !now.After(f.quorumUntil(now))
 }
 
-// MayAccept tells whether an entry may accept a change: only while it hears
-// most failure domains, so that the change finds its way to everyone at work.
+// MayAccept reports whether the process may accept a change. Only an entry that hears
+// a quorum may, so that the change reaches every process that takes work.
 func (f *Follower) MayAccept(now time.Time) bool {
 	return f.entry && f.hearsQuorum(now)
 }
 
-// Tell returns the own news, for a heartbeat.
+// Status returns the status of this process for a heartbeat.
 func (f *Follower) Status(now time.Time) PeerStatus {
-	n := PeerStatus{From: f.self, Boot: f.boot, Clock: now.Sub(f.started)}
-	n.Revision, n.ConfirmedAgo = f.Revision(now)
+	s := PeerStatus{From: f.self, Boot: f.boot, Clock: now.Sub(f.started)}
+	s.Revision, s.ConfirmedAgo = f.Revision(now)
 	if f.entry && f.have >= f.newest {
-		n.QuorumFor = max(0, f.quorumUntil(now).Sub(now))
+		s.QuorumFor = max(0, f.quorumUntil(now).Sub(now))
 	}
-	return n
+	return s
 }
 
-// Revision returns the revision in force and the age of its proof.
+// Revision returns the revision in force and the age of the proof that it is current.
 func (f *Follower) Revision(now time.Time) (int64, time.Duration) {
 	if f.confirmed.IsZero() {
 		return f.have, NoConfirmation
--- a/internal/policy/config/turn_test.go
+++ b/internal/policy/config/readturn_test.go
@@ -11,10 +11,10 @@
 	"siskinloom.example/siskinloom/internal/policy/config"
 )
 
-var _ = Describe("reading the service by turns", func() {
-	// Three entries of a large deployment take several times the traffic of the
-	// others. They alone read the record every second for all, and it holds the
-	// declarations and up to 64 audit entries.
+var _ = Describe("Follower's turns to read the service", func() {
+	// If the same three entries of a large deployment read the record every second
+	// for all others, they have several times the traffic of the others: the record
+	// holds the declarations and up to 64 audit entries.
 	It("gives every entry a few reads, and the service three a second", func() {
 		const seconds = 370
 		rnd := rand.New(rand.NewPCG(1, 1))
@@ -31,7 +31,7 @@
 			reads := 0
 			for i := range 10 * seconds {
 				now := begin.Add(time.Duration(i) * 100 * time.Millisecond)
-				if i%10 == 0 { // others tell that they have read
+				if i%10 == 0 { // other entries report that they have read
 					f.Heard(now, config.PeerStatus{From: entries[i%7], Revision: 1, SentAt: now})
 				}
 				if f.Tick(now, rnd).Kind == config.NeedRead {
--- a/internal/policy/config/record.go
+++ b/internal/policy/config/record.go
@@ -1,11 +1,12 @@
 // Package config decides how a deployment's accepted configuration changes and
-// spreads.
+// how changes reach every process.
 //
 // The configuration is one record in the key-value service, changed by
 // compare-and-swap: its revision, the declarations and the newest part of the
 // audit trail. A change and its audit entry are one write, so neither can exist
-// without the other. Attempt carries one operator's change through that write;
-// Follower decides what one process has to fetch and whether it is current.
+// without the other. Attempt takes one operator's change through that write.
+// Follower decides what a process has to fetch and whether its revision is
+// current. RefusedLog records the changes that were refused.
 package config
 
 import (
@@ -19,21 +20,21 @@
 
 // Limits of the audit trail.
 const (
-	// MaxTrail is how many audit entries the record holds before its older half
-	// goes to a key of its own.
+	// MaxTrailEntries is the number of audit entries at which the older half of the
+	// record's trail is moved to an archive, a key of its own.
 	MaxTrailEntries = 64
-	// trailBytes is the size of the entries at which that happens earlier.
-	trailBytes = 256 << 10
-	// MaxArchives is how many such keys are kept; older ones are deleted.
+	// maxTrailBytes is the size of the entries at which that happens earlier.
+	maxTrailBytes = 256 << 10
+	// MaxArchives is the number of archives that are retained; older ones are deleted.
 	MaxArchives = 100
 )
 
-// Audit is one accepted change.
+// Audit is the audit entry of one accepted change.
 type Audit struct {
 	Revision  int64         `json:"revision"`
 	UnixMilli int64         `json:"unix_ms"`
 	Operator  string        `json:"operator"`
-	From      string        `json:"from"` // network address of the operator's end
+	From      string        `json:"from"` // network address of the operator's client
 	ChangeID  string        `json:"change_id"`
 	Action    string        `json:"action"`
 	Changes   []decl.Change `json:"changes"`
@@ -52,9 +53,9 @@
 
 // Record is a deployment's accepted configuration.
 type Record struct {
-	Revision   int64           `json:"revision"` // 0: none was accepted yet
+	Revision   int64           `json:"revision"` // 0: no configuration has been accepted yet
 	Deployment decl.Deployment `json:"deployment"`
-	Trail      []Audit         `json:"trail"` // oldest first; the last is of Revision
+	Trail      []Audit         `json:"trail"` // oldest first; the last entry belongs to Revision
 }
 
 // Key returns the key of a deployment's record.
@@ -62,22 +63,23 @@
 	return "config/" + deployment
 }
 
-// ArchivePrefix returns the start of the keys that hold older audit entries.
+// ArchivePrefix returns the prefix of the keys that hold older audit entries.
 func ArchivePrefix(deployment string) string {
 	return "audit/" + deployment + "/"
 }
 
-// ArchiveKey returns the key for archived entries that begin with a revision.
+// ArchiveKey returns the key of the archive whose first entry belongs to a
+// revision.
 func ArchiveKey(deployment string, first int64) string {
 	return fmt.Sprintf("%s%016d", ArchivePrefix(deployment), first)
 }
 
-// Encode returns the record as it is stored.
+// Encode returns the stored form of the record.
 func (r Record) Encode() []byte {
 	return encode(r)
 }
 
-// EncodeArchive returns audit entries as they are stored.
+// EncodeArchive returns the stored form of audit entries.
 func EncodeArchive(entries []Audit) []byte {
 	return encode(entries)
 }
@@ -85,30 +87,32 @@
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // structs of strings and finite numbers always encode
+		panic(err) // unreachable: structs of strings and finite numbers always encode
 	}
 	return b
 }
 
-// DecodeRecord reads a stored record; no bytes are an absent record.
+// DecodeRecord decodes a stored record. Without bytes it returns the zero record,
+// which stands for an absent one.
 func DecodeRecord(b []byte) (Record, error) {
 	var r Record
 	if len(b) == 0 {
 		return r, nil
 	}
-	return r, errors.Wrap(json.Unmarshal(b, &r), "config: record")
+	return r, errors.Wrap(json.Unmarshal(b, &r), "config: decode record")
 }
 
-// DecodeArchive reads stored audit entries.
+// DecodeArchive decodes stored audit entries.
 func DecodeArchive(b []byte) ([]Audit, error) {
 	var entries []Audit
 	if len(b) == 0 {
 		return nil, nil
 	}
-	return entries, errors.Wrap(json.Unmarshal(b, &entries), "config: archive")
+	return entries, errors.Wrap(json.Unmarshal(b, &entries), "config: decode archive")
 }
 
-// find returns the revision that a change was accepted as.
+// find returns the revision as which a change was accepted, and whether the trail
+// has the change.
 func (r Record) find(changeID string) (int64, bool) {
 	for _, a := range r.Trail {
 		if a.ChangeID == changeID {
@@ -118,12 +122,12 @@
 	return 0, false
 }
 
-// covers tells whether the trail holds every change after a revision.
+// covers reports whether the trail holds every change after a revision.
 func (r Record) covers(revision int64) bool {
 	return revision >= r.Revision || len(r.Trail) > 0 && r.Trail[0].Revision <= revision+1
 }
 
-// Since lists the changes accepted after a revision, as far as the trail goes
+// Since returns the changes accepted after a revision, as far as the trail goes
 // back.
 func (r Record) Since(revision int64) []decl.Change {
 	var changes []decl.Change
@@ -135,9 +139,9 @@
 	return changes
 }
 
-// surplus returns the older half of a trail that has outgrown its limits.
+// surplus returns the older half of a trail that exceeds its limits, or nil.
 func (r Record) surplus() []Audit {
-	if len(r.Trail) < 2 || len(r.Trail) < MaxTrailEntries && len(encode(r.Trail)) < trailBytes {
+	if len(r.Trail) < 2 || len(r.Trail) < MaxTrailEntries && len(encode(r.Trail)) < maxTrailBytes {
 		return nil
 	}
 	return r.Trail[:len(r.Trail)/2]
--- a/internal/policy/config/refused.go
+++ b/internal/policy/config/refused.go
@@ -18,45 +18,48 @@
 	OutcomeUnknown = "unknown"
 )
 
-// ActionRelease takes a request out of quarantine.
+// ActionRelease is the action that releases a request from quarantine.
 const ActionRelease = "release"
 
 const (
-	// refusedSlots is how many keys share the refused changes of a deployment.
+	// refusedSlots is the number of keys over which the refused changes of a
+	// deployment are spread.
 	refusedSlots = 4
-	// keptRefused bounds the groups of a slot, operators' and strangers' each: a
-	// flood of wrong keys must not push out what operators tried.
-	keptRefused = 100
-	// keptMarks bounds the writers whose last batch a slot remembers.
-	keptMarks = 256
-	// groupSpan ends a group: what was tried later begins another.
-	groupSpan = time.Hour
-	// longestText is the longest text, in bytes, that is kept of a caller's.
-	longestText = 80
+	// maxStoredGroups limits the groups of a slot, of known operators and of unknown
+	// callers each: a flood of wrong keys must not displace what operators tried.
+	maxStoredGroups = 100
+	// maxMarks limits the writers whose last batch a slot records.
+	maxMarks = 256
+	// groupGap is the pause after which a like change starts a new group.
+	groupGap = time.Hour
+	// maxTextBytes limits each text that a caller provides.
+	maxTextBytes = 80
 )
 
-// Refused is a group of like changes that were refused or whose outcome was
-// unknown: one operator, host, action, outcome and reason.
+// RefusedChanges is a group of like changes that were refused or whose outcome is
+// unknown: they share operator, host, action, outcome and reason.
 type RefusedChanges struct {
-	Operator string `json:"operator"` // empty: no operator has the key
+	Operator string `json:"operator"` // empty: the key is no operator's
 	Host     string `json:"host"`     // network address without the port, which differs with each call
 	Action   string `json:"action"`
 	Outcome  string `json:"outcome"`
 	Reason   string `json:"reason"`
 
-	ChangeID  string `json:"change_id"` // of the last one
-	Revision  int64  `json:"revision"`  // in force at the last one
-	UnixMilli int64  `json:"unix_ms"`   // of the first one
-	LastMilli int64  `json:"last_unix_ms"`
+	ChangeID  string `json:"change_id"`    // of the last change
+	Revision  int64  `json:"revision"`     // in force at the last change
+	UnixMilli int64  `json:"unix_ms"`      // time of the first change
+	LastMilli int64  `json:"last_unix_ms"` // time of the last change
 	Count     int64  `json:"count"`
 }
 
-// like tells whether two groups differ only in when and how often.
+// like reports whether two groups differ only in times, counts and the details of
+// the last change.
 func (r RefusedChanges) like(o RefusedChanges) bool {
 	return r.Operator == o.Operator && r.Host == o.Host && r.Action == o.Action &&
 		r.Outcome == o.Outcome && r.Reason == o.Reason
 }
 
+// join returns the group that two like groups form together.
 func (r RefusedChanges) join(o RefusedChanges) RefusedChanges {
 	r.Count += o.Count
 	r.UnixMilli = min(r.UnixMilli, o.UnixMilli)
@@ -66,32 +69,33 @@
 	return r
 }
 
-// clean bounds what a caller can put into the group.
+// clean limits and sanitizes the texts that a caller provides.
 func (r RefusedChanges) clean() RefusedChanges {
 	for _, text := range []*string{&r.Operator, &r.Host, &r.Reason, &r.ChangeID} {
-		if len(*text) > longestText {
-			*text = (*text)[:longestText]
+		if len(*text) > maxTextBytes {
+			*text = (*text)[:maxTextBytes]
 		}
 		*text = strings.ToValidUTF8(*text, "?")
 	}
 	return r
 }
 
-// RefusedRecord is what one key holds of a deployment's refused changes.
+// RefusedRecord is the stored record of one of the keys that hold a deployment's
+// refused changes.
 type RefusedRecord struct {
-	Groups  []RefusedChanges `json:"groups"`  // the one that grew last is last
-	Dropped int64            `json:"dropped"` // changes that no group tells of any more
-	Marks   []BatchMark      `json:"marks"`   // the newest is last
+	Groups  []RefusedChanges `json:"groups"`  // ordered by last growth, the newest last
+	Dropped int64            `json:"dropped"` // changes whose groups were dropped
+	Marks   []BatchMark      `json:"marks"`   // oldest first
 }
 
-// BatchMark is the last batch that a writer has put into the record. By it a
-// writer whose answer was lost knows whether its batch is there.
+// BatchMark is the last batch that a writer has added to the record. It tells a
+// writer whose answer was lost whether its batch was added.
 type BatchMark struct {
 	Writer string `json:"writer"`
 	Batch  int64  `json:"batch"`
 }
 
-// RefusedPrefix returns the start of the keys that hold refused changes.
+// RefusedPrefix returns the prefix of the keys that hold refused changes.
 func RefusedPrefix(deployment string) string {
 	return "refused/" + deployment + "/"
 }
@@ -100,16 +104,16 @@
 	return fmt.Sprint(RefusedPrefix(deployment), rendezvous.Key(writer)%refusedSlots)
 }
 
-// DecodeRefused reads a stored record; no bytes are an empty one.
+// DecodeRefused decodes a stored record. Without bytes it returns an empty one.
 func DecodeRefused(b []byte) (RefusedRecord, error) {
 	var r RefusedRecord
 	if len(b) == 0 {
 		return r, nil
 	}
-	return r, errors.Wrap(json.Unmarshal(b, &r), "config: refused changes")
+	return r, errors.Wrap(json.Unmarshal(b, &r), "config: decode refused changes")
 }
 
-// Total is how many changes the record tells of or counts.
+// Total returns how many changes the record lists or counts as dropped.
 func (r RefusedRecord) Total() int64 {
 	return r.Dropped + total(r.Groups)
 }
@@ -122,7 +126,7 @@
 	return n
 }
 
-// has tells whether a writer's batch is in the record.
+// has reports whether a writer's batch is in the record.
 func (r RefusedRecord) has(writer string, batch int64) bool {
 	return slices.ContainsFunc(r.Marks, func(m BatchMark) bool { return m.Writer == writer && m.Batch >= batch })
 }
@@ -138,13 +142,13 @@
 	r.trim(func(g RefusedChanges) bool { return g.Operator != "" })
 	r.Marks = slices.DeleteFunc(r.Marks, func(m BatchMark) bool { return m.Writer == writer })
 	r.Marks = append(r.Marks, BatchMark{Writer: writer, Batch: batch})
-	r.Marks = r.Marks[max(0, len(r.Marks)-keptMarks):]
+	r.Marks = r.Marks[max(0, len(r.Marks)-maxMarks):]
 	return r
 }
 
-// trim drops the oldest groups of a kind above their bound.
+// trim drops the oldest groups of a kind that exceed the limit.
 func (r *RefusedRecord) trim(kind func(RefusedChanges) bool) {
-	surplus := countGroups(r.Groups, kind) - keptRefused
+	surplus := countGroups(r.Groups, kind) - maxStoredGroups
 	r.Groups = slices.DeleteFunc(r.Groups, func(g RefusedChanges) bool {
 		if surplus <= 0 || !kind(g) {
 			return false
@@ -165,18 +169,19 @@
 	return n
 }
 
-// addGroup joins a group to the like one or appends it. With a limit, one that
-// would be more than so many of strangers, or of operators, is not added.
+// addGroup joins a group to a like one or appends it, and reports whether it did.
+// With a limit above 0, it does not append a group of unknown callers, or of known
+// operators, once there are limit groups of that kind.
 func addGroup(groups []RefusedChanges, g RefusedChanges, limit int) ([]RefusedChanges, bool) {
 	for i := len(groups) - 1; i >= 0; i-- {
 		old := groups[i]
-		if old.like(g) && g.UnixMilli-old.LastMilli < groupSpan.Milliseconds() {
+		if old.like(g) && g.UnixMilli-old.LastMilli < groupGap.Milliseconds() {
 			return append(slices.Delete(groups, i, i+1), old.join(g)), true
 		}
 	}
-	stranger := g.Operator == ""
-	alike := func(o RefusedChanges) bool { return (o.Operator == "") == stranger }
-	if limit > 0 && countGroups(groups, alike) >= limit {
+	unknown := g.Operator == ""
+	sameKind := func(o RefusedChanges) bool { return (o.Operator == "") == unknown }
+	if limit > 0 && countGroups(groups, sameKind) >= limit {
 		return groups, false
 	}
 	return append(groups, g), true
