--- a/internal/policy/batch/batch_test.go
+++ b/internal/policy/batch/batch_test.go
@@ -31,13 +31,13 @@
 	return j.StartRun(next.Index), true
 }
 
-func begin(j *batch.Job, now time.Time) batch.RunStart {
+func mustStartNext(j *batch.Job, now time.Time) batch.RunStart {
 	s, ok := startNext(j, now)
 	ExpectWithOffset(1, ok).To(BeTrue())
 	return s
 }
 
-func write(j *batch.Job, i int, from, to, version int64) {
+func addEvents(j *batch.Job, i int, from, to, version int64) {
 	for id := from; id <= to; id++ {
 		ExpectWithOffset(1, j.AddEvent(i, id, []byte(fmt.Sprintf("e%d", id)), version)).To(BeTrue())
 	}
@@ -49,12 +49,12 @@
 		// engine after the second event, with newer weights; the trainer must see
 		// each event once and both versions.
 		j := batch.NewJob(spec(1), nil)
-		first := begin(j, start)
-		write(j, first.Index, 1, 2, 3)
+		first := mustStartNext(j, start)
+		addEvents(j, first.Index, 1, 2, 3)
 		j.RunEnded(start, first.Index, batch.RunInterrupted, "e1")
-		again := begin(j, start.Add(time.Second))
+		again := mustStartNext(j, start.Add(time.Second))
 		Expect(again).To(Equal(batch.RunStart{Index: 0, ResumeAfter: 2, PreviousEngine: "e1"}))
-		write(j, again.Index, 3, 4, 4)
+		addEvents(j, again.Index, 3, 4, 4)
 		j.RunEnded(start, again.Index, batch.RunComplete, "e2")
 		_, results := j.PendingResults()
 		Expect(results).To(Equal([]batch.Result{{Item: "i0", State: batch.Completed, Output: []byte("e1\ne2\ne3\ne4"), Versions: []int64{3, 4}}}))
@@ -68,8 +68,8 @@
 		j := batch.NewJob(spec, nil)
 		j.Configure(batch.Options{WriteByGroup: true})
 		finish := func(i int) {
-			begin(j, start)
-			write(j, i, 1, 1, 3)
+			mustStartNext(j, start)
+			addEvents(j, i, 1, 1, 3)
 			j.RunEnded(start, i, batch.RunComplete, "e1")
 		}
 		Expect(j.WriteDue(start)).To(BeFalse(), "there are no results")
@@ -95,8 +95,8 @@
 		now := start
 		finish := func(after time.Duration) {
 			now = now.Add(after)
-			s := begin(j, now)
-			write(j, s.Index, 1, 1, 3)
+			s := mustStartNext(j, now)
+			addEvents(j, s.Index, 1, 1, 3)
 			j.RunEnded(now, s.Index, batch.RunComplete, "e1")
 		}
 		finish(0)
@@ -117,8 +117,8 @@
 		spec.WantGroups = 3
 		j := batch.NewJob(spec, nil)
 		for range 2 {
-			s := begin(j, start)
-			write(j, s.Index, 1, 1, 3)
+			s := mustStartNext(j, start)
+			addEvents(j, s.Index, 1, 1, 3)
 			j.RunEnded(start, s.Index, batch.RunComplete, "e1")
 		}
 		Expect(j.WriteDue(spec.Due.Add(-time.Second))).To(BeFalse())
@@ -133,9 +133,9 @@
 		spec.WantGroups = 2
 		j := batch.NewJob(spec, nil)
 		run := func(started, ended time.Duration, how batch.RunOutcome) {
-			s := begin(j, start.Add(started))
+			s := mustStartNext(j, start.Add(started))
 			j.RunPlaced(start.Add(started), s.Index)
-			write(j, s.Index, s.ResumeAfter+1, s.ResumeAfter+1, 3)
+			addEvents(j, s.Index, s.ResumeAfter+1, s.ResumeAfter+1, 3)
 			j.RunEnded(start.Add(ended), s.Index, how, "e")
 		}
 		run(0, time.Second, batch.RunComplete)
@@ -157,8 +157,8 @@
 
 	It("rejects events that are out of order, repeated, or of too old a weight version", func() {
 		j := batch.NewJob(spec(1), nil)
-		s := begin(j, start)
-		write(j, s.Index, 1, 1, 3)
+		s := mustStartNext(j, start)
+		addEvents(j, s.Index, 1, 1, 3)
 		Expect(j.AddEvent(s.Index, 3, nil, 3)).To(BeFalse())
 		Expect(j.AddEvent(s.Index, 1, nil, 3)).To(BeFalse())
 		Expect(j.AddEvent(s.Index, 2, nil, 2)).To(BeFalse())
@@ -169,28 +169,28 @@
 		one := spec(1)
 		one.SingleVersion = true
 		j := batch.NewJob(one, nil)
-		s := begin(j, start)
-		write(j, s.Index, 1, 1, 3)
+		s := mustStartNext(j, start)
+		addEvents(j, s.Index, 1, 1, 3)
 		Expect(j.AddEvent(s.Index, 2, nil, 4)).To(BeFalse())
 		j.RunEnded(start, s.Index, batch.RunInterrupted, "e1")
-		Expect(begin(j, start.Add(time.Second)).RequiredVersion).To(Equal(int64(3)))
+		Expect(mustStartNext(j, start.Add(time.Second)).RequiredVersion).To(Equal(int64(3)))
 		j.RunEnded(start, s.Index, batch.RunVersionMismatch, "e2")
-		Expect(begin(j, start.Add(2*time.Second))).To(Equal(batch.RunStart{Index: 0, PreviousEngine: "e2"}), "restarts, as no engine has that version any more")
+		Expect(mustStartNext(j, start.Add(2*time.Second))).To(Equal(batch.RunStart{Index: 0, PreviousEngine: "e2"}), "restarts, as no engine has that version any more")
 	})
 
 	It("aborts an item after the failures that its route allows, but not after refusals or interruptions", func() {
 		j := batch.NewJob(spec(1), nil)
 		now := start
 		for range 5 {
-			s := begin(j, now)
+			s := mustStartNext(j, now)
 			j.RunEnded(now, s.Index, batch.RunRefused, "e1")
 			now = now.Add(time.Second)
-			s = begin(j, now)
+			s = mustStartNext(j, now)
 			j.RunEnded(now, s.Index, batch.RunInterrupted, "e1")
 			now = now.Add(time.Second)
 		}
 		for range 2 {
-			s := begin(j, now)
+			s := mustStartNext(j, now)
 			j.RunEnded(now, s.Index, batch.RunFailed, "e1")
 		}
 		_, results := j.PendingResults()
@@ -199,7 +199,7 @@
 
 	It("aborts an impossible item at once, and every item when the job expires", func() {
 		j := batch.NewJob(spec(3), nil)
-		j.RunEnded(start, begin(j, start).Index, batch.RunImpossible, "e1")
+		j.RunEnded(start, mustStartNext(j, start).Index, batch.RunImpossible, "e1")
 		_, results := j.PendingResults()
 		Expect(results).To(HaveLen(1))
 		Expect(j.Expire(start.Add(39 * time.Second))).To(BeFalse())
@@ -217,8 +217,8 @@
 		// reader that has seen position 0 finds the same result there.
 		j := batch.NewJob(spec(2), nil)
 		for range 2 {
-			s := begin(j, start)
-			write(j, s.Index, 1, 1, 3)
+			s := mustStartNext(j, start)
+			addEvents(j, s.Index, 1, 1, 3)
 			j.RunEnded(start, s.Index, batch.RunComplete, "e1")
 		}
 		Expect(j.DurableResults(0)).To(BeEmpty())
@@ -229,7 +229,7 @@
 
 		successor := batch.NewJob(spec(2), results[:1])
 		Expect(successor.DurableResults(0)).To(Equal(results[:1]))
-		s := begin(successor, start)
+		s := mustStartNext(successor, start)
 		Expect(successor.Spec.Items[s.Index].ID).NotTo(Equal(results[0].Item))
 		_, more := startNext(successor, start)
 		Expect(more).To(BeFalse())
@@ -248,10 +248,10 @@
 		scored := spec(1)
 		scored.Items[0].Scorer = &batch.Scorer{ID: "s"}
 		j := batch.NewJob(scored, nil)
-		s := begin(j, start)
+		s := mustStartNext(j, start)
 		_, _, ok := j.NextScore(start, 0)
 		Expect(ok).To(BeFalse(), "the text is not complete")
-		write(j, s.Index, 1, 1, 3)
+		addEvents(j, s.Index, 1, 1, 3)
 		j.RunEnded(start, s.Index, batch.RunComplete, "e1")
 		i, last, ok := j.NextScore(start, 0)
 		Expect(ok).To(BeTrue())
@@ -278,8 +278,8 @@
 		scored := spec(1)
 		scored.Items[0].Scorer = &batch.Scorer{ID: "s"}
 		j := batch.NewJob(scored, nil)
-		s := begin(j, start)
-		write(j, s.Index, 1, 1, 3)
+		s := mustStartNext(j, start)
+		addEvents(j, s.Index, 1, 1, 3)
 		j.RunEnded(start, s.Index, batch.RunComplete, "e1")
 		return j
 	}
@@ -342,8 +342,8 @@
 		Expect(found).To(BeTrue())
 		Expect(body).To(Equal([]byte{0}))
 		Expect(j.IsUnlisted("i0")).To(BeTrue())
-		s := begin(j, start)
-		write(j, s.Index, 1, 1, 3)
+		s := mustStartNext(j, start)
+		addEvents(j, s.Index, 1, 1, 3)
 		j.RunEnded(start, s.Index, batch.RunComplete, "e1")
 		Expect(j.IsUnlisted("i0")).To(BeTrue(), "a decided result is not listed yet")
 		j.MarkDurable(start, 1)
--- a/internal/policy/batch/job.go
+++ b/internal/policy/batch/job.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// NewJob returns a job whose results in durable are already known to be durable.
+// NewJob returns a job of which the given results are already durable.
 func NewJob(spec *Spec, durable []Result) *Job {
 	j := &Job{Spec: spec, items: make([]itemState, len(spec.Items)), byID: map[string]int{}, groups: map[string]*group{}, unfinished: len(spec.Items)}
 	for i := range spec.Items {
--- a/internal/policy/batch/start.go
+++ b/internal/policy/batch/start.go
@@ -30,9 +30,9 @@
 	j.items[i].remaining = j.estimator.RemainingWork(&j.Spec.Items[i], j.items[i].lastEvent)
 }
 
-// Next returns the item to start next. Spare items come after all others; within each of
-// the two, the item with the most remaining events comes first, as a long item that
-// starts late delays its whole group.
+// Next returns the item to start next. Spare items come after all others; among either
+// kind, the item with the most remaining events comes first, as a long item that starts
+// late delays its whole group. With Options.SubmissionOrder, items start in that order.
 func (j *Job) Next(now time.Time) (Candidate, bool) {
 	best := -1
 	for i := range j.items {
--- a/internal/policy/rollout/place.go
+++ b/internal/policy/rollout/place.go
@@ -204,8 +204,9 @@
 }
 
 // chooseEngine returns the engine for a candidate, or nil if none is suitable. Of the
-// engines with room whose version the trainer will still accept, it prefers the fastest,
-// then the one with the newest version, then the one with the fewest samples of the group.
+// engines with room whose version the trainer will still accept, it prefers the least busy
+// one, which generates fastest, then the one with the newest version, then the one with the
+// fewest samples of the group.
 func (s *Scheduler) chooseEngine(now time.Time, f *feed, c candidate) *engine {
 	var best *engine
 	for _, e := range s.engines {
