--- a/internal/policy/weights/engine.go
+++ b/internal/policy/weights/engine.go
@@ -6,58 +6,60 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// engine is what the owner knows of one engine.
+// engine is the state of one engine as the rollout knows it.
 type engine struct {
 	Member
-	downSince time.Time // zero while it serves
-	tracks    map[Key]*track
-	load      *loading // in progress or of open end; one at a time
-	role      string   // as last reported
-	wanted    string   // role that it is to have; empty: any
+	downSince   time.Time // zero while the engine serves
+	states      map[Key]*keyState
+	load        *load  // chosen, in progress or of unknown outcome; at most one
+	role        string // last reported role
+	desiredRole string // role to assign; empty: any
 }
 
-// loading is a load given, or about to be given, to an engine. From the moment it
-// is chosen the engine does not count as serving.
-type loading struct {
-	key     Key
-	version int64
-	role    string // of a role order
-	order   int64  // sequence; 0 while a target is being asked for
-	open    bool   // its reply was lost or unknown: wait until the agent is settled
+// load is a load that was chosen for an engine. From the moment of the choice the engine
+// does not count as serving, even before the order is sent.
+type load struct {
+	key            Key
+	version        int64
+	role           string // role to set; for RoleKey only
+	sequence       int64  // of the order; 0 until it is sent, which requires a fresh target
+	outcomeUnknown bool   // the reply was lost or did not tell the outcome; a status reply settles it
 }
 
-// track is an engine's way to the newest version of one key.
-type track struct {
+// keyState is the progress of an engine towards the newest version of one key.
+type keyState struct {
 	key     Key
-	known   bool  // the agent has told the version in force under this epoch
-	version int64 // in force at the engine, if known
+	known   bool  // whether the version in force is known under this epoch
+	version int64 // last known version in force at the engine
 
-	asking   int64 // sequence of the status order in flight
-	askedAt  time.Time
-	askAt    time.Time // when to ask next
-	target   wire.Target
-	targetAt time.Time // when the order that brought target was sent
+	statusSequence int64       // sequence of the status order in flight; 0 if none
+	statusSentAt   time.Time   // when the latest status order was sent
+	nextStatusAt   time.Time   // no status order is sent before
+	target         wire.Target // from the latest status reply
+	targetAt       time.Time   // when the status order that returned target was sent
 
-	preparing int64 // sequence of the prepare order in flight
-	prepared  int64 // newest version that the agent holds
-	prepareAt time.Time
-	attempts  int // to prepare, in vain
+	prepareSequence int64     // sequence of the prepare order in flight; 0 if none
+	prepared        int64     // newest version that the agent has fetched; 0 after a load failed
+	nextPrepareAt   time.Time // no prepare order is sent before
+	prepareFailures int       // consecutive failed prepare orders
 
-	failures   int // loads in a row
-	asideUntil time.Time
+	loadFailures int       // consecutive failed loads
+	nextLoadAt   time.Time // no load is chosen before
 }
 
-func newEngine() *engine { return &engine{tracks: map[Key]*track{}} }
+func newEngine() *engine { return &engine{states: map[Key]*keyState{}} }
 
-func (e *engine) track(key Key) *track {
-	t, ok := e.tracks[key]
+// state returns the state of a key, and creates it if needed.
+func (e *engine) state(key Key) *keyState {
+	s, ok := e.states[key]
 	if !ok {
-		t = &track{key: key}
-		e.tracks[key] = t
+		s = &keyState{key: key}
+		e.states[key] = s
 	}
-	return t
+	return s
 }
 
+// update replaces the member's data and records when the engine went down.
 func (e *engine) update(m Member, now time.Time) {
 	e.Member = m
 	switch {
@@ -68,35 +70,38 @@
 	}
 }
 
-// settled tells whether the state of every key is known under this epoch.
-func (e *engine) settled(keys []Key) bool {
+// allKnown reports whether the version of every key is known under this epoch.
+func (e *engine) allKnown(keys []Key) bool {
 	for _, key := range keys {
-		if !e.track(key).known {
+		if !e.state(key).known {
 			return false
 		}
 	}
 	return true
 }
 
-// renew gives an engine that was set aside another chance with a newer version.
-func (t *track) renew() {
-	t.failures = 0
-	t.asideUntil = time.Time{}
-	t.attempts = 0
-	t.prepareAt = time.Time{}
+// resetBackoff clears the backoff after failures, as a newer version may succeed.
+func (s *keyState) resetBackoff() {
+	s.loadFailures = 0
+	s.nextLoadAt = time.Time{}
+	s.prepareFailures = 0
+	s.nextPrepareAt = time.Time{}
 }
 
-// lose notes that the version in force is no longer known.
-func (t *track) lose(askAt time.Time) {
-	t.known = false
-	t.askAt = askAt
+// markUnknown records that the version in force is no longer known. The next status order
+// is sent at nextStatusAt.
+func (s *keyState) markUnknown(nextStatusAt time.Time) {
+	s.known = false
+	s.nextStatusAt = nextStatusAt
 }
 
-func (t *track) fail(c Config, now time.Time) {
-	t.failures++
-	t.asideUntil = now.Add(c.PollInterval)
-	if t.failures >= c.MaxLoadFailures {
-		t.failures = 0
-		t.asideUntil = now.Add(c.FailureCooldown)
+// recordLoadFailure delays the next load, for longer after MaxLoadFailures consecutive
+// failures.
+func (s *keyState) recordLoadFailure(c Config, now time.Time) {
+	s.loadFailures++
+	s.nextLoadAt = now.Add(c.PollInterval)
+	if s.loadFailures >= c.MaxLoadFailures {
+		s.loadFailures = 0
+		s.nextLoadAt = now.Add(c.FailureCooldown)
 	}
 }
--- a/internal/policy/weights/fetch.go
+++ b/internal/policy/weights/fetch.go
@@ -3,114 +3,118 @@
 import "time"
 
 const (
-	// ChunkHoldTimeout is how long an agent keeps a question for a chunk that it has not
-	// got yet: long enough for the chunk to come down the tree, short enough that
-	// the asker does not wait behind an agent that fell silent further up.
+	// ChunkHoldTimeout is how long an agent holds a request for a chunk that it has not
+	// received yet. It is long enough for the chunk to arrive through the distribution
+	// tree, and short enough that the requester does not wait long if an agent higher up
+	// in the tree does not respond.
 	ChunkHoldTimeout = time.Second
-	// ChunkRequestTimeout is how long an agent waits for an answer to such a question.
+	// ChunkRequestTimeout is how long an agent waits for the answer to such a request.
 	ChunkRequestTimeout = 3 * time.Second
 )
 
-// fetchWindow is how many chunks an agent asks each of its sources for at once.
-// Two keep a link busy while one answer is on its way.
-const fetchWindow = 2
+// maxRequestsPerSource is the number of concurrent chunk requests to one source. With two,
+// the link stays busy while one answer is in transit.
+const maxRequestsPerSource = 2
 
-// storeAttempts is how often the store is asked for a chunk before the fetch is
-// given up, to be ordered again.
-const storeAttempts = 8
+// maxStoreAttempts is the number of requests to the store for a chunk after which the fetch
+// fails. The rollout then orders it again.
+const maxStoreAttempts = 8
 
-// StoreSource is the source that stands for the weight store.
+// StoreSource is the source address that denotes the weight store.
 const StoreSource = ""
 
-// ChunkSource is one chunk to ask a source for.
+// ChunkSource is a chunk and the source to request it from.
 type ChunkSource struct {
-	Index  int
-	Source string // address of an agent, or Store
+	Index  int    // of the chunk in the version
+	Source string // address of an agent, or StoreSource
 }
 
-// FetchPlan decides which chunk an agent asks for where. Chunk i comes from source i
-// modulo their number, in order, so that the sources serve disjoint stripes. A
-// chunk that a source fails to give moves on to the next source and at last to
-// the store, so that an agent that dies costs its children a detour, not the
-// version; the store is last because it alone cannot serve a fleet. A source that
-// failed is passed over for the chunks after it: an agent that fell silent would
-// otherwise cost its time limit again and again.
+// FetchPlan decides from which source an agent requests each chunk of a version. Chunk i
+// is assigned to source i modulo the number of sources, in order, so that the sources
+// serve disjoint stripes. If a source fails to deliver a chunk, the next source is tried,
+// and finally the weight store. So the loss of an agent delays its children but does not
+// make the version fail. The store comes last because it cannot serve all agents by
+// itself. After its first failure a source is skipped for other chunks as long as there
+// are other sources, because an unresponsive agent would otherwise cost a timeout for
+// each of them.
 type FetchPlan struct {
-	sources []string
-	state   []pieceState
-	held    int
-	asked   map[string]int // outstanding by source
-	failed  map[string]bool
+	sources     []string
+	chunks      []chunkState
+	received    int             // number of chunks
+	outstanding map[string]int  // requests in flight by source
+	failed      map[string]bool // sources that failed to deliver a chunk; never the store
 }
 
-type pieceState struct {
-	held   bool
-	asked  bool
-	misses int
+type chunkState struct {
+	received  bool
+	requested bool // a request is in flight
+	failures  int  // failed requests
 }
 
-// NewFetchPlan returns the fetch of a version of so many chunks. No sources means
-// the store.
+// NewFetchPlan returns the plan for a version with the given number of chunks. If sources
+// is empty, all chunks come from the store.
 func NewFetchPlan(chunks int, sources []string) *FetchPlan {
 	if len(sources) == 0 {
 		sources = []string{StoreSource}
 	}
-	return &FetchPlan{sources: sources, state: make([]pieceState, chunks), asked: map[string]int{}, failed: map[string]bool{}}
+	return &FetchPlan{sources: sources, chunks: make([]chunkState, chunks), outstanding: map[string]int{}, failed: map[string]bool{}}
 }
 
-// Next returns the pieces to ask for now; each must end in Got or Missed. It
-// returns none any more once a chunk was asked for everywhere in vain.
+// Next returns the chunks to request now. Each must be reported by MarkReceived or
+// MarkFailed. Once all sources and all attempts at the store have failed for a chunk, Next
+// returns nil.
 func (f *FetchPlan) Next() []ChunkSource {
 	var out []ChunkSource
-	for i := range f.state {
-		s := &f.state[i]
+	for i := range f.chunks {
+		s := &f.chunks[i]
 		source := f.source(i)
-		if s.misses >= len(f.sources)+storeAttempts {
+		if s.failures >= len(f.sources)+maxStoreAttempts {
 			return nil
 		}
-		if s.held || s.asked || f.asked[source] >= fetchWindow {
+		if s.received || s.requested || f.outstanding[source] >= maxRequestsPerSource {
 			continue
 		}
-		s.asked = true
-		f.asked[source]++
+		s.requested = true
+		f.outstanding[source]++
 		out = append(out, ChunkSource{Index: i, Source: source})
 	}
 	return out
 }
 
+// source returns the source to request chunk i from next.
 func (f *FetchPlan) source(i int) string {
-	misses := f.state[i].misses
-	if misses >= len(f.sources) {
+	failures := f.chunks[i].failures
+	if failures >= len(f.sources) {
 		return StoreSource
 	}
 	for k := range f.sources {
-		source := f.sources[(i+misses+k)%len(f.sources)]
+		source := f.sources[(i+failures+k)%len(f.sources)]
 		if !f.failed[source] {
 			return source
 		}
 	}
-	return f.sources[(i+misses)%len(f.sources)]
+	return f.sources[(i+failures)%len(f.sources)]
 }
 
-// MarkReceived notes that a piece arrived.
-func (f *FetchPlan) MarkReceived(p ChunkSource) {
-	s := &f.state[p.Index]
-	s.asked = false
-	f.asked[p.Source]--
-	if !s.held {
-		s.held = true
-		f.held++
+// MarkReceived records that a chunk was received.
+func (f *FetchPlan) MarkReceived(c ChunkSource) {
+	s := &f.chunks[c.Index]
+	s.requested = false
+	f.outstanding[c.Source]--
+	if !s.received {
+		s.received = true
+		f.received++
 	}
 }
 
-// MarkFailed notes that a source did not give a piece.
-func (f *FetchPlan) MarkFailed(p ChunkSource) {
-	s := &f.state[p.Index]
-	s.asked = false
-	s.misses++
-	f.asked[p.Source]--
-	f.failed[p.Source] = p.Source != StoreSource
+// MarkFailed records that a source failed to deliver a chunk.
+func (f *FetchPlan) MarkFailed(c ChunkSource) {
+	s := &f.chunks[c.Index]
+	s.requested = false
+	s.failures++
+	f.outstanding[c.Source]--
+	f.failed[c.Source] = c.Source != StoreSource
 }
 
-// Done tells whether every chunk is held.
-func (f *FetchPlan) Done() bool { return f.held == len(f.state) }
+// Done reports whether every chunk was received.
+func (f *FetchPlan) Done() bool { return f.received == len(f.chunks) }
--- a/internal/policy/weights/loads.go
+++ b/internal/policy/weights/loads.go
@@ -8,25 +8,28 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// capacity counts a service's engines: how many there are to keep serving, and
-// how many serve.
+// capacity counts the engines of a service.
 type capacity struct {
-	total, serving int
+	total, serving int // engines that count for the floor, and those of them that serve
 	domains        map[string]*domain
 }
 
+// domain counts the engines of a failure domain.
 type domain struct {
 	name           string
 	total, serving int
-	candidates     []candidate // stalest first
+	candidates     []candidate // engines that may load now; sorted by startLoads, oldest version first
 }
 
+// candidate is an engine and the state of the key that it may load.
 type candidate struct {
 	engine *engine
-	track  *track
+	state  *keyState
 }
 
-func (r *Rollout) capacity(now time.Time) capacity {
+// countCapacity counts the engines and collects the candidates for loads. It leaves out
+// engines that are leaving or down for longer than DownGracePeriod.
+func (r *Rollout) countCapacity(now time.Time) capacity {
 	c := capacity{domains: map[string]*domain{}}
 	for _, id := range r.ids {
 		e := r.engines[id]
@@ -40,33 +43,33 @@
 		}
 		c.total++
 		d.total++
-		if !e.Serving || e.load != nil || !e.settled(r.keys) {
+		if !e.Serving || e.load != nil || !e.allKnown(r.keys) {
 			continue
 		}
 		c.serving++
 		d.serving++
-		if t := r.ready(e, now); t != nil {
-			d.candidates = append(d.candidates, candidate{engine: e, track: t})
+		if s := r.loadable(e, now); s != nil {
+			d.candidates = append(d.candidates, candidate{engine: e, state: s})
 		}
 	}
 	return c
 }
 
-// ready returns the track on which a serving engine may load now.
-func (r *Rollout) ready(e *engine, now time.Time) *track {
+// loadable returns the state of the first key that a serving engine may load now, or nil.
+func (r *Rollout) loadable(e *engine, now time.Time) *keyState {
 	for _, key := range r.keys {
-		t := e.track(key)
-		if t.prepared > t.version && !now.Before(t.asideUntil) {
-			return t
+		s := e.state(key)
+		if s.prepared > s.version && !now.Before(s.nextLoadAt) {
+			return s
 		}
 	}
 	return nil
 }
 
-// spare tells whether one engine of the domain may stop serving. Of a domain
-// with a single engine that is the whole domain; it is allowed, as such an
-// engine would never get new weights otherwise.
-func (c *capacity) spare(d *domain, floor float64) bool {
+// canSpare reports whether one more engine of the domain may stop serving. The last serving
+// engine of a domain may not, unless it is the only engine of the domain, which would
+// otherwise never load new weights.
+func (c *capacity) canSpare(d *domain, floor float64) bool {
 	const rounding = 1e-9
 	keep := int(math.Ceil(floor*float64(c.total) - rounding))
 	if c.serving-1 < keep {
@@ -75,20 +78,21 @@
 	return d.total == 1 || d.serving > 1
 }
 
-// wave chooses the engines that load next, as many as the floor leaves. There is
-// no barrier between waves: an engine that is done makes room for the next.
-func (r *Rollout) wave(out []EngineOrder, now time.Time) []EngineOrder {
-	c := r.capacity(now)
+// startLoads chooses the engines that load next, as many as the capacity floor allows, and
+// adds their orders. It does not wait for a batch of loads to end: each engine that is done
+// makes room for the next.
+func (r *Rollout) startLoads(out []EngineOrder, now time.Time) []EngineOrder {
+	c := r.countCapacity(now)
 	domains := make([]*domain, 0, len(c.domains))
 	for _, d := range c.domains {
 		sort.SliceStable(d.candidates, func(i, j int) bool {
-			return d.candidates[i].track.version < d.candidates[j].track.version
+			return d.candidates[i].state.version < d.candidates[j].state.version
 		})
 		domains = append(domains, d)
 	}
 	sort.Slice(domains, func(i, j int) bool { return domains[i].name < domains[j].name })
 	for {
-		d := c.choose(domains, r.config.CapacityFloor)
+		d := c.chooseDomain(domains, r.config.CapacityFloor)
 		if d == nil {
 			break
 		}
@@ -96,17 +100,17 @@
 		d.candidates = d.candidates[1:]
 		d.serving--
 		c.serving--
-		next.engine.load = &loading{key: next.track.key, version: next.track.prepared, role: next.engine.wanted}
+		next.engine.load = &load{key: next.state.key, version: next.state.prepared, role: next.engine.desiredRole}
 	}
-	return r.give(out, now)
+	return r.sendLoads(out, now)
 }
 
-// choose returns the domain with the largest share serving that can spare an
-// engine, so that the engines out are spread evenly.
-func (c *capacity) choose(domains []*domain, floor float64) *domain {
+// chooseDomain returns the domain with the largest share of serving engines among those
+// that can spare one, or nil. So the loading engines are spread evenly over the domains.
+func (c *capacity) chooseDomain(domains []*domain, floor float64) *domain {
 	var best *domain
 	for _, d := range domains {
-		if len(d.candidates) == 0 || !c.spare(d, floor) {
+		if len(d.candidates) == 0 || !c.canSpare(d, floor) {
 			continue
 		}
 		if best == nil || d.serving*best.total > best.serving*d.total {
@@ -116,36 +120,37 @@
 	return best
 }
 
-// give sends the loads chosen whose agents have issued a fresh target, and asks
-// the others for one.
-func (r *Rollout) give(out []EngineOrder, now time.Time) []EngineOrder {
+// sendLoads adds the orders of chosen loads whose agents have issued a fresh target, and
+// status orders to get a target from the other agents.
+func (r *Rollout) sendLoads(out []EngineOrder, now time.Time) []EngineOrder {
 	for _, id := range r.ids {
 		e := r.engines[id]
-		if e.load == nil || e.load.order != 0 {
+		if e.load == nil || e.load.sequence != 0 {
 			continue
 		}
-		t := e.track(e.load.key)
-		if !t.known {
+		s := e.state(e.load.key)
+		if !s.known {
 			e.load = nil
 			continue
 		}
-		if t.targetAt.IsZero() || now.Sub(t.targetAt) > r.config.MaxTargetAge {
-			t.askAt = now
-			out = r.ask(out, e, t.key, now)
+		if s.targetAt.IsZero() || now.Sub(s.targetAt) > r.config.MaxTargetAge {
+			s.nextStatusAt = now
+			out = r.requestStatus(out, e, s.key, now)
 			continue
 		}
-		out = append(out, EngineOrder{Engine: id, Order: r.loadOrder(e.load, t.target)})
+		out = append(out, EngineOrder{Engine: id, Order: r.loadOrder(e.load, s.target)})
 	}
 	return out
 }
 
-func (r *Rollout) loadOrder(l *loading, target wire.Target) wire.Order {
-	o := r.order(l.key, l.key.LoadKind(), r.config.LoadTimeout)
+// loadOrder returns the order for a load and records its sequence.
+func (r *Rollout) loadOrder(l *load, target wire.Target) wire.Order {
+	o := r.newOrder(l.key, l.key.LoadKind(), r.config.LoadTimeout)
 	o.Version = l.version
 	if l.key == RoleKey {
 		o.Role = l.role
 	}
 	o.Target = target
-	l.order = o.Sequence
+	l.sequence = o.Sequence
 	return o
 }
--- a/internal/policy/weights/progress.go
+++ b/internal/policy/weights/progress.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Progress is how far the newest version of a key has come.
+// Progress is the state of the rollout of a key's newest version.
 type Progress struct {
 	Key        Key
 	Version    int64
-	Engines    int // that are to have it
-	Done       int
-	Loading    int // loads in progress or of open end
-	BackingOff int // set aside after failed loads
-	// Blocked is set if the floor leaves no engine to load even when all serve.
+	Engines    int // engines that should load the version
+	Done       int // engines that have it in force
+	Loading    int // engines with a load that is chosen, in progress or of unknown outcome
+	BackingOff int // engines that wait after a failed load
+	// Blocked is set if the capacity floor allows no engine to load even when all serve.
 	Blocked bool
 }
 
-// Progress returns the state of every key.
+// Progress returns the progress of every key.
 func (r *Rollout) Progress(now time.Time) []Progress {
 	var all []Progress
-	c := r.capacity(now)
+	c := r.countCapacity(now)
 	for _, key := range r.keys {
 		p := Progress{Key: key, Version: r.targets[key]}
 		if key == RoleKey {
-			p.Version = roleHeld
+			p.Version = roleMatches
 		}
 		for _, id := range r.ids {
 			e := r.engines[id]
@@ -30,21 +30,22 @@
 			}
 		}
 		full := capacity{total: c.total, serving: c.total}
-		p.Blocked = c.total > 0 && !full.spare(&domain{total: 1}, r.config.CapacityFloor)
+		p.Blocked = c.total > 0 && !full.canSpare(&domain{total: 1}, r.config.CapacityFloor)
 		all = append(all, p)
 	}
 	return all
 }
 
+// count adds an engine to the counters.
 func (p *Progress) count(e *engine, now time.Time) {
-	t := e.track(p.Key)
+	s := e.state(p.Key)
 	p.Engines++
 	switch {
-	case t.known && t.version >= p.Version:
+	case s.known && s.version >= p.Version:
 		p.Done++
 	case e.load != nil && e.load.key == p.Key:
 		p.Loading++
-	case now.Before(t.asideUntil):
+	case now.Before(s.nextLoadAt):
 		p.BackingOff++
 	}
 }
--- a/internal/policy/weights/record.go
+++ b/internal/policy/weights/record.go
@@ -1,23 +1,23 @@
 package weights
 
-// Record is what lasts of a service's weights: the newest version announced for
-// each key. It lives in the key-value service and changes by compare-and-swap
-// only, always upwards.
+// Record is the stored state of a service's weights: the newest announced version of each
+// key. It is kept in the key-value service and changed only by compare-and-swap. Its
+// versions never decrease.
 type Record struct {
 	Targets []Target `json:"targets"`
 }
 
-// Target is the newest version announced for a key.
+// Target is the newest announced version of a key.
 type Target struct {
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
 	Version int64  `json:"version"`
 }
 
-// Key returns what the target is a version of.
+// Key returns the key of the target.
 func (t Target) Key() Key { return Key{Model: t.Model, Adapter: t.Adapter} }
 
-// Version returns the version announced for a key, 0 if none.
+// Version returns the announced version of a key, or 0 if there is none.
 func (r Record) Version(key Key) int64 {
 	for _, t := range r.Targets {
 		if t.Key() == key {
@@ -27,8 +27,8 @@
 	return 0
 }
 
-// Raise returns the record with the key's version raised, and whether it had to
-// be: a version at or below the one announced changes nothing.
+// Raise returns a record in which the key has at least the given version. It returns true
+// if that differs from r.
 func (r Record) Raise(key Key, version int64) (Record, bool) {
 	raised := Record{Targets: append([]Target(nil), r.Targets...)}
 	for i, t := range raised.Targets {
--- a/internal/policy/weights/roles.go
+++ b/internal/policy/weights/roles.go
@@ -7,24 +7,24 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Role is a role that a share of a service's engines is to have.
+// Role is a declared role and the share of a service's engines that should have it.
 type Role struct {
 	Name  string
-	Share int // in proportion to the other roles' shares
+	Share int // relative to the sum of all shares
 }
 
-// RoleKey stands for an engine's role among the keys of a rollout, so that a
-// change of role is a load like others: one at a time on an engine, within the
-// floor, and under the same guard. No adapter has its name.
+// RoleKey represents the role of an engine among the keys of a rollout. So a change of
+// role follows the same rules as a load: one at a time per engine, within the capacity
+// floor, and checked by the same OrderFilter. No adapter has this name.
 var RoleKey = Key{Adapter: "\x00role"}
 
-// An engine's version of RoleKey tells whether it has the role it is to have.
+// The version of RoleKey says whether an engine has its desired role.
 const (
-	roleOther = 0
-	roleHeld  = 1
+	roleDiffers = 0
+	roleMatches = 1
 )
 
-// SetRoles replaces the declared roles; without any, engines keep those they have.
+// SetRoles replaces the declared roles. Without declared roles, engines keep theirs.
 func (r *Rollout) SetRoles(roles []Role) {
 	if slices.Equal(r.roles, roles) {
 		return
@@ -35,15 +35,15 @@
 		r.keys = append(r.keys, RoleKey)
 	}
 	for _, e := range r.engines {
-		e.track(RoleKey).renew()
+		e.state(RoleKey).resetBackoff()
 	}
 }
 
-// assign chooses the role of each engine. One that has a role of which there are
-// not too many keeps it, so that a dead engine or a new one moves few others. It
-// waits until every serving engine has told its role: a successor that knew some
-// of them only would move engines to roles that others hold already.
-func (r *Rollout) assign() {
+// assignRoles chooses the role of each engine. An engine keeps its role unless too many
+// engines have it, so that the loss or addition of an engine changes few others. No roles
+// are chosen until every serving engine has reported its role or has a load. A successor
+// that knew only some roles would assign roles that other engines already have.
+func (r *Rollout) assignRoles() {
 	if len(r.roles) == 0 {
 		return
 	}
@@ -53,80 +53,81 @@
 		if e.Leaving || !e.Serving {
 			continue
 		}
-		if !e.track(RoleKey).known && e.load == nil {
+		if !e.state(RoleKey).known && e.load == nil {
 			return
 		}
 		all = append(all, e)
 	}
-	left := quotas(r.roles, len(all))
-	var rest []*engine
+	remaining := quotas(r.roles, len(all))
+	var unassigned []*engine
 	for _, e := range all {
-		has := e.role
+		role := e.role
 		if e.load != nil && e.load.key == RoleKey {
-			has = e.load.role
+			role = e.load.role
 		}
-		if left[has] > 0 {
-			left[has]--
-			e.want(has)
+		if remaining[role] > 0 {
+			remaining[role]--
+			e.setDesiredRole(role)
 			continue
 		}
-		rest = append(rest, e)
+		unassigned = append(unassigned, e)
 	}
 	for _, role := range r.roles {
-		for range left[role.Name] {
-			rest[0].want(role.Name)
-			rest = rest[1:]
+		for range remaining[role.Name] {
+			unassigned[0].setDesiredRole(role.Name)
+			unassigned = unassigned[1:]
 		}
 	}
 }
 
-// quotas divides n engines by the largest remainders; of equal ones the role
-// declared first gets more.
+// quotas divides n engines among the roles by the largest remainder method. Among equal
+// remainders the role declared first gets more.
 func quotas(roles []Role, n int) map[string]int {
 	total := 0
 	for _, role := range roles {
 		total += role.Share
 	}
 	quota := map[string]int{}
-	given := 0
+	assigned := 0
 	order := slices.Clone(roles)
 	for _, role := range roles {
 		quota[role.Name] = n * role.Share / total
-		given += quota[role.Name]
+		assigned += quota[role.Name]
 	}
 	slices.SortStableFunc(order, func(a, b Role) int {
 		return cmp.Compare(n*b.Share%total, n*a.Share%total)
 	})
-	for _, role := range order[:n-given] {
+	for _, role := range order[:n-assigned] {
 		quota[role.Name]++
 	}
 	return quota
 }
 
-// want sets the role that the engine is to have. There is nothing to prepare.
-func (e *engine) want(role string) {
-	t := e.track(RoleKey)
-	e.wanted = role
-	t.prepared = roleHeld
-	t.version = e.roleVersion()
+// setDesiredRole sets the role that the engine should have. A role needs no prepare order.
+func (e *engine) setDesiredRole(role string) {
+	s := e.state(RoleKey)
+	e.desiredRole = role
+	s.prepared = roleMatches
+	s.version = e.roleVersion()
 }
 
+// roleVersion returns the engine's version of RoleKey.
 func (e *engine) roleVersion() int64 {
-	if e.role == e.wanted && e.wanted != "" {
-		return roleHeld
+	if e.role == e.desiredRole && e.desiredRole != "" {
+		return roleMatches
 	}
-	return roleOther
+	return roleDiffers
 }
 
-// roleReply takes the role that a reply tells, and turns it into the version by
-// which the engine's track is kept.
-func (e *engine) roleReply(o wire.Order, reply wire.OrderReply, delivered bool) wire.OrderReply {
+// applyRoleReply records the role in a reply, and returns the reply with the engine's
+// version of RoleKey.
+func (e *engine) applyRoleReply(o wire.Order, reply wire.OrderReply, delivered bool) wire.OrderReply {
 	if delivered && reply.Outcome == wire.Answered {
 		e.role = reply.Role
 	}
 	reply.Version = e.roleVersion()
 	if o.Kind == wire.OrderStatus && e.load != nil && e.load.key == RoleKey && e.role == e.load.role {
-		reply.Version = roleHeld // the load of open end has ended as ordered
+		reply.Version = roleMatches // the load of unknown outcome has ended as ordered
 	}
 	return reply
 }
--- a/internal/policy/weights/roles_test.go
+++ b/internal/policy/weights/roles_test.go
@@ -21,16 +21,17 @@
 		}
 		return held
 	}
-	settle := func(s *service) (changed int) {
+	// settle runs the rollout until all loads are done and returns their number.
+	settle := func(s *service) (loads int) {
 		for range 10 {
 			s.run()
-			changed += len(s.loading)
+			loads += len(s.loading)
 			s.finishAll()
 		}
-		return changed
+		return loads
 	}
 
-	It("divide the engines by their shares, within the floor", func() {
+	It("divide the engines by their shares, within the capacity floor", func() {
 		s := newService(0.5, 8, 2)
 		s.rollout.SetRoles(shares(1, 3))
 		s.run()
@@ -42,7 +43,7 @@
 		Expect(p[0].Done).To(Equal(8))
 	})
 
-	It("move no more engines than a change needs, and none without roles", func() {
+	It("change no more engines than needed, and none if no roles are declared", func() {
 		s := newService(0.5, 8, 2)
 		s.rollout.SetRoles(shares(1, 3))
 		settle(s)
@@ -53,10 +54,10 @@
 		Expect(settle(s)).To(BeZero())
 	})
 
-	// A successor begins and knows no engine's role yet. If it divided the
-	// engines by what the first replies tell, it would move engines to roles
-	// that others hold, and take them out for nothing.
-	It("wait until every engine has told its role", func() {
+	// A new owner does not know the roles of the engines yet. If it assigned roles after
+	// the first replies, it would change engines to roles that others already have, and
+	// take them out of service for nothing.
+	It("are not assigned until every engine has reported its role", func() {
 		s := newService(0.5, 4, 2)
 		s.roles = map[string]string{"e0": "decode", "e1": "decode", "e2": "prefill", "e3": "prefill"}
 		s.rollout.SetRoles(shares(1, 1))
@@ -72,7 +73,7 @@
 		Expect(settle(s)).To(BeZero())
 	})
 
-	It("come back to an engine that restarted, and wait for a load of new weights", func() {
+	It("are restored at an engine that restarted, after its load of new weights", func() {
 		s := newService(0.5, 4, 2)
 		s.rollout.SetRoles(shares(1, 1))
 		settle(s)
@@ -87,9 +88,9 @@
 		Expect(s.versions).To(HaveEach(int64(2)))
 	})
 
-	// The answer to a change of role is lost. The engine counts as out until its
-	// agent has told the role, whichever that is.
-	It("count an engine as out until the end of its change is known", func() {
+	// The reply to a change of role is lost. The engine does not count as serving until
+	// its agent has reported a role, whichever that is.
+	It("count an engine as not serving until the outcome of its change is known", func() {
 		s := newService(0.75, 4, 2)
 		s.rollout.SetRoles([]weights.Role{{Name: "decode", Share: 1}})
 		s.run()
@@ -103,15 +104,15 @@
 	})
 })
 
-var _ = Describe("the guard and roles", func() {
-	// An owner that was paused orders a role beside its successor, and the
-	// successor orders one that the engine has. Neither reaches the engine.
-	It("let a role of the newest epoch through, once, and tell it", func() {
-		g := weights.NewOrderFilter("a", weights.MaxOrderTimeout, start.Add(-weights.MaxOrderTimeout))
-		g.ReportRole("prefill", start)
-		g.ReportVersions(map[string]int64{"": 1}, start)
+var _ = Describe("OrderFilter", func() {
+	// A paused owner orders a role after its successor has taken over, and the successor
+	// orders a role that the engine already has. Neither order may reach the engine.
+	It("accepts a new role of the newest epoch once, and reports it", func() {
+		filter := weights.NewOrderFilter("a", weights.MaxOrderTimeout, start.Add(-weights.MaxOrderTimeout))
+		filter.ReportRole("prefill", start)
+		filter.ReportVersions(map[string]int64{"": 1}, start)
 		order := func(kind wire.OrderKind, epoch int64, role string, target wire.Target) weights.Verdict {
-			return g.Accept(wire.Order{
+			return filter.Accept(wire.Order{
 				ID: role, Kind: kind, Role: role, Sequence: 9, Target: target, Remaining: time.Second,
 				Fence: wire.Fence{Duty: "weights/s", Epoch: epoch},
 			}, start)
@@ -122,7 +123,7 @@
 		Expect(order(wire.OrderRole, 2, "prefill", status.Target).Run).To(BeFalse())
 		Expect(order(wire.OrderRole, 2, "decode", status.Target).Run).To(BeTrue())
 		Expect(order(wire.OrderSwap, 2, "", status.Target).Reply.Reason).To(Equal(wire.ReasonNotReady))
-		Expect(g.Finish(weights.LoadDone, start).Role).To(Equal("decode"))
+		Expect(filter.Finish(weights.LoadDone, start).Role).To(Equal("decode"))
 		Expect(order(wire.OrderStatus, 2, "", wire.Target{}).Reply.Version).To(Equal(int64(1)))
 	})
 })
--- a/internal/policy/weights/rollout.go
+++ b/internal/policy/weights/rollout.go
@@ -8,24 +8,24 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Config sets a rollout's pace. Start from DefaultConfig.
+// Config holds the settings of a rollout. Start from DefaultConfig.
 type Config struct {
 	Duty          string
 	Epoch         int64
-	CapacityFloor float64 // share of engines that serve at every moment, 0..1
+	CapacityFloor float64 // minimum share of engines that serve at any time, 0 to 1
 	Distribution  Distribution
 
-	PollInterval    time.Duration // between questions to an engine whose state is open
-	RecheckInterval time.Duration // between questions to an engine whose state is known
+	PollInterval    time.Duration // between status orders to an engine whose state is unknown, and after failures
+	RecheckInterval time.Duration // between status orders to an engine whose state is known
 	PrepareTimeout  time.Duration
-	LoadTimeout     time.Duration // together with TargetAge at most MaxOrder
-	MaxTargetAge    time.Duration // of a status reply whose target may still be used
-	MaxLoadFailures int           // loads in a row before an engine is set aside
-	FailureCooldown time.Duration // how long it stays so
-	DownGracePeriod time.Duration // an engine down for longer no longer counts as capacity to keep
+	LoadTimeout     time.Duration // together with MaxTargetAge at most MaxOrderTimeout
+	MaxTargetAge    time.Duration // maximum age of a status reply whose target is used in a load order
+	MaxLoadFailures int           // consecutive failed loads of an engine after which it waits for FailureCooldown
+	FailureCooldown time.Duration // how long no load is ordered after MaxLoadFailures
+	DownGracePeriod time.Duration // an engine that is down for longer no longer counts towards the total for the capacity floor
 }
 
-// DefaultConfig returns the pace used unless something speaks against it.
+// DefaultConfig returns the default settings. It leaves Duty, Epoch and CapacityFloor zero.
 func DefaultConfig() Config {
 	return Config{
 		Distribution:    Distribution{Stripes: 4, RootsPerStripe: 1},
@@ -40,38 +40,39 @@
 	}
 }
 
-// Member is one engine as the owner's directory has it.
+// Member is an engine as listed in the owner's directory.
 type Member struct {
-	ID      string // instance id of its agent
+	ID      string // instance ID of its agent
 	Address string // of its agent
 	Domain  string // failure domain
-	Serving bool   // its agent and the engine answer
+	Serving bool   // its agent and the engine respond
 	Leaving bool
 }
 
-// EngineOrder is an order to give to an engine's agent. Each must end in Reply.
+// EngineOrder is an order to send to the agent of an engine. Its outcome must be passed to
+// HandleReply.
 type EngineOrder struct {
 	Engine string
 	Order  wire.Order
 }
 
-// Rollout is the duty owner's side: it brings every engine of a service to the
-// newest version announced for each key, and keeps enough of them serving.
+// Rollout runs at the holder of the weights duty. It brings every engine of a service to
+// the newest announced version of each key, and keeps enough engines serving meanwhile.
 type Rollout struct {
-	config  Config
-	engines map[string]*engine
-	ids     []string // of engines, sorted
-	targets map[Key]int64
-	keys    []Key // of targets, in the order announced
-	plans   map[Key]plan
-	roles   []Role
-	orders  int64 // given so far
-	deposed bool
+	config       Config
+	engines      map[string]*engine
+	ids          []string // of engines, sorted
+	targets      map[Key]int64
+	keys         []Key        // of targets, in the order announced
+	plans        map[Key]plan // of the newest version of each key
+	roles        []Role
+	lastSequence int64 // of the orders issued so far
+	deposed      bool
 }
 
-// NewRollout returns the rollout of an owner that has just taken the duty. It
-// takes nothing over from its predecessor: an engine counts as serving only once
-// its agent has answered under the new epoch, and so refuses the old one.
+// NewRollout returns the rollout of an owner that has just acquired the duty. It inherits no
+// state from its predecessor. An engine counts as serving only after its agent has answered
+// an order of the new epoch; from then on the agent refuses orders of older epochs.
 func NewRollout(c Config) *Rollout {
 	return &Rollout{
 		config:  c,
@@ -81,14 +82,15 @@
 	}
 }
 
-// Deposed tells whether an agent has heard of a higher epoch. The rollout gives
-// no further order.
+// Deposed reports whether an agent has refused an order because it knows a higher epoch.
+// The rollout then issues no further orders.
 func (r *Rollout) Deposed() bool { return r.deposed }
 
-// SetCapacityFloor changes the declared capacity floor.
+// SetCapacityFloor sets the declared capacity floor.
 func (r *Rollout) SetCapacityFloor(floor float64) { r.config.CapacityFloor = floor }
 
-// SetTarget notes an announced version. A lower one than known is ignored.
+// SetTarget records an announced version. It ignores a version that is not newer than the
+// recorded one.
 func (r *Rollout) SetTarget(key Key, version int64) {
 	known, ok := r.targets[key]
 	if version <= known {
@@ -99,7 +101,7 @@
 	}
 	r.targets[key] = version
 	for _, e := range r.engines {
-		e.track(key).renew()
+		e.state(key).resetBackoff()
 	}
 }
 
@@ -131,24 +133,25 @@
 	if r.deposed {
 		return nil
 	}
-	r.assign()
+	r.assignRoles()
 	var out []EngineOrder
 	for _, id := range r.ids {
 		e := r.engines[id]
 		for _, key := range r.keys {
-			out = r.ask(out, e, key, now)
+			out = r.requestStatus(out, e, key, now)
 			out = r.prepare(out, e, key, now)
 		}
 	}
-	return r.wave(out, now)
+	return r.startLoads(out, now)
 }
 
-func (r *Rollout) order(key Key, kind wire.OrderKind, remaining time.Duration) wire.Order {
-	r.orders++
+// newOrder returns an order with the next sequence number.
+func (r *Rollout) newOrder(key Key, kind wire.OrderKind, remaining time.Duration) wire.Order {
+	r.lastSequence++
 	return wire.Order{
-		ID:        r.config.Duty + "/" + strconv.FormatInt(r.config.Epoch, 10) + "/" + strconv.FormatInt(r.orders, 10),
+		ID:        r.config.Duty + "/" + strconv.FormatInt(r.config.Epoch, 10) + "/" + strconv.FormatInt(r.lastSequence, 10),
 		Fence:     wire.Fence{Duty: r.config.Duty, Epoch: r.config.Epoch},
-		Sequence:  r.orders,
+		Sequence:  r.lastSequence,
 		Kind:      kind,
 		Model:     key.Model,
 		Adapter:   key.Adapter,
@@ -156,37 +159,38 @@
 	}
 }
 
-// ask asks for an engine's state when it is open or was last heard long ago.
-func (r *Rollout) ask(out []EngineOrder, e *engine, key Key, now time.Time) []EngineOrder {
-	t := e.track(key)
-	given := e.load != nil && e.load.order != 0 && !e.load.open
-	if t.asking != 0 || given || now.Before(t.askAt) {
+// requestStatus adds a status order if the state of a key at the engine is unknown or the
+// last status reply is old. It adds none while a load order awaits its reply.
+func (r *Rollout) requestStatus(out []EngineOrder, e *engine, key Key, now time.Time) []EngineOrder {
+	s := e.state(key)
+	loading := e.load != nil && e.load.sequence != 0 && !e.load.outcomeUnknown
+	if s.statusSequence != 0 || loading || now.Before(s.nextStatusAt) {
 		return out
 	}
-	o := r.order(key, wire.OrderStatus, r.config.LoadTimeout)
-	t.asking = o.Sequence
-	t.askedAt = now
+	o := r.newOrder(key, wire.OrderStatus, r.config.LoadTimeout)
+	s.statusSequence = o.Sequence
+	s.statusSentAt = now
 	return append(out, EngineOrder{Engine: e.ID, Order: o})
 }
 
-// prepare has an engine's agent fetch the newest version, also while it still
-// waits to load an earlier one: preparing takes no capacity.
+// prepare adds an order for the engine's agent to fetch the newest version, even if the
+// engine still waits to load an earlier one. A fetch does not affect serving capacity.
 func (r *Rollout) prepare(out []EngineOrder, e *engine, key Key, now time.Time) []EngineOrder {
-	t := e.track(key)
+	s := e.state(key)
 	version := r.targets[key]
-	due := t.known && !e.Leaving && t.preparing == 0 && !now.Before(t.prepareAt)
-	if !due || t.version >= version || t.prepared >= version {
+	due := s.known && !e.Leaving && s.prepareSequence == 0 && !now.Before(s.nextPrepareAt)
+	if !due || s.version >= version || s.prepared >= version {
 		return out
 	}
-	o := r.order(key, wire.OrderPrepare, r.config.PrepareTimeout)
+	o := r.newOrder(key, wire.OrderPrepare, r.config.PrepareTimeout)
 	o.Version = version
-	o.Sources = r.sources(e, key, t.attempts)
-	t.preparing = o.Sequence
+	o.Sources = r.sources(e, key, s.prepareFailures)
+	s.prepareSequence = o.Sequence
 	return append(out, EngineOrder{Engine: e.ID, Order: o})
 }
 
-// HandleReply feeds back what became of an order. Delivered false means that no answer
-// came, so that the agent may or may not have acted.
+// HandleReply records the outcome of an order. delivered is false if no reply arrived, in
+// which case the agent may or may not have executed the order.
 func (r *Rollout) HandleReply(id string, o wire.Order, reply wire.OrderReply, delivered bool, now time.Time) {
 	if delivered && reply.Reason == wire.ReasonStaleEpoch {
 		r.deposed = true
@@ -197,76 +201,76 @@
 		return
 	}
 	key := Key{Model: o.Model, Adapter: o.Adapter}
-	t := e.track(key)
+	s := e.state(key)
 	if key == RoleKey {
-		reply = e.roleReply(o, reply, delivered)
+		reply = e.applyRoleReply(o, reply, delivered)
 	}
 	switch {
-	case o.Kind == wire.OrderStatus && t.asking == o.Sequence:
-		r.replyStatus(e, t, o, reply, delivered, now)
-	case o.Kind == wire.OrderPrepare && t.preparing == o.Sequence:
-		r.replyPrepare(t, o, reply, delivered, now)
-	case o.Kind == key.LoadKind() && e.load != nil && e.load.order == o.Sequence:
-		r.replyLoad(e, t, o, reply, delivered, now)
+	case o.Kind == wire.OrderStatus && s.statusSequence == o.Sequence:
+		r.replyStatus(e, s, o, reply, delivered, now)
+	case o.Kind == wire.OrderPrepare && s.prepareSequence == o.Sequence:
+		r.replyPrepare(s, o, reply, delivered, now)
+	case o.Kind == key.LoadKind() && e.load != nil && e.load.sequence == o.Sequence:
+		r.replyLoad(e, s, o, reply, delivered, now)
 	}
 }
 
-func (r *Rollout) replyStatus(e *engine, t *track, o wire.Order, reply wire.OrderReply, delivered bool, now time.Time) {
-	t.asking = 0
+func (r *Rollout) replyStatus(e *engine, s *keyState, o wire.Order, reply wire.OrderReply, delivered bool, now time.Time) {
+	s.statusSequence = 0
 	if !delivered || reply.Outcome != wire.Answered {
-		t.known = false
-		t.askAt = now.Add(r.config.PollInterval)
+		s.known = false
+		s.nextStatusAt = now.Add(r.config.PollInterval)
 		return
 	}
-	t.known = true
-	t.version = reply.Version
-	t.target = reply.Target
-	t.targetAt = t.askedAt
-	t.askAt = now.Add(r.config.RecheckInterval)
-	if e.load == nil || !e.load.open || e.load.key != t.key || o.Sequence < e.load.order {
+	s.known = true
+	s.version = reply.Version
+	s.target = reply.Target
+	s.targetAt = s.statusSentAt
+	s.nextStatusAt = now.Add(r.config.RecheckInterval)
+	if e.load == nil || !e.load.outcomeUnknown || e.load.key != s.key || o.Sequence < e.load.sequence {
 		return
 	}
-	// The agent is settled and refuses loads given before this question, so the
-	// load whose end was not known has ended, or will never begin.
-	done := t.version >= e.load.version
+	// The agent knows the engine's state and refuses loads issued before this status
+	// order. So the load of unknown outcome has ended or will never begin.
+	done := s.version >= e.load.version
 	e.load = nil
 	if !done {
-		t.fail(r.config, now)
+		s.recordLoadFailure(r.config, now)
 	}
 }
 
-func (r *Rollout) replyPrepare(t *track, o wire.Order, reply wire.OrderReply, delivered bool, now time.Time) {
-	t.preparing = 0
+func (r *Rollout) replyPrepare(s *keyState, o wire.Order, reply wire.OrderReply, delivered bool, now time.Time) {
+	s.prepareSequence = 0
 	if delivered && reply.Outcome == wire.Answered {
-		t.prepared = max(t.prepared, o.Version)
-		t.attempts = 0
+		s.prepared = max(s.prepared, o.Version)
+		s.prepareFailures = 0
 		return
 	}
-	t.attempts++
-	t.prepareAt = now.Add(r.config.PollInterval)
+	s.prepareFailures++
+	s.nextPrepareAt = now.Add(r.config.PollInterval)
 }
 
-func (r *Rollout) replyLoad(e *engine, t *track, o wire.Order, reply wire.OrderReply, delivered bool, now time.Time) {
+func (r *Rollout) replyLoad(e *engine, s *keyState, o wire.Order, reply wire.OrderReply, delivered bool, now time.Time) {
 	switch {
 	case !delivered || reply.Outcome == wire.Unknown || reply.Outcome == wire.Running:
-		e.load.open = true
-		t.lose(now.Add(r.config.PollInterval))
+		e.load.outcomeUnknown = true
+		s.markUnknown(now.Add(r.config.PollInterval))
 		return
 	case reply.Outcome == wire.Answered:
-		t.known = true
-		t.version = reply.Version
-		t.failures = 0
+		s.known = true
+		s.version = reply.Version
+		s.loadFailures = 0
 	case reply.Reason == wire.ReasonLoadFailed:
-		// An agent that started anew may no longer hold the version; one that
-		// does prepares it at once.
-		t.prepared = 0
-		t.fail(r.config, now)
-		t.askAt = now
+		// A restarted agent may have lost the fetched version. An agent that still has
+		// it answers the next prepare order at once.
+		s.prepared = 0
+		s.recordLoadFailure(r.config, now)
+		s.nextStatusAt = now
 	case reply.Reason == wire.ReasonOldVersion:
-		t.prepared = 0
-		t.lose(now)
+		s.prepared = 0
+		s.markUnknown(now)
 	default:
-		t.lose(now.Add(r.config.PollInterval))
+		s.markUnknown(now.Add(r.config.PollInterval))
 	}
 	e.load = nil
 }
--- a/internal/policy/weights/sources.go
+++ b/internal/policy/weights/sources.go
@@ -2,29 +2,32 @@
 
 import "sort"
 
-// plan is how one version spreads over the engines that served when it began.
+// plan holds the sources of a version for the engines that served when its distribution
+// began.
 type plan struct {
 	version int64
-	sources map[string][]string // by engine; addresses, one per stripe
+	sources map[string][]string // by engine ID; one address per stripe
 }
 
-// sources returns where an engine's agent fetches the newest version of a key.
-// A late or a second attempt takes agents that hold it already: the tree's
-// parents may be what failed.
+// sources returns the addresses from which an engine's agent fetches the newest version of
+// a key. An engine that joined later, or whose first attempt failed, gets agents that have
+// already fetched the version, because its parents in the trees may have failed.
 func (r *Rollout) sources(e *engine, key Key, attempts int) []string {
 	p := r.plans[key]
 	if p.version != r.targets[key] {
-		p = plan{version: r.targets[key], sources: r.spread()}
+		p = plan{version: r.targets[key], sources: r.planSources()}
 		r.plans[key] = p
 	}
 	planned, ok := p.sources[e.ID]
 	if ok && attempts == 0 {
 		return planned
 	}
-	return r.holders(e, key, attempts)
+	return r.holderAddresses(e, key, attempts)
 }
 
-func (r *Rollout) spread() map[string][]string {
+// planSources returns the sources of each serving engine according to the distribution
+// trees.
+func (r *Rollout) planSources() map[string][]string {
 	members := r.interleaved()
 	sources := make(map[string][]string, len(members))
 	for i, parents := range r.config.Distribution.Parents(len(members)) {
@@ -40,22 +43,22 @@
 	return sources
 }
 
-// interleaved returns the serving engines so that neighbours are in different
-// failure domains.
+// interleaved returns the serving engines in an order in which neighbours are in different
+// failure domains, as far as possible.
 func (r *Rollout) interleaved() []*engine {
 	type ranked struct {
 		rank   int // within its domain
 		engine *engine
 	}
 	var all []ranked
-	seen := map[string]int{}
+	countByDomain := map[string]int{}
 	for _, id := range r.ids {
 		e := r.engines[id]
 		if e.Leaving || !e.Serving {
 			continue
 		}
-		all = append(all, ranked{rank: seen[e.Domain], engine: e})
-		seen[e.Domain]++
+		all = append(all, ranked{rank: countByDomain[e.Domain], engine: e})
+		countByDomain[e.Domain]++
 	}
 	sort.SliceStable(all, func(i, j int) bool {
 		if all[i].rank != all[j].rank {
@@ -70,23 +73,24 @@
 	return members
 }
 
-// holders returns up to one agent per stripe that holds the newest version,
-// others with each attempt; the store if there is none.
-func (r *Rollout) holders(e *engine, key Key, attempts int) []string {
-	var held []string
+// holderAddresses returns the addresses of agents that have fetched the newest version, at
+// most one per stripe, and of other agents with each attempt. It returns the store if there
+// is no such agent.
+func (r *Rollout) holderAddresses(e *engine, key Key, attempts int) []string {
+	var holders []string
 	for _, id := range r.ids {
 		other := r.engines[id]
-		if other != e && other.Serving && other.track(key).prepared == r.targets[key] {
-			held = append(held, other.Address)
+		if other != e && other.Serving && other.state(key).prepared == r.targets[key] {
+			holders = append(holders, other.Address)
 		}
 	}
-	if len(held) == 0 {
+	if len(holders) == 0 {
 		return []string{StoreSource}
 	}
-	count := min(len(held), r.config.Distribution.Stripes)
+	count := min(len(holders), r.config.Distribution.Stripes)
 	out := make([]string, count)
 	for i := range out {
-		out[i] = held[(attempts*count+i)%len(held)]
+		out[i] = holders[(attempts*count+i)%len(holders)]
 	}
 	return out
 }
--- a/internal/policy/weights/weights_test.go
+++ b/internal/policy/weights/weights_test.go
@@ -22,7 +22,8 @@
 	model = weights.Key{Model: "m"}
 )
 
-// service answers a rollout's orders as agents would; loads wait for finish.
+// service simulates the agents of a service. It answers a rollout's orders at once, except
+// for loads, which wait until finish is called.
 type service struct {
 	rollout  *weights.Rollout
 	now      time.Time
@@ -53,7 +54,7 @@
 	return s
 }
 
-// run steps until nothing but loads is outstanding.
+// run steps the rollout until no orders but loads await their replies.
 func (s *service) run() {
 	for range 10 {
 		s.now = s.now.Add(300 * time.Millisecond)
@@ -76,6 +77,7 @@
 	s.rollout.HandleReply(send.Engine, send.Order, reply, true, s.now)
 }
 
+// finish ends the load of an engine with a reply.
 func (s *service) finish(id string, reply wire.OrderReply, delivered bool) {
 	o := s.loading[id]
 	delete(s.loading, id)
@@ -95,8 +97,8 @@
 	}
 }
 
-var _ = Describe("a rollout", func() {
-	It("loads no more engines at once than the floor leaves, spread over the domains", func() {
+var _ = Describe("Rollout", func() {
+	It("loads no more engines at once than the capacity floor allows, spread over the domains", func() {
 		s := newService(0.5, 6, 3)
 		s.rollout.SetTarget(model, 2)
 		s.run()
@@ -112,14 +114,14 @@
 		Expect(s.versions).To(HaveEach(int64(2)))
 	})
 
-	It("never takes a domain's last serving engine, however low the floor", func() {
+	It("never loads a domain's last serving engine, however low the floor", func() {
 		s := newService(0, 4, 2)
 		s.rollout.SetTarget(model, 2)
 		s.run()
 		Expect(s.loading).To(HaveLen(2))
 	})
 
-	It("gives an engine a newer version that comes while it loads, and none an older one", func() {
+	It("gives an engine a newer version that is announced during its load, and none an older one", func() {
 		s := newService(0.5, 2, 1)
 		s.rollout.SetTarget(model, 2)
 		s.run()
@@ -134,7 +136,7 @@
 		}
 	})
 
-	It("goes on elsewhere after a failed load and sets the engine aside in the end", func() {
+	It("continues with other engines after a failed load and finally backs off from the engine", func() {
 		s := newService(0.5, 2, 1)
 		s.rollout.SetTarget(model, 2)
 		failures := 0
@@ -151,9 +153,9 @@
 		Expect(failures).To(BeNumerically("<=", 2*weights.DefaultConfig().MaxLoadFailures))
 	})
 
-	// The answer to a load is lost. Until the engine's agent says that it is
-	// settled, the engine may still be loading, so its place is not given away.
-	It("keeps the place of an engine whose load's end is not known", func() {
+	// The reply to a load is lost. Until the agent reports that it knows the engine's
+	// state, the engine may still be loading, so no other engine may load instead.
+	It("starts no other load while the outcome of a load is unknown", func() {
 		s := newService(0.5, 2, 1)
 		s.rollout.SetTarget(model, 2)
 		s.run()
@@ -163,15 +165,15 @@
 		}
 		for _, send := range s.rollout.Step(s.now.Add(time.Second)) {
 			Expect(send.Order.Kind).To(Equal(wire.OrderStatus))
-			unsettled := wire.OrderReply{Outcome: wire.Running, Reason: wire.ReasonNotReady}
-			s.rollout.HandleReply(send.Engine, send.Order, unsettled, true, s.now)
+			notReady := wire.OrderReply{Outcome: wire.Running, Reason: wire.ReasonNotReady}
+			s.rollout.HandleReply(send.Engine, send.Order, notReady, true, s.now)
 		}
 		Expect(s.loading).To(BeEmpty())
 		s.run()
 		Expect(s.loading).To(HaveLen(1))
 	})
 
-	It("gives no order once an agent knows a higher epoch", func() {
+	It("issues no orders once an agent knows a higher epoch", func() {
 		s := newService(0.5, 2, 1)
 		s.rollout.SetTarget(model, 2)
 		send := s.rollout.Step(s.now)[0]
@@ -181,11 +183,11 @@
 	})
 })
 
-var _ = Describe("a spread", func() {
-	It("reaches every agent in each stripe and has none send more than it receives", func() {
+var _ = Describe("Distribution", func() {
+	It("reaches every agent in each stripe, and no agent sends more than it receives", func() {
 		for _, n := range []int{1, 2, 3, 5, 64, 1300} {
-			spread := weights.Distribution{Stripes: 4, RootsPerStripe: 1}
-			plan := spread.Parents(n)
+			distribution := weights.Distribution{Stripes: 4, RootsPerStripe: 1}
+			plan := distribution.Parents(n)
 			sent := make([]int, n)
 			for agent, parents := range plan {
 				for stripe, parent := range parents {
@@ -199,46 +201,46 @@
 					Expect(steps).To(BeNumerically("<=", n), "agent %d never reaches the store", agent)
 				}
 			}
-			Expect(sent).To(HaveEach(BeNumerically("<=", spread.Stripes)))
+			Expect(sent).To(HaveEach(BeNumerically("<=", distribution.Stripes)))
 		}
 	})
 })
 
-// An agent that passes chunks on falls silent. Its child's first questions wait
-// for their whole time limit; if each later chunk of the stripe did so too, the
-// version would come many seconds late.
-var _ = Describe("a fetch", func() {
-	It("asks a source that failed for nothing more, and the store last", func() {
-		fetch := weights.NewFetchPlan(12, []string{"silent", "good"})
+// An agent that passes on chunks stops responding. The first requests of its child time
+// out. If the requests for all later chunks of the stripe timed out too, the version would
+// arrive many seconds late.
+var _ = Describe("FetchPlan", func() {
+	It("requests nothing more from a source that failed, and uses the store last", func() {
+		plan := weights.NewFetchPlan(12, []string{"silent", "good"})
 		asked := map[string]int{}
-		for !fetch.Done() {
-			for _, piece := range fetch.Next() {
+		for !plan.Done() {
+			for _, piece := range plan.Next() {
 				asked[piece.Source]++
 				if piece.Source == "silent" {
-					fetch.MarkFailed(piece)
+					plan.MarkFailed(piece)
 				} else {
-					fetch.MarkReceived(piece)
+					plan.MarkReceived(piece)
 				}
 			}
 		}
-		Expect(asked["silent"]).To(BeNumerically("<=", 2)) // those asked at once
+		Expect(asked["silent"]).To(BeNumerically("<=", 2)) // the concurrent requests
 		Expect(asked[weights.StoreSource]).To(BeZero())
 	})
 
-	It("goes to the store when every agent fails, and gives up in the end", func() {
-		fetch := weights.NewFetchPlan(1, []string{"a", "b"})
+	It("uses the store when every agent fails, and finally gives up", func() {
+		plan := weights.NewFetchPlan(1, []string{"a", "b"})
 		var asked []string
-		for pieces := fetch.Next(); len(pieces) > 0; pieces = fetch.Next() {
+		for pieces := plan.Next(); len(pieces) > 0; pieces = plan.Next() {
 			asked = append(asked, pieces[0].Source)
-			fetch.MarkFailed(pieces[0])
+			plan.MarkFailed(pieces[0])
 		}
 		Expect(asked[:3]).To(Equal([]string{"a", "b", weights.StoreSource}))
 		Expect(len(asked)).To(BeNumerically("<", 20))
 	})
 })
 
-var _ = Describe("a record", func() {
-	It("only rises", func() {
+var _ = Describe("Record", func() {
+	It("only raises versions", func() {
 		r, _ := weights.Record{}.Raise(model, 5)
 		_, raised := r.Raise(model, 4)
 		Expect(raised).To(BeFalse())
