--- a/internal/feedrun/feeds.go
+++ b/internal/feedrun/feeds.go
@@ -207,11 +207,11 @@
 
 func handoverConfig(feed decl.Feed) handover.Config {
 	return handover.Config{
-		Shape:   shapeOf(feed),
-		LotSize: max(1, feed.LotSize),
-		Limits:  limitsOf(feed),
-		Retry:   retryStore,
-		Record:  recordEvery,
+		Shape:          shapeOf(feed),
+		LotSize:        max(1, feed.LotSize),
+		Limits:         limitsOf(feed),
+		RetryInterval:  retryStore,
+		RecordInterval: recordEvery,
 	}
 }
 
--- a/internal/feedrun/owner.go
+++ b/internal/feedrun/owner.go
@@ -110,10 +110,10 @@
 	defer cancel()
 	record, err := o.options.Store.Get(ctx, kv.UseHandover, o.key)
 	if err != nil {
-		o.deliver(handover.LoadFailed{})
+		o.deliver(handover.ReadFailed{})
 		return
 	}
-	o.deliver(handover.Loaded{Value: record.Value, Revision: record.Revision})
+	o.deliver(handover.ReadDone{Value: record.Value, Revision: record.Revision})
 }
 
 func (o *owner) write(w handover.Write) {
@@ -122,14 +122,14 @@
 	swapped, current, err := o.options.Store.CompareAndSwap(ctx, kv.UseHandover, kv.Write{
 		Key: o.key, Expected: w.Expected, Value: w.Value,
 	})
-	e := handover.Written{Nonce: w.Nonce, Value: current.Value, Revision: current.Revision}
+	e := handover.WriteDone{Nonce: w.Nonce, Value: current.Value, Revision: current.Revision}
 	switch {
 	case errors.Is(err, kv.ErrUnavailable), errors.Is(err, kv.ErrBudget):
-		e.Result = handover.WriteNone
+		e.Result = handover.WriteNotApplied
 	case err != nil:
-		e.Result = handover.WriteUnknown
+		e.Result = handover.WriteIndeterminate
 	case swapped:
-		e.Result = handover.WriteTaken
+		e.Result = handover.WriteApplied
 	default:
 		e.Result = handover.WriteConflict
 	}
@@ -158,7 +158,7 @@
 	case <-ctx.Done():
 	case <-o.ctx.Done():
 	}
-	o.deliver(handover.WaitEnded{Call: call})
+	o.deliver(handover.PullTimedOut{Call: call})
 	select {
 	case reply := <-waiting:
 		return reply
@@ -175,7 +175,7 @@
 		Restarted: req.Restarted,
 	}
 	for _, lot := range req.Unrecorded {
-		held := handover.Held{Cursor: lot.Cursor}
+		held := handover.HeldLot{Cursor: lot.Cursor}
 		for _, name := range lot.SampleIDs {
 			id, err := sample.Parse(name, req.Deployment, req.Feed)
 			if err != nil {
@@ -226,14 +226,14 @@
 	}
 	mark := demandMark{
 		serving:  true,
-		changes:  o.state.Changes(),
+		changes:  o.state.ChangeCount(),
 		training: o.state.Training(),
 		version:  o.state.Version(),
 	}
 	if mark == last {
 		return rollout.Demand{}, mark, false
 	}
-	step := o.state.Span()
+	step := o.state.FirstStep()
 	return rollout.Demand{
 		Feed:     o.name,
 		Step:     step,
@@ -263,7 +263,7 @@
 	defer o.mu.Unlock()
 	s := Status{Feed: o.name, Epoch: o.epoch, Serving: o.state.Serving(), Counters: o.state.Counters()}
 	if s.Serving {
-		s.Step = o.state.Span()
+		s.Step = o.state.FirstStep()
 		s.Version = o.state.Version()
 	}
 	return s
--- a/internal/lab/rollout/fakekv.go
+++ b/internal/lab/rollout/fakekv.go
@@ -43,24 +43,24 @@
 	fault := s.fault()
 	s.w.time.After(s.w.delay(), func() {
 		if fault != callFine {
-			n.deliver(handover.LoadFailed{})
+			n.deliver(handover.ReadFailed{})
 			return
 		}
-		loaded := handover.Loaded{Value: s.value, Revision: s.revision}
+		loaded := handover.ReadDone{Value: s.value, Revision: s.revision}
 		s.w.time.After(s.w.delay(), func() { n.deliver(loaded) })
 	})
 }
 
 func (s *store) write(n *node, w handover.Write) {
-	answer := func(result handover.Written) {
+	answer := func(result handover.WriteDone) {
 		s.w.time.After(s.w.delay(), func() { n.deliver(result) })
 	}
-	unknown := handover.Written{Nonce: w.Nonce, Result: handover.WriteUnknown}
+	unknown := handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteIndeterminate}
 	switch s.fault() {
 	case callFine:
 		s.w.time.After(s.w.delay(), func() { answer(s.swap(w)) })
 	case callNotSent:
-		answer(handover.Written{Nonce: w.Nonce, Result: handover.WriteNone})
+		answer(handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteNotApplied})
 	case callAnswerLost:
 		s.w.time.After(s.w.delay(), func() { s.swap(w); answer(unknown) })
 	case callRequestLost:
@@ -71,11 +71,11 @@
 	}
 }
 
-func (s *store) swap(w handover.Write) handover.Written {
+func (s *store) swap(w handover.Write) handover.WriteDone {
 	if s.revision != w.Expected {
-		return handover.Written{Nonce: w.Nonce, Result: handover.WriteConflict, Value: s.value, Revision: s.revision}
+		return handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteConflict, Value: s.value, Revision: s.revision}
 	}
 	s.value = w.Value
 	s.revision++
-	return handover.Written{Nonce: w.Nonce, Result: handover.WriteTaken, Revision: s.revision}
+	return handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteApplied, Revision: s.revision}
 }
--- a/internal/lab/rollout/generation.go
+++ b/internal/lab/rollout/generation.go
@@ -14,10 +14,10 @@
 	if !l.alive || !l.owner.Serving() {
 		return
 	}
-	changes, training := l.owner.Changes(), l.owner.Training()
+	changes, training := l.owner.ChangeCount(), l.owner.Training()
 	if changes != l.changes || training != l.training {
 		l.changes, l.training = changes, training
-		step := l.owner.Span()
+		step := l.owner.FirstStep()
 		l.planner.SetDemand(l.time.Now(), policy.Demand{
 			Feed:     feedName,
 			Step:     step,
--- a/internal/lab/rollout/node.go
+++ b/internal/lab/rollout/node.go
@@ -85,7 +85,7 @@
 	n.next++
 	local := n.next
 	n.calls[local] = call
-	n.w.time.After(pullWait, func() { n.deliver(handover.WaitEnded{Call: local}) })
+	n.w.time.After(pullWait, func() { n.deliver(handover.PullTimedOut{Call: local}) })
 	n.deliver(handover.Pulled{Call: local, Pull: p})
 }
 
@@ -107,7 +107,7 @@
 }
 
 func (n *node) generateOne() {
-	step := n.owner.Span() + int64(n.w.rng.IntN(2))
+	step := n.owner.FirstStep() + int64(n.w.rng.IntN(2))
 	wanted := n.owner.Wanted(step)
 	if len(wanted) == 0 {
 		return
--- a/internal/lab/rollout/pipeline.go
+++ b/internal/lab/rollout/pipeline.go
@@ -115,11 +115,11 @@
 
 func (l *pipeline) elect(epoch int64) {
 	cfg := handover.Config{
-		Shape:   l.shape,
-		LotSize: l.lotSize,
-		Limits:  l.limits,
-		Retry:   time.Second,
-		Record:  100 * time.Millisecond,
+		Shape:          l.shape,
+		LotSize:        l.lotSize,
+		Limits:         l.limits,
+		RetryInterval:  time.Second,
+		RecordInterval: 100 * time.Millisecond,
 	}
 	l.owner = handover.New(cfg, fmt.Sprintf("entry-%d", epoch), epoch)
 	l.alive = true
@@ -166,10 +166,10 @@
 		switch a := a.(type) {
 		case handover.Read:
 			if l.kv.outage {
-				to(handover.LoadFailed{})
+				to(handover.ReadFailed{})
 				continue
 			}
-			to(handover.Loaded{Value: l.kv.value, Revision: l.kv.revision})
+			to(handover.ReadDone{Value: l.kv.value, Revision: l.kv.revision})
 		case handover.Write:
 			to(l.swap(a))
 		case handover.Reply:
@@ -180,16 +180,16 @@
 	}
 }
 
-func (l *pipeline) swap(w handover.Write) handover.Written {
+func (l *pipeline) swap(w handover.Write) handover.WriteDone {
 	switch {
 	case l.kv.outage:
-		return handover.Written{Nonce: w.Nonce, Result: handover.WriteUnknown}
+		return handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteIndeterminate}
 	case l.kv.revision != w.Expected:
-		return handover.Written{Nonce: w.Nonce, Result: handover.WriteConflict, Value: l.kv.value, Revision: l.kv.revision}
+		return handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteConflict, Value: l.kv.value, Revision: l.kv.revision}
 	}
 	l.kv.value = w.Value
 	l.kv.revision++
-	return handover.Written{Nonce: w.Nonce, Result: handover.WriteTaken, Revision: l.kv.revision}
+	return handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteApplied, Revision: l.kv.revision}
 }
 
 // pull calls for the next lot, and calls again if the owner dies meanwhile.
@@ -198,7 +198,7 @@
 	call := l.calls
 	p := l.client.Pull(l.version)
 	l.time.After(networkDelay, func() { l.deliver(handover.Pulled{Call: call, Pull: p}) })
-	l.time.After(longPoll, func() { l.deliver(handover.WaitEnded{Call: call}) })
+	l.time.After(longPoll, func() { l.deliver(handover.PullTimedOut{Call: call}) })
 	l.time.After(longPoll+time.Second, func() { l.again(call) })
 }
 
@@ -212,7 +212,7 @@
 	if call != l.calls {
 		return
 	}
-	for _, s := range l.client.Take(a, l.version) {
+	for _, s := range l.client.HandleAnswer(a, l.version) {
 		l.measure(s)
 	}
 	if a.StepComplete && len(a.Samples) > 0 {
--- a/internal/lab/rollout/schedule.go
+++ b/internal/lab/rollout/schedule.go
@@ -113,11 +113,11 @@
 		harm:   harm,
 		steps:  scheduleSteps,
 		cfg: handover.Config{
-			Shape:   shape,
-			LotSize: 1 + rng.IntN(4),
-			Limits:  sample.Limits{MaxVersionLag: versionsBound},
-			Retry:   40 * time.Millisecond,
-			Record:  5 * time.Millisecond,
+			Shape:          shape,
+			LotSize:        1 + rng.IntN(4),
+			Limits:         sample.Limits{MaxVersionLag: versionsBound},
+			RetryInterval:  40 * time.Millisecond,
+			RecordInterval: 5 * time.Millisecond,
 		},
 	}
 	w.kv.w = w
--- a/internal/lab/rollout/trainer.go
+++ b/internal/lab/rollout/trainer.go
@@ -126,7 +126,7 @@
 		if t.w.harm.Answer != nil {
 			a = t.w.harm.Answer(t.client.Position(), a)
 		}
-		lot := t.client.Take(a, t.version)
+		lot := t.client.HandleAnswer(a, t.version)
 		t.check(lot)
 		if len(lot) > 0 && a.StepComplete {
 			t.step++
@@ -145,7 +145,7 @@
 		if !newest {
 			return
 		}
-		err := t.client.Refused(reason)
+		err := t.client.HandleRefusal(reason)
 		if errors.Is(err, handover.ErrSuperseded) {
 			// A late pull of a run that is gone took the feed over. The process
 			// ends and its supervisor starts it again.
--- a/internal/lab/rollout/wallclock.go
+++ b/internal/lab/rollout/wallclock.go
@@ -98,12 +98,12 @@
 	for _, a := range o.state.Step(time.Unix(0, 0), e) {
 		switch a := a.(type) {
 		case handover.Read:
-			o.step(handover.Loaded{})
+			o.step(handover.ReadDone{})
 		case handover.Write:
 			o.revision++
-			o.step(handover.Written{Nonce: a.Nonce, Result: handover.WriteTaken, Revision: o.revision})
+			o.step(handover.WriteDone{Nonce: a.Nonce, Result: handover.WriteApplied, Revision: o.revision})
 		case handover.Reply:
-			o.handed += len(o.client.Take(a.Answer, 1))
+			o.handed += len(o.client.HandleAnswer(a.Answer, 1))
 		}
 	}
 }
--- a/internal/policy/handover/client.go
+++ b/internal/policy/handover/client.go
@@ -17,7 +17,7 @@
 type Position struct {
 	Cursor     int64
 	Token      string
-	Unrecorded []Held
+	Unrecorded []HeldLot
 }
 
 // Client is the trainer's side of the hand-over.
@@ -36,7 +36,7 @@
 // Position returns what to keep.
 func (c *Client) Position() Position {
 	at := c.at
-	at.Unrecorded = append([]Held(nil), at.Unrecorded...)
+	at.Unrecorded = append([]HeldLot(nil), at.Unrecorded...)
 	return at
 }
 
@@ -47,16 +47,16 @@
 		Version:    version,
 		Token:      c.at.Token,
 		Restarted:  c.opening,
-		Unrecorded: append([]Held(nil), c.at.Unrecorded...),
+		Unrecorded: append([]HeldLot(nil), c.at.Unrecorded...),
 	}
 }
 
-// Take settles an answer and returns the samples that the trainer now holds. It
+// HandleAnswer settles an answer and returns the samples that the trainer now holds. It
 // takes one answer for a cursor, whichever comes first: another one, of an
 // earlier pull or of a paused owner, may hold other samples, and only the one
 // taken is told with the next pull. An answer that became too old on its way is
 // not taken either.
-func (c *Client) Take(a Answer, version int64) []sample.Sample {
+func (c *Client) HandleAnswer(a Answer, version int64) []sample.Sample {
 	if !c.opening && !sameSession(a.Token, c.at.Token) {
 		return nil
 	}
@@ -74,7 +74,7 @@
 		return nil
 	}
 	c.at.Cursor = a.Cursor
-	c.at.Unrecorded = append(c.at.Unrecorded, Held{Cursor: a.Cursor, IDs: idsOf(a.Samples)})
+	c.at.Unrecorded = append(c.at.Unrecorded, HeldLot{Cursor: a.Cursor, IDs: idsOf(a.Samples)})
 	return a.Samples
 }
 
@@ -93,8 +93,8 @@
 	}
 }
 
-// Refused settles a refusal of the newest pull. Nil: pull again.
-func (c *Client) Refused(reason Refusal) error {
+// HandleRefusal settles a refusal of the newest pull. Nil: pull again.
+func (c *Client) HandleRefusal(reason Refusal) error {
 	switch reason {
 	case Superseded:
 		if token, ok := parseToken(c.at.Token); ok && token.Recorded && !c.opening {
--- a/internal/policy/handover/events.go
+++ b/internal/policy/handover/events.go
@@ -44,8 +44,8 @@
 	BadToken Refusal = "bad-token"
 )
 
-// Held is a lot that a trainer holds.
-type Held struct {
+// HeldLot is a lot that a trainer holds.
+type HeldLot struct {
 	Cursor int64
 	IDs    []sample.ID
 }
@@ -56,7 +56,7 @@
 	Version    int64 // the trainer's weight version
 	Token      string
 	Restarted  bool
-	Unrecorded []Held // in order of cursor, up to Cursor
+	Unrecorded []HeldLot // in order of cursor, up to Cursor
 }
 
 // Answer is what a pull gets.
@@ -72,28 +72,28 @@
 // Event is something that happened to the owner.
 type Event interface{ event() }
 
-// Loaded is the answer to a Read: the manifest and its revision, 0 if absent.
-type Loaded struct {
+// ReadDone is the answer to a Read: the manifest and its revision, 0 if absent.
+type ReadDone struct {
 	Value    []byte
 	Revision int64
 }
 
-// LoadFailed tells that a Read got no answer.
-type LoadFailed struct{}
+// ReadFailed tells that a Read got no answer.
+type ReadFailed struct{}
 
 // WriteResult is the outcome of a Write.
 type WriteResult int
 
 // The outcomes of a Write.
 const (
-	WriteTaken    WriteResult = iota // in effect
-	WriteConflict                    // another write was first; Value stands
-	WriteUnknown                     // may or may not have taken effect
-	WriteNone                        // had no effect
+	WriteApplied       WriteResult = iota // in effect
+	WriteConflict                         // another write was first; Value stands
+	WriteIndeterminate                    // may or may not have taken effect
+	WriteNotApplied                       // had no effect
 )
 
-// Written is the answer to a Write.
-type Written struct {
+// WriteDone is the answer to a Write.
+type WriteDone struct {
 	Nonce    string
 	Result   WriteResult
 	Value    []byte // that stands; with WriteConflict
@@ -106,8 +106,8 @@
 	Pull Pull
 }
 
-// WaitEnded tells that a pull has waited as long as its trainer allows.
-type WaitEnded struct{ Call uint64 }
+// PullTimedOut tells that a pull has waited as long as its trainer allows.
+type PullTimedOut struct{ Call uint64 }
 
 // Completed is a sample that is generated, labelled and scored.
 type Completed struct{ Sample sample.Sample }
@@ -121,15 +121,15 @@
 // Tick tells that time has passed.
 type Tick struct{}
 
-func (Loaded) event()     {}
-func (LoadFailed) event() {}
-func (Written) event()    {}
-func (Pulled) event()     {}
-func (WaitEnded) event()  {}
-func (Completed) event()  {}
-func (Announced) event()  {}
-func (Configured) event() {}
-func (Tick) event()       {}
+func (ReadDone) event()     {}
+func (ReadFailed) event()   {}
+func (WriteDone) event()    {}
+func (Pulled) event()       {}
+func (PullTimedOut) event() {}
+func (Completed) event()    {}
+func (Announced) event()    {}
+func (Configured) event()   {}
+func (Tick) event()         {}
 
 // Action is something that the owner's runtime is to do.
 type Action interface{ action() }
@@ -167,11 +167,11 @@
 
 // Config is the feed's declaration as far as hand-over needs it.
 type Config struct {
-	Shape   sample.Shape
-	LotSize int // samples handed over at once at most
-	Limits  sample.Limits
-	Retry   time.Duration // between tries of the key-value service
-	Record  time.Duration // between writes of the manifest at least
+	Shape          sample.Shape
+	LotSize        int // samples handed over at once at most
+	Limits         sample.Limits
+	RetryInterval  time.Duration // between tries of the key-value service
+	RecordInterval time.Duration // between writes of the manifest at least
 }
 
 // Counters count what happened to samples and pulls since the owner began.
--- a/internal/policy/handover/handover_test.go
+++ b/internal/policy/handover/handover_test.go
@@ -37,10 +37,10 @@
 }
 
 var config = handover.Config{
-	Shape:   sample.Shape{Groups: 2, Size: 2},
-	LotSize: 2,
-	Limits:  sample.Limits{MaxVersionLag: 2},
-	Retry:   time.Second,
+	Shape:         sample.Shape{Groups: 2, Size: 2},
+	LotSize:       2,
+	Limits:        sample.Limits{MaxVersionLag: 2},
+	RetryInterval: time.Second,
 }
 
 func take(kv *record, epoch int64) *feed {
@@ -69,22 +69,22 @@
 
 func (f *feed) read() {
 	if f.kv.away {
-		f.step(handover.LoadFailed{})
+		f.step(handover.ReadFailed{})
 		return
 	}
-	f.step(handover.Loaded{Value: f.kv.value, Revision: f.kv.revision})
+	f.step(handover.ReadDone{Value: f.kv.value, Revision: f.kv.revision})
 }
 
 func (f *feed) write(w handover.Write) {
 	switch {
 	case f.kv.away:
-		f.step(handover.Written{Nonce: w.Nonce, Result: handover.WriteNone})
+		f.step(handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteNotApplied})
 	case f.kv.revision != w.Expected:
-		f.step(handover.Written{Nonce: w.Nonce, Result: handover.WriteConflict, Value: f.kv.value, Revision: f.kv.revision})
+		f.step(handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteConflict, Value: f.kv.value, Revision: f.kv.revision})
 	default:
 		f.kv.value = w.Value
 		f.kv.revision++
-		f.step(handover.Written{Nonce: w.Nonce, Result: handover.WriteTaken, Revision: f.kv.revision})
+		f.step(handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteApplied, Revision: f.kv.revision})
 	}
 }
 
@@ -102,7 +102,7 @@
 }
 
 func (f *feed) completeAll(version int64) {
-	for step := f.owner.Span(); step < f.owner.Span()+2; step++ {
+	for step := f.owner.FirstStep(); step < f.owner.FirstStep()+2; step++ {
 		f.complete(version, f.owner.Wanted(step)...)
 	}
 }
@@ -117,7 +117,7 @@
 	f.answer = nil
 	f.reason = handover.None
 	f.step(handover.Pulled{Call: f.calls, Pull: p})
-	f.step(handover.WaitEnded{Call: f.calls})
+	f.step(handover.PullTimedOut{Call: f.calls})
 	return f.answer, f.reason
 }
 
@@ -126,7 +126,7 @@
 	a, reason := f.pull(c, 1)
 	Expect(reason).To(Equal(handover.None))
 	var names []string
-	for _, s := range c.Take(*a, 1) {
+	for _, s := range c.HandleAnswer(*a, 1) {
 		names = append(names, s.ID.Name("d", "f"))
 	}
 	return names
@@ -232,7 +232,7 @@
 		successor.complete(1, sample.ID{Group: 0, Index: 1}, sample.ID{Group: 1, Index: 1})
 		late, _ := old.pull(client, 1)
 		Expect(successor.next(client)).To(Equal([]string{"d/f/0/0/1", "d/f/0/1/1"}))
-		Expect(client.Take(*late, 1)).To(BeEmpty(), "the second answer for a cursor")
+		Expect(client.HandleAnswer(*late, 1)).To(BeEmpty(), "the second answer for a cursor")
 		Expect(old.next(client)).To(Equal([]string{"d/f/0/0/0", "d/f/0/1/0"}))
 		Expect(old.ended).To(BeTrue(), "its first write meets the successor's epoch")
 	})
@@ -267,7 +267,7 @@
 		restarted := handover.NewClient(kept, 2)
 		opening, _ := f.pull(restarted, 1)
 		Expect(opening.Samples).To(BeEmpty(), "what was held is no longer kept")
-		restarted.Take(*opening, 1)
+		restarted.HandleAnswer(*opening, 1)
 		f.completeAll(1)
 		again := f.next(restarted)
 		Expect(again).NotTo(ContainElement(BeElementOf(first)))
@@ -319,7 +319,7 @@
 		old.next(client)
 		restarted := handover.NewClient(kept, 2)
 		opening, _ := old.pull(restarted, 1)
-		restarted.Take(*opening, 1)
+		restarted.HandleAnswer(*opening, 1)
 		successor := take(kv, 2)
 		successor.completeAll(1)
 		successor.next(restarted)
@@ -343,7 +343,7 @@
 		Expect(lost.Nonce).NotTo(BeEmpty())
 		kv.value = lost.Value
 		kv.revision++
-		f.step(handover.Written{Nonce: lost.Nonce, Result: handover.WriteUnknown})
+		f.step(handover.WriteDone{Nonce: lost.Nonce, Result: handover.WriteIndeterminate})
 		f.pass(2 * time.Second)
 		Expect(f.owner.Counters().Recordings).To(BeNumerically("==", 2))
 	})
@@ -376,8 +376,8 @@
 		Expect(f.next(client)).To(Equal([]string{"d/f/0/0/1", "d/f/0/0/2"}))
 		f.complete(1, sample.ID{Group: 0, Index: 0}, sample.ID{Group: 1, Index: 0}, sample.ID{Group: 1, Index: 1})
 		Expect(f.next(client)).To(Equal([]string{"d/f/0/1/0", "d/f/0/1/1"}))
-		Expect(f.owner.Span()).To(BeNumerically("==", 0), "the step ends with the pull that holds its last lot")
+		Expect(f.owner.FirstStep()).To(BeNumerically("==", 0), "the step ends with the pull that holds its last lot")
 		f.pull(client, 1)
-		Expect(f.owner.Span()).To(BeNumerically("==", 1))
+		Expect(f.owner.FirstStep()).To(BeNumerically("==", 1))
 	})
 })
--- a/internal/policy/handover/ledger.go
+++ b/internal/policy/handover/ledger.go
@@ -98,8 +98,8 @@
 	return slot >= 0 && l.head.Done.Has(slot)
 }
 
-// Lacks tells whether id may still be handed over.
-func (l *Ledger) Lacks(id sample.ID) bool {
+// Needs tells whether id may still be handed over.
+func (l *Ledger) Needs(id sample.ID) bool {
 	return !l.Holds(id) && l.ShapeOf(id.Step).Slot(id) >= 0
 }
 
@@ -119,8 +119,8 @@
 	return n
 }
 
-// Left returns how many samples of the current step are still to be handed over.
-func (l *Ledger) Left() int { return l.ShapeOf(l.head.Step).Needed() - l.head.Done.Len() }
+// Remaining returns how many samples of the current step are still to be handed over.
+func (l *Ledger) Remaining() int { return l.ShapeOf(l.head.Step).Needed() - l.head.Done.Len() }
 
 // Append adds the lot that moves the cursor by one. It is refused if it is
 // empty, not of the current step, or holds what is held already.
--- a/internal/policy/handover/owner.go
+++ b/internal/policy/handover/owner.go
@@ -62,16 +62,16 @@
 	}
 	var acts []Action
 	switch e := e.(type) {
-	case Loaded:
+	case ReadDone:
 		acts = o.loaded(now, e)
-	case LoadFailed:
+	case ReadFailed:
 		o.store.reading = false
-		o.store.retryAt = now.Add(o.cfg.Retry)
-	case Written:
+		o.store.retryAt = now.Add(o.cfg.RetryInterval)
+	case WriteDone:
 		acts = o.written(now, e)
 	case Pulled:
 		o.waits = append(o.waits, waiting{call: e.Call, pull: e.Pull})
-	case WaitEnded:
+	case PullTimedOut:
 		acts = o.waitEnded(now, e.Call)
 	case Completed:
 		o.completed(e.Sample)
@@ -170,7 +170,7 @@
 }
 
 func (o *Owner) needs(id sample.ID) bool {
-	return o.truth.Lacks(id) || o.opened != nil && o.opened.Lacks(id)
+	return o.truth.Needs(id) || o.opened != nil && o.opened.Needs(id)
 }
 
 // dropHeld forgets the payloads that the trainer holds.
@@ -201,9 +201,9 @@
 	}
 }
 
-// Changes grows whenever Wanted may have changed other than by the Completed
+// ChangeCount grows whenever Wanted may have changed other than by the Completed
 // events that the owner was given.
-func (o *Owner) Changes() uint64 { return o.changes }
+func (o *Owner) ChangeCount() uint64 { return o.changes }
 
 // Counters returns what was counted so far.
 func (o *Owner) Counters() Counters { return o.counters }
@@ -217,9 +217,9 @@
 // Shape returns the shape of the step being handed over. Only while Serving.
 func (o *Owner) Shape() sample.Shape { return o.truth.ShapeOf(o.truth.Step()) }
 
-// Span returns the steps that generation should work on: the one that is being
+// FirstStep returns the steps that generation should work on: the one that is being
 // handed over first. Only while Serving.
-func (o *Owner) Span() (first int64) {
+func (o *Owner) FirstStep() (first int64) {
 	if o.opened != nil {
 		return min(o.truth.Step(), o.opened.Step())
 	}
--- a/internal/policy/handover/record.go
+++ b/internal/policy/handover/record.go
@@ -77,22 +77,22 @@
 	return []Action{w}
 }
 
-func (o *Owner) written(now time.Time, e Written) []Action {
+func (o *Owner) written(now time.Time, e WriteDone) []Action {
 	if o.store.pending == nil || o.store.pending.Nonce != e.Nonce {
 		return nil
 	}
 	o.store.sent = false
 	switch e.Result {
-	case WriteTaken:
+	case WriteApplied:
 		o.taken(now, e.Revision)
 	case WriteConflict:
 		o.store.pending = nil
 		return o.settle(now, e.Value, e.Revision)
-	case WriteUnknown:
-		o.store.retryAt = now.Add(o.cfg.Retry)
-	case WriteNone:
+	case WriteIndeterminate:
+		o.store.retryAt = now.Add(o.cfg.RetryInterval)
+	case WriteNotApplied:
 		o.store.pending = nil
-		o.store.retryAt = now.Add(o.cfg.Retry)
+		o.store.retryAt = now.Add(o.cfg.RetryInterval)
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 	o.store.epoch = o.epoch
 	o.store.cursor = o.store.asked.cursor
 	o.store.session = o.store.asked.session
-	o.store.retryAt = now.Add(o.cfg.Record)
+	o.store.retryAt = now.Add(o.cfg.RecordInterval)
 	if change := o.store.asked.change; change != nil {
 		o.reshape(*change)
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-func (o *Owner) loaded(now time.Time, e Loaded) []Action {
+func (o *Owner) loaded(now time.Time, e ReadDone) []Action {
 	o.store.reading = false
 	if p := o.store.pending; p != nil && e.Revision == p.Expected {
 		// Not in effect as of this read. It may still land; then the next
@@ -136,7 +136,7 @@
 	manifest, err := DecodeManifest(value)
 	if err != nil {
 		// Never overwrite what cannot be read: an operator has to look.
-		o.store.retryAt = now.Add(o.cfg.Retry)
+		o.store.retryAt = now.Add(o.cfg.RetryInterval)
 		return nil
 	}
 	if manifest.Epoch > o.epoch {
--- a/internal/policy/handover/serve.go
+++ b/internal/policy/handover/serve.go
@@ -57,7 +57,7 @@
 		Samples:      lot,
 		Recorded:     o.recordedFor(w),
 		Step:         ledger.Step(),
-		StepComplete: len(lot) == ledger.Left(),
+		StepComplete: len(lot) == ledger.Remaining(),
 	}
 	return Reply{Call: w.call, Answer: answer}, true
 }
@@ -74,7 +74,7 @@
 			return lot
 		}
 	}
-	least = min(least, ledger.Left())
+	least = min(least, ledger.Remaining())
 	if o.pool.perStep[ledger.Step()] < least {
 		return nil
 	}
@@ -87,7 +87,7 @@
 		cursor:   ledger.Cursor(),
 		step:     ledger.Step(),
 		ids:      idsOf(lot),
-		complete: len(lot) == ledger.Left(),
+		complete: len(lot) == ledger.Remaining(),
 	}
 	return lot
 }
@@ -113,7 +113,7 @@
 			break
 		}
 		room := shape.Size - ledger.GroupHeld(int(s.ID.Group)) - taken[s.ID.Group]
-		if !ledger.Lacks(s.ID) || room <= 0 {
+		if !ledger.Needs(s.ID) || room <= 0 {
 			continue
 		}
 		taken[s.ID.Group]++
--- a/internal/policy/handover/shapes.go
+++ b/internal/policy/handover/shapes.go
@@ -78,7 +78,7 @@
 // under which its step was served: a paused owner, which has not read of a
 // change, may have begun the step in the old shape beside its successor that
 // recorded the new one, and the same ids would be counted against other groups.
-func (l *Ledger) take(held Held, told stepShapes) Refusal {
+func (l *Ledger) take(held HeldLot, told stepShapes) Refusal {
 	step := l.head.Step
 	if shape, known := told.of(step); known && shape != l.ShapeOf(step) {
 		if l.head.Done.Len() > 0 {
--- a/internal/policy/handover/shapes_test.go
+++ b/internal/policy/handover/shapes_test.go
@@ -22,7 +22,7 @@
 			f.completeAll(1)
 			a, reason := f.pull(client, 1)
 			Expect(reason).To(Equal(handover.None))
-			for _, s := range client.Take(*a, 1) {
+			for _, s := range client.HandleAnswer(*a, 1) {
 				names = append(names, s.ID.Name("d", "f"))
 			}
 			if a.StepComplete {
@@ -45,7 +45,7 @@
 		f.completeAll(1)
 		f.next(client)
 		declare(f)
-		f.pass(config.Retry)
+		f.pass(config.RetryInterval)
 		Expect(f.next(client)).To(Equal([]string{"d/f/0/1/0", "d/f/0/1/1"}), "the step that has begun keeps its shape")
 		f.completeAll(1)
 		Expect(f.next(client)).To(HaveLen(2))
@@ -65,7 +65,7 @@
 		f.completeAll(1)
 		f.next(client)
 		kv.away = false
-		f.pass(config.Retry)
+		f.pass(config.RetryInterval)
 		Expect(step(f)).To(HaveLen(2), "the rest of the step under way")
 		Expect(step(f)).To(HaveLen(6))
 	})
@@ -94,7 +94,7 @@
 		f.next(client)
 		position := client.Position()
 		declare(f)
-		f.pass(config.Retry)
+		f.pass(config.RetryInterval)
 		f.next(client)
 		Expect(step(f)).To(HaveLen(6))
 		client = handover.NewClient(position, 2)
--- a/internal/standin/trainer.go
+++ b/internal/standin/trainer.go
@@ -154,7 +154,7 @@
 	answer, err := t.entries[attempt%len(t.entries)].Pull(ctx, request)
 	if err != nil {
 		refusal := handover.Refusal(status.Convert(err).Message())
-		if fatal := t.client.Refused(refusal); fatal != nil {
+		if fatal := t.client.HandleRefusal(refusal); fatal != nil {
 			t.count(func(r *TrainerReport) { r.Refused = fatal.Error() })
 		}
 	}
@@ -180,7 +180,7 @@
 		}
 		answer.Samples = append(answer.Samples, converted)
 	}
-	if len(t.client.Take(answer, t.Report().Version)) == 0 {
+	if len(t.client.HandleAnswer(answer, t.Report().Version)) == 0 {
 		return false
 	}
 	t.count(func(r *TrainerReport) { r.Lots++ })
