--- a/internal/policy/handover/admit.go
+++ b/internal/policy/handover/admit.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// known returns the cursor up to which the trainer has been told that its lots
-// are recorded: the one before the first lot that the pull carries.
-func (p Pull) known() int64 {
+// recordedCursor returns the cursor up to which the trainer knows that its lots are
+// recorded. This is the cursor before the first lot that the pull carries.
+func (p Pull) recordedCursor() int64 {
 	if len(p.Unrecorded) > 0 {
 		return p.Unrecorded[0].Cursor - 1
 	}
 	return p.Cursor
 }
 
-// firstStep returns the step of the first lot that the pull carries; current if
-// it carries none.
+// firstStep returns the step of the first lot that the pull carries, or current if it
+// carries none.
 func (p Pull) firstStep(current int64) int64 {
 	if len(p.Unrecorded) > 0 && len(p.Unrecorded[0].IDs) > 0 {
 		return min(p.Unrecorded[0].IDs[0].Step, current)
@@ -20,143 +20,146 @@
 	return current
 }
 
-// opens tells whether the pull begins a new session.
-func (p Pull) opens() bool { return p.Restarted || p.Token == "" }
+// opensSession reports whether the pull begins a new session.
+func (p Pull) opensSession() bool { return p.Restarted || p.Token == "" }
 
-// admitAll settles what every new pull tells about the samples held.
-func (o *Owner) admitAll(now time.Time) []Action {
+// admitPulls checks every new pull against the confirmed session, and updates the ledgers
+// by what the pulls carry.
+func (o *Owner) admitPulls(now time.Time) []Action {
 	var acts []Action
-	kept := o.waits[:0:0]
-	for _, w := range o.waits {
+	kept := o.pulls[:0:0]
+	for _, p := range o.pulls {
 		reason := None
-		if !w.admitted {
-			reason = o.admit(now, &w)
+		if !p.admitted {
+			reason = o.admit(now, &p)
 		}
 		if reason == None {
-			kept = append(kept, w)
+			kept = append(kept, p)
 			continue
 		}
 		o.counters.Refused++
-		acts = append(acts, Refuse{Call: w.call, Reason: reason})
+		acts = append(acts, Refuse{Call: p.call, Reason: reason})
 		if reason == NotOwner || reason == Unaccounted {
-			// The pull knows of recordings or sessions that we don't: a
-			// successor may be at work, and only the manifest tells.
-			acts = append(acts, o.read()...)
+			// The pull refers to recordings or sessions that this owner does not know. A
+			// successor may have taken over, which only the manifest can show.
+			acts = append(acts, o.readManifest()...)
 		}
 	}
-	o.waits = kept
+	o.pulls = kept
 	return acts
 }
 
-func (o *Owner) admit(now time.Time, w *waiting) Refusal {
-	reason := o.admitSession(w)
+func (o *Owner) admit(now time.Time, p *pendingPull) Refusal {
+	reason := o.admitSession(p)
 	if reason == None {
-		w.admitted = true
-		o.reached(now, w.pull.Version)
+		p.admitted = true
+		o.observeVersion(now, p.pull.Version)
 	}
 	return reason
 }
 
-func (o *Owner) admitSession(w *waiting) Refusal {
-	token, ok := parseToken(w.pull.Token)
-	if !ok && w.pull.Token != "" {
+// admitSession checks the pull's session. It returns None if the pull may be answered.
+func (o *Owner) admitSession(p *pendingPull) Refusal {
+	token, ok := parseToken(p.pull.Token)
+	if !ok && p.pull.Token != "" {
 		return BadToken
 	}
 	switch {
 	case token.Session.Epoch > o.epoch:
 		return NotOwner
-	case w.pull.opens():
-		return o.open(w, token)
-	case token.Session == o.truth.Session:
-		w.token = token
-		return o.extend(w.pull, token)
-	case token.Session.After(o.truth.Session) && token.Recorded:
-		// The manifest has named the session since we read it: a successor is
-		// at work, and what it recorded in the session is unknown here.
+	case p.pull.opensSession():
+		return o.openSession(p, token)
+	case token.Session == o.confirmed.Session:
+		p.token = token
+		return o.extendSession(p.pull, token)
+	case token.Session.After(o.confirmed.Session) && token.Recorded:
+		// The manifest has named the session since it was read here. So a successor has
+		// taken over, and what it recorded in the session is not known here.
 		return NotOwner
-	case token.Session.After(o.truth.Session):
-		w.token = token
-		return o.confirm(w.pull, token)
+	case token.Session.After(o.confirmed.Session):
+		p.token = token
+		return o.confirmSession(p.pull, token)
 	default:
 		return Superseded
 	}
 }
 
-// extend moves the truth by what a pull of the confirmed session holds.
-func (o *Owner) extend(p Pull, token Token) Refusal {
-	if p.Cursor < o.truth.Cursor() {
+// extendSession adds the lots of a pull of the confirmed session to the confirmed ledger.
+func (o *Owner) extendSession(p Pull, token Token) Refusal {
+	if p.Cursor < o.confirmed.Cursor() {
 		return Late
 	}
-	moved := false
+	extended := false
 	for _, held := range p.Unrecorded {
-		if held.Cursor != o.truth.Cursor()+1 {
+		if held.Cursor != o.confirmed.Cursor()+1 {
 			continue
 		}
-		if reason := o.truth.take(held, token.Shapes); reason != None {
+		if reason := o.confirmed.appendHeld(held, token.Shapes); reason != None {
 			return reason
 		}
-		moved = true
+		extended = true
 	}
-	if o.truth.Cursor() != p.Cursor {
+	if o.confirmed.Cursor() != p.Cursor {
 		return Unaccounted
 	}
-	if moved || o.opened != nil {
-		// The confirmed session lives, so an opening that is still
-		// unconfirmed was a late repeat.
-		o.opened = nil
+	if extended || o.unconfirmed != nil {
+		// The confirmed session is still in use, so the pull that opened an unconfirmed
+		// session was a late duplicate.
+		o.unconfirmed = nil
 		o.dropHeld()
 	}
 	return None
 }
 
-// open answers a trainer's first pull after a start. Nothing moves yet: the pull
-// may be a late repeat of one whose trainer has long gone on. Only a trainer
-// that took the answer can present its token, and that confirms the session.
-func (o *Owner) open(w *waiting, token Token) Refusal {
-	parent := token.base()
-	ledger, reason := o.derive(w.pull, parent, token.Shapes)
+// openSession opens a session for a trainer's first pull after a start. The confirmed
+// ledger stays as it is, because the pull may be a late duplicate whose trainer has
+// continued since. Only a trainer that accepted the answer can present its token, and the
+// token confirms the session.
+func (o *Owner) openSession(p *pendingPull, token Token) Refusal {
+	parent := token.resumeSession()
+	ledger, reason := o.deriveLedger(p.pull, parent, token.Shapes)
 	if reason != None {
 		return reason
 	}
-	o.sessions++
-	ledger.Session = Session{Epoch: o.epoch, Count: o.sessions}
-	o.opened = ledger
-	w.token = Token{Session: ledger.Session, Parent: parent}
-	o.changes++
+	o.sessionCount++
+	ledger.Session = Session{Epoch: o.epoch, Count: o.sessionCount}
+	o.unconfirmed = ledger
+	p.token = Token{Session: ledger.Session, Parent: parent}
+	o.changeCount++
 	return None
 }
 
-// confirm takes over a session that this owner or a predecessor opened.
-func (o *Owner) confirm(p Pull, token Token) Refusal {
-	ledger, reason := o.derive(p, token.Parent, token.Shapes)
+// confirmSession makes a session that this owner or a predecessor opened the confirmed one.
+func (o *Owner) confirmSession(p Pull, token Token) Refusal {
+	ledger, reason := o.deriveLedger(p, token.Parent, token.Shapes)
 	if reason != None {
 		return reason
 	}
 	ledger.Session = token.Session
-	if p.known() < o.truth.Cursor() {
-		ledger.Branches = append(ledger.Branches, Branch{Session: token.Session, From: p.known()})
+	if p.recordedCursor() < o.confirmed.Cursor() {
+		ledger.Branches = append(ledger.Branches, Branch{Session: token.Session, From: p.recordedCursor()})
 	}
-	if p.Cursor < o.truth.Cursor() {
+	if p.Cursor < o.confirmed.Cursor() {
 		o.counters.Rewinds++
 	}
-	o.truth = ledger
-	o.opened = nil
+	o.confirmed = ledger
+	o.unconfirmed = nil
 	o.dropHeld()
 	return None
 }
 
-// derive returns what a trainer holds that went on from parent's state at the
-// cursor up to which it was told of recordings, with the lots it carries.
-func (o *Owner) derive(p Pull, parent Session, told stepShapes) (*Ledger, Refusal) {
+// deriveLedger returns the ledger of a trainer that resumed from the state of the session
+// parent at the pull's recorded cursor, extended by the lots that the pull carries.
+func (o *Owner) deriveLedger(p Pull, parent Session, shapes stepShapes) (*Ledger, Refusal) {
 	switch {
-	case parent.After(o.truth.Session):
+	case parent.After(o.confirmed.Session):
 		return nil, Unaccounted
-	case p.known() > o.truth.Cursor():
+	case p.recordedCursor() > o.confirmed.Cursor():
 		return nil, Unaccounted
-	case o.truth.abandoned(parent, p.known()):
+	case o.confirmed.abandoned(parent, p.recordedCursor()):
 		return nil, TooOld
 	}
-	ledger := o.truth.At(p.known())
+	ledger := o.confirmed.At(p.recordedCursor())
 	if ledger == nil {
 		return nil, TooOld
 	}
@@ -164,7 +167,7 @@
 		if held.Cursor != ledger.Cursor()+1 {
 			return nil, Unaccounted
 		}
-		if reason := ledger.take(held, told); reason != None {
+		if reason := ledger.appendHeld(held, shapes); reason != None {
 			return nil, reason
 		}
 	}
--- a/internal/policy/handover/events.go
+++ b/internal/policy/handover/events.go
@@ -1,16 +1,16 @@
-// Package handover hands a feed's samples to its trainer, each exactly once and
+// Package handover hands the samples of a feed over to its trainer, each exactly once and
 // none older than the trainer accepts.
 //
-// The trainer's own pull is the truth. It carries its cursor and the samples of
-// every lot that it has not been told to be recorded for good, so any owner that
-// has the manifest, be it the paused predecessor or a successor that knows
-// nothing else, derives the same set of samples held. An owner therefore serves
-// without waiting for the key-value service; the manifest only lets the trainer
-// forget what it carries. An owner that cannot account for a cursor serves
-// nothing.
+// The source of truth is the trainer's own pull. It contains the trainer's cursor and the
+// sample IDs of every lot that the trainer does not yet know to be recorded. From the
+// manifest and the pull, any owner can derive the set of samples that the trainer holds,
+// whether it is a paused predecessor or a successor without any other state. So an owner
+// need not wait for the key-value service to answer a pull. Recording the manifest only
+// allows the trainer to drop lots from its pulls. An owner that cannot account for all lots
+// up to a pull's cursor refuses the pull.
 //
-// Owner is the feed owner's side, Client the trainer's. Both are stepped with
-// typed events and own no clock, goroutine or connection.
+// Owner implements the side of the feed's owner, Client that of the trainer. Both are state
+// machines without clocks, goroutines or connections. Owner is driven by typed events.
 package handover
 
 import (
@@ -19,66 +19,69 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-// Refusal says why a pull got no answer.
+// Refusal is the reason why a pull was refused.
 type Refusal string
 
-// The refusals.
+// The reasons of refusals.
 const (
 	None Refusal = ""
-	// NotOwner: another process owns the feed; pull there.
+	// NotOwner means that another process owns the feed. The trainer should pull there.
 	NotOwner Refusal = "not-owner"
-	// NotReady: the owner has not yet read the feed's manifest; pull again.
+	// NotReady means that the owner has not yet claimed the feed's manifest. The trainer
+	// should pull again.
 	NotReady Refusal = "not-ready"
-	// Late: a later pull of the same trainer was seen.
+	// Late means that the owner has seen a later pull of the same trainer.
 	Late Refusal = "late"
-	// Superseded: the trainer was restarted, and its restart has taken over.
+	// Superseded means that a later session of the trainer has taken over.
 	Superseded Refusal = "superseded"
-	// Unaccounted: neither the manifest nor the pull tells what some lots held.
+	// Unaccounted means that the contents of some lots are neither in the manifest nor in
+	// the pull.
 	Unaccounted Refusal = "unaccounted"
-	// Inconsistent: the lots that the pull carries cannot have been handed over.
+	// Inconsistent means that the lots in the pull cannot have been handed over.
 	Inconsistent Refusal = "inconsistent"
-	// TooOld: the trainer went back further than the manifest keeps, or to a
-	// state that an earlier restart gave up.
+	// TooOld means that the trainer resumed from a state older than the manifest keeps, or
+	// from a state that was abandoned by an earlier restart.
 	TooOld Refusal = "too-old"
-	// BadToken: the pull token is not one that was handed out.
+	// BadToken means that the pull token was not issued by an owner.
 	BadToken Refusal = "bad-token"
 )
 
-// HeldLot is a lot that a trainer holds.
+// HeldLot is a lot that a trainer holds. Cursor is the trainer's cursor after it.
 type HeldLot struct {
 	Cursor int64
 	IDs    []sample.ID
 }
 
-// Pull is a trainer's call for the lot after Cursor.
+// Pull is a trainer's request for the lot that follows Cursor.
 type Pull struct {
 	Cursor     int64
-	Version    int64 // the trainer's weight version
-	Token      string
-	Restarted  bool
-	Unrecorded []HeldLot // in order of cursor, up to Cursor
+	Version    int64     // the trainer's weight version
+	Token      string    // of the latest answer; empty before the first
+	Restarted  bool      // the trainer has restarted and opens a new session
+	Unrecorded []HeldLot // lots not known to be recorded, in order of cursor, up to Cursor
 }
 
-// Answer is what a pull gets.
+// Answer is the answer to a pull.
 type Answer struct {
-	Cursor       int64 // once the lot is held
+	Cursor       int64 // the trainer's cursor after it accepts the answer
 	Token        string
-	Samples      []sample.Sample // empty: nothing ready; the cursor stays
-	Recorded     int64
-	Step         int64
-	StepComplete bool // with this lot
+	Samples      []sample.Sample // empty if none are ready; the cursor then stays the same
+	Recorded     int64           // cursor up to which the lots are recorded
+	Step         int64           // current step of the trainer; the step of the samples
+	StepComplete bool            // this lot completes the step
 }
 
-// Event is something that happened to the owner.
+// Event is an input of an Owner.
 type Event interface{ event() }
 
-// ReadDone is the answer to a Read: the manifest and its revision, 0 if absent.
+// ReadDone is the result of a Read: the manifest and its revision, which is 0 if the
+// manifest does not exist.
 type ReadDone struct {
 	Value    []byte
 	Revision int64
 }
 
-// ReadFailed tells that a Read got no answer.
+// ReadFailed reports that a Read failed.
 type ReadFailed struct{}
 
 // WriteResult is the outcome of a Write.
@@ -86,39 +89,39 @@
 
 // The outcomes of a Write.
 const (
-	WriteApplied       WriteResult = iota // in effect
-	WriteConflict                         // another write was first; Value stands
-	WriteIndeterminate                    // may or may not have taken effect
-	WriteNotApplied                       // had no effect
+	WriteApplied       WriteResult = iota // it took effect
+	WriteConflict                         // another write took effect first; Value is the current value
+	WriteIndeterminate                    // it may or may not have taken effect
+	WriteNotApplied                       // it had no effect
 )
 
-// WriteDone is the answer to a Write.
+// WriteDone is the result of a Write.
 type WriteDone struct {
 	Nonce    string
 	Result   WriteResult
-	Value    []byte // that stands; with WriteConflict
-	Revision int64  // of what stands; with WriteTaken and WriteConflict
+	Value    []byte // current value; only with WriteConflict
+	Revision int64  // current revision; only with WriteApplied and WriteConflict
 }
 
-// Pulled is a trainer's pull. Call names it in the answer.
+// Pulled reports a trainer's pull. Call identifies it in the Reply or Refuse action.
 type Pulled struct {
 	Call uint64
 	Pull Pull
 }
 
-// PullTimedOut tells that a pull has waited as long as its trainer allows.
+// PullTimedOut reports that a pull has waited as long as its trainer allows.
 type PullTimedOut struct{ Call uint64 }
 
-// Completed is a sample that is generated, labelled and scored.
+// Completed reports a sample that was generated, labelled and scored.
 type Completed struct{ Sample sample.Sample }
 
-// Announced tells that the trainer has published a weight version.
+// Announced reports that the trainer has published a weight version.
 type Announced struct{ Version int64 }
 
-// Configured carries a new declaration of the feed.
+// Configured reports a new declaration of the feed.
 type Configured struct{ Config Config }
 
-// Tick tells that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (ReadDone) event()     {}
@@ -131,32 +134,33 @@
 func (Configured) event()   {}
 func (Tick) event()         {}
 
-// Action is something that the owner's runtime is to do.
+// Action is an output of an Owner, which its runtime must execute.
 type Action interface{ action() }
 
-// Read asks for the feed's manifest.
+// Read asks the runtime to read the feed's manifest. It must end in ReadDone or ReadFailed.
 type Read struct{}
 
-// Write asks for a compare-and-swap of the feed's manifest.
+// Write asks the runtime for a compare-and-swap of the feed's manifest. It must end in
+// WriteDone.
 type Write struct {
 	Nonce    string
-	Expected int64
+	Expected int64 // revision
 	Value    []byte
 }
 
-// Reply answers a pull.
+// Reply sends an answer to a pull.
 type Reply struct {
 	Call   uint64
 	Answer Answer
 }
 
-// Refuse ends a pull without an answer.
+// Refuse refuses a pull.
 type Refuse struct {
 	Call   uint64
 	Reason Refusal
 }
 
-// Deposed tells that a successor owns the feed; the owner is done.
+// Deposed reports that a successor owns the feed. The owner does nothing any more.
 type Deposed struct{}
 
 func (Read) action()    {}
@@ -165,22 +169,22 @@
 func (Refuse) action()  {}
 func (Deposed) action() {}
 
-// Config is the feed's declaration as far as hand-over needs it.
+// Config is the part of the feed's declaration that the hand-over needs.
 type Config struct {
 	Shape          sample.Shape
-	LotSize        int // samples handed over at once at most
+	LotSize        int // maximum number of samples in a lot
 	Limits         sample.Limits
-	RetryInterval  time.Duration // between tries of the key-value service
-	RecordInterval time.Duration // between writes of the manifest at least
+	RetryInterval  time.Duration // minimum time after a failed try to access the manifest until the next one
+	RecordInterval time.Duration // minimum time from one write of the manifest to the next
 }
 
-// Counters count what happened to samples and pulls since the owner began.
+// Counters counts events of an owner since it began.
 type Counters struct {
-	Handed     int64 // samples in answers, repeats included
-	Repeats    int64 // answers that gave a lot again
-	Stale      int64 // samples dropped for their age
-	Surplus    int64 // complete samples that nobody needed
-	Refused    int64
+	Handed     int64 // samples in answers, including repeated lots
+	Repeats    int64 // answers that repeated a lot
+	Stale      int64 // samples dropped as too old
+	Surplus    int64 // completed samples that were not needed
+	Refused    int64 // new pulls refused for what they carry
 	Recordings int64 // manifest writes that took effect
-	Rewinds    int64 // restarts from before the last recorded lot
+	Rewinds    int64 // sessions confirmed that resumed from before the confirmed cursor
 }
--- a/internal/policy/handover/handover_test.go
+++ b/internal/policy/handover/handover_test.go
@@ -18,22 +18,22 @@
 	RunSpecs(t, "handover")
 }
 
-// record is the feed's manifest in a key-value service that can be away.
-type record struct {
-	value    []byte
-	revision int64
-	away     bool
+// fakeStore simulates a key-value service with the feed's manifest. It can be unavailable.
+type fakeStore struct {
+	value       []byte
+	revision    int64
+	unavailable bool
 }
 
-// feed is an owner with its service and the answers it gave last.
+// feed executes the actions of an owner and keeps its latest answer.
 type feed struct {
-	kv     *record
-	owner  *handover.Owner
-	now    time.Time
-	calls  uint64
-	answer *handover.Answer
-	reason handover.Refusal
-	ended  bool
+	kv      *fakeStore
+	owner   *handover.Owner
+	now     time.Time
+	calls   uint64
+	answer  *handover.Answer
+	reason  handover.Refusal
+	deposed bool
 }
 
 var config = handover.Config{
@@ -43,7 +43,8 @@
 	RetryInterval: time.Second,
 }
 
-func take(kv *record, epoch int64) *feed {
+// newFeed returns a feed whose owner has the epoch, and sends its first Tick.
+func newFeed(kv *fakeStore, epoch int64) *feed {
 	f := &feed{kv: kv, now: time.Unix(100, 0)}
 	f.owner = handover.New(config, fmt.Sprintf("entry-%d", epoch), epoch)
 	f.step(handover.Tick{})
@@ -62,13 +63,13 @@
 		case handover.Refuse:
 			f.reason = a.Reason
 		case handover.Deposed:
-			f.ended = true
+			f.deposed = true
 		}
 	}
 }
 
 func (f *feed) read() {
-	if f.kv.away {
+	if f.kv.unavailable {
 		f.step(handover.ReadFailed{})
 		return
 	}
@@ -77,7 +78,7 @@
 
 func (f *feed) write(w handover.Write) {
 	switch {
-	case f.kv.away:
+	case f.kv.unavailable:
 		f.step(handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteNotApplied})
 	case f.kv.revision != w.Expected:
 		f.step(handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteConflict, Value: f.kv.value, Revision: f.kv.revision})
@@ -88,12 +89,13 @@
 	}
 }
 
-// pass lets time pass.
-func (f *feed) pass(d time.Duration) {
+// advance advances the time and sends a Tick.
+func (f *feed) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.step(handover.Tick{})
 }
 
+// complete completes the samples with weights of the version.
 func (f *feed) complete(version int64, ids ...sample.ID) {
 	for _, id := range ids {
 		segments := []wire.Segment{{Version: version, From: 0, To: 1}}
@@ -101,13 +103,14 @@
 	}
 }
 
+// completeAll completes all wanted samples of two steps.
 func (f *feed) completeAll(version int64) {
 	for step := f.owner.FirstStep(); step < f.owner.FirstStep()+2; step++ {
 		f.complete(version, f.owner.Wanted(step)...)
 	}
 }
 
-// pull sends a client's pull and returns the answer or why there is none.
+// pull sends a client's pull and returns the answer or the reason of its refusal.
 func (f *feed) pull(c *handover.Client, version int64) (*handover.Answer, handover.Refusal) {
 	return f.send(c.Pull(version))
 }
@@ -121,7 +124,7 @@
 	return f.answer, f.reason
 }
 
-// next pulls and takes one lot.
+// next pulls one lot, passes it to the client and returns the names of its samples.
 func (f *feed) next(c *handover.Client) []string {
 	a, reason := f.pull(c, 1)
 	Expect(reason).To(Equal(handover.None))
@@ -133,25 +136,25 @@
 }
 
 var _ = Describe("Owner", func() {
-	var kv *record
+	var kv *fakeStore
 	var client *handover.Client
 	BeforeEach(func() {
-		kv = &record{}
+		kv = &fakeStore{}
 		client = handover.NewClient(handover.Position{}, 2)
 	})
 
-	It("hands every sample of a step over once and goes on with the next step", func() {
-		f := take(kv, 1)
+	It("hands over every sample of a step once and continues with the next step", func() {
+		f := newFeed(kv, 1)
 		f.completeAll(1)
 		Expect(f.next(client)).To(Equal([]string{"d/f/0/0/0", "d/f/0/0/1"}))
 		Expect(f.next(client)).To(Equal([]string{"d/f/0/1/0", "d/f/0/1/1"}))
 		Expect(f.next(client)).To(Equal([]string{"d/f/1/0/0", "d/f/1/0/1"}))
 		f.next(client)
-		Expect(len(client.Position().Unrecorded)).To(BeNumerically("<=", 2), "the trainer may forget what is recorded")
+		Expect(len(client.Position().Unrecorded)).To(BeNumerically("<=", 2), "the client drops the recorded lots")
 	})
 
-	It("gives the same lot for the same cursor", func() {
-		f := take(kv, 1)
+	It("returns the same lot for the same cursor", func() {
+		f := newFeed(kv, 1)
 		f.completeAll(1)
 		first, _ := f.pull(client, 1)
 		f.complete(1, sample.ID{Step: 0, Group: 1})
@@ -159,11 +162,11 @@
 		Expect(second.Samples).To(Equal(first.Samples))
 	})
 
-	It("checks staleness at the moment of handing over, also when it gives a lot again", func() {
-		// The first answer is lost while the trainer goes on to version 4. The
-		// same lot again would be three versions old, so its samples are dropped
-		// and generated anew under the same ids.
-		f := take(kv, 1)
+	It("checks staleness when it hands over a lot, also when it repeats one", func() {
+		// The first answer is lost while the trainer advances to version 4. The same lot
+		// would then be three versions old, so its samples are dropped and generated again
+		// under the same IDs.
+		f := newFeed(kv, 1)
 		f.completeAll(1)
 		f.pull(client, 1)
 		a, _ := f.pull(client, 4)
@@ -174,90 +177,90 @@
 		Expect(a.Samples).To(HaveLen(2))
 	})
 
-	It("drops samples past the age that the feed declares", func() {
+	It("drops samples older than the declared maximum age", func() {
 		config.Limits.MaxAge = time.Minute
 		defer func() { config.Limits.MaxAge = 0 }()
-		f := take(kv, 1)
+		f := newFeed(kv, 1)
 		f.completeAll(1)
-		f.pass(2 * time.Minute)
+		f.advance(2 * time.Minute)
 		a, _ := f.pull(client, 1)
 		Expect(a.Samples).To(BeEmpty())
 	})
 
-	It("goes on handing over through an outage of the key-value service", func() {
-		// The service is away for ten minutes. Nothing is recorded, the trainer
-		// carries what it holds, and every pull is answered. After the outage
-		// one write records it all.
-		f := take(kv, 1)
+	It("continues to hand over during an outage of the key-value service", func() {
+		// The service is unavailable for ten minutes. Nothing is recorded, the trainer carries
+		// all lots that it holds, and every pull is answered. After the outage one write
+		// records everything.
+		f := newFeed(kv, 1)
 		f.completeAll(1)
 		f.next(client)
-		kv.away = true
+		kv.unavailable = true
 		for range 10 {
 			f.completeAll(1)
 			Expect(f.next(client)).To(HaveLen(2))
-			f.pass(time.Minute)
+			f.advance(time.Minute)
 		}
 		Expect(len(client.Position().Unrecorded)).To(BeNumerically(">=", 10))
-		kv.away = false
-		f.pass(time.Minute)
+		kv.unavailable = false
+		f.advance(time.Minute)
 		f.completeAll(1)
 		f.next(client)
 		f.next(client)
 		Expect(len(client.Position().Unrecorded)).To(BeNumerically("<=", 2))
 	})
 
-	It("learns from the pull what a dead predecessor served and did not record", func() {
-		// The owner answers and dies before the write. Its successor's manifest
-		// is empty; without the pull's list it would give the lot again.
-		f := take(kv, 1)
+	It("learns from the pull what a dead predecessor sent without recording it", func() {
+		// The owner answers and dies before the write, so the successor's manifest is empty.
+		// Without the lots in the pull it would hand over the same samples again.
+		f := newFeed(kv, 1)
 		f.completeAll(1)
-		kv.away = true
+		kv.unavailable = true
 		Expect(f.next(client)).To(HaveLen(2))
-		kv.away = false
-		g := take(kv, 2)
+		kv.unavailable = false
+		g := newFeed(kv, 2)
 		g.completeAll(1)
 		Expect(g.next(client)).To(Equal([]string{"d/f/0/1/0", "d/f/0/1/1"}))
 	})
 
-	It("is harmless beside its successor", func() {
-		// A paused owner wakes and answers the same cursor as its successor with
-		// other samples. The trainer takes one answer; its next pull says which,
-		// and either owner goes on from that.
-		old := take(kv, 1)
+	It("is harmless when it runs beside its successor", func() {
+		// A paused owner resumes and answers the same cursor as its successor with other
+		// samples. The client accepts one answer. Its next pull shows which, and either owner
+		// continues from there.
+		old := newFeed(kv, 1)
 		for range 2 {
 			Expect(old.next(client)).To(BeEmpty())
 		}
 		old.complete(1, sample.ID{Group: 0, Index: 0}, sample.ID{Group: 1, Index: 0})
-		successor := take(kv, 2)
+		successor := newFeed(kv, 2)
 		successor.complete(1, sample.ID{Group: 0, Index: 1}, sample.ID{Group: 1, Index: 1})
 		late, _ := old.pull(client, 1)
 		Expect(successor.next(client)).To(Equal([]string{"d/f/0/0/1", "d/f/0/1/1"}))
-		Expect(client.HandleAnswer(*late, 1)).To(BeEmpty(), "the second answer for a cursor")
+		Expect(client.HandleAnswer(*late, 1)).To(BeEmpty(), "a second answer for the same cursor")
 		Expect(old.next(client)).To(Equal([]string{"d/f/0/0/0", "d/f/0/1/0"}))
-		Expect(old.ended).To(BeTrue(), "its first write meets the successor's epoch")
+		Expect(old.deposed).To(BeTrue(), "its first write conflicts with the successor's manifest")
 	})
 
-	It("serves nothing when it cannot account for the trainer's cursor", func() {
-		// The successor recorded a lot and told the trainer, which forgot it. The
-		// paused predecessor does not know what that lot held.
-		old := take(kv, 1)
+	It("refuses a pull when it cannot account for the trainer's cursor", func() {
+		// The successor recorded a lot and told the trainer, which dropped it from its pulls.
+		// The paused predecessor does not know the contents of that lot.
+		old := newFeed(kv, 1)
 		old.completeAll(1)
 		old.next(client)
 		old.next(client)
-		successor := take(kv, 2)
+		successor := newFeed(kv, 2)
 		successor.completeAll(1)
 		for range 3 {
 			successor.next(client)
 		}
 		_, reason := old.pull(client, 1)
 		Expect(reason).To(Equal(handover.Unaccounted))
-		Expect(old.ended).To(BeTrue())
+		Expect(old.deposed).To(BeTrue())
 	})
 
-	It("goes on from a trainer's own last cursor, not from its newest", func() {
-		// The trainer keeps its position after one lot, takes two more and dies.
-		// Those two died with it and are handed over again.
-		f := take(kv, 1)
+	It("continues from the position that a trainer resumes from, not from its newest", func() {
+		// The trainer stores its position after one lot, gets two more lots and dies. Those two
+		// are lost with it and are handed over again.
+		f := newFeed(kv, 1)
 		f.completeAll(1)
 		first := f.next(client)
 		kept := client.Position()
@@ -266,7 +269,7 @@
 		f.next(client)
 		restarted := handover.NewClient(kept, 2)
 		opening, _ := f.pull(restarted, 1)
-		Expect(opening.Samples).To(BeEmpty(), "what was held is no longer kept")
+		Expect(opening.Samples).To(BeEmpty(), "the samples held before are no longer in the pool")
 		restarted.HandleAnswer(*opening, 1)
 		f.completeAll(1)
 		again := f.next(restarted)
@@ -275,10 +278,10 @@
 		Expect(again[0]).To(HavePrefix("d/f/0/"))
 	})
 
-	It("does not go back for a late repeat of a first pull", func() {
-		// The first pull is sent twice; the second copy comes when the trainer is
-		// three lots further on. It is answered, to nobody, and moves nothing.
-		f := take(kv, 1)
+	It("does not go back for a late duplicate of a first pull", func() {
+		// The first pull is sent twice. The duplicate arrives three lots later. Its answer
+		// reaches nobody, and it must not change the confirmed session.
+		f := newFeed(kv, 1)
 		f.completeAll(1)
 		late := client.Pull(1)
 		for range 3 {
@@ -289,28 +292,28 @@
 		Expect(f.next(client)).To(Equal([]string{"d/f/1/1/0", "d/f/1/1/1"}))
 	})
 
-	It("takes a restart whose last session was never recorded", func() {
-		// A paused owner opens a session and ends. The trainer, which keeps the
-		// session's token, restarts at a successor that never heard of it. Seen
-		// failing: the successor refused the token for good.
-		old := take(kv, 1)
+	It("accepts a restart whose last session was never recorded", func() {
+		// A paused owner opens a session and ends. The trainer keeps the session's token and
+		// restarts at a successor that does not know the session. In an earlier version the
+		// successor refused the token for good.
+		old := newFeed(kv, 1)
 		old.completeAll(1)
-		kv.away = true
+		kv.unavailable = true
 		old.next(client)
 		old.next(client)
-		kv.away = false
-		successor := take(kv, 2)
+		kv.unavailable = false
+		successor := newFeed(kv, 2)
 		successor.completeAll(1)
 		restarted := handover.NewClient(client.Position(), 2)
 		Expect(successor.next(restarted)).To(Equal([]string{"d/f/1/0/0", "d/f/1/0/1"}))
 	})
 
-	It("refuses a session that it opened once a successor has recorded in it", func() {
-		// An owner opens a session, is paused, and the successor confirms and
-		// records it. The trainer forgets what was recorded and its pull comes
-		// back to the paused owner, which knows only what the session before it
-		// held at that cursor. Seen failing: it gave a sample twice.
-		old := take(kv, 1)
+	It("refuses a session that it opened after a successor has recorded lots of it", func() {
+		// An owner opens a session and is paused. The successor confirms and records the
+		// session. The trainer drops the recorded lots, and its pull arrives at the paused
+		// owner, which only knows the lots of the previous session up to that cursor. In an
+		// earlier version the owner handed over a sample twice.
+		old := newFeed(kv, 1)
 		old.completeAll(1)
 		old.next(client)
 		kept := client.Position()
@@ -320,7 +323,7 @@
 		restarted := handover.NewClient(kept, 2)
 		opening, _ := old.pull(restarted, 1)
 		restarted.HandleAnswer(*opening, 1)
-		successor := take(kv, 2)
+		successor := newFeed(kv, 2)
 		successor.completeAll(1)
 		successor.next(restarted)
 		successor.completeAll(1)
@@ -329,8 +332,8 @@
 		Expect(reason).To(Equal(handover.NotOwner))
 	})
 
-	It("settles a write whose answer was lost by its nonce", func() {
-		f := take(kv, 1)
+	It("finds out by its nonce that a write whose answer was lost took effect", func() {
+		f := newFeed(kv, 1)
 		f.completeAll(1)
 		f.next(client)
 		var lost handover.Write
@@ -344,12 +347,12 @@
 		kv.value = lost.Value
 		kv.revision++
 		f.step(handover.WriteDone{Nonce: lost.Nonce, Result: handover.WriteIndeterminate})
-		f.pass(2 * time.Second)
+		f.advance(2 * time.Second)
 		Expect(f.owner.Counters().Recordings).To(BeNumerically("==", 2))
 	})
 
-	It("refuses a trainer that goes back to a state given up by an earlier restart", func() {
-		f := take(kv, 1)
+	It("refuses a trainer that resumes from a state abandoned by an earlier restart", func() {
+		f := newFeed(kv, 1)
 		f.completeAll(1)
 		start := client.Position()
 		f.next(client)
@@ -367,16 +370,16 @@
 		Expect(reason).To(Equal(handover.TooOld))
 	})
 
-	It("needs no spare sample of a full group", func() {
+	It("needs no spare sample of a complete group", func() {
 		config.Shape.Spare = 1
 		defer func() { config.Shape.Spare = 0 }()
-		f := take(kv, 1)
+		f := newFeed(kv, 1)
 		f.complete(1, sample.ID{Group: 0, Index: 1}, sample.ID{Group: 0, Index: 2})
 		Expect(f.owner.Wanted(0)).To(HaveLen(3), "the other group only")
 		Expect(f.next(client)).To(Equal([]string{"d/f/0/0/1", "d/f/0/0/2"}))
 		f.complete(1, sample.ID{Group: 0, Index: 0}, sample.ID{Group: 1, Index: 0}, sample.ID{Group: 1, Index: 1})
 		Expect(f.next(client)).To(Equal([]string{"d/f/0/1/0", "d/f/0/1/1"}))
-		Expect(f.owner.FirstStep()).To(BeNumerically("==", 0), "the step ends with the pull that holds its last lot")
+		Expect(f.owner.FirstStep()).To(BeNumerically("==", 0), "the step ends with the pull that carries its last lot")
 		f.pull(client, 1)
 		Expect(f.owner.FirstStep()).To(BeNumerically("==", 1))
 	})
--- a/internal/policy/handover/ledger.go
+++ b/internal/policy/handover/ledger.go
@@ -6,25 +6,25 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-// Steps of which single lots are kept beside the current one, and the ends of
-// steps kept beyond them; they bound the manifest to a few tens of kilobytes.
+// keptSteps is the number of steps before the current one whose single lots are kept, and
+// maxMarks the maximum number of marks. They limit the manifest to a few tens of kilobytes.
 const (
 	keptSteps = 2
-	keptMarks = 512
+	maxMarks  = 512
 )
 
-// Set is a set of a step's slots, one bit each.
+// Set is a bit set of the slots of a step.
 type Set []byte
 
-// NewSet returns an empty set for slots slots.
+// NewSet returns an empty set for the given number of slots.
 func NewSet(slots int) Set { return make(Set, (slots+7)/8) }
 
-// Has tells whether slot is in the set.
+// Has reports whether slot is in the set.
 func (s Set) Has(slot int) bool {
 	return slot/8 < len(s) && s[slot/8]&(1<<(slot%8)) != 0
 }
 
-// Add puts slot into the set.
+// Add adds slot to the set.
 func (s Set) Add(slot int) { s[slot/8] |= 1 << (slot % 8) }
 
 // Len returns the number of slots in the set.
@@ -36,43 +36,44 @@
 	return n
 }
 
-// State is what a trainer holds at a cursor: every step before Step, and of
-// Step the slots in Done.
+// State is the set of samples that a trainer holds at a cursor: all samples of the steps
+// before Step, and the slots in Done of Step.
 type State struct {
 	Cursor int64 `json:"cursor"`
 	Step   int64 `json:"step"`
 	Done   Set   `json:"done"`
 }
 
-// Lot is the samples that moved the cursor by one; they are of one step.
+// Lot is a set of samples of one step that were handed over together and advanced the
+// cursor by one.
 type Lot struct {
 	Step  int64 `json:"step"`
 	Slots Set   `json:"slots"`
 }
 
-// Mark is the cursor at which a step was complete; Step is the next one.
+// Mark records the cursor at which a step was complete. Step is the step after it.
 type Mark struct {
 	Cursor int64 `json:"cursor"`
 	Step   int64 `json:"step"`
 }
 
-// Branch tells that a session went on from a cursor at which an earlier one had
-// not ended. What that session was given after From no longer counts.
+// Branch records that a session resumed from the cursor From while earlier sessions had
+// already passed it. The lots that those sessions got after From are abandoned.
 type Branch struct {
 	Session Session `json:"session"`
 	From    int64   `json:"from"`
 }
 
-// Ledger says what a trainer holds, lot by lot.
+// Ledger records lot by lot which samples a trainer holds.
 type Ledger struct {
-	Shape    sample.Shape  `json:"shape"`   // of the steps before the first change
-	Session  Session       `json:"session"` // of the trainer's life that Head belongs to
-	Base     State         `json:"base"`    // the oldest state from which every lot is kept
-	Lots     []Lot         `json:"lots"`    // Lots[i] moved the cursor to Base.Cursor+1+i
-	Marks    []Mark        `json:"marks"`   // in order of cursor; the first is the feed's beginning
+	Shape    sample.Shape  `json:"shape"`   // shape of the steps before the first change
+	Session  Session       `json:"session"` // session that head belongs to
+	Base     State         `json:"base"`    // the oldest state after which every lot is kept
+	Lots     []Lot         `json:"lots"`    // Lots[i] advanced the cursor to Base.Cursor+1+i
+	Marks    []Mark        `json:"marks"`   // in order of cursor; the first is the start of the feed
 	Branches []Branch      `json:"branches,omitempty"`
-	Changes  []ShapeChange `json:"changes,omitempty"` // of the shape, in order of step
-	head     State         // Base with every lot; derived
+	Changes  []ShapeChange `json:"changes,omitempty"` // changes of the shape, in order of step
+	head     State         // Base with all lots applied; not stored
 }
 
 // NewLedger returns the ledger of a trainer that holds nothing.
@@ -86,10 +87,10 @@
 // Cursor returns the number of lots held.
 func (l *Ledger) Cursor() int64 { return l.head.Cursor }
 
-// Step returns the step that is being handed over.
+// Step returns the current step, which is being handed over.
 func (l *Ledger) Step() int64 { return l.head.Step }
 
-// Holds tells whether the trainer holds id.
+// Holds reports whether the trainer holds the sample.
 func (l *Ledger) Holds(id sample.ID) bool {
 	if id.Step != l.head.Step {
 		return id.Step < l.head.Step
@@ -98,17 +99,17 @@
 	return slot >= 0 && l.head.Done.Has(slot)
 }
 
-// Needs tells whether id may still be handed over.
+// Needs reports whether the sample may still be handed over.
 func (l *Ledger) Needs(id sample.ID) bool {
 	return !l.Holds(id) && l.ShapeOf(id.Step).Slot(id) >= 0
 }
 
 // GroupHeld returns how many samples of a group of the current step are held.
 func (l *Ledger) GroupHeld(group int) int {
-	return heldOf(l.ShapeOf(l.head.Step), l.head.Done, group)
+	return countHeld(l.ShapeOf(l.head.Step), l.head.Done, group)
 }
 
-func heldOf(shape sample.Shape, done Set, group int) int {
+func countHeld(shape sample.Shape, done Set, group int) int {
 	n := 0
 	first := group * shape.PerGroup()
 	for slot := first; slot < first+shape.PerGroup(); slot++ {
@@ -119,11 +120,11 @@
 	return n
 }
 
-// Remaining returns how many samples of the current step are still to be handed over.
+// Remaining returns how many samples of the current step remain to be handed over.
 func (l *Ledger) Remaining() int { return l.ShapeOf(l.head.Step).Needed() - l.head.Done.Len() }
 
-// Append adds the lot that moves the cursor by one. It is refused if it is
-// empty, not of the current step, or holds what is held already.
+// Append adds a lot, which advances the cursor by one. It returns Inconsistent if the lot
+// is empty, not of the current step, or contains samples that are already held.
 func (l *Ledger) Append(ids []sample.ID) Refusal {
 	shape := l.ShapeOf(l.head.Step)
 	lot := Lot{Step: l.head.Step, Slots: NewSet(shape.Slots())}
@@ -142,6 +143,7 @@
 	return None
 }
 
+// apply adds a lot to the head, and a mark if the lot completes the step.
 func (l *Ledger) apply(lot Lot) {
 	l.advance(&l.head, lot)
 	if l.head.Step > lot.Step {
@@ -150,6 +152,7 @@
 	}
 }
 
+// advance adds a lot to a state.
 func (l *Ledger) advance(s *State, lot Lot) {
 	for i, b := range lot.Slots {
 		s.Done[i] |= b
@@ -161,19 +164,20 @@
 	}
 }
 
-// prune moves the base past the steps whose lots are no longer kept.
+// prune advances the base past the steps whose lots are no longer kept, and drops the
+// oldest marks and shape changes beyond their maximum number.
 func (l *Ledger) prune() {
 	for len(l.Lots) > 0 && l.Lots[0].Step < l.head.Step-keptSteps {
 		l.advance(&l.Base, l.Lots[0])
 		l.Lots = l.Lots[1:]
 	}
-	l.foldShapes()
-	if extra := len(l.Marks) - keptMarks; extra > 0 {
+	l.pruneShapes()
+	if extra := len(l.Marks) - maxMarks; extra > 0 {
 		l.Marks = append(l.Marks[:1:1], l.Marks[1+extra:]...)
 	}
 }
 
-// At returns the ledger as it was at an earlier cursor; nil if that is not kept.
+// At returns the ledger as it was at a cursor, or nil if that state is not kept.
 func (l *Ledger) At(cursor int64) *Ledger {
 	if cursor > l.head.Cursor {
 		return nil
@@ -183,7 +187,7 @@
 	if cursor >= l.Base.Cursor {
 		c.Base = copyState(l.Base)
 		c.Lots = l.Lots[: cursor-l.Base.Cursor : cursor-l.Base.Cursor]
-	} else if !l.atMark(c, cursor) {
+	} else if !l.setBaseFromMark(c, cursor) {
 		return nil
 	}
 	for _, m := range l.Marks {
@@ -191,11 +195,13 @@
 			c.Marks = append(c.Marks, m)
 		}
 	}
-	c.rebuild()
+	c.rebuildHead()
 	return c
 }
 
-func (l *Ledger) atMark(c *Ledger, cursor int64) bool {
+// setBaseFromMark sets the base of c to the mark at the cursor. It returns false if there is
+// no such mark.
+func (l *Ledger) setBaseFromMark(c *Ledger, cursor int64) bool {
 	for _, m := range l.Marks {
 		if m.Cursor == cursor {
 			c.Base = State{Cursor: m.Cursor, Step: m.Step, Done: NewSet(l.ShapeOf(m.Step).Slots())}
@@ -205,16 +211,16 @@
 	return false
 }
 
-// rebuild derives the head from the base and the lots.
-func (l *Ledger) rebuild() {
+// rebuildHead computes the head from the base and the lots.
+func (l *Ledger) rebuildHead() {
 	l.head = copyState(l.Base)
 	for _, lot := range l.Lots {
 		l.advance(&l.head, lot)
 	}
 }
 
-// abandoned tells whether what a trainer of session held up to cursor was given
-// up by a later session that went on from before it.
+// abandoned reports whether a later session resumed from before the cursor, so that the
+// state of the given session at the cursor is no longer valid.
 func (l *Ledger) abandoned(session Session, cursor int64) bool {
 	for _, b := range l.Branches {
 		if b.Session.After(session) && b.From < cursor {
--- a/internal/policy/handover/manifest.go
+++ b/internal/policy/handover/manifest.go
@@ -6,12 +6,12 @@
 	"github.com/pkg/errors"
 )
 
-// Manifest is the feed's record in the key-value service.
+// Manifest is the record of a feed in the key-value service.
 type Manifest struct {
-	// Nonce is unique to the write, so that a read tells whether a write whose
-	// answer was lost took effect.
+	// Nonce is unique to a write. It shows in a later read whether a write whose answer was
+	// lost has taken effect.
 	Nonce  string  `json:"nonce"`
-	Epoch  int64   `json:"epoch"` // of the owner that wrote it; never goes down
+	Epoch  int64   `json:"epoch"` // of the owner that wrote the manifest; never decreases
 	Ledger *Ledger `json:"ledger"`
 }
 
@@ -23,13 +23,13 @@
 func (m Manifest) encode() []byte {
 	value, err := json.Marshal(m)
 	if err != nil {
-		// Numbers, strings and bytes always marshal.
+		// Numbers, strings and bytes can always be marshalled.
 		panic(err)
 	}
 	return value
 }
 
-// DecodeManifest reads a manifest.
+// DecodeManifest decodes a manifest and checks that it has a ledger.
 func DecodeManifest(value []byte) (Manifest, error) {
 	var m Manifest
 	if err := json.Unmarshal(value, &m); err != nil {
@@ -38,6 +38,6 @@
 	if m.Ledger == nil || len(m.Ledger.Marks) == 0 || m.Ledger.Shape.Slots() == 0 {
 		return m, errors.New("handover: manifest without ledger")
 	}
-	m.Ledger.rebuild()
+	m.Ledger.rebuildHead()
 	return m, nil
 }
--- a/internal/policy/handover/owner.go
+++ b/internal/policy/handover/owner.go
@@ -6,56 +6,57 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
+// phase is the state of an owner in the claim of its feed.
 type phase int
 
 const (
 	loading  phase = iota // the manifest has not been read
-	claiming              // the write of our epoch has not taken effect
-	serving
-	deposed
+	claiming              // the manifest has not been written under the owner's epoch
+	serving               // the manifest is written under the owner's epoch
+	deposed               // a successor owns the feed
 )
 
-// waiting is a pull that has no answer yet.
-type waiting struct {
+// pendingPull is a pull that was not answered yet.
+type pendingPull struct {
 	call     uint64
 	pull     Pull
-	admitted bool
-	token    Token
+	admitted bool  // admitPulls has accepted it
+	token    Token // of its session; valid if admitted
 }
 
-// offer is the lot last given for a cursor.
-type offer struct {
-	cursor   int64 // that the lot follows
+// sentLot is the lot that was sent last.
+type sentLot struct {
+	cursor   int64 // of the pull; the lot follows it
 	step     int64
 	ids      []sample.ID
-	complete bool // with it the trainer holds the whole step
+	complete bool // the lot completes the step
 }
 
-// Owner is the state of one feed at the process that holds its duty.
+// Owner is the state machine of a feed at the process that holds the feed's duty.
 type Owner struct {
-	cfg      Config
-	name     string // of this process; makes nonces unique
-	epoch    int64  // of the duty's lease; higher than every predecessor's
-	phase    phase
-	truth    *Ledger // as the newest pull of the confirmed session tells
-	opened   *Ledger // of a session opened and not yet confirmed; nil if none
-	sessions int64   // opened under this epoch
-	store    recorder
-	pool     pool
-	waits    []waiting
-	last     offer
-	version  int64 // the trainer's newest known
-	changes  uint64
-	counters Counters
+	cfg            Config
+	name           string // unique name of this process; makes nonces unique
+	epoch          int64  // of the duty's lease; higher than those of all predecessors
+	phase          phase
+	confirmed      *Ledger // of the confirmed session, as of its newest pull
+	unconfirmed    *Ledger // of a session that was opened and is not yet confirmed; nil if none
+	sessionCount   int64   // number of sessions opened under this epoch
+	stored         storedManifest
+	pool           pool
+	pulls          []pendingPull // not yet answered
+	lastSent       sentLot
+	trainerVersion int64  // newest known version of the trainer
+	changeCount    uint64 // see ChangeCount
+	counters       Counters
 }
 
-// New returns the owner of a feed under the duty's epoch. name tells this
-// process from every other. Its first event should be a Tick.
+// New returns the owner of a feed under the epoch of the feed's duty. The name must be
+// unique among processes. The first event should be a Tick.
 func New(cfg Config, name string, epoch int64) *Owner {
 	return &Owner{cfg: cfg, name: name, epoch: epoch, pool: newPool()}
 }
 
-// Step takes one event and returns what is to be done, in order.
+// Step processes an event and returns the actions to execute, in order.
 func (o *Owner) Step(now time.Time, e Event) []Action {
 	if o.phase == deposed {
 		return refuseIfPull(e)
@@ -63,28 +64,28 @@
 	var acts []Action
 	switch e := e.(type) {
 	case ReadDone:
-		acts = o.loaded(now, e)
+		acts = o.handleReadDone(now, e)
 	case ReadFailed:
-		o.store.reading = false
-		o.store.retryAt = now.Add(o.cfg.RetryInterval)
+		o.stored.reading = false
+		o.stored.nextTryAt = now.Add(o.cfg.RetryInterval)
 	case WriteDone:
-		acts = o.written(now, e)
+		acts = o.handleWriteDone(now, e)
 	case Pulled:
-		o.waits = append(o.waits, waiting{call: e.Call, pull: e.Pull})
+		o.pulls = append(o.pulls, pendingPull{call: e.Call, pull: e.Pull})
 	case PullTimedOut:
-		acts = o.waitEnded(now, e.Call)
+		acts = o.handlePullTimeout(now, e.Call)
 	case Completed:
-		o.completed(e.Sample)
+		o.addSample(e.Sample)
 	case Announced:
-		o.reached(now, e.Version)
+		o.observeVersion(now, e.Version)
 	case Configured:
 		o.cfg = e.Config
 	case Tick:
 		o.dropStale(now)
 	}
 	if o.phase == serving {
-		acts = append(acts, o.admitAll(now)...)
-		acts = append(acts, o.serve(now)...)
+		acts = append(acts, o.admitPulls(now)...)
+		acts = append(acts, o.servePulls(now)...)
 	}
 	return append(acts, o.persist(now)...)
 }
@@ -96,146 +97,151 @@
 	return nil
 }
 
-// depose ends the owner. Every pull is sent on; the trainer finds the successor.
+// depose ends the owner. It refuses all pulls with NotOwner, so that the trainer finds the
+// successor.
 func (o *Owner) depose() []Action {
 	o.phase = deposed
 	var acts []Action
-	for _, w := range o.waits {
-		acts = append(acts, Refuse{Call: w.call, Reason: NotOwner})
+	for _, p := range o.pulls {
+		acts = append(acts, Refuse{Call: p.call, Reason: NotOwner})
 	}
-	o.waits = nil
+	o.pulls = nil
 	return append(acts, Deposed{})
 }
 
-// waitEnded answers a pull with what there is, be it less than a lot: samples
-// that wait for a straggler only grow older. Before the owner serves it can only
-// be refused.
-func (o *Owner) waitEnded(now time.Time, call uint64) []Action {
-	for i, w := range o.waits {
-		if w.call != call {
+// handlePullTimeout answers a pull with the samples that are ready, even if they are fewer
+// than a lot, because samples that wait for a slow one only grow older. A pull that was
+// not admitted, because the owner is not serving yet, is refused.
+func (o *Owner) handlePullTimeout(now time.Time, call uint64) []Action {
+	for i, p := range o.pulls {
+		if p.call != call {
 			continue
 		}
-		o.waits = append(o.waits[:i:i], o.waits[i+1:]...)
-		if !w.admitted {
+		o.pulls = append(o.pulls[:i:i], o.pulls[i+1:]...)
+		if !p.admitted {
 			return []Action{Refuse{Call: call, Reason: NotReady}}
 		}
-		if act, done := o.serveOne(now, w, 1); done {
+		if act, done := o.servePull(now, p, 1); done {
 			return []Action{act}
 		}
-		return []Action{Reply{Call: call, Answer: o.emptyAnswer(w)}}
+		return []Action{Reply{Call: call, Answer: o.emptyAnswer(p)}}
 	}
 	return nil
 }
 
-func (o *Owner) emptyAnswer(w waiting) Answer {
+func (o *Owner) emptyAnswer(p pendingPull) Answer {
 	return Answer{
-		Cursor:   w.pull.Cursor,
-		Token:    o.tokenFor(w).String(),
-		Recorded: o.recordedFor(w),
-		Step:     o.ledgerFor(w).Step(),
+		Cursor:   p.pull.Cursor,
+		Token:    o.tokenFor(p).String(),
+		Recorded: o.recordedCursorFor(p),
+		Step:     o.ledgerFor(p).Step(),
 	}
 }
 
-// recordedFor returns the cursor up to which w's trainer may forget its lots.
-// The manifest speaks for the session that wrote it only: after a restart from
-// before the last recorded lot it still tells of lots that were given up.
-func (o *Owner) recordedFor(w waiting) int64 {
-	if o.store.session == w.token.Session {
-		return min(o.store.cursor, w.pull.Cursor)
+// recordedCursorFor returns the cursor up to which the trainer may drop its lots. The
+// manifest counts only if it records the trainer's session. After a restart from before the
+// last recorded lot, it still contains lots that were abandoned.
+func (o *Owner) recordedCursorFor(p pendingPull) int64 {
+	if o.stored.session == p.token.Session {
+		return min(o.stored.cursor, p.pull.Cursor)
 	}
-	return w.pull.known()
+	return p.pull.recordedCursor()
 }
 
-func (o *Owner) tokenFor(w waiting) Token {
-	token := w.token
-	if ledger := o.ledgerFor(w); ledger != nil {
-		token.Shapes = ledger.shapesOf(w.pull.firstStep(ledger.Step()))
+// tokenFor returns the token to send with the answer to a pull.
+func (o *Owner) tokenFor(p pendingPull) Token {
+	token := p.token
+	if ledger := o.ledgerFor(p); ledger != nil {
+		token.Shapes = ledger.shapesFrom(p.pull.firstStep(ledger.Step()))
 	}
-	token.Recorded = token.Recorded || o.store.session == token.Session
+	token.Recorded = token.Recorded || o.stored.session == token.Session
 	return token
 }
 
-// completed takes a sample. The first one wins; a second run of the same sample
-// and one that no lot can need are dropped.
-func (o *Owner) completed(s sample.Sample) {
+// addSample adds a completed sample to the pool. It drops a sample that no lot can need and
+// a second result for the same ID.
+func (o *Owner) addSample(s sample.Sample) {
 	if o.pool.has(s.ID) || o.phase == serving && !o.needs(s.ID) {
 		o.counters.Surplus++
 		return
 	}
 	o.pool.add(s)
 	if o.cfg.Shape.Spare > 0 {
-		// It may have made its group's spare samples unneeded.
-		o.changes++
+		// The spare samples of its group may no longer be needed.
+		o.changeCount++
 	}
 }
 
+// needs reports whether the trainer may still need the sample.
 func (o *Owner) needs(id sample.ID) bool {
-	return o.truth.Needs(id) || o.opened != nil && o.opened.Needs(id)
+	return o.confirmed.Needs(id) || o.unconfirmed != nil && o.unconfirmed.Needs(id)
 }
 
-// dropHeld forgets the payloads that the trainer holds.
+// dropHeld removes the samples from the pool that the trainer no longer needs.
 func (o *Owner) dropHeld() {
 	for id := range o.pool.samples {
 		if !o.needs(id) {
 			o.pool.remove(id)
 		}
 	}
-	o.changes++
+	o.changeCount++
 }
 
-// reached takes word of the trainer's version.
-func (o *Owner) reached(now time.Time, version int64) {
-	if version > o.version {
-		o.version = version
+// observeVersion records the trainer's version if it is newer than the known one.
+func (o *Owner) observeVersion(now time.Time, version int64) {
+	if version > o.trainerVersion {
+		o.trainerVersion = version
 		o.dropStale(now)
 	}
 }
 
-// dropStale forgets the samples that the trainer would not take now or later,
-// so that they are generated again before their lot is due.
+// dropStale removes the samples from the pool that are too old for the trainer, so that
+// they are generated again before their lot is due.
 func (o *Owner) dropStale(now time.Time) {
-	stale := o.pool.removeStale(o.cfg.Limits, o.version, now)
+	stale := o.pool.removeStale(o.cfg.Limits, o.trainerVersion, now)
 	if stale > 0 {
 		o.counters.Stale += stale
-		o.changes++
+		o.changeCount++
 	}
 }
 
-// ChangeCount grows whenever Wanted may have changed other than by the Completed
-// events that the owner was given.
-func (o *Owner) ChangeCount() uint64 { return o.changes }
+// ChangeCount returns a number that increases whenever the result of Wanted may have
+// changed, except by the Completed events passed to Step.
+func (o *Owner) ChangeCount() uint64 { return o.changeCount }
 
-// Counters returns what was counted so far.
+// Counters returns the current counters.
 func (o *Owner) Counters() Counters { return o.counters }
 
-// Serving tells whether the owner holds the manifest under its own epoch.
+// Serving reports whether the owner has written the manifest under its epoch and answers
+// pulls.
 func (o *Owner) Serving() bool { return o.phase == serving }
 
-// Version returns the newest weight version the trainer is known to be at.
-func (o *Owner) Version() int64 { return o.version }
+// Version returns the newest known weight version of the trainer.
+func (o *Owner) Version() int64 { return o.trainerVersion }
 
-// Shape returns the shape of the step being handed over. Only while Serving.
-func (o *Owner) Shape() sample.Shape { return o.truth.ShapeOf(o.truth.Step()) }
+// Shape returns the shape of the current step. It must only be called while Serving.
+func (o *Owner) Shape() sample.Shape { return o.confirmed.ShapeOf(o.confirmed.Step()) }
 
-// FirstStep returns the steps that generation should work on: the one that is being
-// handed over first. Only while Serving.
+// FirstStep returns the first step that generation should work on, which is the step being
+// handed over. It must only be called while Serving.
 func (o *Owner) FirstStep() (first int64) {
-	if o.opened != nil {
-		return min(o.truth.Step(), o.opened.Step())
+	if o.unconfirmed != nil {
+		return min(o.confirmed.Step(), o.unconfirmed.Step())
 	}
-	return o.truth.Step()
+	return o.confirmed.Step()
 }
 
-// Training tells whether the trainer was given all of the current step and has
-// not come for more. Only while Serving.
+// Training reports whether all samples of the current step were sent and the trainer has
+// not pulled again since. It must only be called while Serving.
 func (o *Owner) Training() bool {
-	return o.last.complete && o.last.cursor == o.truth.Cursor() && o.last.step == o.truth.Step()
+	return o.lastSent.complete && o.lastSent.cursor == o.confirmed.Cursor() && o.lastSent.step == o.confirmed.Step()
 }
 
-// Wanted returns the samples of a step that are neither held nor complete, and
-// of full groups none. Only while Serving.
+// Wanted returns the samples of a step that are still to be generated: those that are
+// neither held nor in the pool, except those of groups that have enough samples. It must
+// only be called while Serving.
 func (o *Owner) Wanted(step int64) []sample.ID {
-	shape := o.truth.ShapeOf(step)
+	shape := o.confirmed.ShapeOf(step)
 	var ids []sample.ID
 	for group := range shape.Groups {
 		missing := o.missingOf(step, group)
@@ -246,10 +252,10 @@
 	return ids
 }
 
-// missingOf returns a group's samples that are neither held nor in the pool. A
-// group with no more of them than spare ones has all that is handed over.
+// missingOf returns the samples of a group that are neither held nor in the pool. If they
+// are no more than the spare samples, the group is complete.
 func (o *Owner) missingOf(step int64, group int) []sample.ID {
-	shape := o.truth.ShapeOf(step)
+	shape := o.confirmed.ShapeOf(step)
 	var missing []sample.ID
 	for index := range shape.PerGroup() {
 		id := shape.IDAt(step, group*shape.PerGroup()+index)
--- a/internal/policy/handover/pool.go
+++ b/internal/policy/handover/pool.go
@@ -6,14 +6,14 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-// pool holds the samples that are complete and not known to be held.
+// pool holds the completed samples that the trainer is not known to hold.
 type pool struct {
-	samples map[sample.ID]sample.Sample
-	perStep map[int64]int // number of samples; spares the search for a lot that cannot be full
+	samples     map[sample.ID]sample.Sample
+	countByStep map[int64]int // number of samples by step; saves the search for a lot if too few are complete
 }
 
 func newPool() pool {
-	return pool{samples: map[sample.ID]sample.Sample{}, perStep: map[int64]int{}}
+	return pool{samples: map[sample.ID]sample.Sample{}, countByStep: map[int64]int{}}
 }
 
 func (p pool) has(id sample.ID) bool {
@@ -23,19 +23,19 @@
 
 func (p pool) add(s sample.Sample) {
 	p.samples[s.ID] = s
-	p.perStep[s.ID.Step]++
+	p.countByStep[s.ID.Step]++
 }
 
 func (p pool) remove(id sample.ID) {
 	delete(p.samples, id)
-	p.perStep[id.Step]--
-	if p.perStep[id.Step] == 0 {
-		delete(p.perStep, id.Step)
+	p.countByStep[id.Step]--
+	if p.countByStep[id.Step] == 0 {
+		delete(p.countByStep, id.Step)
 	}
 }
 
-// removeStale forgets the samples that a trainer at version may not take now,
-// and so never, and returns their number.
+// removeStale removes the samples that are too old for a trainer at the given version, and
+// returns their number. Samples only get older, so they will never be usable.
 func (p pool) removeStale(limits sample.Limits, version int64, now time.Time) int64 {
 	var n int64
 	for id, s := range p.samples {
--- a/internal/policy/handover/serve.go
+++ b/internal/policy/handover/serve.go
@@ -7,83 +7,83 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-// ledgerFor returns what the trainer of an admitted pull holds; nil if its
-// session was given up since.
-func (o *Owner) ledgerFor(w waiting) *Ledger {
+// ledgerFor returns the ledger of an admitted pull's session, or nil if the session was
+// superseded since.
+func (o *Owner) ledgerFor(p pendingPull) *Ledger {
 	switch {
-	case w.token.Session == o.truth.Session:
-		return o.truth
-	case o.opened != nil && w.token.Session == o.opened.Session:
-		return o.opened
+	case p.token.Session == o.confirmed.Session:
+		return o.confirmed
+	case o.unconfirmed != nil && p.token.Session == o.unconfirmed.Session:
+		return o.unconfirmed
 	default:
 		return nil
 	}
 }
 
-// serve answers the pulls for which a lot is ready.
-func (o *Owner) serve(now time.Time) []Action {
+// servePulls answers the pulls for which a lot is ready.
+func (o *Owner) servePulls(now time.Time) []Action {
 	var acts []Action
-	kept := o.waits[:0:0]
-	for _, w := range o.waits {
-		act, done := o.serveOne(now, w, o.cfg.LotSize)
+	kept := o.pulls[:0:0]
+	for _, p := range o.pulls {
+		act, done := o.servePull(now, p, o.cfg.LotSize)
 		if !done {
-			kept = append(kept, w)
+			kept = append(kept, p)
 			continue
 		}
 		acts = append(acts, act)
 	}
-	o.waits = kept
+	o.pulls = kept
 	return acts
 }
 
-// serveOne answers a pull once at least samples are ready for it, or all that
-// its step still needs.
-func (o *Owner) serveOne(now time.Time, w waiting, least int) (Action, bool) {
-	ledger := o.ledgerFor(w)
+// servePull answers or refuses a pull. It returns false if fewer than minSamples samples are
+// ready, unless those are all that the step still needs.
+func (o *Owner) servePull(now time.Time, p pendingPull, minSamples int) (Action, bool) {
+	ledger := o.ledgerFor(p)
 	if ledger == nil {
-		return Refuse{Call: w.call, Reason: Superseded}, true
+		return Refuse{Call: p.call, Reason: Superseded}, true
 	}
-	if ledger.Cursor() != w.pull.Cursor {
-		return Refuse{Call: w.call, Reason: Late}, true
+	if ledger.Cursor() != p.pull.Cursor {
+		return Refuse{Call: p.call, Reason: Late}, true
 	}
-	lot := o.lotFor(now, ledger, least)
+	lot := o.lotFor(now, ledger, minSamples)
 	if len(lot) == 0 {
 		return nil, false
 	}
 	o.counters.Handed += int64(len(lot))
 	answer := Answer{
-		Cursor:       w.pull.Cursor + 1,
-		Token:        o.tokenFor(w).String(),
+		Cursor:       p.pull.Cursor + 1,
+		Token:        o.tokenFor(p).String(),
 		Samples:      lot,
-		Recorded:     o.recordedFor(w),
+		Recorded:     o.recordedCursorFor(p),
 		Step:         ledger.Step(),
 		StepComplete: len(lot) == ledger.Remaining(),
 	}
-	return Reply{Call: w.call, Answer: answer}, true
+	return Reply{Call: p.call, Answer: answer}, true
 }
 
-// lotFor returns the lot that follows a ledger's cursor: the same as before if
-// it was given already, without the samples that have become too old meanwhile.
-// The trainer may still hold the earlier answer; its next pull tells which.
-func (o *Owner) lotFor(now time.Time, ledger *Ledger, least int) []sample.Sample {
-	given := o.last.cursor == ledger.Cursor() && o.last.step == ledger.Step()
-	if given && len(o.last.ids) > 0 {
+// lotFor returns the lot that follows a ledger's cursor. If it was sent before, it returns
+// the same lot, without the samples that have become too old since. The trainer may have
+// accepted the earlier answer, and its next pull shows which one.
+func (o *Owner) lotFor(now time.Time, ledger *Ledger, minSamples int) []sample.Sample {
+	sent := o.lastSent.cursor == ledger.Cursor() && o.lastSent.step == ledger.Step()
+	if sent && len(o.lastSent.ids) > 0 {
 		o.dropStale(now)
-		if lot := o.pick(ledger, o.given()); len(lot) > 0 {
+		if lot := o.pick(ledger, o.lastSentSamples()); len(lot) > 0 {
 			o.counters.Repeats++
 			return lot
 		}
 	}
-	least = min(least, ledger.Remaining())
-	if o.pool.perStep[ledger.Step()] < least {
+	minSamples = min(minSamples, ledger.Remaining())
+	if o.pool.countByStep[ledger.Step()] < minSamples {
 		return nil
 	}
 	o.dropStale(now)
-	lot := o.pick(ledger, o.ready(ledger))
-	if len(lot) < least {
+	lot := o.pick(ledger, o.readySamples(ledger))
+	if len(lot) < minSamples {
 		return nil
 	}
-	o.last = offer{
+	o.lastSent = sentLot{
 		cursor:   ledger.Cursor(),
 		step:     ledger.Step(),
 		ids:      idsOf(lot),
@@ -92,9 +92,10 @@
 	return lot
 }
 
-func (o *Owner) given() []sample.Sample {
+// lastSentSamples returns the samples of the lot sent last that are still in the pool.
+func (o *Owner) lastSentSamples() []sample.Sample {
 	var lot []sample.Sample
-	for _, id := range o.last.ids {
+	for _, id := range o.lastSent.ids {
 		if o.pool.has(id) {
 			lot = append(lot, o.pool.samples[id])
 		}
@@ -102,29 +103,29 @@
 	return lot
 }
 
-// pick chooses from ready, in its order, what the ledger's trainer does not
-// hold: at most a lot, and of each group no more than are handed over.
+// pick returns the first of the ready samples that the trainer of the ledger needs: at most
+// LotSize, and of each group no more than are handed over.
 func (o *Owner) pick(ledger *Ledger, ready []sample.Sample) []sample.Sample {
-	taken := map[int64]int{}
+	countByGroup := map[int64]int{}
 	shape := ledger.ShapeOf(ledger.Step())
 	var lot []sample.Sample
 	for _, s := range ready {
 		if len(lot) == o.cfg.LotSize {
 			break
 		}
-		room := shape.Size - ledger.GroupHeld(int(s.ID.Group)) - taken[s.ID.Group]
-		if !ledger.Needs(s.ID) || room <= 0 {
+		free := shape.Size - ledger.GroupHeld(int(s.ID.Group)) - countByGroup[s.ID.Group]
+		if !ledger.Needs(s.ID) || free <= 0 {
 			continue
 		}
-		taken[s.ID.Group]++
+		countByGroup[s.ID.Group]++
 		lot = append(lot, s)
 	}
 	return lot
 }
 
-// ready returns the complete samples of the ledger's step. The oldest go first,
-// as they age out first.
-func (o *Owner) ready(ledger *Ledger) []sample.Sample {
+// readySamples returns the samples in the pool of the ledger's step. The oldest come first,
+// as they become too old first.
+func (o *Owner) readySamples(ledger *Ledger) []sample.Sample {
 	shape := ledger.ShapeOf(ledger.Step())
 	var ready []sample.Sample
 	for id, s := range o.pool.samples {
@@ -136,6 +137,7 @@
 	return ready
 }
 
+// older reports whether a must be handed over before b.
 func older(shape sample.Shape, a, b sample.Sample) bool {
 	va, vb := a.OldestVersion(), b.OldestVersion()
 	if va != vb {
--- a/internal/policy/handover/shapes.go
+++ b/internal/policy/handover/shapes.go
@@ -7,7 +7,7 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-// ShapeChange tells that the steps from From on have another shape.
+// ShapeChange records the shape of the steps from step From on.
 type ShapeChange struct {
 	From  int64        `json:"from"`
 	Shape sample.Shape `json:"shape"`
@@ -24,15 +24,15 @@
 	return shape
 }
 
-// newest returns the shape of the last step that a change is known for.
-func (l *Ledger) newest() sample.Shape {
+// newestShape returns the shape after all known changes.
+func (l *Ledger) newestShape() sample.Shape {
 	if n := len(l.Changes); n > 0 {
 		return l.Changes[n-1].Shape
 	}
 	return l.Shape
 }
 
-// setShape gives the steps from step on a shape; of step no lot may be held.
+// setShape sets the shape of the steps from step on. No lot of step may be held.
 func (l *Ledger) setShape(step int64, shape sample.Shape) {
 	var kept []ShapeChange
 	for _, c := range l.Changes {
@@ -41,7 +41,7 @@
 		}
 	}
 	l.Changes = kept
-	if l.newest() != shape {
+	if l.newestShape() != shape {
 		l.Changes = append(l.Changes, ShapeChange{From: step, Shape: shape})
 	}
 	for _, state := range []*State{&l.Base, &l.head} {
@@ -51,20 +51,21 @@
 	}
 }
 
-// keptChanges is how many changes of shape are kept. They are needed for as long
-// as a trainer carries lots of their steps, be those older than the lots kept
-// here, as in an outage; in one no change can be declared.
-const keptChanges = 64
+// maxShapeChanges is the maximum number of changes of shape that are kept. A change is
+// needed as long as a trainer carries lots of its steps. During an outage these may be older
+// than the lots kept in the ledger, but no change can be declared during one.
+const maxShapeChanges = 64
 
-func (l *Ledger) foldShapes() {
-	for len(l.Changes) > keptChanges {
+// pruneShapes merges the oldest changes beyond maxShapeChanges into Shape.
+func (l *Ledger) pruneShapes() {
+	for len(l.Changes) > maxShapeChanges {
 		l.Shape = l.Changes[0].Shape
 		l.Changes = l.Changes[1:]
 	}
 }
 
-// shapesOf returns the shapes of the steps from first to the current one.
-func (l *Ledger) shapesOf(first int64) stepShapes {
+// shapesFrom returns the shapes of the steps from first to the current one.
+func (l *Ledger) shapesFrom(first int64) stepShapes {
 	shapes := stepShapes{{From: first, Shape: l.ShapeOf(first)}}
 	for _, c := range l.Changes {
 		if c.From > first && c.From <= l.head.Step {
@@ -74,13 +75,14 @@
 	return shapes
 }
 
-// take adds a lot that a trainer carries. The trainer's token tells the shape
-// under which its step was served: a paused owner, which has not read of a
-// change, may have begun the step in the old shape beside its successor that
-// recorded the new one, and the same ids would be counted against other groups.
-func (l *Ledger) take(held HeldLot, told stepShapes) Refusal {
+// appendHeld adds a lot that a trainer carries. The shapes are those in the trainer's token,
+// by which the lots were served. They may differ from the ledger's shapes: a paused owner
+// that does not know of a change may have begun the step with the old shape after its
+// successor recorded the new one. With the new shape the same IDs would be counted in
+// other groups.
+func (l *Ledger) appendHeld(held HeldLot, shapes stepShapes) Refusal {
 	step := l.head.Step
-	if shape, known := told.of(step); known && shape != l.ShapeOf(step) {
+	if shape, known := shapes.at(step); known && shape != l.ShapeOf(step) {
 		if l.head.Done.Len() > 0 {
 			return Inconsistent
 		}
@@ -89,11 +91,12 @@
 	return l.Append(held.IDs)
 }
 
-// stepShapes is the part of a token that tells the shapes of the steps whose
-// lots its trainer carries, in order.
+// stepShapes is the part of a token that contains the shapes of the steps whose lots the
+// trainer carries, in order of step.
 type stepShapes []ShapeChange
 
-func (s stepShapes) of(step int64) (shape sample.Shape, known bool) {
+// at returns the shape of a step and whether it is known.
+func (s stepShapes) at(step int64) (shape sample.Shape, known bool) {
 	for _, c := range s {
 		if c.From <= step {
 			shape, known = c.Shape, true
@@ -104,24 +107,26 @@
 
 const shapeFormat = "%d:%d.%d.%d"
 
+// String returns the shapes as they are encoded in tokens.
 func (s stepShapes) String() string {
 	var b strings.Builder
 	for _, c := range s {
-		if !sound(c.Shape) {
-			continue // the reader would refuse the whole token
+		if !validShape(c.Shape) {
+			continue // parseToken would reject the whole token
 		}
 		fmt.Fprintf(&b, "+"+shapeFormat, c.From, c.Shape.Groups, c.Shape.Size, c.Shape.Spare)
 	}
 	return b.String()
 }
 
-// parseShapes reads what String wrote; its callers hold the text against it.
+// parseShapes parses the result of String. It skips malformed parts, so callers must compare
+// the text with the String of the result.
 func parseShapes(text string) stepShapes {
 	var shapes stepShapes
 	for _, part := range strings.Split(text, "+") {
 		var c ShapeChange
 		n, err := fmt.Sscanf(part, shapeFormat, &c.From, &c.Shape.Groups, &c.Shape.Size, &c.Shape.Spare)
-		if err != nil || n != 4 || !sound(c.Shape) {
+		if err != nil || n != 4 || !validShape(c.Shape) {
 			continue
 		}
 		shapes = append(shapes, c)
@@ -129,33 +134,34 @@
 	return shapes
 }
 
-// maxSlots bounds the step of a shape that a token tells; a forged one must not
-// take the owner's memory.
+// maxSlots is the maximum number of slots in a step of a shape from a token, so that a forged
+// token cannot exhaust the owner's memory.
 const maxSlots = 1 << 20
 
-func sound(s sample.Shape) bool {
-	inRange := func(n, least int) bool { return n >= least && n <= maxSlots }
+// validShape reports whether the numbers of a shape are within bounds.
+func validShape(s sample.Shape) bool {
+	inRange := func(n, minimum int) bool { return n >= minimum && n <= maxSlots }
 	return inRange(s.Groups, 1) && inRange(s.Size, 1) && inRange(s.Spare, 0) && s.Groups <= maxSlots/s.PerGroup()
 }
 
-// planned returns the change of shape that is declared and not yet in force: it
+// plannedChange returns the declared change of shape that is not yet in force, if any. It
 // begins with the next step.
-func (o *Owner) planned() (ShapeChange, bool) {
-	if o.cfg.Shape == o.truth.newest() {
+func (o *Owner) plannedChange() (ShapeChange, bool) {
+	if o.cfg.Shape == o.confirmed.newestShape() {
 		return ShapeChange{}, false
 	}
-	return ShapeChange{From: o.truth.Step() + 1, Shape: o.cfg.Shape}, true
+	return ShapeChange{From: o.confirmed.Step() + 1, Shape: o.cfg.Shape}, true
 }
 
-// reshape puts a recorded change in force. If its step has begun meanwhile, the
-// change is planned again, for the step after.
-func (o *Owner) reshape(c ShapeChange) {
-	if c.From <= o.truth.Step() {
+// applyShapeChange puts a recorded change in force. If its step has begun meanwhile, it does
+// nothing, and the change is planned again for the step after that.
+func (o *Owner) applyShapeChange(c ShapeChange) {
+	if c.From <= o.confirmed.Step() {
 		return
 	}
-	o.truth.setShape(c.From, c.Shape)
-	if o.opened != nil && c.From > o.opened.Step() {
-		o.opened.setShape(c.From, c.Shape)
+	o.confirmed.setShape(c.From, c.Shape)
+	if o.unconfirmed != nil && c.From > o.unconfirmed.Step() {
+		o.unconfirmed.setShape(c.From, c.Shape)
 	}
-	o.changes++
+	o.changeCount++
 }
--- a/internal/policy/handover/token.go
+++ b/internal/policy/handover/token.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Session is one life of a trainer: from a pull without a token, or with
-// Restarted set, to the next such pull that is confirmed. Sessions are ordered;
-// a later one is opened under a higher epoch, or under the same by count.
+// Session identifies a run of a trainer. It begins with a pull that has no token or has
+// Restarted set, and lasts until the next such session is confirmed. Sessions are ordered by
+// the epoch of the owner that opened them, then by count.
 type Session struct {
 	Epoch int64 `json:"epoch"`
 	Count int64 `json:"count"`
 }
 
-// After tells whether s was opened after other.
+// After reports whether s was opened after other.
 func (s Session) After(other Session) bool {
 	if s.Epoch != other.Epoch {
 		return s.Epoch > other.Epoch
@@ -21,26 +21,28 @@
 	return s.Count > other.Count
 }
 
-// Token is the pull token: the session that an answer belongs to and the
-// session whose state the trainer went on from when it was opened.
+// Token is the pull token that a trainer gets with each answer and returns with its next
+// pull.
 type Token struct {
+	// Session is the session that the answer belongs to.
 	Session Session
-	Parent  Session
-	// Recorded tells that the manifest names the session. Without it no lot of
-	// the session was recorded, a successor may know nothing of it, and a
-	// restart goes on from Parent.
+	// Parent is the session whose state the trainer resumed from when Session was opened.
+	Parent Session
+	// Recorded reports that the manifest names Session. Otherwise no lot of the session was
+	// recorded, a successor may not know the session, and a restart resumes from Parent.
 	Recorded bool
-	// Shapes tells the shapes of the steps whose lots the trainer carries.
+	// Shapes contains the shapes of the steps whose lots the trainer carries.
 	Shapes stepShapes
 }
 
 const tokenFormat = "%d.%d-%d.%d-%t"
 
-// String returns the token as trainers carry it.
+// String returns the encoded token.
 func (t Token) String() string {
 	return fmt.Sprintf(tokenFormat, t.Session.Epoch, t.Session.Count, t.Parent.Epoch, t.Parent.Count, t.Recorded) + t.Shapes.String()
 }
 
+// parseToken parses the result of String. It returns false for any other text.
 func parseToken(text string) (Token, bool) {
 	var t Token
 	head, shapes, _ := strings.Cut(text, "+")
@@ -49,14 +51,15 @@
 	return t, err == nil && n == 5 && t.String() == text
 }
 
-// base returns the session whose state a restart with the token goes on from.
-func (t Token) base() Session {
+// resumeSession returns the session whose state a restart with the token resumes from.
+func (t Token) resumeSession() Session {
 	if t.Recorded {
 		return t.Session
 	}
 	return t.Parent
 }
 
+// sameSession reports whether both texts are tokens of the same session.
 func sameSession(a, b string) bool {
 	ta, oka := parseToken(a)
 	tb, okb := parseToken(b)
