--- a/internal/policy/choose/choose_test.go
+++ b/internal/policy/choose/choose_test.go
@@ -21,7 +21,7 @@
 
 var now = time.Unix(1_000_000, 0)
 
-const draws = 2000
+const choices = 2000
 
 func chooser() *choose.Chooser { return choose.New(rand.New(rand.NewPCG(1, 2))) }
 
@@ -36,12 +36,12 @@
 	return all
 }
 
-// count draws often and returns how often each candidate was chosen.
+// count makes many choices and returns how often each candidate was chosen.
 func count(all []*choose.Candidate, r choose.Request) map[string]int {
 	c := chooser()
 	r.Now = now
 	counts := map[string]int{}
-	for range draws {
+	for range choices {
 		if chosen := c.Choose(r, all); chosen != nil {
 			counts[chosen.ID]++
 		}
@@ -49,51 +49,51 @@
 	return counts
 }
 
-var _ = Describe("a choice", func() {
-	It("never falls on an endpoint that may not have the request", func() {
+var _ = Describe("Chooser", func() {
+	It("never returns an endpoint that may not receive the request", func() {
 		all := candidates(6)
 		all[0].Leaving = true
 		all[1].Suspect = true
 		all[2].Ready = false
 		all[3].Load.Down = true
 		counts := count(all, choose.Request{Exclude: []string{"agent-4"}})
-		Expect(counts).To(Equal(map[string]int{"agent-5": draws}))
+		Expect(counts).To(Equal(map[string]int{"agent-5": choices}))
 	})
 
-	It("takes a suspect rather than none, but none that leaves", func() {
+	It("returns a suspect endpoint if there is no other, but never a leaving one", func() {
 		all := candidates(2)
 		all[0].Suspect = true
 		all[1].Leaving = true
-		Expect(count(all, choose.Request{})).To(Equal(map[string]int{"agent-0": draws}))
+		Expect(count(all, choose.Request{})).To(Equal(map[string]int{"agent-0": choices}))
 		Expect(count(all, choose.Request{Exclude: []string{"agent-0"}})).To(BeEmpty())
 	})
 
-	It("never falls on the most loaded of several", func() {
-		// Drawn with repetition, one in n squared would.
+	It("never returns the most loaded of several endpoints", func() {
+		// With two samples that may be equal, one choice in n squared would.
 		all := candidates(6)
 		all[0].SetLoad(now, wire.Load{Slots: 4, Running: 4})
 		Expect(count(all, choose.Request{})).NotTo(HaveKey("agent-0"))
 	})
 
-	It("believes a report less as it ages", func() {
+	It("discounts reports by age", func() {
 		all := candidates(2)
 		all[0].SetLoad(now.Add(-time.Minute), wire.Load{Slots: 4, Running: 4})
 		all[1].SetLoad(now, wire.Load{Slots: 4, Running: 1})
-		Expect(count(all, choose.Request{})).To(Equal(map[string]int{"agent-0": draws}))
+		Expect(count(all, choose.Request{})).To(Equal(map[string]int{"agent-0": choices}))
 	})
 
-	It("follows a business's own requests where all endpoints are saturated", func() {
-		// A greedy business has both queues full, one a little more. Behind
-		// fair queues that is nothing to a modest one, whose own requests all
-		// wait at the less full of the two.
+	It("compares saturated endpoints by the business's own requests", func() {
+		// A greedy business has filled both queues, one a little more than the
+		// other. The queues are fair, so this does not matter to a modest
+		// business, whose own requests all wait in the shorter queue.
 		all := candidates(2)
 		all[0].SetLoad(now, wire.Load{Slots: 4, Running: 4, Queued: 40})
 		all[1].SetLoad(now, wire.Load{Slots: 4, Running: 4, Queued: 36})
 		all[1].InFlightCounts.Add("modest", 8)
-		Expect(count(all, choose.Request{Business: "modest"})).To(Equal(map[string]int{"agent-0": draws}))
+		Expect(count(all, choose.Request{Business: "modest"})).To(Equal(map[string]int{"agent-0": choices}))
 	})
 
-	It("prefers the home of a prefix, the same at every entry, up to the cap", func() {
+	It("prefers the affinity home of a prefix, the same at every entry, up to the bonus", func() {
 		all := candidates(8)
 		counts := count(all, choose.Request{Prefix: 7})
 		Expect(counts).To(HaveLen(1))
@@ -107,7 +107,7 @@
 		}
 	})
 
-	It("allocates nothing", func() {
+	It("does not allocate", func() {
 		all := candidates(32)
 		c := chooser()
 		exclude := []string{"agent-3"}
@@ -128,14 +128,14 @@
 	}
 }
 
-// The baseline of BenchmarkChoice32: in turn, without a look at the load.
+// BenchmarkRoundRobin32 is the baseline of BenchmarkChoice32: it ignores the load.
 func BenchmarkRoundRobin32(b *testing.B) {
 	all := candidates(32)
-	turn := 0
+	next := 0
 	var chosen *choose.Candidate
 	for b.Loop() {
-		turn++
-		chosen = all[turn%len(all)]
+		next++
+		chosen = all[next%len(all)]
 	}
 	_ = chosen
 }
