--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -135,7 +135,7 @@
 		return false
 	}
 	a.Endpoint = endpoint
-	if news, some := g.registry.Begin(now, idOf(v), v.place(endpoint)); some {
+	if news, some := g.registry.StartCopy(now, idOf(v), v.place(endpoint)); some {
 		g.tellPlacement(news)
 	}
 	return true
@@ -145,8 +145,8 @@
 // open a second endpoint: one beside the slow one would be as slow.
 func (g *PoisonGuard) choose(now time.Time, v Visit) (string, bool) {
 	id := idOf(v)
-	allowed, firm := g.registry.Allowed(now, id)
-	free := g.verdict(id) == poison.Free
+	allowed, firm := g.registry.AllowedEndpoints(now, id)
+	free := g.verdict(id) == poison.Unrestricted
 	switch {
 	case len(allowed) == 0 || slices.Contains(allowed, v.Endpoint):
 		return v.Endpoint, true
@@ -179,7 +179,7 @@
 func (g *PoisonGuard) startAlone(ctx context.Context, v Visit, a *Admission) bool {
 	id := idOf(v)
 	g.mu.Lock()
-	waits := g.registry.Wait(id)
+	waits := g.registry.Reserve(id)
 	g.mu.Unlock()
 	if !waits {
 		return false
@@ -187,8 +187,8 @@
 	busy := g.ask(ctx, id)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if busy || g.verdict(id) != poison.Alone || !g.registry.Ready(id) || !g.admit(v, a) {
-		g.registry.Forgo(id)
+	if busy || g.verdict(id) != poison.Alone || !g.registry.Reserved(id) || !g.admit(v, a) {
+		g.registry.CancelReservation(id)
 		return false
 	}
 	a.Alone = true
@@ -200,7 +200,7 @@
 func (g *PoisonGuard) Leave(v Visit, endpoint string, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if news, some := g.registry.End(time.Now(), idOf(v), v.place(endpoint), answered); some {
+	if news, some := g.registry.EndCopy(time.Now(), idOf(v), v.place(endpoint), answered); some {
 		g.tellPlacement(news)
 	}
 }
@@ -226,7 +226,7 @@
 	now := time.Now()
 	g.registry.Merge(now, entries)
 	for _, s := range suspicions {
-		if g.registry.Crashed(now, s) {
+		if g.registry.RecordCrash(now, s) {
 			events.RequestQuarantined.Log(g.log, logrus.Fields{
 				"service":     s.Service,
 				"fingerprint": fmt.Sprintf("%016x", s.Fingerprint),
--- a/internal/entry/quarantine_place.go
+++ b/internal/entry/quarantine_place.go
@@ -65,7 +65,7 @@
 // its home two messages. The caller holds the lock.
 func (g *PoisonGuard) relay(others []kv.Instance, news wire.Placement) {
 	id := poison.ID{Service: news.Service, Fingerprint: news.Fingerprint}
-	copies := g.registry.Placed(id)
+	copies := g.registry.Placements(id)
 	switch {
 	case g.relayed[id]:
 		g.post(others, relayed(news)...)
@@ -141,7 +141,7 @@
 	defer g.mu.Unlock()
 	now := time.Now()
 	for _, p := range news {
-		g.registry.Place(now, p)
+		g.registry.RecordPlacement(now, p)
 		if !p.Relayed && len(others) > placementPeers {
 			g.relay(others, p)
 		}
--- a/internal/entry/quarantine_place_test.go
+++ b/internal/entry/quarantine_place_test.go
@@ -26,7 +26,7 @@
 		g := guards[name]
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		endpoints, _ := g.registry.Allowed(time.Now(), idOf(visitAt("")))
+		endpoints, _ := g.registry.AllowedEndpoints(time.Now(), idOf(visitAt("")))
 		return endpoints
 	}
 
--- a/internal/lab/callers/poison_entry.go
+++ b/internal/lab/callers/poison_entry.go
@@ -44,7 +44,7 @@
 		return
 	}
 	switch e.registry.Verdict(e.world.clock.now, c.id()) {
-	case poison.Free:
+	case poison.Unrestricted:
 		e.run(c, false)
 	case poison.Alone:
 		e.ask(c)
@@ -59,7 +59,7 @@
 		return
 	}
 	w := e.world
-	if !e.registry.Wait(c.id()) {
+	if !e.registry.Reserve(c.id()) {
 		w.clock.after(poisonWait, func() { e.take(c) })
 		return
 	}
@@ -73,11 +73,11 @@
 	w.clock.after(poisonAskLimit, func() {
 		verdict := e.registry.Verdict(w.clock.now, c.id())
 		if busy || verdict == poison.Blocked {
-			e.registry.Forgo(c.id())
+			e.registry.CancelReservation(c.id())
 			w.clock.after(poisonWait, func() { e.take(c) })
 			return
 		}
-		if !e.registry.Ready(c.id()) {
+		if !e.registry.Reserved(c.id()) {
 			w.clock.after(poisonWait, func() { e.take(c) })
 			return
 		}
@@ -110,7 +110,7 @@
 func (e *poisonEntry) learn(suspicions []wire.Suspicion, list []wire.QuarantineEntry) {
 	e.registry.Merge(e.world.clock.now, list)
 	for _, s := range suspicions {
-		e.registry.Crashed(e.world.clock.now, s)
+		e.registry.RecordCrash(e.world.clock.now, s)
 	}
 }
 
@@ -119,12 +119,12 @@
 	w := e.world
 	target := e.choose(c)
 	if target == nil {
-		e.registry.Forgo(c.id())
+		e.registry.CancelReservation(c.id())
 		e.retake(c)
 		return
 	}
 	c.tries++
-	if news, some := e.registry.Begin(w.clock.now, c.id(), endpointName(target.number)); some {
+	if news, some := e.registry.StartCopy(w.clock.now, c.id(), endpointName(target.number)); some {
 		e.tell(news)
 	}
 	r := &poisonRun{call: c, alone: alone}
@@ -170,12 +170,12 @@
 	if variant == unguarded || variant == anywhere || variant == unfollowed && !suspect {
 		return nil, false
 	}
-	return e.registry.Allowed(now, c.id())
+	return e.registry.AllowedEndpoints(now, c.id())
 }
 
 // leave ends a copy, as its answer says.
 func (e *poisonEntry) leave(c *poisonCall, p *poisonEndpoint, answered bool) {
-	if news, some := e.registry.End(e.world.clock.now, c.id(), endpointName(p.number), answered); some {
+	if news, some := e.registry.EndCopy(e.world.clock.now, c.id(), endpointName(p.number), answered); some {
 		e.tell(news)
 	}
 }
@@ -190,7 +190,7 @@
 		if peer == e || w.clock.chance(placementLoss) {
 			continue
 		}
-		e.post(peer, func() { peer.registry.Place(w.clock.now, news) })
+		e.post(peer, func() { peer.registry.RecordPlacement(w.clock.now, news) })
 	}
 }
 
@@ -229,7 +229,7 @@
 		return
 	}
 	if batch > 0 && w.scenario.variant != unguarded {
-		e.registry.Crashed(w.clock.now, suspicionOf(c, p, batch, w.clock.now))
+		e.registry.RecordCrash(w.clock.now, suspicionOf(c, p, batch, w.clock.now))
 		ignored := false
 		for _, peer := range w.entries {
 			if peer != e {
--- a/internal/policy/poison/place.go
+++ b/internal/policy/poison/place.go
@@ -22,7 +22,7 @@
 // crash one more. So a copy of a request that nobody has answered follows those
 // that run. Crashes in company do not prove who caused them, but after two the
 // request can be tried where it ran already; a third endpoint is never needed.
-func (r *Registry) Allowed(now time.Time, id ID) (endpoints []string, firm bool) {
+func (r *Registry) AllowedEndpoints(now time.Time, id ID) (endpoints []string, firm bool) {
 	if s := r.suspects[id]; s != nil {
 		if crashed := s.endpoints(); len(crashed) > 1 {
 			return crashed, true
@@ -35,7 +35,7 @@
 		return nil, false
 	}
 	for endpoint, copies := range p.copies {
-		if copies < r.config.MaxFollow {
+		if copies < r.config.MaxCopiesPerEndpoint {
 			endpoints = append(endpoints, endpoint)
 		}
 	}
@@ -46,35 +46,35 @@
 // Begin counts a copy of the request that starts through this entry at the
 // endpoint; with none named, others need not follow it. It returns what to tell
 // the other entries, false if nothing.
-func (r *Registry) Begin(now time.Time, id ID, endpoint string) (wire.Placement, bool) {
+func (r *Registry) StartCopy(now time.Time, id ID, endpoint string) (wire.Placement, bool) {
 	delete(r.waiting, id)
 	r.running[id]++
 	if endpoint == "" || r.innocent(now, id) {
 		return wire.Placement{}, false
 	}
 	p := wire.Placement{Service: id.Service, Fingerprint: id.Fingerprint, Endpoint: endpoint}
-	r.Place(now, p)
+	r.RecordPlacement(now, p)
 	return p, true
 }
 
 // End counts its end, with the same endpoint, and clears the request if it was
 // answered. It returns what to tell the other entries, false if nothing.
-func (r *Registry) End(now time.Time, id ID, endpoint string, answered bool) (wire.Placement, bool) {
+func (r *Registry) EndCopy(now time.Time, id ID, endpoint string, answered bool) (wire.Placement, bool) {
 	if r.running[id]--; r.running[id] <= 0 {
 		delete(r.running, id)
 	}
 	p := wire.Placement{Service: id.Service, Fingerprint: id.Fingerprint, Endpoint: endpoint, Ended: true, Cleared: answered}
 	known := r.innocent(now, id)
-	r.Place(now, p)
+	r.RecordPlacement(now, p)
 	return p, endpoint != "" && !known
 }
 
 // Place takes in that a copy began or ended, here or at a peer. A peer that is
 // lost with its copies no longer binds others after PlacedFor.
-func (r *Registry) Place(now time.Time, news wire.Placement) {
+func (r *Registry) RecordPlacement(now time.Time, news wire.Placement) {
 	id := ID{Service: news.Service, Fingerprint: news.Fingerprint}
 	if news.Cleared {
-		r.Answered(now, id)
+		r.RecordAnswer(now, id)
 		return
 	}
 	p := r.placed[id]
@@ -86,19 +86,19 @@
 		return // began before it was answered, and is told by a slower way
 	}
 	if p == nil || now.After(p.until) {
-		if p == nil && len(r.placed) >= r.config.MaxPlaced {
+		if p == nil && len(r.placed) >= r.config.MaxPlacements {
 			return
 		}
 		p = &placement{copies: map[string]int{}}
 		r.placed[id] = p
 	}
 	p.copies[news.Endpoint]++
-	p.until = now.Add(r.config.PlacedFor)
+	p.until = now.Add(r.config.PlacementTTL)
 }
 
 // Placed lists the copies of the request that are known to run, over all
 // entries, ordered by endpoint.
-func (r *Registry) Placed(id ID) []wire.Placement {
+func (r *Registry) Placements(id ID) []wire.Placement {
 	p := r.placed[id]
 	if p == nil {
 		return nil
--- a/internal/policy/poison/poison.go
+++ b/internal/policy/poison/poison.go
@@ -31,34 +31,34 @@
 
 // The verdicts.
 const (
-	Free    Verdict = iota
-	Alone           // suspect: run alone, after a look at the other entries
-	Blocked         // in quarantine
+	Unrestricted Verdict = iota
+	Alone                // suspect: run alone, after a look at the other entries
+	Blocked              // in quarantine
 )
 
 // Config holds the parameters.
 type Config struct {
-	SuspectFor    time.Duration // a suspicion lasts without a new crash
-	QuarantineFor time.Duration // a quarantine lasts
-	InnocentFor   time.Duration // an answer clears, at least half as long
-	SameCrash     time.Duration // reports of one endpoint within this are one crash
-	MaxInnocent   int           // cleared requests remembered at most, per half of InnocentFor
-	PlacedFor     time.Duration // a copy at a peer binds others without news of it
-	MaxPlaced     int           // placements remembered at most
-	MaxFollow     int           // copies that follow others to one endpoint at most
+	SuspicionTTL         time.Duration // a suspicion lasts without a new crash
+	QuarantineTTL        time.Duration // a quarantine lasts
+	ClearedTTL           time.Duration // an answer clears, at least half as long
+	SameCrashWindow      time.Duration // reports of one endpoint within this are one crash
+	MaxCleared           int           // cleared requests remembered at most, per half of InnocentFor
+	PlacementTTL         time.Duration // a copy at a peer binds others without news of it
+	MaxPlacements        int           // placements remembered at most
+	MaxCopiesPerEndpoint int           // copies that follow others to one endpoint at most
 }
 
 // DefaultConfig returns the parameters that siskinloomd uses.
 func DefaultConfig() Config {
 	return Config{
-		SuspectFor:    10 * time.Minute,
-		QuarantineFor: time.Hour,
-		InnocentFor:   10 * time.Minute,
-		SameCrash:     3 * time.Second,
-		MaxInnocent:   50_000,
-		PlacedFor:     30 * time.Second,
-		MaxPlaced:     50_000,
-		MaxFollow:     8,
+		SuspicionTTL:         10 * time.Minute,
+		QuarantineTTL:        time.Hour,
+		ClearedTTL:           10 * time.Minute,
+		SameCrashWindow:      3 * time.Second,
+		MaxCleared:           50_000,
+		PlacementTTL:         30 * time.Second,
+		MaxPlacements:        50_000,
+		MaxCopiesPerEndpoint: 8,
 	}
 }
 
@@ -110,7 +110,7 @@
 	if r.suspects[id] != nil {
 		return Alone
 	}
-	return Free
+	return Unrestricted
 }
 
 func (r *Registry) expire(now time.Time, id ID) {
@@ -118,7 +118,7 @@
 		delete(r.quarantine, id)
 	}
 	for _, all := range []map[ID]*suspect{r.suspects, r.acquitted, r.culprits} {
-		if s := all[id]; s != nil && now.Sub(s.last) > r.config.SuspectFor {
+		if s := all[id]; s != nil && now.Sub(s.last) > r.config.SuspicionTTL {
 			delete(all, id)
 		}
 	}
@@ -147,7 +147,7 @@
 
 // Crashed takes in that an endpoint crashed while it ran the request, from
 // this process or a peer, and tells whether that puts it in quarantine.
-func (r *Registry) Crashed(now time.Time, c wire.Suspicion) bool {
+func (r *Registry) RecordCrash(now time.Time, c wire.Suspicion) bool {
 	id := ID{Service: c.Service, Fingerprint: c.Fingerprint}
 	r.expire(now, id)
 	if q := r.quarantine[id]; q != nil && !q.Released {
@@ -217,7 +217,7 @@
 		return a.Crash == b.Crash
 	}
 	apart := time.Duration(a.UnixMilli-b.UnixMilli) * time.Millisecond
-	return apart.Abs() <= r.config.SameCrash
+	return apart.Abs() <= r.config.SameCrashWindow
 }
 
 // convicted tells whether the request has crashed twice beyond doubt.
@@ -308,12 +308,12 @@
 		Fingerprint: id.Fingerprint,
 		Service:     id.Service,
 		Endpoints:   len(endpoints),
-		ExpiresUnix: now.Add(r.config.QuarantineFor).UnixMilli(),
+		ExpiresUnix: now.Add(r.config.QuarantineTTL).UnixMilli(),
 	}
 }
 
 // Answered clears a request that an endpoint answered.
-func (r *Registry) Answered(now time.Time, id ID) {
+func (r *Registry) RecordAnswer(now time.Time, id ID) {
 	if s := r.suspects[id]; s != nil {
 		delete(r.suspects, id)
 		r.acquitted[id] = s
@@ -321,7 +321,7 @@
 	}
 	delete(r.placed, id)
 	r.turnOver(now)
-	if len(r.cleared) < r.config.MaxInnocent {
+	if len(r.cleared) < r.config.MaxCleared {
 		r.cleared[id] = true
 	}
 }
@@ -335,7 +335,7 @@
 	if now.Before(r.turn) {
 		return
 	}
-	half := r.config.InnocentFor / 2
+	half := r.config.ClearedTTL / 2
 	r.clearedBefore = r.cleared
 	if !now.Before(r.turn.Add(half)) {
 		r.clearedBefore = nil // from longer ago than the half before this one
--- a/internal/policy/poison/poison_test.go
+++ b/internal/policy/poison/poison_test.go
@@ -24,7 +24,7 @@
 		return wire.Suspicion{Fingerprint: fingerprint, Service: "tone", Endpoint: endpoint, Batch: batch, UnixMilli: now.UnixMilli()}
 	}
 	allowed := func(r *poison.Registry, at time.Time, fingerprint uint64) []string {
-		endpoints, _ := r.Allowed(at, id(fingerprint))
+		endpoints, _ := r.AllowedEndpoints(at, id(fingerprint))
 		return endpoints
 	}
 	verdict := func(fingerprint uint64) poison.Verdict { return r.Verdict(now, id(fingerprint)) }
@@ -39,48 +39,48 @@
 	// second endpoint and is quarantined.
 	It("quarantines after the second endpoint and clears the neighbours", func() {
 		for _, f := range []uint64{1, 2, 3} {
-			Expect(r.Crashed(now, crash(f, "a", 3))).To(BeFalse())
+			Expect(r.RecordCrash(now, crash(f, "a", 3))).To(BeFalse())
 			Expect(verdict(f)).To(Equal(poison.Alone))
 		}
-		r.Answered(now, id(1))
-		r.Answered(now, id(2))
-		Expect(verdict(1)).To(Equal(poison.Free))
-		Expect(r.Crashed(now, crash(3, "b", 1))).To(BeTrue())
+		r.RecordAnswer(now, id(1))
+		r.RecordAnswer(now, id(2))
+		Expect(verdict(1)).To(Equal(poison.Unrestricted))
+		Expect(r.RecordCrash(now, crash(3, "b", 1))).To(BeTrue())
 		Expect(verdict(3)).To(Equal(poison.Blocked))
-		Expect(verdict(2)).To(Equal(poison.Free))
+		Expect(verdict(2)).To(Equal(poison.Unrestricted))
 		Expect(r.List(now)[0].Endpoints).To(Equal(2))
 	})
 
 	It("counts reports of one crash once", func() {
-		r.Crashed(now, crash(1, "a", 1))
+		r.RecordCrash(now, crash(1, "a", 1))
 		now = now.Add(time.Second)
-		Expect(r.Crashed(now, crash(1, "a", 1))).To(BeFalse())
+		Expect(r.RecordCrash(now, crash(1, "a", 1))).To(BeFalse())
 		Expect(verdict(1)).To(Equal(poison.Alone))
 	})
 
 	// Two copies are sent at once, in company on both endpoints. The only
 	// request that ran at both is the culprit, once everything that ran is known.
 	It("convicts the only request that two crashes have in common", func() {
-		r.Crashed(now, crash(1, "a", 2))
-		r.Crashed(now, crash(1, "b", 2))
+		r.RecordCrash(now, crash(1, "a", 2))
+		r.RecordCrash(now, crash(1, "b", 2))
 		Expect(verdict(1)).To(Equal(poison.Alone))
-		r.Crashed(now, crash(2, "a", 2))
+		r.RecordCrash(now, crash(2, "a", 2))
 		Expect(verdict(1)).To(Equal(poison.Alone))
 		cleared := crash(3, "b", 2)
 		cleared.Cleared = true
-		r.Crashed(now, cleared)
+		r.RecordCrash(now, cleared)
 		Expect(verdict(1)).To(Equal(poison.Blocked))
 		Expect(verdict(2)).To(Equal(poison.Alone))
-		Expect(verdict(3)).To(Equal(poison.Free))
+		Expect(verdict(3)).To(Equal(poison.Unrestricted))
 	})
 
 	It("does not convict while another suspect ran at both crashes", func() {
 		for _, f := range []uint64{1, 2} {
-			r.Crashed(now, crash(f, "a", 2))
-			r.Crashed(now, crash(f, "b", 2))
+			r.RecordCrash(now, crash(f, "a", 2))
+			r.RecordCrash(now, crash(f, "b", 2))
 		}
 		Expect(verdict(1)).To(Equal(poison.Alone))
-		r.Answered(now, id(2))
+		r.RecordAnswer(now, id(2))
 		Expect(verdict(1)).To(Equal(poison.Blocked))
 	})
 
@@ -88,27 +88,27 @@
 	// endpoint crashed by itself. Its resends would be refused for an hour; it
 	// waits for one of the two endpoints instead, and is answered there.
 	It("does not convict who was alone at a stray crash while the culprit is at large", func() {
-		r.Crashed(now, crash(1, "a", 2))
-		r.Crashed(now, crash(2, "a", 2))
-		Expect(r.Crashed(now, crash(2, "b", 1))).To(BeFalse())
-		endpoints, firm := r.Allowed(now, id(2))
+		r.RecordCrash(now, crash(1, "a", 2))
+		r.RecordCrash(now, crash(2, "a", 2))
+		Expect(r.RecordCrash(now, crash(2, "b", 1))).To(BeFalse())
+		endpoints, firm := r.AllowedEndpoints(now, id(2))
 		Expect(endpoints).To(Equal([]string{"a", "b"}))
 		Expect(firm).To(BeTrue())
-		Expect(r.Crashed(now, crash(1, "c", 1))).To(BeFalse())
+		Expect(r.RecordCrash(now, crash(1, "c", 1))).To(BeFalse())
 		Expect(allowed(r, now, 1)).To(Equal([]string{"a", "c"}))
-		r.Answered(now, id(2))
+		r.RecordAnswer(now, id(2))
 		Expect(verdict(1)).To(Equal(poison.Blocked))
-		Expect(verdict(2)).To(Equal(poison.Free))
+		Expect(verdict(2)).To(Equal(poison.Unrestricted))
 	})
 
 	It("does not convict for a crash that a request in quarantine explains", func() {
-		r.Crashed(now, crash(1, "a", 2))
-		r.Crashed(now, crash(1, "b", 1))
+		r.RecordCrash(now, crash(1, "a", 2))
+		r.RecordCrash(now, crash(1, "b", 1))
 		Expect(verdict(1)).To(Equal(poison.Blocked))
-		r.Crashed(now, crash(2, "a", 2))
-		Expect(r.Crashed(now, crash(2, "c", 1))).To(BeFalse())
+		r.RecordCrash(now, crash(2, "a", 2))
+		Expect(r.RecordCrash(now, crash(2, "c", 1))).To(BeFalse())
 		now = now.Add(10 * time.Second)
-		Expect(r.Crashed(now, crash(2, "c", 1))).To(BeTrue())
+		Expect(r.RecordCrash(now, crash(2, "c", 1))).To(BeTrue())
 	})
 
 	// A suspect crashes alone, its endpoint is back within a second, and it
@@ -117,9 +117,9 @@
 	It("tells two crashes of one endpoint apart by their numbers", func() {
 		first, second := crash(1, "a", 1), crash(1, "a", 1)
 		first.Crash, second.Crash = 1, 2
-		Expect(r.Crashed(now, first)).To(BeFalse())
-		Expect(r.Crashed(now, first)).To(BeFalse())
-		Expect(r.Crashed(now, second)).To(BeTrue())
+		Expect(r.RecordCrash(now, first)).To(BeFalse())
+		Expect(r.RecordCrash(now, first)).To(BeFalse())
+		Expect(r.RecordCrash(now, second)).To(BeTrue())
 	})
 
 	// A caller resends a poison request before the first copy has crashed. Each
@@ -127,17 +127,17 @@
 	It("lets copies of an unknown request follow the first, through any entry", func() {
 		peer := poison.New(poison.DefaultConfig(), "entry-3")
 		Expect(allowed(r, now, 1)).To(BeEmpty())
-		begun, tell := r.Begin(now, id(1), "a")
+		begun, tell := r.StartCopy(now, id(1), "a")
 		Expect(tell).To(BeTrue())
-		peer.Place(now, begun)
+		peer.RecordPlacement(now, begun)
 		Expect(allowed(peer, now, 1)).To(Equal([]string{"a"}))
 		Expect(allowed(peer, now.Add(time.Minute), 1)).To(BeEmpty())
-		ended, tell := r.End(now, id(1), "a", true)
+		ended, tell := r.EndCopy(now, id(1), "a", true)
 		Expect(tell).To(BeTrue())
-		peer.Place(now, ended)
+		peer.RecordPlacement(now, ended)
 		for _, known := range []*poison.Registry{r, peer} {
 			Expect(allowed(known, now, 1)).To(BeEmpty())
-			_, tell = known.Begin(now, id(1), "b")
+			_, tell = known.StartCopy(now, id(1), "b")
 			Expect(tell).To(BeFalse())
 			Expect(allowed(known, now, 1)).To(BeEmpty())
 		}
@@ -147,62 +147,62 @@
 	// of a copy that began before. Taken in afterwards, that would bind a request
 	// that is cleared, until it is forgotten.
 	It("is not bound by a late word of a copy once the request was answered", func() {
-		answered, _ := r.Begin(now, id(1), "a")
+		answered, _ := r.StartCopy(now, id(1), "a")
 		answered.Ended, answered.Cleared = true, true
 		late := wire.Placement{Service: "tone", Fingerprint: 1, Endpoint: "b"}
-		r.Place(now, answered)
-		r.Place(now, late)
+		r.RecordPlacement(now, answered)
+		r.RecordPlacement(now, late)
 		Expect(allowed(r, now, 1)).To(BeEmpty())
 	})
 
 	It("spreads what too many send at once to be resends", func() {
-		for range poison.DefaultConfig().MaxFollow {
-			r.Begin(now, id(1), "a")
+		for range poison.DefaultConfig().MaxCopiesPerEndpoint {
+			r.StartCopy(now, id(1), "a")
 		}
 		Expect(allowed(r, now, 1)).To(BeEmpty())
-		r.Begin(now, id(1), "b")
+		r.StartCopy(now, id(1), "b")
 		Expect(allowed(r, now, 1)).To(Equal([]string{"b"}))
 	})
 
 	It("no longer follows a copy that was refused", func() {
-		r.Begin(now, id(1), "a")
-		r.Begin(now, id(1), "a")
-		r.End(now, id(1), "a", false)
+		r.StartCopy(now, id(1), "a")
+		r.StartCopy(now, id(1), "a")
+		r.EndCopy(now, id(1), "a", false)
 		Expect(allowed(r, now, 1)).To(Equal([]string{"a"}))
-		r.End(now, id(1), "a", false)
+		r.EndCopy(now, id(1), "a", false)
 		Expect(allowed(r, now, 1)).To(BeEmpty())
 	})
 
 	It("does not suspect a request that was answered lately for its company", func() {
-		r.Answered(now, id(1))
+		r.RecordAnswer(now, id(1))
 		now = now.Add(4 * time.Minute)
-		r.Crashed(now, crash(1, "a", 5))
-		Expect(verdict(1)).To(Equal(poison.Free))
+		r.RecordCrash(now, crash(1, "a", 5))
+		Expect(verdict(1)).To(Equal(poison.Unrestricted))
 		now = now.Add(20 * time.Minute)
-		r.Crashed(now, crash(1, "a", 5))
+		r.RecordCrash(now, crash(1, "a", 5))
 		Expect(verdict(1)).To(Equal(poison.Alone))
 	})
 
 	It("lets suspicion and quarantine expire", func() {
-		r.Crashed(now, crash(1, "a", 1))
-		r.Crashed(now, crash(2, "a", 1))
-		r.Crashed(now, crash(2, "b", 1))
+		r.RecordCrash(now, crash(1, "a", 1))
+		r.RecordCrash(now, crash(2, "a", 1))
+		r.RecordCrash(now, crash(2, "b", 1))
 		now = now.Add(11 * time.Minute)
-		Expect(verdict(1)).To(Equal(poison.Free))
+		Expect(verdict(1)).To(Equal(poison.Unrestricted))
 		Expect(verdict(2)).To(Equal(poison.Blocked))
 		now = now.Add(time.Hour)
-		Expect(verdict(2)).To(Equal(poison.Free))
+		Expect(verdict(2)).To(Equal(poison.Unrestricted))
 		Expect(r.List(now)).To(BeEmpty())
 	})
 
 	It("spreads, and keeps an operator's release against older words", func() {
 		peer := poison.New(poison.DefaultConfig(), "entry-3")
-		r.Crashed(now, crash(1, "a", 1))
+		r.RecordCrash(now, crash(1, "a", 1))
 		for _, s := range r.Suspicions() {
-			peer.Crashed(now, s)
+			peer.RecordCrash(now, s)
 		}
 		Expect(peer.Verdict(now, id(1))).To(Equal(poison.Alone))
-		peer.Crashed(now, crash(1, "b", 1))
+		peer.RecordCrash(now, crash(1, "b", 1))
 		standing := peer.List(now)
 		r.Merge(now, standing)
 		Expect(verdict(1)).To(Equal(poison.Blocked))
@@ -210,12 +210,12 @@
 		Expect(r.Release(now, 1)).To(BeTrue())
 		Expect(r.Release(now, 1)).To(BeFalse())
 		r.Merge(now, standing)
-		Expect(verdict(1)).To(Equal(poison.Free))
+		Expect(verdict(1)).To(Equal(poison.Unrestricted))
 		peer.Merge(now, r.List(now))
-		Expect(peer.Verdict(now, id(1))).To(Equal(poison.Free))
+		Expect(peer.Verdict(now, id(1))).To(Equal(poison.Unrestricted))
 		now = now.Add(time.Minute)
-		r.Crashed(now, crash(1, "a", 1))
-		Expect(r.Crashed(now, crash(1, "c", 1))).To(BeTrue())
+		r.RecordCrash(now, crash(1, "a", 1))
+		Expect(r.RecordCrash(now, crash(1, "c", 1))).To(BeTrue())
 		peer.Merge(now, r.List(now))
 		Expect(peer.Verdict(now, id(1))).To(Equal(poison.Blocked))
 	})
@@ -224,17 +224,17 @@
 	// sees the other; the one with the greater id yields.
 	It("starts a suspect on one entry at a time", func() {
 		other := poison.New(poison.DefaultConfig(), "entry-1")
-		Expect(r.Wait(id(1))).To(BeTrue())
+		Expect(r.Reserve(id(1))).To(BeTrue())
 		Expect(other.Busy(id(1), "entry-2")).To(BeFalse())
-		Expect(other.Wait(id(1))).To(BeTrue())
+		Expect(other.Reserve(id(1))).To(BeTrue())
 		Expect(r.Busy(id(1), "entry-1")).To(BeFalse())
-		Expect(other.Ready(id(1))).To(BeTrue())
-		other.Begin(now, id(1), "a")
-		Expect(r.Ready(id(1))).To(BeFalse())
-		Expect(r.Wait(id(1))).To(BeTrue())
+		Expect(other.Reserved(id(1))).To(BeTrue())
+		other.StartCopy(now, id(1), "a")
+		Expect(r.Reserved(id(1))).To(BeFalse())
+		Expect(r.Reserve(id(1))).To(BeTrue())
 		Expect(other.Busy(id(1), "entry-2")).To(BeTrue())
-		r.Forgo(id(1))
-		other.End(now, id(1), "a", false)
+		r.CancelReservation(id(1))
+		other.EndCopy(now, id(1), "a", false)
 		Expect(other.Busy(id(1), "entry-2")).To(BeFalse())
 	})
 })
--- a/internal/policy/poison/spread.go
+++ b/internal/policy/poison/spread.go
@@ -16,7 +16,7 @@
 // Therefore an entry asks every other one between Wait and Begin, and begins
 // only if none is Busy and it was not made to yield meanwhile. Of two entries
 // that ask each other one always sees the other.
-func (r *Registry) Wait(id ID) bool {
+func (r *Registry) Reserve(id ID) bool {
 	if r.running[id] > 0 || r.waiting[id] {
 		return false
 	}
@@ -26,12 +26,12 @@
 
 // Ready tells whether a suspect that waited may start; false if its wait was
 // ended by a yield. Begin follows.
-func (r *Registry) Ready(id ID) bool {
+func (r *Registry) Reserved(id ID) bool {
 	return r.waiting[id]
 }
 
 // Forgo ends a wait without a start.
-func (r *Registry) Forgo(id ID) {
+func (r *Registry) CancelReservation(id ID) {
 	delete(r.waiting, id)
 }
 
@@ -108,7 +108,7 @@
 		}
 		q.Released = true
 		// Outlasts every quarantine that a peer has made before now.
-		q.ExpiresUnix = now.Add(r.config.QuarantineFor).UnixMilli()
+		q.ExpiresUnix = now.Add(r.config.QuarantineTTL).UnixMilli()
 		r.moveCulprit(id, true)
 		released = true
 	}
