--- a/internal/agentless/batchrun/copies.go
+++ b/internal/agentless/batchrun/copies.go
@@ -68,7 +68,7 @@
 	// Send hands a process new events; lacking tells that it needs all of them.
 	Send func(ctx context.Context, to string, args CopyArgs) (lacking bool, err error)
 
-	gather *textlog.Gather
+	gather *textlog.Buffer
 	bytes  metrics.Counter
 	wake   chan struct{} // a job was taken on
 
@@ -84,7 +84,7 @@
 
 func newCopier(registry metrics.Registry) *Copier {
 	return &Copier{
-		gather: textlog.NewGather(nil), sent: map[string]sentTo{}, wake: make(chan struct{}, 1),
+		gather: textlog.NewBuffer(nil), sent: map[string]sentTo{}, wake: make(chan struct{}, 1),
 		bytes: metrics.GetOrRegisterCounter("texts.copied", registry),
 	}
 }
@@ -108,7 +108,7 @@
 
 func (c *Copier) copyAll(ctx context.Context) {
 	var group errgroup.Group
-	gathered := c.gather.Take(leastCopied)
+	gathered := c.gather.Drain(leastCopied)
 	for _, g := range append(gathered, c.unannounced(gathered)...) {
 		group.Go(func() error { c.copy(ctx, &g); return nil })
 	}
@@ -127,17 +127,17 @@
 
 // unannounced returns the jobs of which nothing was sent yet and nothing is about to be:
 // a standby takes over those without long texts as well.
-func (c *Copier) unannounced(about []textlog.Gathered) []textlog.Gathered {
-	var jobs []textlog.Gathered
+func (c *Copier) unannounced(about []textlog.JobParts) []textlog.JobParts {
+	var jobs []textlog.JobParts
 	for id, mark := range c.Owner.Jobs() {
-		if slices.ContainsFunc(about, func(g textlog.Gathered) bool { return g.Job == id }) {
+		if slices.ContainsFunc(about, func(g textlog.JobParts) bool { return g.Job == id }) {
 			continue
 		}
 		c.mu.Lock()
 		sent, found := c.sent[id]
 		c.mu.Unlock()
 		if !found || sent.mark != mark {
-			jobs = append(jobs, textlog.Gathered{Job: id, Mark: mark})
+			jobs = append(jobs, textlog.JobParts{Job: id, Mark: mark})
 		}
 	}
 	return jobs
@@ -145,7 +145,7 @@
 
 // copy sends what is new of a job, or all of it to a process that may lack
 // something.
-func (c *Copier) copy(ctx context.Context, g *textlog.Gathered) {
+func (c *Copier) copy(ctx context.Context, g *textlog.JobParts) {
 	j := c.Owner.find(g.Job)
 	if j == nil || j.mark != g.Mark {
 		return
@@ -181,7 +181,7 @@
 }
 
 // message returns what is sent of a job; its spec only with all of its texts.
-func (c *Copier) message(j *ownedJob, g *textlog.Gathered, whole bool) (args CopyArgs, err error) {
+func (c *Copier) message(j *ownedJob, g *textlog.JobParts, whole bool) (args CopyArgs, err error) {
 	args = CopyArgs{Owner: c.Owner.Name, Job: g.Job, Mark: g.Mark, Whole: whole}
 	if args.Raw, err = pack(g.Parts); err == nil && whole {
 		args.Spec, err = pack(j.job.Spec)
@@ -205,7 +205,7 @@
 }
 
 // follows tells whether a process has all that went before.
-func (c *Copier) follows(g *textlog.Gathered, to string) bool {
+func (c *Copier) follows(g *textlog.JobParts, to string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sent[g.Job] == sentTo{g.Mark, to}
@@ -249,7 +249,7 @@
 		}
 		s.owner.Guard.take(args, spec)
 	}
-	kept := s.owner.Texts.Put(textlog.Gathered{Job: args.Job, Mark: args.Mark, Parts: parts}, args.Whole)
+	kept := s.owner.Texts.Put(textlog.JobParts{Job: args.Job, Mark: args.Mark, Parts: parts}, args.Whole)
 	reply.Lacking = !kept || args.Owner != "" && !s.owner.Guard.knows(args.Job, args.Mark)
 	return nil
 }
--- a/internal/agentless/batchrun/sinks.go
+++ b/internal/agentless/batchrun/sinks.go
@@ -8,7 +8,7 @@
 
 // sinks are where the events of texts under way go besides the job itself. All
 // are told under the job's lock, so that events come in order.
-type sinks []*textlog.Gather
+type sinks []*textlog.Buffer
 
 // sinksOf returns where the events of a job's texts go.
 func (o *Owner) sinksOf(j *ownedJob) sinks {
@@ -17,7 +17,7 @@
 		return s // its owner's texts are kept here
 	}
 	if o.Texts != nil && o.Switches.On(mechanism.TextJournal) {
-		s = append(s, o.Texts.Gather)
+		s = append(s, o.Texts.Buffer)
 	}
 	if o.Copier.Standby != nil && o.Switches.On(mechanism.TextCopies) {
 		s = append(s, o.Copier.gather)
--- a/internal/agentless/textlog/gather.go
+++ b/internal/agentless/textlog/buffer.go
@@ -10,10 +10,10 @@
 // megabyte of events a second it bears a stall of some seconds.
 const mostPending = 8 << 20
 
-// Gather joins the events of open jobs' texts until they are taken away together,
+// Buffer joins the events of open jobs' texts until they are taken away together,
 // to be written or sent. Nobody who adds to it waits. It is safe for concurrent
-// use; a nil Gather takes nothing in.
-type Gather struct {
+// use; a nil Buffer takes nothing in.
+type Buffer struct {
 	stopped func(job string, mark int64, why string) // called with the lock held
 
 	mu      sync.Mutex
@@ -29,22 +29,22 @@
 	full  bool           // more came than could be taken away; nothing more is gathered
 }
 
-// Gathered is what was taken away of one job.
-type Gathered struct {
+// JobParts is what was taken away of one job.
+type JobParts struct {
 	Job   string
 	Mark  int64
 	Parts []batch.TextPart
 }
 
-// NewGather returns an empty Gather. stopped is called for a job of which nothing
+// NewBuffer returns an empty Gather. stopped is called for a job of which nothing
 // more is gathered, with the Gather locked; it may be nil.
-func NewGather(stopped func(job string, mark int64, why string)) *Gather {
-	return &Gather{stopped: stopped, jobs: map[string]*gathered{}}
+func NewBuffer(stopped func(job string, mark int64, why string)) *Buffer {
+	return &Buffer{stopped: stopped, jobs: map[string]*gathered{}}
 }
 
 // Begin opens a job that was taken on under an owner's mark, with the texts that
 // it starts from.
-func (g *Gather) Begin(job string, mark int64, texts *batch.Texts) {
+func (g *Buffer) Begin(job string, mark int64, texts *batch.Texts) {
 	if g == nil {
 		return
 	}
@@ -61,24 +61,24 @@
 }
 
 // Event adds one event of an item's text.
-func (g *Gather) Event(job string, mark int64, item string, id int64, data []byte, version int64) {
+func (g *Buffer) Event(job string, mark int64, item string, id int64, data []byte, version int64) {
 	g.Add(job, mark, batch.TextPart{Item: item, First: id, Events: [][]byte{data}, Versions: []int64{version}})
 }
 
 // Complete notes that an item's text ends after so many events.
-func (g *Gather) Complete(job string, mark int64, item string, events int64) {
+func (g *Buffer) Complete(job string, mark int64, item string, events int64) {
 	g.Add(job, mark, batch.TextPart{Item: item, First: events + 1, Complete: true})
 }
 
 // Restart notes that an item's text is begun anew.
-func (g *Gather) Restart(job string, mark int64, item string) {
+func (g *Buffer) Restart(job string, mark int64, item string) {
 	g.Add(job, mark, batch.TextPart{Item: item, First: 1})
 }
 
 // Add takes in a part of a job that is open under the mark. A run that was begun
 // under an earlier mark of the same job may end later: its events continue
 // another text.
-func (g *Gather) Add(job string, mark int64, part batch.TextPart) {
+func (g *Buffer) Add(job string, mark int64, part batch.TextPart) {
 	if g == nil {
 		return
 	}
@@ -90,7 +90,7 @@
 }
 
 // append joins a part to the one before it of the same item, if it follows it.
-func (g *Gather) append(job string, open *gathered, part batch.TextPart) {
+func (g *Buffer) append(job string, open *gathered, part batch.TextPart) {
 	size := sizeOf(&part)
 	if g.pending+size > mostPending {
 		g.stop(job, open, "more events wait than are taken away")
@@ -114,7 +114,7 @@
 }
 
 // stop gathers nothing more of a job.
-func (g *Gather) stop(job string, open *gathered, why string) {
+func (g *Buffer) stop(job string, open *gathered, why string) {
 	g.forget(open)
 	open.full = true
 	if g.stopped != nil {
@@ -123,7 +123,7 @@
 }
 
 // Stop has nothing more of a job gathered, as what took it away failed.
-func (g *Gather) Stop(job string, why string) {
+func (g *Buffer) Stop(job string, why string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if open := g.jobs[job]; open != nil && !open.full {
@@ -131,7 +131,7 @@
 	}
 }
 
-func (g *Gather) forget(open *gathered) {
+func (g *Buffer) forget(open *gathered) {
 	for i := range open.parts {
 		g.pending -= sizeOf(&open.parts[i])
 	}
@@ -148,7 +148,7 @@
 
 // Drop forgets a job unless it is open under a newer mark, and tells whether it
 // did.
-func (g *Gather) Drop(job string, mark int64) bool {
+func (g *Buffer) Drop(job string, mark int64) bool {
 	if g == nil {
 		return false
 	}
@@ -166,7 +166,7 @@
 }
 
 // Mark returns the mark under which a job is open.
-func (g *Gather) Mark(job string) (mark int64, open bool) {
+func (g *Buffer) Mark(job string) (mark int64, open bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if o := g.jobs[job]; o != nil {
@@ -175,22 +175,22 @@
 	return 0, false
 }
 
-// Take takes away what waits. Texts that were begun anew and have fewer than least
+// Drain takes away what waits. Texts that were begun anew and have fewer than least
 // events so far wait on, unless more is known to have gone before.
-func (g *Gather) Take(least int) []Gathered {
+func (g *Buffer) Drain(least int) []JobParts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var taken []Gathered
+	var taken []JobParts
 	for job, open := range g.jobs {
 		parts := g.takeOf(open, least)
 		if len(parts) > 0 {
-			taken = append(taken, Gathered{job, open.mark, parts})
+			taken = append(taken, JobParts{job, open.mark, parts})
 		}
 	}
 	return taken
 }
 
-func (g *Gather) takeOf(open *gathered, least int) []batch.TextPart {
+func (g *Buffer) takeOf(open *gathered, least int) []batch.TextPart {
 	var parts, kept []batch.TextPart
 	for _, part := range open.parts {
 		if part.First == 1 && len(part.Events) < least {
@@ -208,7 +208,7 @@
 }
 
 // waiting returns a copy of what waits of a job.
-func (g *Gather) waiting(job string) []batch.TextPart {
+func (g *Buffer) waiting(job string) []batch.TextPart {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	open := g.jobs[job]
--- a/internal/agentless/textlog/textlog.go
+++ b/internal/agentless/textlog/textlog.go
@@ -42,7 +42,7 @@
 // Log keeps the texts of open jobs. It is safe for concurrent use. A nil Log
 // keeps nothing.
 type Log struct {
-	*Gather
+	*Buffer
 	dir   directory
 	log   *logrus.Logger
 	stats stats
@@ -71,7 +71,7 @@
 			stopped: metrics.GetOrRegisterCounter("texts.stopped", registry),
 		},
 	}
-	l.Gather = NewGather(l.noteStopped)
+	l.Buffer = NewBuffer(l.noteStopped)
 	return l
 }
 
@@ -90,14 +90,14 @@
 // texts that it starts from.
 func (l *Log) Begin(job string, mark int64, texts *batch.Texts) {
 	if l != nil {
-		l.Gather.Begin(job, mark, texts)
+		l.Buffer.Begin(job, mark, texts)
 	}
 }
 
 // Add takes in a part of a job that is open under the mark.
 func (l *Log) Add(job string, mark int64, part batch.TextPart) {
 	if l != nil {
-		l.Gather.Add(job, mark, part)
+		l.Buffer.Add(job, mark, part)
 	}
 }
 
@@ -105,7 +105,7 @@
 // there is. It returns false if they follow on what is not here, as this process
 // started after it was sent: then nothing is taken in, and what an earlier run of
 // this process kept stays of use until the whole comes.
-func (l *Log) Put(g Gathered, whole bool) (follows bool) {
+func (l *Log) Put(g JobParts, whole bool) (follows bool) {
 	if l == nil {
 		return true
 	}
@@ -124,7 +124,7 @@
 // Drop removes, some time later, what is kept of a job that ended or went to
 // another owner, unless it is open under a newer mark.
 func (l *Log) Drop(job string, mark int64) {
-	if l == nil || !l.Gather.Drop(job, mark) {
+	if l == nil || !l.Buffer.Drop(job, mark) {
 		return
 	}
 	select {
--- a/internal/agentless/textlog/writer.go
+++ b/internal/agentless/textlog/writer.go
@@ -19,7 +19,7 @@
 }
 
 func (w *writer) flush(now time.Time) {
-	for _, g := range w.log.Take(0) {
+	for _, g := range w.log.Drain(0) {
 		if err := w.write(&g, now); err != nil {
 			w.log.Stop(g.Job, err.Error())
 		}
@@ -31,7 +31,7 @@
 
 // write appends parts to the job's file and syncs it. The first write under a mark
 // begins a new file, which holds all that is known; those before it then go.
-func (w *writer) write(g *Gathered, now time.Time) error {
+func (w *writer) write(g *JobParts, now time.Time) error {
 	f := w.files[g.Job]
 	if f == nil || f.mark != g.Mark {
 		fresh, err := w.log.dir.open(g.Job, g.Mark)
@@ -97,7 +97,7 @@
 func (w *writer) closeIdle(now time.Time) {
 	for job, f := range w.files {
 		if now.Sub(f.used) > keepIdle {
-			w.log.Gather.Drop(job, f.mark)
+			w.log.Buffer.Drop(job, f.mark)
 			w.drop(job, now)
 		}
 	}
