--- a/internal/agentless/textlog/buffer.go
+++ b/internal/agentless/textlog/buffer.go
@@ -6,44 +6,44 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// mostPending bounds the events that wait for a disk or another process. At a
-// megabyte of events a second it bears a stall of some seconds.
-const mostPending = 8 << 20
+// maxPendingBytes bounds the events that wait for a disk or another process. At 1 MB of
+// events per second it absorbs a stall of several seconds.
+const maxPendingBytes = 8 << 20
 
-// Buffer joins the events of open jobs' texts until they are taken away together,
-// to be written or sent. Nobody who adds to it waits. It is safe for concurrent
-// use; a nil Buffer takes nothing in.
+// Buffer collects the events of open jobs' texts until they are drained together, to be
+// written to disk or sent to another process. Adding never blocks on either. It is safe
+// for concurrent use. Begin, Add and Drop do nothing on a nil Buffer.
 type Buffer struct {
-	stopped func(job string, mark int64, why string) // called with the lock held
+	onStopped func(job string, mark int64, why string) // called with the lock held
 
 	mu      sync.Mutex
-	jobs    map[string]*gathered
-	pending int // bytes that wait
+	jobs    map[string]*openJob
+	pending int // buffered bytes
 }
 
-// gathered is what waits of one open job.
-type gathered struct {
-	mark  int64
-	parts []batch.TextPart
-	last  map[string]int // index in parts of the newest part, by item
-	full  bool           // more came than could be taken away; nothing more is gathered
+// openJob holds the buffered parts of one open job.
+type openJob struct {
+	mark    int64
+	parts   []batch.TextPart
+	newest  map[string]int // index in parts of the newest part, by item
+	stopped bool           // the buffer was full or its consumer failed; further parts are discarded
 }
 
-// JobParts is what was taken away of one job.
+// JobParts holds the parts of one job that were drained from a Buffer.
 type JobParts struct {
 	Job   string
 	Mark  int64
 	Parts []batch.TextPart
 }
 
-// NewBuffer returns an empty Gather. stopped is called for a job of which nothing
-// more is gathered, with the Gather locked; it may be nil.
-func NewBuffer(stopped func(job string, mark int64, why string)) *Buffer {
-	return &Buffer{stopped: stopped, jobs: map[string]*gathered{}}
+// NewBuffer returns an empty Buffer. onStopped is called when the Buffer stops
+// collecting a job's parts, while the Buffer is locked; it may be nil.
+func NewBuffer(onStopped func(job string, mark int64, why string)) *Buffer {
+	return &Buffer{onStopped: onStopped, jobs: map[string]*openJob{}}
 }
 
-// Begin opens a job that was taken on under an owner's mark, with the texts that
-// it starts from.
+// Begin opens a job that an owner took over under its mark, with the texts that the job
+// starts from. It replaces the job if it is open already.
 func (g *Buffer) Begin(job string, mark int64, texts *batch.Texts) {
 	if g == nil {
 		return
@@ -51,9 +51,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if old := g.jobs[job]; old != nil {
-		g.forget(old)
+		g.discardParts(old)
 	}
-	fresh := &gathered{mark: mark, last: map[string]int{}}
+	fresh := &openJob{mark: mark, newest: map[string]int{}}
 	g.jobs[job] = fresh
 	for _, part := range texts.Parts() {
 		g.append(job, fresh, part)
@@ -65,39 +65,40 @@
 	g.Add(job, mark, batch.TextPart{Item: item, First: id, Events: [][]byte{data}, Versions: []int64{version}})
 }
 
-// Complete notes that an item's text ends after so many events.
+// Complete records that an item's text is complete and has the given number of events.
 func (g *Buffer) Complete(job string, mark int64, item string, events int64) {
 	g.Add(job, mark, batch.TextPart{Item: item, First: events + 1, Complete: true})
 }
 
-// Restart notes that an item's text is begun anew.
+// Restart records that an item's text starts from its beginning again.
 func (g *Buffer) Restart(job string, mark int64, item string) {
 	g.Add(job, mark, batch.TextPart{Item: item, First: 1})
 }
 
-// Add takes in a part of a job that is open under the mark. A run that was begun
-// under an earlier mark of the same job may end later: its events continue
-// another text.
+// Add adds a part of a job and ignores it unless the job is open under this mark. A run
+// that was started under an earlier mark of the job may still deliver events; they
+// continue a different text.
 func (g *Buffer) Add(job string, mark int64, part batch.TextPart) {
 	if g == nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if open := g.jobs[job]; open != nil && open.mark == mark && !open.full {
+	if open := g.jobs[job]; open != nil && open.mark == mark && !open.stopped {
 		g.append(job, open, part)
 	}
 }
 
-// append joins a part to the one before it of the same item, if it follows it.
-func (g *Buffer) append(job string, open *gathered, part batch.TextPart) {
+// append merges a part into the newest part of the same item if it directly continues
+// that, and adds it as a new part otherwise. mu must be held.
+func (g *Buffer) append(job string, open *openJob, part batch.TextPart) {
 	size := sizeOf(&part)
-	if g.pending+size > mostPending {
-		g.stop(job, open, "more events wait than are taken away")
+	if g.pending+size > maxPendingBytes {
+		g.stop(job, open, "too many events are waiting to be written or sent")
 		return
 	}
 	g.pending += size
-	if at, found := open.last[part.Item]; found {
+	if at, found := open.newest[part.Item]; found {
 		before := &open.parts[at]
 		if (!before.Complete || len(part.Events) == 0) && part.First > 1 && part.First == before.First+int64(len(before.Events)) {
 			before.Events = append(before.Events, part.Events...)
@@ -109,35 +110,37 @@
 			return
 		}
 	}
-	open.last[part.Item] = len(open.parts)
+	open.newest[part.Item] = len(open.parts)
 	open.parts = append(open.parts, part)
 }
 
-// stop gathers nothing more of a job.
-func (g *Buffer) stop(job string, open *gathered, why string) {
-	g.forget(open)
-	open.full = true
-	if g.stopped != nil {
-		g.stopped(job, open.mark, why)
+// stop discards a job's parts and makes the buffer ignore further ones. mu must be held.
+func (g *Buffer) stop(job string, open *openJob, why string) {
+	g.discardParts(open)
+	open.stopped = true
+	if g.onStopped != nil {
+		g.onStopped(job, open.mark, why)
 	}
 }
 
-// Stop has nothing more of a job gathered, as what took it away failed.
+// Stop stops collecting a job's parts because writing or sending them failed.
 func (g *Buffer) Stop(job string, why string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if open := g.jobs[job]; open != nil && !open.full {
+	if open := g.jobs[job]; open != nil && !open.stopped {
 		g.stop(job, open, why)
 	}
 }
 
-func (g *Buffer) forget(open *gathered) {
+// discardParts discards the buffered parts of a job. mu must be held.
+func (g *Buffer) discardParts(open *openJob) {
 	for i := range open.parts {
 		g.pending -= sizeOf(&open.parts[i])
 	}
-	open.parts, open.last = nil, map[string]int{}
+	open.parts, open.newest = nil, map[string]int{}
 }
 
+// sizeOf returns the approximate memory of a part in bytes.
 func sizeOf(p *batch.TextPart) int {
 	size := 64 // the part itself
 	for _, e := range p.Events {
@@ -146,8 +149,8 @@
 	return size
 }
 
-// Drop forgets a job unless it is open under a newer mark, and tells whether it
-// did.
+// Drop removes a job unless it is open under a newer mark, in which case it returns
+// false.
 func (g *Buffer) Drop(job string, mark int64) bool {
 	if g == nil {
 		return false
@@ -159,13 +162,13 @@
 		return false
 	}
 	if open != nil {
-		g.forget(open)
+		g.discardParts(open)
 		delete(g.jobs, job)
 	}
 	return true
 }
 
-// Mark returns the mark under which a job is open.
+// Mark returns the mark under which a job is open, and whether it is open.
 func (g *Buffer) Mark(job string) (mark int64, open bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -175,14 +178,14 @@
 	return 0, false
 }
 
-// Drain takes away what waits. Texts that were begun anew and have fewer than least
-// events so far wait on, unless more is known to have gone before.
-func (g *Buffer) Drain(least int) []JobParts {
+// Drain removes and returns the buffered parts. Parts that start a text and have fewer
+// than minEvents events stay buffered.
+func (g *Buffer) Drain(minEvents int) []JobParts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var taken []JobParts
 	for job, open := range g.jobs {
-		parts := g.takeOf(open, least)
+		parts := g.drainJob(open, minEvents)
 		if len(parts) > 0 {
 			taken = append(taken, JobParts{job, open.mark, parts})
 		}
@@ -190,25 +193,26 @@
 	return taken
 }
 
-func (g *Buffer) takeOf(open *gathered, least int) []batch.TextPart {
+// drainJob removes and returns the parts of one job, as Drain does. mu must be held.
+func (g *Buffer) drainJob(open *openJob, minEvents int) []batch.TextPart {
 	var parts, kept []batch.TextPart
 	for _, part := range open.parts {
-		if part.First == 1 && len(part.Events) < least {
+		if part.First == 1 && len(part.Events) < minEvents {
 			kept = append(kept, part)
 			continue
 		}
 		parts = append(parts, part)
 		g.pending -= sizeOf(&part)
 	}
-	open.parts, open.last = kept, map[string]int{}
+	open.parts, open.newest = kept, map[string]int{}
 	for i := range kept {
-		open.last[kept[i].Item] = i
+		open.newest[kept[i].Item] = i
 	}
 	return parts
 }
 
-// waiting returns a copy of what waits of a job.
-func (g *Buffer) waiting(job string) []batch.TextPart {
+// pendingParts returns a copy of a job's buffered parts.
+func (g *Buffer) pendingParts(job string) []batch.TextPart {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	open := g.jobs[job]
--- a/internal/agentless/textlog/files.go
+++ b/internal/agentless/textlog/files.go
@@ -20,24 +20,25 @@
 )
 
 const (
-	// format is the version of the files' contents; a file of another is passed over.
-	format = 1
-	suffix = ".texts"
+	// formatVersion is the version of the file format; files of other versions are
+	// ignored.
+	formatVersion = 1
+	suffix        = ".texts"
 )
 
 var (
-	errDiskShare = errors.New("textlog: the texts' share of the disk is used up")
-	errForeign   = errors.New("textlog: not a file of this job and format")
+	errDiskLimit   = errors.New("textlog: the limit for the size of all files is reached")
+	errForeignFile = errors.New("textlog: the file belongs to another job or has another format")
 )
 
-// header is the first record of a file.
+// header is the first record of a file. It is encoded with gob.
 type header struct {
 	Format int
 	Job    string
-	Mark   int64 // of the owner that wrote it
+	Mark   int64 // mark of the owner that wrote the file
 }
 
-// file is an open file; tests put other ones in its place.
+// file is an open file. Tests substitute their own implementations.
 type file interface {
 	io.WriteCloser
 	Sync() error
@@ -47,23 +48,23 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 }
 
-// directory is the folder of the files. A job's files are named by the hash of
-// its ID, as IDs are callers' text, and by the owner's mark.
+// directory is the directory of the files. The name of a job's file consists of a
+// hash of the job's ID, because callers choose IDs freely, and of the owner's mark.
 type directory struct {
 	path   string
 	create func(path string) (file, error)
 }
 
-func prefixOf(job string) string {
+func fileNamePrefix(job string) string {
 	sum := sha256.Sum256([]byte(job))
 	return hex.EncodeToString(sum[:16]) + "-"
 }
 
-// list returns the names of all files, in the order of jobs and marks.
+// list returns the names of all files, sorted by job and mark.
 func (d *directory) list() []string {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
-		return nil // not there yet
+		return nil // the directory does not exist yet
 	}
 	var names []string
 	for _, e := range entries {
@@ -75,9 +76,9 @@
 	return names
 }
 
-// of returns the names of a job's files, the oldest mark first.
-func (d *directory) of(job string) []string {
-	prefix := prefixOf(job)
+// filesOf returns the names of a job's files, oldest mark first.
+func (d *directory) filesOf(job string) []string {
+	prefix := fileNamePrefix(job)
 	var names []string
 	for _, name := range d.list() {
 		if strings.HasPrefix(name, prefix) {
@@ -87,44 +88,47 @@
 	return names
 }
 
-func nameOf(job string, mark int64) string {
-	return fmt.Sprintf("%s%020d%s", prefixOf(job), mark, suffix)
+func fileName(job string, mark int64) string {
+	return fmt.Sprintf("%s%020d%s", fileNamePrefix(job), mark, suffix)
 }
 
-// remove removes a file. One that stays is found at the next start.
+// remove removes a file. If that fails, the next start of the process finds the file
+// and schedules its removal again.
 func (d *directory) remove(name string) { _ = os.Remove(filepath.Join(d.path, name)) }
 
-// logFile is the open file of one job. Records are framed and checksummed, so
-// that one torn by a loss of power is known.
+// logFile is the open file of one job. Records are framed and checksummed, so that
+// records torn by a power failure are detected.
 type logFile struct {
-	mark  int64
-	file  file
-	out   *journal.Writer
-	size  int64
-	alone bool      // the job's files of other marks were removed
-	used  time.Time // when something was last added
+	mark          int64
+	file          file
+	out           *journal.Writer
+	size          int64
+	othersRemoved bool      // the job's files of other marks were removed
+	lastAppend    time.Time // when a record was last appended
 }
 
+// open creates the file of a job and mark and writes its header.
 func (d *directory) open(job string, mark int64) (*logFile, error) {
 	if err := os.MkdirAll(d.path, 0o700); err != nil {
 		return nil, errors.Wrap(err, "textlog")
 	}
-	f, err := d.create(filepath.Join(d.path, nameOf(job, mark)))
+	f, err := d.create(filepath.Join(d.path, fileName(job, mark)))
 	if err != nil {
 		return nil, errors.Wrap(err, "textlog")
 	}
 	opened := &logFile{mark: mark, file: f, out: journal.NewWriter(f)}
-	if err := opened.record(header{Format: format, Job: job, Mark: mark}); err != nil {
+	if err := opened.writeRecord(header{Format: formatVersion, Job: job, Mark: mark}); err != nil {
 		opened.close()
 		return nil, err
 	}
 	return opened, nil
 }
 
-// append writes parts as one record and syncs the file.
+// append writes parts as one record and syncs the file. It returns the number of
+// bytes written.
 func (f *logFile) append(parts []batch.TextPart) (written int64, err error) {
 	before := f.size
-	if err := f.record(parts); err != nil {
+	if err := f.writeRecord(parts); err != nil {
 		return 0, err
 	}
 	if err := f.out.Flush(); err != nil {
@@ -133,7 +137,8 @@
 	return f.size - before, errors.Wrap(f.file.Sync(), "textlog: sync")
 }
 
-func (f *logFile) record(v any) error {
+// writeRecord encodes v with gob and writes it as one record.
+func (f *logFile) writeRecord(v any) error {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(v); err != nil {
 		return errors.Wrap(err, "textlog: encode")
@@ -148,56 +153,56 @@
 }
 
 func (f *logFile) close() {
-	_ = f.out.Close() // what was to last is synced
+	_ = f.out.Close() // everything that must be durable is synced already
 	_ = f.file.Close()
 }
 
-// load joins what a job's files hold. bad is called with the place of each part
-// that cannot be used.
-func (d *directory) load(job string, bad func(place string, err error)) *batch.Texts {
+// load returns the texts that a job's files hold together. It calls reportBad with the
+// place of each part that cannot be used.
+func (d *directory) load(job string, reportBad func(place string, err error)) *batch.Texts {
 	texts := batch.NewTexts()
-	for _, name := range d.of(job) {
+	for _, name := range d.filesOf(job) {
 		raw, err := os.ReadFile(filepath.Join(d.path, name))
 		if err != nil {
-			bad(name, err)
+			reportBad(name, err)
 			continue
 		}
-		read(job, name, raw, texts, bad)
+		readFile(job, name, raw, texts, reportBad)
 	}
 	return texts
 }
 
-// dropped takes in what the journal's reader leaves out.
-type dropped struct {
-	name  string
-	texts *batch.Texts
-	bad   func(string, error)
+// dropHandler is called by the journal's reader for the data that it skips.
+type dropHandler struct {
+	name      string
+	texts     *batch.Texts
+	reportBad func(string, error)
 }
 
 // Drop implements journal.Dropper.
-func (d dropped) Drop(err error) {
+func (d dropHandler) Drop(err error) {
 	d.texts.Freeze()
-	d.bad(d.name, err)
+	d.reportBad(d.name, err)
 }
 
-// read joins what one file holds to the texts. A text that a file before it holds
-// is not continued but begun anew.
-func read(job, name string, raw []byte, texts *batch.Texts, bad func(string, error)) {
+// readFile adds the contents of one file to texts. It freezes the texts of earlier
+// files first: parts of this file don't continue them, but may restart them.
+func readFile(job, name string, raw []byte, texts *batch.Texts, reportBad func(string, error)) {
 	texts.Freeze()
-	in := journal.NewReader(bytes.NewReader(raw), dropped{name, texts, bad}, false, true)
+	in := journal.NewReader(bytes.NewReader(raw), dropHandler{name, texts, reportBad}, false, true)
 	for record := 0; ; record++ {
 		r, err := in.Next()
 		if err != nil {
-			return // the end; what was left out was named
+			return // end of the file; skipped data was reported by dropHandler
 		}
 		body, err := io.ReadAll(r)
 		if err != nil {
-			continue // torn, and named by the reader
+			continue // torn record, which the reader reported to dropHandler
 		}
 		place := fmt.Sprintf("%s record %d", name, record)
 		if record == 0 {
 			if err := checkHeader(job, body); err != nil {
-				bad(place, err)
+				reportBad(place, err)
 				return
 			}
 			continue
@@ -205,7 +210,7 @@
 		var parts []batch.TextPart
 		if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&parts); err != nil {
 			texts.Freeze()
-			bad(place, err)
+			reportBad(place, err)
 			continue
 		}
 		for _, part := range parts {
@@ -214,13 +219,15 @@
 	}
 }
 
+// checkHeader returns an error unless body is the header of a file of this job in the
+// current format.
 func checkHeader(job string, body []byte) error {
 	var h header
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&h); err != nil {
 		return err
 	}
-	if h.Format != format || h.Job != job {
-		return errForeign
+	if h.Format != formatVersion || h.Job != job {
+		return errForeignFile
 	}
 	return nil
 }
--- a/internal/agentless/textlog/fuzz_test.go
+++ b/internal/agentless/textlog/fuzz_test.go
@@ -14,8 +14,8 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// written returns the bytes of a file with two texts, one of them complete.
-func written(t testing.TB) []byte {
+// validFile returns the bytes of a file with two texts, one of them complete.
+func validFile(t testing.TB) []byte {
 	dir := t.TempDir()
 	registry := metrics.NewRegistry()
 	l := textlog.New(dir, silent(), registry)
@@ -46,13 +46,13 @@
 	return raw
 }
 
-// FuzzRead holds what a torn, foreign or overwritten file may do: texts without a
-// gap, or nothing, and never a panic.
+// FuzzRead checks that reading a torn, foreign or overwritten file yields texts without
+// gaps or nothing, and never panics.
 func FuzzRead(f *testing.F) {
-	whole := written(f)
-	f.Add(whole)
-	f.Add(whole[:len(whole)/2])
-	f.Add(append(append([]byte{}, whole[:100]...), whole[60:]...))
+	valid := validFile(f)
+	f.Add(valid)
+	f.Add(valid[:len(valid)/2])
+	f.Add(append(append([]byte{}, valid[:100]...), valid[60:]...))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		texts, _ := textlog.Read("job", raw)
--- a/internal/agentless/textlog/textlog.go
+++ b/internal/agentless/textlog/textlog.go
@@ -1,12 +1,12 @@
-// Package textlog keeps the texts that engines are generating on the machine's
-// own disk, so that an owner of batch jobs that is killed, or loses power, goes
-// on with them when it is back, and so that another process can go on with them
-// when the owner is gone. What a step's longest texts lose otherwise is up to six
-// seconds, which its trainer rarely makes good.
+// Package textlog logs the texts that engines are generating to the machine's local
+// disk. An owner of batch jobs that was killed or lost power resumes them after its
+// restart, and another process that holds a copy resumes them when the owner is gone.
+// Without the log, a step's longest texts lose up to six seconds, which the step's
+// trainer rarely makes up.
 //
-// The log is never the truth of anything: who owns a job, and what is listed of
-// it, stands in the platform's store. A disk that is slow, stalled, full or wiped
-// costs the texts that were to be kept, and nothing waits for it.
+// The log is never authoritative: the platform's store records who owns a job and which
+// of its results are listed. If the disk is slow, stalled, full or wiped, the logged
+// texts are lost, but nothing else waits for it.
 package textlog
 
 import (
@@ -21,32 +21,33 @@
 )
 
 const (
-	// flushEvery is how often new events are written and synced: a loss of power
-	// costs the events of a tenth of a second, and a sync of 2 ms for each of a few
-	// open jobs takes a twentieth of the disk's time.
-	flushEvery = 100 * time.Millisecond
-	// mostOnDisk bounds the files of all jobs; a step of 4,096 long texts is 60 MB.
-	mostOnDisk = 256 << 20
-	// loadLimit bounds how long the texts of a job are waited for when it is taken
-	// on. Beginning them anew costs seconds, but a disk may hang for longer.
-	loadLimit = 500 * time.Millisecond
-	// keepIdle is how long a file is kept to which nothing was added: an owner that
-	// is back, or the next one, takes a job on within seconds, and its step is over
-	// half a minute later.
-	keepIdle = time.Minute
-	// keepDropped is how long it is kept once this process no longer has the job:
-	// the next owner asks for its texts at once.
-	keepDropped = 10 * time.Second
+	// flushInterval is the interval at which new events are written and synced. A power
+	// failure loses the events of 100 ms, and a sync of 2 ms for each of a few open jobs
+	// takes 5% of the disk's time.
+	flushInterval = 100 * time.Millisecond
+	// maxDiskBytes bounds the total size of the files of all jobs. A step of 4,096 long
+	// texts takes 60 MB.
+	maxDiskBytes = 256 << 20
+	// loadTimeout bounds the time that taking over a job waits for its texts. Generating
+	// them again costs seconds, but a disk may hang for longer.
+	loadTimeout = 500 * time.Millisecond
+	// idleFileTTL is how long a file is kept after its last record. A restarted owner or
+	// the next one takes over a job within seconds, and its step ends half a minute
+	// later.
+	idleFileTTL = time.Minute
+	// droppedFileTTL is how long a job's files are kept after this process dropped the
+	// job. The next owner asks for its texts immediately.
+	droppedFileTTL = 10 * time.Second
 )
 
-// Log keeps the texts of open jobs. It is safe for concurrent use. A nil Log
-// keeps nothing.
+// Log writes the texts of open jobs to disk. It is safe for concurrent use. A nil Log
+// stores nothing.
 type Log struct {
 	*Buffer
 	dir   directory
 	log   *logrus.Logger
 	stats stats
-	drops chan string // jobs of which this process is no longer the owner
+	drops chan string // jobs whose files are to be removed
 }
 
 type stats struct {
@@ -56,14 +57,14 @@
 	stopped metrics.Counter
 }
 
-// New returns a log in a folder of the machine's disk; nil if dir is empty, as the
-// machine has none.
+// New returns a log that stores its files in dir. It returns nil if dir is empty, which
+// means that the machine has no disk.
 func New(dir string, log *logrus.Logger, registry metrics.Registry) *Log {
 	if dir == "" {
 		return nil
 	}
 	l := &Log{
-		dir: directory{path: dir, create: createFile}, log: log, drops: make(chan string, mostDrops),
+		dir: directory{path: dir, create: createFile}, log: log, drops: make(chan string, maxQueuedDrops),
 		stats: stats{
 			written: metrics.GetOrRegisterCounter("texts.bytes", registry),
 			onDisk:  metrics.GetOrRegisterGauge("texts.disk", registry),
@@ -71,46 +72,46 @@
 			stopped: metrics.GetOrRegisterCounter("texts.stopped", registry),
 		},
 	}
-	l.Buffer = NewBuffer(l.noteStopped)
+	l.Buffer = NewBuffer(l.logStopped)
 	return l
 }
 
-// mostDrops bounds the jobs that wait to be removed; the files of any beyond go
-// when they have been idle for long enough.
-const mostDrops = 256
+// maxQueuedDrops bounds the queue of jobs whose files are to be removed. Files of jobs
+// beyond it are removed once they have been idle for idleFileTTL.
+const maxQueuedDrops = 256
 
-// noteStopped says that nothing more is kept of a job. What is on disk of it stays
-// of use.
-func (l *Log) noteStopped(job string, mark int64, why string) {
+// logStopped logs and counts that the log stopped storing a job's texts. Those on disk
+// remain usable.
+func (l *Log) logStopped(job string, mark int64, why string) {
 	l.stats.stopped.Inc(1)
 	events.TextsStopped.Log(l.log, logrus.Fields{"job": job, "mark": mark, "why": why})
 }
 
-// Begin opens the log of a job that was taken on under an owner's mark, with the
-// texts that it starts from.
+// Begin opens the log of a job that an owner took over under its mark, with the texts
+// that the job starts from.
 func (l *Log) Begin(job string, mark int64, texts *batch.Texts) {
 	if l != nil {
 		l.Buffer.Begin(job, mark, texts)
 	}
 }
 
-// Add takes in a part of a job that is open under the mark.
+// Add adds a part of a job and ignores it unless the job is open under this mark.
 func (l *Log) Add(job string, mark int64, part batch.TextPart) {
 	if l != nil {
 		l.Buffer.Add(job, mark, part)
 	}
 }
 
-// Put takes in parts of another owner's job; whole tells that they are all that
-// there is. It returns false if they follow on what is not here, as this process
-// started after it was sent: then nothing is taken in, and what an earlier run of
-// this process kept stays of use until the whole comes.
-func (l *Log) Put(g JobParts, whole bool) (follows bool) {
+// Put stores parts of another owner's job; full means that they are all of the job's
+// texts so far. Put returns false if they continue parts that this process lacks because
+// it started after those were sent. It then stores nothing, so that the files of an
+// earlier run of this process remain usable until the owner sends a full copy.
+func (l *Log) Put(g JobParts, full bool) (follows bool) {
 	if l == nil {
 		return true
 	}
 	if mark, open := l.Mark(g.Job); !open || mark < g.Mark {
-		if !whole {
+		if !full {
 			return false
 		}
 		l.Begin(g.Job, g.Mark, batch.NewTexts())
@@ -121,8 +122,8 @@
 	return true
 }
 
-// Drop removes, some time later, what is kept of a job that ended or went to
-// another owner, unless it is open under a newer mark.
+// Drop schedules the removal of the files of a job that ended or moved to another owner,
+// unless the job is open under a newer mark.
 func (l *Log) Drop(job string, mark int64) {
 	if l == nil || !l.Buffer.Drop(job, mark) {
 		return
@@ -133,18 +134,18 @@
 	}
 }
 
-// Load returns the texts that are kept of a job, none if the disk does not answer
-// in time.
+// Load returns the texts stored for a job. It returns none if the disk does not answer
+// within loadTimeout.
 func (l *Log) Load(ctx context.Context, job string) *batch.Texts {
 	if l == nil {
 		return batch.NewTexts()
 	}
-	ctx, cancel := context.WithTimeout(ctx, loadLimit)
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	loaded := make(chan *batch.Texts, 1)
 	go func() {
-		texts := l.dir.load(job, l.bad)
-		for _, part := range l.waiting(job) {
+		texts := l.dir.load(job, l.logUnreadable)
+		for _, part := range l.pendingParts(job) {
 			texts.Add(part)
 		}
 		loaded <- texts
@@ -158,20 +159,20 @@
 	}
 }
 
-// bad notes a part of a file that is of no use.
-func (l *Log) bad(place string, err error) {
+// logUnreadable logs that a part of a file cannot be used.
+func (l *Log) logUnreadable(place string, err error) {
 	events.TextRecordBad.Log(l.log, logrus.Fields{"place": place, "error": err.Error()})
 }
 
-// Run writes until ctx ends.
+// Run writes buffered events to disk until ctx is done.
 func (l *Log) Run(ctx context.Context) error {
 	if l == nil {
 		return nil
 	}
-	w := &writer{log: l, files: map[string]*logFile{}, removals: map[string]time.Time{}}
+	w := &writer{log: l, files: map[string]*logFile{}, removeAt: map[string]time.Time{}}
 	defer w.close()
-	w.takeStock(time.Now())
-	ticker := time.NewTicker(flushEvery)
+	w.scheduleLeftovers(time.Now())
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/agentless/textlog/textlog_test.go
+++ b/internal/agentless/textlog/textlog_test.go
@@ -57,24 +57,25 @@
 		}
 	}
 	synced := func() int64 { return metrics.GetOrRegisterTimer("texts.sync", registry).Count() }
-	settled := func(l *textlog.Log) {
+	awaitSync := func(l *textlog.Log) {
 		before := synced()
 		l.Event("job", 7, "settle", 1, []byte("x"), 3)
 		EventuallyWithOffset(1, synced).WithTimeout(patience).Should(BeNumerically(">", before))
 	}
-	// resumed returns where a job of three items goes on: the events that each has.
-	resumed := func(l *textlog.Log) []int64 {
+	// resumedEvents returns the number of events that each of a job's three items has
+	// after the job resumed the loaded texts.
+	resumedEvents := func(l *textlog.Log) []int64 {
 		scored := spec(3)
 		for i := range scored.Items {
-			scored.Items[i].Scorer = &batch.Scorer{ID: "s"} // a whole text still waits
+			scored.Items[i].Scorer = &batch.Scorer{ID: "s"} // otherwise a complete text counts as a result
 		}
 		job := batch.NewJob(scored, nil)
 		job.ResumeTexts(l.Load(context.Background(), "job"))
-		made := make([]int64, 3)
-		for i := range made {
-			made[i] = job.EventCount(i)
+		counts := make([]int64, 3)
+		for i := range counts {
+			counts[i] = job.EventCount(i)
 		}
-		return made
+		return counts
 	}
 	files := func() []string {
 		names, err := filepath.Glob(filepath.Join(dir, "*"))
@@ -84,10 +85,10 @@
 
 	BeforeEach(func() { dir = filepath.Join(GinkgoT().TempDir(), "texts") })
 
-	It("keeps what a standby was sent when it starts anew while the owner goes on", func() {
-		// The standby is restarted by itself. The owner's next events follow on forty
-		// that the new process does not know; taken in, they would empty the file that
-		// holds those, and all texts would be lost with the owner.
+	It("keeps the texts sent to a standby when the standby restarts and the owner does not", func() {
+		// Only the standby restarts. The owner's next events continue 40 that the new
+		// process does not know. Accepting them would replace the file that holds those
+		// 40, and all texts would be lost with the owner.
 		part := func(first, events int64) batch.TextPart {
 			p := batch.TextPart{Item: "i0", First: first}
 			for id := first; id < first+events; id++ {
@@ -104,43 +105,43 @@
 		stop()
 		again := open()
 		run(again)
-		Expect(again.Put(textlog.JobParts{Job: "job", Mark: 7, Parts: []batch.TextPart{part(41, 8)}}, false)).To(BeFalse(), "the owner is told to send all")
-		Consistently(func() int64 { return resumed(again)[0] }).WithTimeout(300 * time.Millisecond).Should(Equal(int64(40)))
+		Expect(again.Put(textlog.JobParts{Job: "job", Mark: 7, Parts: []batch.TextPart{part(41, 8)}}, false)).To(BeFalse(), "the owner must send a full copy")
+		Consistently(func() int64 { return resumedEvents(again)[0] }).WithTimeout(300 * time.Millisecond).Should(Equal(int64(40)))
 		Expect(again.Put(textlog.JobParts{Job: "job", Mark: 7, Parts: []batch.TextPart{part(1, 48)}}, true)).To(BeTrue())
-		Eventually(func() int64 { return resumed(again)[0] }).WithTimeout(patience).Should(Equal(int64(48)))
+		Eventually(func() int64 { return resumedEvents(again)[0] }).WithTimeout(patience).Should(Equal(int64(48)))
 		Expect(again.Put(textlog.JobParts{Job: "job", Mark: 7, Parts: []batch.TextPart{part(49, 2)}}, false)).To(BeTrue())
-		Eventually(func() int64 { return resumed(again)[0] }).WithTimeout(patience).Should(Equal(int64(50)))
+		Eventually(func() int64 { return resumedEvents(again)[0] }).WithTimeout(patience).Should(Equal(int64(50)))
 	})
 
-	It("gives a process that was killed the texts it had", func() {
-		// The owner is killed in the middle of a step. The one that starts in its place
-		// takes the job on under a newer mark and goes on after the last event on disk;
-		// killed again before it has made any, it loses nothing either.
+	It("restores the texts of a killed process", func() {
+		// The owner is killed in the middle of a step. Its successor takes over the job
+		// under a newer mark and continues after the last event on disk. If it is killed
+		// before it generated any event, nothing is lost either.
 		first := open()
 		run(first)
 		first.Begin("job", 7, batch.NewTexts())
 		write(first, 7, "i0", 1, 40)
 		write(first, 7, "i1", 1, 3)
 		first.Complete("job", 7, "i1", 3)
-		settled(first)
+		awaitSync(first)
 		stop()
 
 		second := open()
-		Expect(resumed(second)).To(Equal([]int64{40, 3, 0}))
+		Expect(resumedEvents(second)).To(Equal([]int64{40, 3, 0}))
 		run(second)
 		second.Begin("job", 9, second.Load(context.Background(), "job"))
 		Eventually(func() []string { return files() }).WithTimeout(patience).Should(ConsistOf(ContainSubstring("09.texts")))
 		stop()
-		Expect(resumed(open())).To(Equal([]int64{40, 3, 0}))
+		Expect(resumedEvents(open())).To(Equal([]int64{40, 3, 0}))
 	})
 
-	It("keeps a whole text's end", func() {
+	It("restores that a text is complete", func() {
 		l := open()
 		run(l)
 		l.Begin("job", 7, batch.NewTexts())
 		write(l, 7, "i0", 1, 2)
 		l.Complete("job", 7, "i0", 2)
-		settled(l)
+		awaitSync(l)
 		job := batch.NewJob(spec(1), nil)
 		job.ResumeTexts(l.Load(context.Background(), "job"))
 		_, results := job.PendingResults()
@@ -148,16 +149,16 @@
 		Expect(string(results[0].Output)).To(Equal("e1\ne2"))
 	})
 
-	It("keeps a score, so that the text need not be scored again", func() {
-		// The step is not whole, so its results wait to be written. The owner is killed.
+	It("restores a score, so that the text is not scored again", func() {
+		// The step is not complete, so its results are not written yet. The owner is killed.
 		l := open()
 		run(l)
 		l.Begin("job", 7, batch.NewTexts())
 		write(l, 7, "i0", 1, 2)
 		l.Complete("job", 7, "i0", 2)
-		settled(l)
+		awaitSync(l)
 		l.Add("job", 7, batch.TextPart{Item: "i0", First: 3, Complete: true, Score: "sealed"})
-		settled(l)
+		awaitSync(l)
 		scored := spec(1)
 		scored.Items[0].Scorer = &batch.Scorer{ID: "s"}
 		job := batch.NewJob(scored, nil)
@@ -167,9 +168,9 @@
 		Expect(results[0].Score).To(Equal("sealed"))
 	})
 
-	It("does not join the events of a run that was begun under an earlier mark", func() {
-		// The job is taken on anew while a run of before still ends: its events
-		// continue a text that the new run does not continue.
+	It("ignores the events of a run that was started under an earlier mark", func() {
+		// The job is taken over again while an earlier run is still ending. The events of
+		// that run continue a text that the new run does not continue.
 		l := open()
 		run(l)
 		l.Begin("job", 5, batch.NewTexts())
@@ -178,65 +179,65 @@
 		write(l, 5, "i0", 5, 9)
 		write(l, 7, "i0", 1, 2)
 		write(l, 5, "i0", 3, 3)
-		settled(l)
-		Expect(resumed(l)[0]).To(Equal(int64(2)))
+		awaitSync(l)
+		Expect(resumedEvents(l)[0]).To(Equal(int64(2)))
 	})
 
-	It("uses what stands before a torn record, and afterwards only texts begun anew", func() {
-		// Power is lost: of the file's later blocks some are there and some are not.
+	It("uses the records before a torn one, and after it only texts that start again", func() {
+		// After a power failure some of the file's later blocks are present and some are not.
 		l := open()
 		run(l)
 		l.Begin("job", 7, batch.NewTexts())
 		write(l, 7, "i0", 1, 10)
-		settled(l)
+		awaitSync(l)
 		stat, err := os.Stat(files()[0])
 		Expect(err).NotTo(HaveOccurred())
-		whole := stat.Size()
+		intactSize := stat.Size()
 		write(l, 7, "i0", 11, 20)
-		settled(l)
+		awaitSync(l)
 		hole, err := os.Stat(files()[0])
 		Expect(err).NotTo(HaveOccurred())
-		big := make([]byte, 40<<10) // the reader goes on at the next block
+		big := make([]byte, 40<<10) // the reader continues at the next block
 		l.Event("job", 7, "i1", 1, big, 3)
-		settled(l)
+		awaitSync(l)
 		write(l, 7, "i0", 21, 30)
 		write(l, 7, "i2", 1, 5)
-		settled(l)
+		awaitSync(l)
 		stop()
 		f, err := os.OpenFile(files()[0], os.O_RDWR, 0)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = f.WriteAt(make([]byte, hole.Size()-whole), whole)
+		_, err = f.WriteAt(make([]byte, hole.Size()-intactSize), intactSize)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.Close()).To(Succeed())
-		made := resumed(open())
-		Expect(made[0]).To(Equal(int64(10)), "what follows continues events that are lost")
-		Expect(made[2]).To(Equal(int64(5)))
+		counts := resumedEvents(open())
+		Expect(counts[0]).To(Equal(int64(10)), "later parts continue events that are lost")
+		Expect(counts[2]).To(Equal(int64(5)))
 	})
 
-	It("loads nothing of a file cut at any byte but events in order", func() {
+	It("loads only events in order from a file truncated at any byte", func() {
 		l := open()
 		run(l)
 		l.Begin("job", 7, batch.NewTexts())
 		write(l, 7, "i0", 1, 30)
-		settled(l)
+		awaitSync(l)
 		write(l, 7, "i0", 31, 60)
-		settled(l)
+		awaitSync(l)
 		stop()
 		path := files()[0]
 		raw, err := os.ReadFile(path)
 		Expect(err).NotTo(HaveOccurred())
 		for cut := 0; cut <= len(raw); cut += 37 {
 			Expect(os.WriteFile(path, raw[:cut], 0o600)).To(Succeed())
-			Expect(resumed(open())[0]).To(BeElementOf(int64(0), int64(30), int64(60)))
+			Expect(resumedEvents(open())[0]).To(BeElementOf(int64(0), int64(30), int64(60)))
 		}
 	})
 
-	It("passes over a file of another job under its name", func() {
+	It("ignores a file of another job under the job's file name", func() {
 		l := open()
 		run(l)
 		l.Begin("job", 7, batch.NewTexts())
 		write(l, 7, "i0", 1, 3)
-		settled(l)
+		awaitSync(l)
 		stop()
 		raw, err := os.ReadFile(files()[0])
 		Expect(err).NotTo(HaveOccurred())
@@ -257,25 +258,25 @@
 		Expect(items).To(BeZero())
 	})
 
-	It("removes what it has of a job that is over", func() {
+	It("removes the files of a job that ended", func() {
 		l := open()
 		run(l)
 		l.Begin("job", 7, batch.NewTexts())
 		write(l, 7, "i0", 1, 3)
-		settled(l)
+		awaitSync(l)
 		l.Drop("job", 5)
 		write(l, 7, "i0", 4, 4)
-		settled(l)
+		awaitSync(l)
 		Expect(files()).To(HaveLen(1), "it is open under a newer mark")
 		l.Drop("job", 7)
 		Consistently(files).WithTimeout(200*time.Millisecond).Should(HaveLen(1), "the next owner may ask for it")
 		Eventually(files).WithTimeout(patience).Should(BeEmpty())
 	})
 
-	It("stops keeping a job when the disk is full, and holds nobody up", func() {
-		// Writes fail as the disk has no room. What was synced before stays of use.
+	It("stops storing a job when the disk is full, without blocking", func() {
+		// Writes fail because the disk is full. Data synced before remains usable.
 		l := open()
-		full := &fullAfter{left: 2000}
+		full := &limitedFile{left: 2000}
 		l.SetCreate(func(path string) (textlog.File, error) {
 			f, err := os.Create(path)
 			full.file = f
@@ -284,15 +285,15 @@
 		run(l)
 		l.Begin("job", 7, batch.NewTexts())
 		write(l, 7, "i0", 1, 3)
-		settled(l)
+		awaitSync(l)
 		write(l, 7, "i0", 4, 500)
 		Eventually(func() int64 { return metrics.GetOrRegisterCounter("texts.stopped", registry).Count() }).WithTimeout(patience).Should(Equal(int64(1)))
 		write(l, 7, "i0", 501, 600)
 		stop()
-		Expect(resumed(open())[0]).To(BeElementOf(int64(0), int64(3)))
+		Expect(resumedEvents(open())[0]).To(BeElementOf(int64(0), int64(3)))
 	})
 
-	It("takes events without waiting while the disk hangs, up to a bound", func() {
+	It("accepts a bounded number of events without blocking while the disk hangs", func() {
 		l := open()
 		hang := make(chan struct{})
 		l.SetCreate(func(path string) (textlog.File, error) {
@@ -310,25 +311,25 @@
 		close(hang)
 	})
 
-	It("keeps nothing on a machine without a disk", func() {
+	It("stores nothing on a machine without a disk", func() {
 		var none *textlog.Log
 		Expect(textlog.New("", silent(), metrics.NewRegistry())).To(BeNil())
 		none.Begin("job", 7, batch.NewTexts())
 		none.Add("job", 7, batch.TextPart{Item: "i0", First: 1})
-		Expect(none.Put(textlog.JobParts{Job: "job", Mark: 7}, false)).To(BeTrue(), "nothing is ever there")
+		Expect(none.Put(textlog.JobParts{Job: "job", Mark: 7}, false)).To(BeTrue(), "a nil log never asks for a full copy")
 		none.Drop("job", 7)
 		Expect(none.Run(context.Background())).To(Succeed())
 		Expect(none.Load(context.Background(), "job").Parts()).To(BeEmpty())
 	})
 })
 
-// fullAfter is a file on a disk with so many bytes left.
-type fullAfter struct {
+// limitedFile is a file on a disk that is full after left more bytes.
+type limitedFile struct {
 	file *os.File
 	left int
 }
 
-func (f *fullAfter) Write(p []byte) (int, error) {
+func (f *limitedFile) Write(p []byte) (int, error) {
 	if len(p) > f.left {
 		return 0, syscall.ENOSPC
 	}
@@ -336,5 +337,5 @@
 	return f.file.Write(p)
 }
 
-func (f *fullAfter) Sync() error  { return f.file.Sync() }
-func (f *fullAfter) Close() error { return f.file.Close() }
+func (f *limitedFile) Sync() error  { return f.file.Sync() }
+func (f *limitedFile) Close() error { return f.file.Close() }
--- a/internal/agentless/textlog/writer.go
+++ b/internal/agentless/textlog/writer.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// writer writes what the log has gathered. Only its goroutine touches files that
-// are open.
+// writer writes the log's buffered events to files. Only its goroutine accesses open
+// files.
 type writer struct {
 	log      *Log
 	files    map[string]*logFile  // by job
-	removals map[string]time.Time // when files that are not open are removed, by name
+	removeAt map[string]time.Time // when to remove files that are not open, by file name
 }
 
-// takeStock has the files that are there at the start removed unless their jobs
-// are taken on.
-func (w *writer) takeStock(now time.Time) {
+// scheduleLeftovers schedules the removal of the files that exist at the start. Taking
+// over their jobs cancels it.
+func (w *writer) scheduleLeftovers(now time.Time) {
 	for _, name := range w.log.dir.list() {
-		w.removals[name] = now.Add(keepIdle)
+		w.removeAt[name] = now.Add(idleFileTTL)
 	}
 }
 
+// flush writes the buffered events, then closes idle files and removes those that are
+// due.
 func (w *writer) flush(now time.Time) {
 	for _, g := range w.log.Drain(0) {
 		if err := w.write(&g, now); err != nil {
@@ -29,8 +31,9 @@
 	w.log.stats.onDisk.Update(w.onDisk())
 }
 
-// write appends parts to the job's file and syncs it. The first write under a mark
-// begins a new file, which holds all that is known; those before it then go.
+// write appends parts to the job's file and syncs it. The first write under a mark starts
+// a new file, which contains all texts known so far; write then removes the job's older
+// files.
 func (w *writer) write(g *JobParts, now time.Time) error {
 	f := w.files[g.Job]
 	if f == nil || f.mark != g.Mark {
@@ -43,21 +46,21 @@
 		}
 		f = fresh
 		w.files[g.Job] = f
-		delete(w.removals, nameOf(g.Job, g.Mark))
+		delete(w.removeAt, fileName(g.Job, g.Mark))
 	}
 	began := time.Now()
 	written, err := f.append(g.Parts)
 	if err != nil {
 		return err
 	}
-	f.used = now
+	f.lastAppend = now
 	w.log.stats.sync.UpdateSince(began)
 	w.log.stats.written.Inc(written)
-	if w.onDisk() > mostOnDisk {
-		return errDiskShare
+	if w.onDisk() > maxDiskBytes {
+		return errDiskLimit
 	}
-	if !f.alone {
-		f.alone = true
+	if !f.othersRemoved {
+		f.othersRemoved = true
 		w.removeOthers(g.Job, g.Mark)
 	}
 	return nil
@@ -65,14 +68,15 @@
 
 // removeOthers removes a job's files of other marks.
 func (w *writer) removeOthers(job string, mark int64) {
-	for _, name := range w.log.dir.of(job) {
-		if name != nameOf(job, mark) {
-			delete(w.removals, name)
+	for _, name := range w.log.dir.filesOf(job) {
+		if name != fileName(job, mark) {
+			delete(w.removeAt, name)
 			w.log.dir.remove(name)
 		}
 	}
 }
 
+// onDisk returns the total size of the open files in bytes.
 func (w *writer) onDisk() int64 {
 	total := int64(0)
 	for _, f := range w.files {
@@ -81,32 +85,34 @@
 	return total
 }
 
-// drop has a job's files removed once the next owner has had time to ask for them.
+// drop closes a job's file and schedules the removal of its files, so that the next owner
+// has time to ask for them.
 func (w *writer) drop(job string, now time.Time) {
 	if f := w.files[job]; f != nil {
 		f.close()
 		delete(w.files, job)
 	}
-	for _, name := range w.log.dir.of(job) {
-		w.removals[name] = now.Add(keepDropped)
+	for _, name := range w.log.dir.filesOf(job) {
+		w.removeAt[name] = now.Add(droppedFileTTL)
 	}
 }
 
-// closeIdle closes files to which nothing was added for long: copies of other
-// owners' jobs that ended.
+// closeIdle drops jobs whose files had no new records for idleFileTTL. These are copies of
+// other owners' jobs that ended.
 func (w *writer) closeIdle(now time.Time) {
 	for job, f := range w.files {
-		if now.Sub(f.used) > keepIdle {
+		if now.Sub(f.lastAppend) > idleFileTTL {
 			w.log.Buffer.Drop(job, f.mark)
 			w.drop(job, now)
 		}
 	}
 }
 
+// removeDue removes the files whose removal is due.
 func (w *writer) removeDue(now time.Time) {
-	for name, at := range w.removals {
+	for name, at := range w.removeAt {
 		if now.After(at) {
-			delete(w.removals, name)
+			delete(w.removeAt, name)
 			w.log.dir.remove(name)
 		}
 	}
