--- a/internal/policy/poison/poison.go
+++ b/internal/policy/poison/poison.go
@@ -1,15 +1,16 @@
 // Package poison decides which requests may no longer run because they crash
-// their endpoints. A request is known by its service and the fingerprint of
-// its method, path and body: a caller's resend bears a new id.
+// their endpoints. A request is identified by its service and the fingerprint of
+// its method, path and body, since a caller's retry has a new request ID.
 //
-// Everything that ran on an endpoint when it crashed is suspect and runs alone
-// the next time, one copy at a time over all entries. One that is answered is
-// cleared; one that crashes again beyond doubt is quarantined. An innocent
-// neighbour is thus retried apart and never quarantined.
+// Every request that ran on an endpoint when it crashed becomes a suspect and runs
+// alone the next time, one copy at a time over all entries. A suspect that is
+// answered is cleared. One that has certainly caused a second crash is quarantined.
+// So an innocent request that only ran beside the culprit is retried separately and
+// never quarantined.
 //
-// A poison request reaches two endpoints at most: copies of a request that was
-// never answered follow the first to its endpoint, and a suspect that crashed
-// two endpoints runs on these two only until it is cleared or quarantined.
+// A poison request reaches at most two endpoints: copies of a request that was
+// never answered follow the first copy to its endpoint, and a suspect that crashed
+// two endpoints runs only on these two until it is cleared or quarantined.
 package poison
 
 import (
@@ -20,32 +21,32 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// ID names what a request asks for.
+// ID identifies all requests with the same content.
 type ID struct {
 	Service     string
 	Fingerprint uint64
 }
 
-// Verdict is how a request may run.
+// Verdict says how a request may run.
 type Verdict int
 
 // The verdicts.
 const (
 	Unrestricted Verdict = iota
-	Alone                // suspect: run alone, after a look at the other entries
-	Blocked              // in quarantine
+	Alone                // a suspect: it runs alone, after the other entries were asked
+	Blocked              // quarantined: it may not run
 )
 
-// Config holds the parameters.
+// Config holds the parameters of a Registry.
 type Config struct {
-	SuspicionTTL         time.Duration // a suspicion lasts without a new crash
-	QuarantineTTL        time.Duration // a quarantine lasts
-	ClearedTTL           time.Duration // an answer clears, at least half as long
-	SameCrashWindow      time.Duration // reports of one endpoint within this are one crash
-	MaxCleared           int           // cleared requests remembered at most, per half of InnocentFor
-	PlacementTTL         time.Duration // a copy at a peer binds others without news of it
-	MaxPlacements        int           // placements remembered at most
-	MaxCopiesPerEndpoint int           // copies that follow others to one endpoint at most
+	SuspicionTTL         time.Duration // how long a suspicion lasts without a new crash
+	QuarantineTTL        time.Duration // how long a quarantine lasts
+	ClearedTTL           time.Duration // how long an answer clears a request; it does so for at least half of this
+	SameCrashWindow      time.Duration // reports about one endpoint within this time are one crash
+	MaxCleared           int           // most cleared requests that are remembered, per half of ClearedTTL
+	PlacementTTL         time.Duration // how long a copy at a peer restricts other copies without an update
+	MaxPlacements        int           // most placements that are remembered
+	MaxCopiesPerEndpoint int           // most copies of a request that run at one endpoint because they follow others
 }
 
 // DefaultConfig returns the parameters that siskinloomd uses.
@@ -62,46 +63,46 @@
 	}
 }
 
-// suspect is what speaks against a request.
+// suspect is the evidence against a request.
 type suspect struct {
 	crashes []wire.Suspicion // one per endpoint and crash
-	last    time.Time        // the newest of them
+	last    time.Time        // when the newest crash was recorded
 }
 
-// Registry is one entry's or agent's knowledge. It is not safe for concurrent
-// use.
+// Registry is what one entry or agent knows about poison requests. It is not safe
+// for concurrent use.
 type Registry struct {
-	config     Config
-	self       string // instance id; breaks ties between entries
-	suspects   map[ID]*suspect
-	acquitted  map[ID]*suspect              // ran at a crash and was answered before or since
-	culprits   map[ID]*suspect              // in quarantine; explains the crashes at which it ran
-	quarantine map[ID]*wire.QuarantineEntry // a released one stays until it expires
-	running    map[ID]int                   // copies that run through this entry
-	waiting    map[ID]bool                  // suspects that are about to run from here
-	placed     map[ID]*placement            // requests never answered: where copies run
-
-	cleared, clearedBefore map[ID]bool // answered in this and the last half of InnocentFor
-	turn                   time.Time   // when cleared becomes clearedBefore
+	config          Config
+	self            string // instance ID; breaks ties between entries
+	suspects        map[ID]*suspect
+	clearedSuspects map[ID]*suspect              // ran at a crash and was answered before or after it
+	culprits        map[ID]*suspect              // quarantined; explain the crashes at which they ran
+	quarantine      map[ID]*wire.QuarantineEntry // a released entry stays until it expires
+	running         map[ID]int                   // number of copies that run through this entry
+	reserved        map[ID]bool                  // suspects that are about to start from this entry
+	placements      map[ID]*placement            // where copies of requests that were never answered run
+
+	cleared, clearedBefore map[ID]bool // answered in the current and in the last half of ClearedTTL
+	rotateAt               time.Time   // when cleared becomes clearedBefore
 }
 
-// New returns a registry that suspects nothing.
+// New returns a registry without suspects.
 func New(config Config, self string) *Registry {
 	return &Registry{
-		config:     config,
-		self:       self,
-		suspects:   map[ID]*suspect{},
-		acquitted:  map[ID]*suspect{},
-		culprits:   map[ID]*suspect{},
-		quarantine: map[ID]*wire.QuarantineEntry{},
-		running:    map[ID]int{},
-		waiting:    map[ID]bool{},
-		placed:     map[ID]*placement{},
-		cleared:    map[ID]bool{},
+		config:          config,
+		self:            self,
+		suspects:        map[ID]*suspect{},
+		clearedSuspects: map[ID]*suspect{},
+		culprits:        map[ID]*suspect{},
+		quarantine:      map[ID]*wire.QuarantineEntry{},
+		running:         map[ID]int{},
+		reserved:        map[ID]bool{},
+		placements:      map[ID]*placement{},
+		cleared:         map[ID]bool{},
 	}
 }
 
-// Verdict tells how the request may run now.
+// Verdict returns how the request may run now.
 func (r *Registry) Verdict(now time.Time, id ID) Verdict {
 	r.expire(now, id)
 	if q := r.quarantine[id]; q != nil && !q.Released {
@@ -113,18 +114,19 @@
 	return Unrestricted
 }
 
+// expire drops what is known about a request once its time is over.
 func (r *Registry) expire(now time.Time, id ID) {
 	if q := r.quarantine[id]; q != nil && now.UnixMilli() >= q.ExpiresUnix {
 		delete(r.quarantine, id)
 	}
-	for _, all := range []map[ID]*suspect{r.suspects, r.acquitted, r.culprits} {
+	for _, all := range []map[ID]*suspect{r.suspects, r.clearedSuspects, r.culprits} {
 		if s := all[id]; s != nil && now.Sub(s.last) > r.config.SuspicionTTL {
 			delete(all, id)
 		}
 	}
 }
 
-// Sweep forgets everything that has expired.
+// Sweep drops everything that has expired.
 func (r *Registry) Sweep(now time.Time) {
 	for id := range r.quarantine {
 		r.expire(now, id)
@@ -132,21 +134,21 @@
 	for id := range r.suspects {
 		r.expire(now, id)
 	}
-	for id := range r.acquitted {
+	for id := range r.clearedSuspects {
 		r.expire(now, id)
 	}
 	for id := range r.culprits {
 		r.expire(now, id)
 	}
-	for id, p := range r.placed {
+	for id, p := range r.placements {
 		if now.After(p.until) {
-			delete(r.placed, id)
+			delete(r.placements, id)
 		}
 	}
 }
 
-// Crashed takes in that an endpoint crashed while it ran the request, from
-// this process or a peer, and tells whether that puts it in quarantine.
+// RecordCrash records that an endpoint crashed while it ran the request, as this
+// process or a peer observed, and reports whether that quarantines the request.
 func (r *Registry) RecordCrash(now time.Time, c wire.Suspicion) bool {
 	id := ID{Service: c.Service, Fingerprint: c.Fingerprint}
 	r.expire(now, id)
@@ -154,26 +156,26 @@
 		r.blame(now, id, c)
 		return false
 	}
-	file := r.suspects
-	if (c.Cleared || r.innocent(now, id)) && c.Batch > 1 {
-		file = r.acquitted
+	group := r.suspects
+	if (c.Cleared || r.isCleared(now, id)) && c.Batch > 1 {
+		group = r.clearedSuspects
 	}
-	s := file[id]
+	s := group[id]
 	if s == nil {
 		s = &suspect{}
-		file[id] = s
+		group[id] = s
 	}
 	if !r.add(s, c) {
 		return false
 	}
 	s.last = now
-	r.vacate(id, c.Endpoint)
+	r.removeCopies(id, c.Endpoint)
 	r.convict(now)
 	return r.suspects[id] == nil && r.quarantine[id] != nil && !r.quarantine[id].Released
 }
 
-// blame notes another crash of a request in quarantine, so that no one else
-// that ran there is convicted for it.
+// blame records another crash of a quarantined request, so that no other request
+// that ran at it is quarantined for it.
 func (r *Registry) blame(now time.Time, id ID, c wire.Suspicion) {
 	s := r.culprits[id]
 	if s == nil {
@@ -185,17 +187,18 @@
 	}
 }
 
-// convict quarantines whoever is beyond doubt; a crash may complete what is
-// known of the crashes of others too.
+// convict quarantines every suspect that is certainly guilty. It checks all of them,
+// since a new report may also complete the evidence about crashes of other suspects.
 func (r *Registry) convict(now time.Time) {
 	for _, id := range sorted(r.suspects) {
-		if r.convicted(id) {
-			r.put(now, id)
+		if r.guilty(id) {
+			r.quarantineSuspect(now, id)
 		}
 	}
 }
 
-// add notes a crash unless it is known; reports of it come by several ways.
+// add records a crash and reports whether it is new. Several reports of one crash
+// may arrive.
 func (r *Registry) add(s *suspect, c wire.Suspicion) bool {
 	for i, old := range s.crashes {
 		if r.same(old, c) {
@@ -207,8 +210,9 @@
 	return true
 }
 
-// same tells whether two reports are of one crash of one endpoint. The clocks
-// of those who report it differ; the number that the agent gave it does not.
+// same reports whether two reports are about the same crash of an endpoint. The
+// clocks of the reporting processes differ, but the number that the agent gave the
+// crash does not.
 func (r *Registry) same(a, b wire.Suspicion) bool {
 	if a.Service != b.Service || a.Endpoint != b.Endpoint {
 		return false
@@ -216,18 +220,18 @@
 	if a.Crash != 0 && b.Crash != 0 {
 		return a.Crash == b.Crash
 	}
-	apart := time.Duration(a.UnixMilli-b.UnixMilli) * time.Millisecond
-	return apart.Abs() <= r.config.SameCrashWindow
+	gap := time.Duration(a.UnixMilli-b.UnixMilli) * time.Millisecond
+	return gap.Abs() <= r.config.SameCrashWindow
 }
 
-// convicted tells whether the request has crashed twice beyond doubt.
+// guilty reports whether the request has certainly caused two crashes.
 //
-// An innocent request may run beside a culprit at one crash and be alone when
-// another endpoint crashes by itself. Were that enough, it would be refused for
-// an hour. So a crash in company counts only while nobody else who ran at it is
-// suspect or in quarantine for it; until then the request runs on the endpoints
-// that it crashed, and either is answered or crashes alone once more.
-func (r *Registry) convicted(id ID) bool {
+// An innocent request may run beside a culprit at one crash and run alone when
+// another endpoint crashes for a different reason. If that sufficed, it would be
+// refused for an hour. So a crash at which other requests ran counts only while none
+// of them is a suspect or is quarantined for it. Until then the request runs on the
+// endpoints that crashed with it, and either is answered or crashes one alone.
+func (r *Registry) guilty(id ID) bool {
 	s := r.suspects[id]
 	for i, a := range s.crashes {
 		for _, b := range s.crashes[i+1:] {
@@ -242,17 +246,19 @@
 	return false
 }
 
-// certain tells whether nobody else is known who may have caused the crash.
+// certain reports whether no other known request may have caused the crash.
 func (r *Registry) certain(id ID, c wire.Suspicion) bool {
 	return c.Batch <= 1 || !r.othersAt(r.suspects, id, c) && !r.explained(c)
 }
 
+// explained reports whether a quarantined request ran at the crash.
 func (r *Registry) explained(c wire.Suspicion) bool {
 	return r.othersAt(r.culprits, ID{}, c)
 }
 
-func (r *Registry) othersAt(file map[ID]*suspect, id ID, c wire.Suspicion) bool {
-	for other, s := range file {
+// othersAt reports whether a request of the group other than id ran at the crash.
+func (r *Registry) othersAt(group map[ID]*suspect, id ID, c wire.Suspicion) bool {
+	for other, s := range group {
 		if other != id && r.ranAt(s, c) {
 			return true
 		}
@@ -260,8 +266,9 @@
 	return false
 }
 
-// onlyCommon tells whether of all that ran at two crashes in company, being
-// known, only this request ran at both: two copies of it were sent at once.
+// onlyCommon reports whether this request is the only one that ran at both of two
+// crashes. All requests that ran at them must be known, and others must have run at
+// each. This happens when two copies of a request are sent at once.
 func (r *Registry) onlyCommon(id ID, a, b wire.Suspicion) bool {
 	if a.Batch <= 1 || b.Batch <= 1 || r.explained(a) || r.explained(b) {
 		return false
@@ -269,11 +276,11 @@
 	return r.complete(a) && r.complete(b) && !r.shared(id, a, b)
 }
 
-// complete tells whether every request that ran at the crash is known here.
+// complete reports whether every request that ran at the crash is known here.
 func (r *Registry) complete(c wire.Suspicion) bool {
 	known := 0
-	for _, file := range []map[ID]*suspect{r.suspects, r.acquitted} {
-		for _, s := range file {
+	for _, group := range []map[ID]*suspect{r.suspects, r.clearedSuspects} {
+		for _, s := range group {
 			if r.ranAt(s, c) {
 				known++
 			}
@@ -282,7 +289,7 @@
 	return known >= c.Batch
 }
 
-// shared tells whether another suspect ran at both crashes.
+// shared reports whether another suspect ran at both crashes.
 func (r *Registry) shared(id ID, a, b wire.Suspicion) bool {
 	for other, s := range r.suspects {
 		if other != id && r.ranAt(s, a) && r.ranAt(s, b) {
@@ -292,12 +299,13 @@
 	return false
 }
 
+// ranAt reports whether the request ran at the crash.
 func (r *Registry) ranAt(s *suspect, c wire.Suspicion) bool {
 	return slices.ContainsFunc(s.crashes, func(x wire.Suspicion) bool { return r.same(x, c) })
 }
 
-// put quarantines a suspect.
-func (r *Registry) put(now time.Time, id ID) {
+// quarantineSuspect quarantines a suspect.
+func (r *Registry) quarantineSuspect(now time.Time, id ID) {
 	endpoints := map[string]bool{}
 	for _, c := range r.suspects[id].crashes {
 		endpoints[c.Endpoint] = true
@@ -312,41 +320,44 @@
 	}
 }
 
-// Answered clears a request that an endpoint answered.
+// RecordAnswer clears a request that an endpoint answered.
 func (r *Registry) RecordAnswer(now time.Time, id ID) {
 	if s := r.suspects[id]; s != nil {
 		delete(r.suspects, id)
-		r.acquitted[id] = s
+		r.clearedSuspects[id] = s
 		r.convict(now)
 	}
-	delete(r.placed, id)
-	r.turnOver(now)
+	delete(r.placements, id)
+	r.rotateCleared(now)
 	if len(r.cleared) < r.config.MaxCleared {
 		r.cleared[id] = true
 	}
 }
 
-func (r *Registry) innocent(now time.Time, id ID) bool {
-	r.turnOver(now)
+// isCleared reports whether the request was answered recently.
+func (r *Registry) isCleared(now time.Time, id ID) bool {
+	r.rotateCleared(now)
 	return r.cleared[id] || r.clearedBefore[id]
 }
 
-func (r *Registry) turnOver(now time.Time) {
-	if now.Before(r.turn) {
+// rotateCleared drops cleared requests in steps of half of ClearedTTL.
+func (r *Registry) rotateCleared(now time.Time) {
+	if now.Before(r.rotateAt) {
 		return
 	}
 	half := r.config.ClearedTTL / 2
 	r.clearedBefore = r.cleared
-	if !now.Before(r.turn.Add(half)) {
-		r.clearedBefore = nil // from longer ago than the half before this one
+	if !now.Before(r.rotateAt.Add(half)) {
+		r.clearedBefore = nil // older than the last half
 	}
 	r.cleared = map[ID]bool{}
-	r.turn = now.Add(half)
+	r.rotateAt = now.Add(half)
 }
 
-func sorted(file map[ID]*suspect) []ID {
-	ids := make([]ID, 0, len(file))
-	for id := range file {
+// sorted returns the IDs of a group in order.
+func sorted(group map[ID]*suspect) []ID {
+	ids := make([]ID, 0, len(group))
+	for id := range group {
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, compareIDs)
--- a/internal/policy/poison/poison_test.go
+++ b/internal/policy/poison/poison_test.go
@@ -34,10 +34,10 @@
 		now = time.Unix(1000, 0)
 	})
 
-	// A request crashes an endpoint that runs two more. All three run alone
-	// the next time: the innocent ones are answered, the poison one crashes a
-	// second endpoint and is quarantined.
-	It("quarantines after the second endpoint and clears the neighbours", func() {
+	// A request crashes an endpoint that runs two others too. All three run alone the
+	// next time: the innocent ones are answered, and the poison one crashes a second
+	// endpoint and is quarantined.
+	It("quarantines after the second endpoint and clears the other requests", func() {
 		for _, f := range []uint64{1, 2, 3} {
 			Expect(r.RecordCrash(now, crash(f, "a", 3))).To(BeFalse())
 			Expect(verdict(f)).To(Equal(poison.Alone))
@@ -51,15 +51,16 @@
 		Expect(r.List(now)[0].Endpoints).To(Equal(2))
 	})
 
-	It("counts reports of one crash once", func() {
+	It("counts several reports of one crash once", func() {
 		r.RecordCrash(now, crash(1, "a", 1))
 		now = now.Add(time.Second)
 		Expect(r.RecordCrash(now, crash(1, "a", 1))).To(BeFalse())
 		Expect(verdict(1)).To(Equal(poison.Alone))
 	})
 
-	// Two copies are sent at once, in company on both endpoints. The only
-	// request that ran at both is the culprit, once everything that ran is known.
+	// Two copies are sent at once, and other requests run beside them on both
+	// endpoints. Once all requests that ran are known, the only one that ran at both
+	// crashes is the culprit.
 	It("convicts the only request that two crashes have in common", func() {
 		r.RecordCrash(now, crash(1, "a", 2))
 		r.RecordCrash(now, crash(1, "b", 2))
@@ -84,16 +85,17 @@
 		Expect(verdict(1)).To(Equal(poison.Blocked))
 	})
 
-	// An innocent request ran beside the culprit, and then alone when another
-	// endpoint crashed by itself. Its resends would be refused for an hour; it
-	// waits for one of the two endpoints instead, and is answered there.
-	It("does not convict who was alone at a stray crash while the culprit is at large", func() {
+	// An innocent request ran beside the culprit, and then alone when another endpoint
+	// crashed for a different reason. If it were convicted, its retries would be
+	// refused for an hour. Instead it waits for one of the two endpoints and is
+	// answered there.
+	It("does not convict a request that ran alone at an unrelated crash while the culprit is unknown", func() {
 		r.RecordCrash(now, crash(1, "a", 2))
 		r.RecordCrash(now, crash(2, "a", 2))
 		Expect(r.RecordCrash(now, crash(2, "b", 1))).To(BeFalse())
-		endpoints, firm := r.AllowedEndpoints(now, id(2))
+		endpoints, exclusive := r.AllowedEndpoints(now, id(2))
 		Expect(endpoints).To(Equal([]string{"a", "b"}))
-		Expect(firm).To(BeTrue())
+		Expect(exclusive).To(BeTrue())
 		Expect(r.RecordCrash(now, crash(1, "c", 1))).To(BeFalse())
 		Expect(allowed(r, now, 1)).To(Equal([]string{"a", "c"}))
 		r.RecordAnswer(now, id(2))
@@ -101,7 +103,7 @@
 		Expect(verdict(2)).To(Equal(poison.Unrestricted))
 	})
 
-	It("does not convict for a crash that a request in quarantine explains", func() {
+	It("does not convict for a crash that a quarantined request explains", func() {
 		r.RecordCrash(now, crash(1, "a", 2))
 		r.RecordCrash(now, crash(1, "b", 1))
 		Expect(verdict(1)).To(Equal(poison.Blocked))
@@ -111,10 +113,10 @@
 		Expect(r.RecordCrash(now, crash(2, "c", 1))).To(BeTrue())
 	})
 
-	// A suspect crashes alone, its endpoint is back within a second, and it
-	// crashes that again. Taken for a second report of the first crash, it would
-	// run a third time.
-	It("tells two crashes of one endpoint apart by their numbers", func() {
+	// A suspect that runs alone crashes an endpoint, which restarts within a second, and
+	// crashes it again. If that passed for a second report of the first crash, the
+	// request would run a third time.
+	It("distinguishes two crashes of one endpoint by their numbers", func() {
 		first, second := crash(1, "a", 1), crash(1, "a", 1)
 		first.Crash, second.Crash = 1, 2
 		Expect(r.RecordCrash(now, first)).To(BeFalse())
@@ -122,31 +124,31 @@
 		Expect(r.RecordCrash(now, second)).To(BeTrue())
 	})
 
-	// A caller resends a poison request before the first copy has crashed. Each
-	// copy on an endpoint of its own would crash one more.
-	It("lets copies of an unknown request follow the first, through any entry", func() {
+	// A caller resends a poison request before the first copy has crashed its endpoint.
+	// If each copy ran on another endpoint, each would crash one more.
+	It("lets copies of an unknown request follow the first copy, through any entry", func() {
 		peer := poison.New(poison.DefaultConfig(), "entry-3")
 		Expect(allowed(r, now, 1)).To(BeEmpty())
-		begun, tell := r.StartCopy(now, id(1), "a")
-		Expect(tell).To(BeTrue())
-		peer.RecordPlacement(now, begun)
+		started, send := r.StartCopy(now, id(1), "a")
+		Expect(send).To(BeTrue())
+		peer.RecordPlacement(now, started)
 		Expect(allowed(peer, now, 1)).To(Equal([]string{"a"}))
 		Expect(allowed(peer, now.Add(time.Minute), 1)).To(BeEmpty())
-		ended, tell := r.EndCopy(now, id(1), "a", true)
-		Expect(tell).To(BeTrue())
+		ended, send := r.EndCopy(now, id(1), "a", true)
+		Expect(send).To(BeTrue())
 		peer.RecordPlacement(now, ended)
 		for _, known := range []*poison.Registry{r, peer} {
 			Expect(allowed(known, now, 1)).To(BeEmpty())
-			_, tell = known.StartCopy(now, id(1), "b")
-			Expect(tell).To(BeFalse())
+			_, send = known.StartCopy(now, id(1), "b")
+			Expect(send).To(BeFalse())
 			Expect(allowed(known, now, 1)).To(BeEmpty())
 		}
 	})
 
-	// Two entries run copies. The one answers, and its word overtakes the other's
-	// of a copy that began before. Taken in afterwards, that would bind a request
-	// that is cleared, until it is forgotten.
-	It("is not bound by a late word of a copy once the request was answered", func() {
+	// Two entries run copies. One is answered, and the message about it arrives before
+	// the other entry's message about a copy that started earlier. If that were
+	// recorded, it would restrict a cleared request until the placement expires.
+	It("ignores a late message about a copy once the request was answered", func() {
 		answered, _ := r.StartCopy(now, id(1), "a")
 		answered.Ended, answered.Cleared = true, true
 		late := wire.Placement{Service: "tone", Fingerprint: 1, Endpoint: "b"}
@@ -155,7 +157,7 @@
 		Expect(allowed(r, now, 1)).To(BeEmpty())
 	})
 
-	It("spreads what too many send at once to be resends", func() {
+	It("spreads copies over endpoints if there are too many of them to be retries", func() {
 		for range poison.DefaultConfig().MaxCopiesPerEndpoint {
 			r.StartCopy(now, id(1), "a")
 		}
@@ -173,7 +175,7 @@
 		Expect(allowed(r, now, 1)).To(BeEmpty())
 	})
 
-	It("does not suspect a request that was answered lately for its company", func() {
+	It("does not suspect a recently answered request that ran beside others at a crash", func() {
 		r.RecordAnswer(now, id(1))
 		now = now.Add(4 * time.Minute)
 		r.RecordCrash(now, crash(1, "a", 5))
@@ -183,7 +185,7 @@
 		Expect(verdict(1)).To(Equal(poison.Alone))
 	})
 
-	It("lets suspicion and quarantine expire", func() {
+	It("lets suspicions and quarantines expire", func() {
 		r.RecordCrash(now, crash(1, "a", 1))
 		r.RecordCrash(now, crash(2, "a", 1))
 		r.RecordCrash(now, crash(2, "b", 1))
@@ -195,7 +197,7 @@
 		Expect(r.List(now)).To(BeEmpty())
 	})
 
-	It("spreads, and keeps an operator's release against older words", func() {
+	It("merges with peers, and an operator's release overrides older quarantines", func() {
 		peer := poison.New(poison.DefaultConfig(), "entry-3")
 		r.RecordCrash(now, crash(1, "a", 1))
 		for _, s := range r.Suspicions() {
@@ -203,13 +205,13 @@
 		}
 		Expect(peer.Verdict(now, id(1))).To(Equal(poison.Alone))
 		peer.RecordCrash(now, crash(1, "b", 1))
-		standing := peer.List(now)
-		r.Merge(now, standing)
+		quarantined := peer.List(now)
+		r.Merge(now, quarantined)
 		Expect(verdict(1)).To(Equal(poison.Blocked))
 		now = now.Add(time.Minute)
 		Expect(r.Release(now, 1)).To(BeTrue())
 		Expect(r.Release(now, 1)).To(BeFalse())
-		r.Merge(now, standing)
+		r.Merge(now, quarantined)
 		Expect(verdict(1)).To(Equal(poison.Unrestricted))
 		peer.Merge(now, r.List(now))
 		Expect(peer.Verdict(now, id(1))).To(Equal(poison.Unrestricted))
@@ -220,8 +222,8 @@
 		Expect(peer.Verdict(now, id(1))).To(Equal(poison.Blocked))
 	})
 
-	// Two entries are about to start the same suspect. Whichever asks last
-	// sees the other; the one with the greater id yields.
+	// Two entries are about to start the same suspect. The one that asks last sees the
+	// other's reservation, and the one with the greater ID yields.
 	It("starts a suspect on one entry at a time", func() {
 		other := poison.New(poison.DefaultConfig(), "entry-1")
 		Expect(r.Reserve(id(1))).To(BeTrue())
--- a/internal/policy/poison/spread.go
+++ b/internal/policy/poison/sync.go
@@ -8,54 +8,57 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Wait notes that a suspect is about to start from here, false if a copy runs
-// or waits here already. Begin or Forgo ends the wait.
+// Reserve reserves the start of a suspect for this entry. It returns false if a copy
+// runs or is reserved here already. StartCopy or CancelReservation ends the
+// reservation.
 //
-// Two copies of a poison request that start side by side crash two endpoints
-// before either crash can convict it, and a third falls to the next copy.
-// Therefore an entry asks every other one between Wait and Begin, and begins
-// only if none is Busy and it was not made to yield meanwhile. Of two entries
-// that ask each other one always sees the other.
+// If two copies of a poison request start concurrently, they crash two endpoints
+// before either crash can convict the request, and the next copy crashes a third.
+// Therefore an entry asks every other one between Reserve and StartCopy, and starts
+// the copy only if none of them is Busy and it has not had to yield meanwhile. Of two
+// entries that ask each other, at least one sees the other's reservation.
 func (r *Registry) Reserve(id ID) bool {
-	if r.running[id] > 0 || r.waiting[id] {
+	if r.running[id] > 0 || r.reserved[id] {
 		return false
 	}
-	r.waiting[id] = true
+	r.reserved[id] = true
 	return true
 }
 
-// Ready tells whether a suspect that waited may start; false if its wait was
-// ended by a yield. Begin follows.
+// Reserved reports whether this entry still holds its reservation and may call
+// StartCopy. It is false if the entry had to yield.
 func (r *Registry) Reserved(id ID) bool {
-	return r.waiting[id]
+	return r.reserved[id]
 }
 
-// Forgo ends a wait without a start.
+// CancelReservation ends a reservation without a start.
 func (r *Registry) CancelReservation(id ID) {
-	delete(r.waiting, id)
+	delete(r.reserved, id)
 }
 
-// Busy tells the entry from, which is about to start the suspect, that it must
-// not yet. Of two that wait, the one with the greater instance id yields.
+// Busy reports whether the entry from, which is about to start the suspect, must not
+// do so yet. Of two entries with a reservation, the one with the greater instance ID
+// yields.
 func (r *Registry) Busy(id ID, from string) bool {
 	if r.running[id] > 0 {
 		return true
 	}
-	if r.waiting[id] && from < r.self {
-		delete(r.waiting, id)
+	if r.reserved[id] && from < r.self {
+		delete(r.reserved, id)
 	}
-	return r.waiting[id]
+	return r.reserved[id]
 }
 
-// Suspicions lists the crashes known, for peers; those of requests that were
-// answered since are marked, since they complete what is known of a crash.
+// Suspicions returns the known crashes, for peers. Those of requests that were
+// answered are included, marked as cleared, since they complete what is known about
+// a crash.
 func (r *Registry) Suspicions() []wire.Suspicion {
 	var all []wire.Suspicion
 	for _, id := range sorted(r.suspects) {
 		all = append(all, r.suspects[id].crashes...)
 	}
-	for _, id := range sorted(r.acquitted) {
-		for _, c := range r.acquitted[id].crashes {
+	for _, id := range sorted(r.clearedSuspects) {
+		for _, c := range r.clearedSuspects[id].crashes {
 			c.Cleared = true
 			all = append(all, c)
 		}
@@ -63,8 +66,7 @@
 	return all
 }
 
-// List returns the quarantine, released entries included, for peers and
-// operators.
+// List returns the quarantine, including released entries, for peers and operators.
 func (r *Registry) List(now time.Time) []wire.QuarantineEntry {
 	r.Sweep(now)
 	all := make([]wire.QuarantineEntry, 0, len(r.quarantine))
@@ -77,9 +79,9 @@
 	return all
 }
 
-// Merge takes in what a peer knows. A release stands over a quarantine that
-// does not outlast it, so that an operator's word holds on every entry; a
-// quarantine made anew after the release outlasts it.
+// Merge merges the quarantine of a peer. A release overrides every quarantine that
+// does not expire later, so that an operator's release holds on every entry. A
+// quarantine made after the release expires later.
 func (r *Registry) Merge(now time.Time, entries []wire.QuarantineEntry) {
 	for _, e := range entries {
 		id := ID{Service: e.Service, Fingerprint: e.Fingerprint}
@@ -97,8 +99,8 @@
 	}
 }
 
-// Release lets every request with the fingerprint run again and tells whether
-// one was in quarantine. Its past crashes no longer count.
+// Release lets every request with the fingerprint run again and reports whether one
+// was quarantined. Its past crashes no longer count.
 func (r *Registry) Release(now time.Time, fingerprint uint64) bool {
 	released := false
 	for id, q := range r.quarantine {
@@ -107,7 +109,7 @@
 			continue
 		}
 		q.Released = true
-		// Outlasts every quarantine that a peer has made before now.
+		// Expires later than every quarantine that a peer has made before now.
 		q.ExpiresUnix = now.Add(r.config.QuarantineTTL).UnixMilli()
 		r.moveCulprit(id, true)
 		released = true
@@ -115,8 +117,8 @@
 	return released
 }
 
-// moveCulprit ends the suspicion of a request on a word about its quarantine;
-// the crashes of one that was released count for nothing.
+// moveCulprit ends the suspicion of a request whose quarantine was made or released.
+// The crashes of a released request are dropped.
 func (r *Registry) moveCulprit(id ID, released bool) {
 	if s := r.suspects[id]; s != nil && !released {
 		r.culprits[id] = s
