--- a/internal/policy/config/attempt.go
+++ b/internal/policy/config/attempt.go
@@ -106,7 +106,7 @@
 		return a.unanswered()
 	}
 	a.base, a.keyRev = record, keyRevision
-	if revision, found := record.find(a.request.ChangeID); found {
+	if revision, found := record.revisionOf(a.request.ChangeID); found {
 		return done(Result{Verdict: Accepted, Record: record, Changes: a.acceptedAs(revision)})
 	}
 	if a.indeterminate {
--- a/internal/policy/config/follower.go
+++ b/internal/policy/config/follower.go
@@ -43,7 +43,7 @@
 	QuorumFor    time.Duration // how long the peer still hears a quorum without further heartbeats; 0: it hears none
 	Boot         uint64        // identifies the run of the peer's process
 	Clock        time.Duration // time since that run started, by the peer's clock
-	SentAt       time.Time     // by the own clock, not later than the peer sent it; zero: unknown
+	SentAt       time.Time     // lower bound, by the own clock, of when the peer sent it; zero: unknown
 }
 
 // NoConfirmation is the ConfirmedAgo of a process that has no proof.
@@ -105,10 +105,11 @@
 	nextFetch  time.Time
 }
 
+// heardPeer is the last status of a peer.
 type heardPeer struct {
 	peer     Peer
 	at       time.Time // of arrival
-	sentAt   time.Time // not after the last heartbeat was sent; zero: unknown for all of them
+	sentAt   time.Time // lower bound of when the newest heartbeat was sent; zero: unknown
 	revision int64
 }
 
--- a/internal/policy/config/record.go
+++ b/internal/policy/config/record.go
@@ -111,9 +111,9 @@
 	return entries, errors.Wrap(json.Unmarshal(b, &entries), "config: decode archive")
 }
 
-// find returns the revision as which a change was accepted, and whether the trail
+// revisionOf returns the revision as which a change was accepted, and whether the trail
 // has the change.
-func (r Record) find(changeID string) (int64, bool) {
+func (r Record) revisionOf(changeID string) (int64, bool) {
 	for _, a := range r.Trail {
 		if a.ChangeID == changeID {
 			return a.Revision, true
--- a/internal/policy/config/refused.go
+++ b/internal/policy/config/refused.go
@@ -52,9 +52,9 @@
 	Count     int64  `json:"count"`
 }
 
-// like reports whether two groups differ only in times, counts and the details of
+// matches reports whether two groups differ only in times, counts and the details of
 // the last change.
-func (r RefusedChanges) like(o RefusedChanges) bool {
+func (r RefusedChanges) matches(o RefusedChanges) bool {
 	return r.Operator == o.Operator && r.Host == o.Host && r.Action == o.Action &&
 		r.Outcome == o.Outcome && r.Reason == o.Reason
 }
@@ -69,8 +69,9 @@
 	return r
 }
 
-// clean limits and sanitizes the texts that a caller provides.
-func (r RefusedChanges) clean() RefusedChanges {
+// sanitized returns the group with the texts of the caller limited in length and
+// made valid UTF-8.
+func (r RefusedChanges) sanitized() RefusedChanges {
 	for _, text := range []*string{&r.Operator, &r.Host, &r.Reason, &r.ChangeID} {
 		if len(*text) > maxTextBytes {
 			*text = (*text)[:maxTextBytes]
@@ -126,13 +127,13 @@
 	return n
 }
 
-// has reports whether a writer's batch is in the record.
-func (r RefusedRecord) has(writer string, batch int64) bool {
+// hasBatch reports whether a writer's batch is in the record.
+func (r RefusedRecord) hasBatch(writer string, batch int64) bool {
 	return slices.ContainsFunc(r.Marks, func(m BatchMark) bool { return m.Writer == writer && m.Batch >= batch })
 }
 
-// with returns the record with a writer's batch added.
-func (r RefusedRecord) with(writer string, batch int64, groups []RefusedChanges, dropped int64) RefusedRecord {
+// withBatch returns the record with a writer's batch added.
+func (r RefusedRecord) withBatch(writer string, batch int64, groups []RefusedChanges, dropped int64) RefusedRecord {
 	r.Groups, r.Marks = slices.Clone(r.Groups), slices.Clone(r.Marks)
 	for _, g := range groups {
 		r.Groups, _ = addGroup(r.Groups, g, 0)
@@ -175,7 +176,7 @@
 func addGroup(groups []RefusedChanges, g RefusedChanges, limit int) ([]RefusedChanges, bool) {
 	for i := len(groups) - 1; i >= 0; i-- {
 		old := groups[i]
-		if old.like(g) && g.UnixMilli-old.LastMilli < groupGap.Milliseconds() {
+		if old.matches(g) && g.UnixMilli-old.LastMilli < groupGap.Milliseconds() {
 			return append(slices.Delete(groups, i, i+1), old.join(g)), true
 		}
 	}
--- a/internal/policy/config/refusedlog.go
+++ b/internal/policy/config/refusedlog.go
@@ -55,7 +55,7 @@
 		l.delayUntil(now.Add(l.config.FirstWriteDelay))
 	}
 	var added bool
-	if l.waiting, added = addGroup(l.waiting, r.clean(), l.config.MaxGroups); !added {
+	if l.waiting, added = addGroup(l.waiting, r.sanitized(), l.config.MaxGroups); !added {
 		l.dropped++
 	}
 }
@@ -112,10 +112,10 @@
 		l.busy = false
 		return Step{Kind: StepDone}
 	}
-	if record.has(l.writer, l.number) {
+	if record.hasBatch(l.writer, l.number) {
 		return l.written()
 	}
-	next := record.with(l.writer, l.number, l.batch.groups, l.batch.dropped)
+	next := record.withBatch(l.writer, l.number, l.batch.groups, l.batch.dropped)
 	return Step{Kind: StepWrite, Key: refusedKey(l.deployment, l.writer), Expected: keyRevision, Value: encode(next)}
 }
 
