--- a/internal/policy/config/attempt.go
+++ b/internal/policy/config/attempt.go
@@ -36,7 +36,7 @@
 	Accepted  Verdict = iota // the change is in the record
 	Unchanged                // the record already has what was requested
 	Conflict                 // refused: the record does not have the expected revision
-	Failed                   // refused: the service did not answer and the change is certainly not accepted
+	Failed                   // refused: certainly not accepted, as the service did not answer or other writers were always faster
 	Unknown                  // it may be accepted; a retry with the same change ID finds out
 )
 
