--- a/internal/policy/config/attempt.go
+++ b/internal/policy/config/attempt.go
@@ -36,7 +36,7 @@
 	Accepted  Verdict = iota // the change is in the record
 	Unchanged                // the record already has what was requested
 	Conflict                 // refused: the record does not have the expected revision
-	Failed                   // refused: the service did not answer and the change is certainly not accepted
+	Failed                   // refused: certainly not accepted, as the service did not answer or other writers were always faster
 	Unknown                  // it may be accepted; a retry with the same change ID finds out
 )
 
@@ -106,7 +106,7 @@
 		return a.unanswered()
 	}
 	a.base, a.keyRev = record, keyRevision
-	if revision, found := record.find(a.request.ChangeID); found {
+	if revision, found := record.revisionOf(a.request.ChangeID); found {
 		return done(Result{Verdict: Accepted, Record: record, Changes: a.acceptedAs(revision)})
 	}
 	if a.indeterminate {
