--- a/internal/agentless/node/node.go
+++ b/internal/agentless/node/node.go
@@ -184,8 +184,8 @@
 		n.owner.Guard.Peers = n.desk
 	}
 	n.owner.Certain = n.registrar.Certain
-	n.store.Returned = n.owner.StoreBack
-	n.store.Urgent = func() bool { return n.isScout() || len(n.owner.Jobs()) > 0 || n.owner.Guard.Waits() }
+	n.store.Recovered = n.owner.StoreBack
+	n.store.HasWaiters = func() bool { return n.isScout() || len(n.owner.Jobs()) > 0 || n.owner.Guard.Waits() }
 	n.owner.Spared = n.spared
 	n.owner.Adopted = func(spec *batch.Spec) {
 		modelrun.Tell(context.Background(), n.members, peers, modelrun.NeedArgs{Model: spec.Model, Version: spec.MinVersion, Items: len(spec.Items)})
--- a/internal/agentless/node/views.go
+++ b/internal/agentless/node/views.go
@@ -215,7 +215,7 @@
 // served notes that a scout told the news.
 func (n *Node) served() {
 	n.news.note()
-	n.store.MayBeBack()
+	n.store.PeersServed()
 }
 
 // heard notes that the store told this scout the news of a topic.
--- a/internal/agentless/storepath/store.go
+++ b/internal/agentless/storepath/store.go
@@ -39,12 +39,12 @@
 // Store is the platform's store by whichever way works. It implements kv.Shared
 // and is safe for concurrent use.
 type Store struct {
-	// Returned is called when the store answers again after it answered nobody; may
+	// Recovered is called when the store answers again after it answered nobody; may
 	// be nil.
-	Returned func()
+	Recovered func()
 	Switches *mechanism.Switches // set before first use; may be nil
-	// Urgent tells whether something here waits for a store that is away; nil: always.
-	Urgent func() bool
+	// HasWaiters tells whether something here waits for a store that is away; nil: always.
+	HasWaiters func() bool
 
 	direct     kv.Shared
 	self       cluster.Member
@@ -234,9 +234,9 @@
 	return s.probe(ctx)
 }
 
-// MayBeBack tells that another process hears from the store: if it seemed to answer
+// PeersServed tells that another process hears from the store: if it seemed to answer
 // nobody, the next call looks at once.
-func (s *Store) MayBeBack() {
+func (s *Store) PeersServed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.looked = time.Time{}
@@ -259,7 +259,7 @@
 }
 
 func (s *Store) lookEvery() time.Duration {
-	if s.Urgent == nil || s.Urgent() {
+	if s.HasWaiters == nil || s.HasWaiters() {
 		return lookDownEvery
 	}
 	return idleLookDownEvery
@@ -324,7 +324,7 @@
 	if away {
 		events.StoreDirect.Log(s.log, logrus.Fields{})
 	}
-	if switched && s.Returned != nil {
-		s.Returned()
+	if switched && s.Recovered != nil {
+		s.Recovered()
 	}
 }
--- a/internal/agentless/storepath/storepath_test.go
+++ b/internal/agentless/storepath/storepath_test.go
@@ -268,7 +268,7 @@
 			p.own.silent.Store(false)
 		}
 		returned := 0
-		all[0].store.Returned = func() { returned++ }
+		all[0].store.Recovered = func() { returned++ }
 		committed, err := all[0].store.Commit(ctx, write)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(committed.Done).To(BeTrue())
