--- a/internal/agentless/storepath/query.go
+++ b/internal/agentless/storepath/query.go
@@ -9,10 +9,10 @@
 	"siskinloom.example/siskinloom/internal/kv"
 )
 
-// Operation is a call that the store knows.
+// Operation identifies a method of the store.
 type Operation int
 
-// The operations.
+// Methods of the store.
 const (
 	Read Operation = iota
 	ReadPage
@@ -23,23 +23,24 @@
 	RevokeLease
 )
 
-// Query is one call to the store, as it is relayed to another process.
+// Query is one call to the store as it is relayed to another process.
 type Query struct {
 	Operation   Operation
-	Key         string         // of Read; prefix of ReadPage and Await
-	AfterKey    string         // of ReadPage
-	Revision    int64          // Await: changes after it
+	Key         string         // key of Read; prefix of ReadPage and Await
+	AfterKey    string         // of ReadPage: last key of the page before
+	Revision    int64          // of Await: only later changes are returned
 	Wait        time.Duration  // of Await
 	Transaction kv.Transaction // of Commit
 	TTL         time.Duration  // of GrantLease
 	Lease       kv.LeaseID     // of KeepLease and RevokeLease
 }
 
-// repeatable tells whether the call may be made twice. A transaction that took
-// effect would fail its own conditions the second time.
+// repeatable reports whether the call may be made twice. A transaction may not: if it
+// took effect, its own conditions fail the second time.
 func (q *Query) repeatable() bool { return q.Operation != Commit }
 
-// Result is the store's answer to a Query; the field of its operation is set.
+// Result is the store's answer to a Query. Only the fields of the query's operation are
+// set.
 type Result struct {
 	Record    kv.Record
 	Page      kv.Page
@@ -49,7 +50,7 @@
 	TTL       time.Duration
 }
 
-// execute makes the call.
+// execute makes the call to the given store.
 func execute(ctx context.Context, store kv.Shared, q *Query) (r Result, err error) {
 	switch q.Operation {
 	case Read:
@@ -72,10 +73,10 @@
 	return r, err
 }
 
-// Code is how a call to the store ended, as it goes between processes.
+// Code is the outcome of a call to the store as it is sent between processes.
 type Code int
 
-// The codes.
+// Outcomes of a call.
 const (
 	Served Code = iota
 	Unavailable
@@ -88,6 +89,7 @@
 	Unavailable: kv.ErrUnavailable, Unknown: kv.ErrUnknown, LeaseNotFound: kv.ErrLeaseNotFound, HistoryGone: kv.ErrHistoryGone,
 }
 
+// codeOf returns the code for an error of the store.
 func codeOf(err error) Code {
 	if err == nil {
 		return Served
@@ -97,10 +99,10 @@
 			return code
 		}
 	}
-	return Unknown // nothing is certain of an error without a kind
+	return Unknown // nothing is certain about an error of unknown kind
 }
 
-// answered tells whether the store itself answered, whatever it said.
+// answered reports whether the store itself answered, even with a refusal.
 func answered(err error) bool {
 	return err == nil || errors.Is(err, kv.ErrLeaseNotFound) || errors.Is(err, kv.ErrHistoryGone)
 }
--- a/internal/agentless/storepath/relay.go
+++ b/internal/agentless/storepath/relay.go
@@ -14,64 +14,66 @@
 )
 
 const (
-	// askedOfAKind is how many workers and how many entries are asked. A cut may
-	// take a process from all workers and leave it the other entries, of which a
-	// third may be cut as well.
-	askedOfAKind = 2
-	// askNextAfter is how long one process may be silent before the next is asked
-	// too. They are milliseconds away, and the store answers in 4 ms; asked one
-	// after the other, two that are cut off would use up the time that a submitter
-	// waits.
-	askNextAfter = 100 * time.Millisecond
-	// storeFailures is how many others have to find the store failing before no
-	// more are asked: it is an outage then, and each costs the store a call.
-	storeFailures = 2
+	// maxPeersPerRole is how many workers and how many entries are asked to relay a
+	// call. A network partition may cut a process off from all workers but not from the
+	// other entries, a third of which may be cut off as well.
+	maxPeersPerRole = 2
+	// hedgeDelay is how long one peer may be silent before the next one is asked as
+	// well. Peers are milliseconds away, and the store answers in 4 ms. If peers were
+	// asked one after the other, two that are cut off would use up the time that a
+	// submitter waits.
+	hedgeDelay = 100 * time.Millisecond
+	// maxFailingPeers is how many peers have to report that the store fails for them
+	// before no further ones are asked. The store itself is down then, and each peer
+	// would make another call to it.
+	maxFailingPeers = 2
 )
 
-// failsOthersError tells that the store fails another process as well.
-type failsOthersError struct{ by, text string }
+// peerFailedError means that the store fails for a peer as well.
+type peerFailedError struct{ peer, text string }
 
 // Error implements error.
-func (e *failsOthersError) Error() string { return "store fails " + e.by + " too: " + e.text }
+func (e *peerFailedError) Error() string { return "the store also fails for " + e.peer + ": " + e.text }
 
-// Unwrap returns what it means for the call.
-func (e *failsOthersError) Unwrap() error { return kv.ErrUnavailable }
+// Unwrap returns ErrUnavailable, because the call had no effect.
+func (e *peerFailedError) Unwrap() error { return kv.ErrUnavailable }
 
-// relay makes the call through a peer: the first that has an answer of the store,
-// or for a call that must not be made twice the one that helped last. began is
-// when the call first went out.
+// relay makes the call through a peer. A repeatable call goes to several, and the
+// first answer of the store counts. Any other call goes to one peer only: the one that
+// relayed the last call, or one that has just relayed a read. began is when the call
+// was first sent.
 func (s *Store) relay(ctx context.Context, q *Query, began time.Time) outcome {
 	if q.repeatable() {
-		helper, o := s.firstAnswer(ctx, q)
+		peer, o := s.firstAnswer(ctx, q)
 		if !answered(o.err) {
 			return outcome{err: errors.Wrap(kv.ErrUnavailable, o.err.Error())}
 		}
-		s.relayServed(helper, began)
+		s.relayServed(peer, began)
 		return o
 	}
-	helper, found := s.lastHelper()
+	peer, found := s.lastPeer()
 	if !found {
 		var o outcome
-		if helper, o = s.firstAnswer(ctx, &Query{Operation: Read, Key: probeKey}); !answered(o.err) {
+		if peer, o = s.firstAnswer(ctx, &Query{Operation: Read, Key: probeKey}); !answered(o.err) {
 			return outcome{err: errors.Wrap(kv.ErrUnavailable, o.err.Error())}
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.limit()+askNextAfter)
+	ctx, cancel := context.WithTimeout(ctx, s.timeout()+hedgeDelay)
 	defer cancel()
-	o := s.relayBy(ctx, helper, q)
+	o := s.relayThrough(ctx, peer, q)
 	if answered(o.err) {
-		s.relayServed(helper, began)
+		s.relayServed(peer, began)
 	} else {
-		s.forgetHelper(helper)
+		s.forgetPeer(peer)
 	}
 	return o
 }
 
-// firstAnswer asks one process after the other, without waiting long for any, and
-// returns the first that had an answer of the store.
+// firstAnswer asks the candidates one after the other with a delay of hedgeDelay, and
+// returns the first peer that got an answer of the store, with that answer.
 func (s *Store) firstAnswer(ctx context.Context, q *Query) (cluster.Member, outcome) {
 	type relayed struct {
-		helper cluster.Member
+		peer cluster.Member
 		outcome
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -80,29 +82,29 @@
 	ended := make(chan relayed, len(candidates))
 	next := time.NewTimer(0)
 	defer next.Stop()
-	last := outcome{err: errors.New("storepath: no other process to ask")}
+	last := outcome{err: errors.New("storepath: there is no peer to ask")}
 	asked, failing := 0, 0
-	var fails *failsOthersError
-	for under := 0; under > 0 || asked < len(candidates); {
+	var peerFailed *peerFailedError
+	for inFlight := 0; inFlight > 0 || asked < len(candidates); {
 		select {
 		case <-next.C:
 			if asked < len(candidates) {
 				m := candidates[asked]
 				asked++
-				under++
-				go func() { ended <- relayed{m, s.relayBy(ctx, m, q)} }()
-				next.Reset(askNextAfter)
+				inFlight++
+				go func() { ended <- relayed{m, s.relayThrough(ctx, m, q)} }()
+				next.Reset(hedgeDelay)
 			}
 		case r := <-ended:
-			under--
+			inFlight--
 			last = r.outcome
 			switch {
 			case answered(r.err):
-				return r.helper, r.outcome
-			case errors.As(r.err, &fails):
+				return r.peer, r.outcome
+			case errors.As(r.err, &peerFailed):
 				failing++
 			}
-			if failing == storeFailures || ctx.Err() != nil {
+			if failing == maxFailingPeers || ctx.Err() != nil {
 				asked = len(candidates)
 			}
 			next.Reset(0)
@@ -114,18 +116,17 @@
 	return cluster.Member{}, last
 }
 
-// candidates returns the processes to ask: the one that helped last, then
-// workers, who have processor time to spare, then entries; of each kind the
-// nearest.
+// candidates returns the peers to ask: the one that relayed the last call, then
+// workers, which have spare CPU time, then entries; of each role the nearest.
 func (s *Store) candidates() []cluster.Member {
 	var workers, entries, first []cluster.Member
-	helper, helped := s.lastHelper()
-	if helped {
-		first = append(first, helper)
+	peer, known := s.lastPeer()
+	if known {
+		first = append(first, peer)
 	}
 	for _, m := range s.members.Live() {
 		switch {
-		case m.Leaving, m.Name == s.self.Name, helped && m.Name == helper.Name:
+		case m.Leaving, m.Name == s.self.Name, known && m.Name == peer.Name:
 		case m.Worker:
 			workers = append(workers, m)
 		default:
@@ -135,15 +136,16 @@
 	return append(append(first, s.nearest(workers)...), s.nearest(entries)...)
 }
 
-func (s *Store) nearest(of []cluster.Member) []cluster.Member {
-	cluster.SortNearest(s.self, of)
-	return of[:min(len(of), askedOfAKind)]
+// nearest returns the nearest of the given members, at most maxPeersPerRole.
+func (s *Store) nearest(members []cluster.Member) []cluster.Member {
+	cluster.SortNearest(s.self, members)
+	return members[:min(len(members), maxPeersPerRole)]
 }
 
-// relayBy has one process make the call. ErrUnavailable means that it certainly
-// had no effect.
-func (s *Store) relayBy(ctx context.Context, m cluster.Member, q *Query) outcome {
-	ctx, cancel := context.WithTimeout(ctx, q.Wait+relayLimit)
+// relayThrough makes the call through one peer. ErrUnavailable means that the call
+// certainly had no effect.
+func (s *Store) relayThrough(ctx context.Context, m cluster.Member, q *Query) outcome {
+	ctx, cancel := context.WithTimeout(ctx, q.Wait+relayTimeout)
 	defer cancel()
 	s.relayedOut.Inc(1)
 	var reply Reply
@@ -154,9 +156,9 @@
 	case errors.As(err, &dial):
 		return outcome{err: errors.Wrap(kv.ErrUnavailable, err.Error())}
 	case err != nil:
-		return outcome{err: errors.Wrap(kv.ErrUnknown, err.Error())} // the reply may still be written to
+		return outcome{err: errors.Wrap(kv.ErrUnknown, err.Error())} // net/rpc may still write to reply
 	case reply.Tried && reply.Code == Unavailable:
-		return outcome{err: &failsOthersError{by: m.Name, text: reply.Text}}
+		return outcome{err: &peerFailedError{peer: m.Name, text: reply.Text}}
 	case reply.Code != Served:
 		return outcome{err: errors.Wrapf(codeErrors[reply.Code], "through %s: %s", m.Name, reply.Text)}
 	}
@@ -166,9 +168,10 @@
 	return outcome{result: reply.Result}
 }
 
-func (s *Store) lastHelper() (cluster.Member, bool) {
+// lastPeer returns the peer that relayed the last call, if it is still a member.
+func (s *Store) lastPeer() (cluster.Member, bool) {
 	s.mu.Lock()
-	name := s.helper
+	name := s.lastPeerName
 	s.mu.Unlock()
 	if name == "" {
 		return cluster.Member{}, false
@@ -176,29 +179,31 @@
 	return s.members.Get(name)
 }
 
-func (s *Store) forgetHelper(m cluster.Member) {
+// forgetPeer makes the next call choose another peer than m.
+func (s *Store) forgetPeer(m cluster.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.helper == m.Name {
-		s.helper = ""
+	if s.lastPeerName == m.Name {
+		s.lastPeerName = ""
 	}
 }
 
-// relayServed notes that another process reached the store. While the store is
-// slow that says nothing of the direct path, whose answer is as late.
+// relayServed records that a peer reached the store. While the store is slow, that
+// doesn't mean that the direct path is broken, because its answer is just as late.
 func (s *Store) relayServed(m cluster.Member, began time.Time) {
 	s.mu.Lock()
-	left := !s.times.Slow() && s.path.RelayServed(time.Now(), began)
-	s.helper = m.Name
-	if left {
+	switched := !s.estimator.Slow() && s.path.RelayServed(time.Now(), began)
+	s.lastPeerName = m.Name
+	if switched {
 		s.notifySwitch()
 	}
 	s.mu.Unlock()
-	if left {
+	if switched {
 		events.StoreByOther.Log(s.log, logrus.Fields{"by": m.Name})
 	}
 }
 
+// relaysFailed records that no peer reached the store.
 func (s *Store) relaysFailed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/agentless/storepath/store.go
+++ b/internal/agentless/storepath/store.go
@@ -1,5 +1,6 @@
-// Package storepath reaches the platform's store through another process
-// of the system, a peer, while this one is cut off from it or turned away.
+// Package storepath calls the platform's store, through another process of the system
+// (a peer) while this process is cut off from the store or refused by it. Package
+// policy/storepath decides which path a call takes.
 package storepath
 
 import (
@@ -20,30 +21,32 @@
 )
 
 const (
-	// probeLimit bounds the wait for an answer that shows whether the direct
-	// path works.
-	probeLimit = 300 * time.Millisecond
-	// relayLimit bounds a call that is relayed: a slow store's answer and the way
-	// to the other process and back.
-	relayLimit = 700 * time.Millisecond
-	// lookDownEvery passes at least between two looks at a store that answers nobody;
-	// what waits for its return waits half of that on average. Processes where nothing
-	// waits hear from others that the store is back (MayBeBack), and look by themselves
-	// only in case nobody else reaches it.
-	lookDownEvery     = 400 * time.Millisecond
-	idleLookDownEvery = 4 * lookDownEvery
-	// probeKey is read to see whether the direct path works again; nobody writes it.
+	// probeTimeout bounds the wait for the answer that shows whether the direct path
+	// works.
+	probeTimeout = 300 * time.Millisecond
+	// relayTimeout bounds a relayed call. It covers a slow store's answer and the round
+	// trip to the peer.
+	relayTimeout = 700 * time.Millisecond
+	// downProbeInterval is the least time between two probes of a store that answers no
+	// process; operations that wait for its return wait half of that on average. A
+	// process in which nothing waits learns from others that the store is back
+	// (PeersServed). It probes at idleDownProbeInterval, in case no other process
+	// reaches the store.
+	downProbeInterval     = 400 * time.Millisecond
+	idleDownProbeInterval = 4 * downProbeInterval
+	// probeKey is the key that probes read. It is never written.
 	probeKey = "live/look"
 )
 
-// Store is the platform's store by whichever way works. It implements kv.Shared
+// Store reaches the platform's store directly or through peers. It implements kv.Shared
 // and is safe for concurrent use.
 type Store struct {
-	// Recovered is called when the store answers again after it answered nobody; may
-	// be nil.
+	// Recovered is called when the store answers again after it answered no process; it
+	// may be nil.
 	Recovered func()
-	Switches *mechanism.Switches // set before first use; may be nil
-	// HasWaiters tells whether something here waits for a store that is away; nil: always.
+	Switches  *mechanism.Switches // set before first use; may be nil
+	// HasWaiters reports whether anything in this process waits for the store to
+	// return; nil means always.
 	HasWaiters func() bool
 
 	direct     kv.Shared
@@ -51,42 +54,43 @@
 	members    *cluster.Members
 	peers      *rpcpool.Pool
 	log        *logrus.Logger
-	carrying   chan struct{}
-	relayedIn  metrics.Counter // calls of others
-	relayedOut metrics.Counter // own calls through peers
+	relaySlots chan struct{}
+	relayedIn  metrics.Counter // relayed calls of other processes
+	relayedOut metrics.Counter // own calls made through peers
 
-	mu     sync.Mutex
-	path   policy.Path
-	looked time.Time // when a store that answers nobody was last looked at
-	// times says how long an answer may stay out before another process is asked.
-	times policy.TimeoutEstimator
-	// switched is closed and replaced when calls switch to peers or back.
+	mu       sync.Mutex
+	path     policy.Path
+	probedAt time.Time // when a store that answers no process was last probed
+	// estimator computes how long to wait for an answer before a peer is asked.
+	estimator policy.TimeoutEstimator
+	// switched is closed and replaced when calls switch to peers or back to the direct
+	// path.
 	switched chan struct{}
-	// helper is the process that last relayed a call, empty if none did lately.
-	helper string
+	// lastPeerName is the name of the peer that relayed the last call; empty if that
+	// peer failed since or there was none.
+	lastPeerName string
 }
 
 var _ kv.Shared = (*Store)(nil)
 
-// New returns the store of a process that reaches it by the direct path, or
-// through one of members.
+// New returns a Store that uses the direct path or, if that fails, one of members.
 func New(direct kv.Shared, self cluster.Member, members *cluster.Members, peers *rpcpool.Pool, log *logrus.Logger, registry metrics.Registry) *Store {
 	return &Store{
 		direct: direct, self: self, members: members, peers: peers, log: log,
-		carrying:   make(chan struct{}, mostRelayed),
+		relaySlots: make(chan struct{}, maxRelayedCalls),
 		relayedIn:  metrics.GetOrRegisterCounter("store.relayed.in", registry),
 		relayedOut: metrics.GetOrRegisterCounter("store.relayed.out", registry),
 		switched:   make(chan struct{}),
 	}
 }
 
-// outcome is how a call ended.
+// outcome is the result of a call.
 type outcome struct {
 	result Result
 	err    error
 }
 
-// do makes a call by whichever way works.
+// do makes a call by whichever path works.
 func (s *Store) do(ctx context.Context, q *Query) (Result, error) {
 	s.mu.Lock()
 	now := time.Now()
@@ -100,98 +104,98 @@
 			return o.result, o.err
 		}
 	}
-	if down && !s.answersAgain(ctx, q.repeatable()) {
-		return Result{}, errors.Wrap(kv.ErrUnavailable, "the store answers nobody; the call was not sent")
+	if down && !s.hasRecovered(ctx, q.repeatable()) {
+		return Result{}, errors.Wrap(kv.ErrUnavailable, "the store answers no process; the call was not sent")
 	}
 	return s.callDirect(ctx, q)
 }
 
-// callDirect makes the call directly. If the answer stays out or never comes,
-// another process is asked.
+// callDirect makes the call on the direct path. If it fails or its answer is overdue, a
+// peer is asked.
 func (s *Store) callDirect(ctx context.Context, q *Query) (Result, error) {
 	direct, cancel := context.WithCancel(ctx)
 	defer cancel()
 	began := time.Now()
-	own := make(chan outcome, 1)
+	directEnd := make(chan outcome, 1)
 	go func() {
 		result, err := execute(direct, s.direct, q)
-		own <- outcome{result, err}
+		directEnd <- outcome{result, err}
 	}()
-	limit := s.limit()
-	timer := time.NewTimer(q.Wait + limit)
+	timeout := s.timeout()
+	timer := time.NewTimer(q.Wait + timeout)
 	defer timer.Stop()
 	for {
 		select {
-		case o := <-own:
-			return s.settle(ctx, q, began, o)
+		case o := <-directEnd:
+			return s.directEnded(ctx, q, began, o)
 		case <-timer.C:
-			return s.overdue(ctx, q, began, own)
-		case <-s.switches():
-			if time.Since(began) > limit {
-				return s.again(ctx, q)
+			return s.callOverdue(ctx, q, began, directEnd)
+		case <-s.switchSignal():
+			if time.Since(began) > timeout {
+				return s.retry(ctx, q)
 			}
 		}
 	}
 }
 
-// overdue asks another process while the own answer stays out. A call that must
-// not be made twice is not repeated there: a read shows whether the direct path is
-// cut, and the outcome is unknown if it is.
-func (s *Store) overdue(ctx context.Context, q *Query, began time.Time, own <-chan outcome) (Result, error) {
-	switched := s.switches()
-	var giveUp <-chan time.Time // of a write, once another process reached the store
-	others := make(chan outcome, 1)
+// callOverdue asks peers while the direct answer is overdue. A call that is not
+// repeatable is not repeated there: a relayed read shows whether the direct path is
+// broken, and if it is, the outcome of the call is unknown.
+func (s *Store) callOverdue(ctx context.Context, q *Query, began time.Time, directEnd <-chan outcome) (Result, error) {
+	switched := s.switchSignal()
+	var giveUp <-chan time.Time // ends the wait for a write once a peer reached the store
+	relayEnd := make(chan outcome, 1)
 	if s.mayRelay() {
 		asked := q
 		if !q.repeatable() {
 			asked = &Query{Operation: Read, Key: probeKey}
 		}
-		go func() { others <- s.relay(ctx, asked, began) }()
+		go func() { relayEnd <- s.relay(ctx, asked, began) }()
 	}
 	for {
 		select {
-		case o := <-own:
-			return s.settle(ctx, q, began, o)
-		case o := <-others:
+		case o := <-directEnd:
+			return s.directEnded(ctx, q, began, o)
+		case o := <-relayEnd:
 			switch {
 			case !answered(o.err):
 				continue
 			case q.repeatable():
 				return o.result, o.err
 			}
-			giveUp = time.After(time.Until(began.Add(s.writeLimit())))
+			giveUp = time.After(time.Until(began.Add(s.writeTimeout())))
 		case <-giveUp:
 			return Result{}, errConnectionLost
-		case <-switched: // another call found the way that works
-			return s.again(ctx, q)
+		case <-switched: // another call found a path that works
+			return s.retry(ctx, q)
 		}
 	}
 }
 
-// again repeats a call whose connection is given up, if it may be repeated.
-func (s *Store) again(ctx context.Context, q *Query) (Result, error) {
+// retry repeats a call whose connection was given up, if the call is repeatable.
+func (s *Store) retry(ctx context.Context, q *Query) (Result, error) {
 	if !q.repeatable() {
 		return Result{}, errConnectionLost
 	}
 	return s.do(ctx, q)
 }
 
-// errConnectionLost is the end of a write that was under way when calls left
-// the direct path or returned to it.
-var errConnectionLost = errors.Wrap(kv.ErrUnknown, "storepath: a write was under way when its connection was lost")
+// errConnectionLost is the outcome of a write that was in flight when calls switched to
+// peers or back to the direct path.
+var errConnectionLost = errors.Wrap(kv.ErrUnknown, "storepath: the connection was lost while a write was in flight")
 
-// settle takes in the end of a call by the direct path. One that certainly had no
-// effect is made through a peer.
-func (s *Store) settle(ctx context.Context, q *Query, began time.Time, o outcome) (Result, error) {
+// directEnded handles the outcome of a call on the direct path. A call that certainly
+// had no effect is made through a peer.
+func (s *Store) directEnded(ctx context.Context, q *Query, began time.Time, o outcome) (Result, error) {
 	if answered(o.err) {
 		if q.Operation != Await {
 			s.observe(time.Since(began))
 		}
-		s.served(began)
+		s.directServed(began)
 		return o.result, o.err
 	}
 	if ctx.Err() != nil {
-		return o.result, o.err // the caller ended it, which says nothing of the store
+		return o.result, o.err // the caller cancelled the call, which says nothing about the store
 	}
 	s.mu.Lock()
 	s.path.DirectFailed(began)
@@ -205,91 +209,96 @@
 	return o.result, o.err
 }
 
-// probe tells whether the direct path works, and notes it.
+// probe reports whether the direct path works, and records it if so.
 func (s *Store) probe(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	began := time.Now()
 	if _, err := s.direct.Read(ctx, probeKey); err != nil {
 		return false
 	}
-	s.served(began)
+	s.directServed(began)
 	return true
 }
 
-// answersAgain tells whether a store that seemed to answer nobody does again. For
-// reads one call finds it out for all: otherwise each watch and listing of each
+// hasRecovered probes whether a store that answered no process answers again. Reads of
+// this process share one probe per interval: otherwise every watch and listing of every
 // process would try for itself, and an outage would bring the store many times its
-// usual calls. A write looks for itself: callers
-// wait for it, and one sent into an outage has no outcome.
-func (s *Store) answersAgain(ctx context.Context, read bool) bool {
-	every := s.lookEvery()
+// usual number of calls. Every write probes for itself, because callers wait for it,
+// and a write that is sent during an outage has an unknown outcome.
+func (s *Store) hasRecovered(ctx context.Context, read bool) bool {
+	interval := s.probeInterval()
 	s.mu.Lock()
-	if read && time.Since(s.looked) < every {
+	if read && time.Since(s.probedAt) < interval {
 		s.mu.Unlock()
 		return false
 	}
-	s.looked = time.Now()
+	s.probedAt = time.Now()
 	s.mu.Unlock()
 	return s.probe(ctx)
 }
 
-// PeersServed tells that another process hears from the store: if it seemed to answer
-// nobody, the next call looks at once.
+// PeersServed records that a peer reaches the store. If the store seemed to answer no
+// process, the next call probes immediately.
 func (s *Store) PeersServed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.looked = time.Time{}
+	s.probedAt = time.Time{}
 	s.path.PeersServed()
 }
 
-// Unreachable tells whether nobody seems to reach the store.
+// Unreachable reports whether no process seems to reach the store.
 func (s *Store) Unreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.path.Unreachable()
 }
 
-// PeersCutOff tells that the processes that follow the store for others do not hear
-// from it.
+// PeersCutOff records that the peers that watch the store for others do not reach it.
 func (s *Store) PeersCutOff() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.path.PeersCutOff(time.Now())
 }
 
-func (s *Store) lookEvery() time.Duration {
+// probeInterval returns the least time between two probes of a store that is down.
+func (s *Store) probeInterval() time.Duration {
 	if s.HasWaiters == nil || s.HasWaiters() {
-		return lookDownEvery
+		return downProbeInterval
 	}
-	return idleLookDownEvery
+	return idleDownProbeInterval
 }
 
-// limit returns how long an answer may stay out.
-func (s *Store) limit() time.Duration {
+// timeout returns how long to wait for an answer.
+func (s *Store) timeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.times.Timeout()
+	return s.estimator.Timeout()
 }
 
-func (s *Store) writeLimit() time.Duration {
+// writeTimeout returns how long to wait for the answer to a write although a peer
+// reached the store.
+func (s *Store) writeTimeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.times.WriteTimeout()
+	return s.estimator.WriteTimeout()
 }
 
+// observe records the latency of an answer.
 func (s *Store) observe(took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.times.Observe(took)
+	s.estimator.Observe(took)
 }
 
+// relaying reports whether calls go through peers.
 func (s *Store) relaying() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.path.Relaying()
 }
 
+// mayRelay reports whether peers may be asked now.
 func (s *Store) mayRelay() bool {
 	if !s.Switches.On(mechanism.Relay) {
 		return false
@@ -299,21 +308,22 @@
 	return s.path.MayRelay(time.Now())
 }
 
-// switches returns a channel that is closed when calls switch to peers or back,
-// so that those under way need not wait out their time.
-func (s *Store) switches() <-chan struct{} {
+// switchSignal returns a channel that is closed when calls switch to peers or back, so
+// that calls in flight need not wait for their timeout.
+func (s *Store) switchSignal() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.switched
 }
 
-// notifySwitch wakes the calls under way; mu is held.
+// notifySwitch wakes the calls in flight. mu must be held.
 func (s *Store) notifySwitch() {
 	close(s.switched)
 	s.switched = make(chan struct{})
 }
 
-func (s *Store) served(began time.Time) {
+// directServed records that the direct path answered a call that was sent at began.
+func (s *Store) directServed(began time.Time) {
 	s.mu.Lock()
 	away := s.path.Relaying()
 	switched := s.path.DirectServed(began)
--- a/internal/agentless/storepath/storepath_test.go
+++ b/internal/agentless/storepath/storepath_test.go
@@ -28,18 +28,19 @@
 	RunSpecs(t, "storepath")
 }
 
-// cut is one process's way to the store, which can be cut in silence or refuse.
-type cut struct {
+// faultyStore is one process's direct path to the store. It can be made to not answer
+// or to refuse calls.
+type faultyStore struct {
 	kv.Shared
-	silent  atomic.Bool
-	refuses atomic.Bool
-	calls   atomic.Int64
+	silent atomic.Bool
+	refuse atomic.Bool
+	calls  atomic.Int64
 }
 
-func (c *cut) stopped(ctx context.Context) error {
+func (c *faultyStore) fault(ctx context.Context) error {
 	c.calls.Add(1)
-	if c.refuses.Load() {
-		return errors.Wrap(kv.ErrUnavailable, "turned away")
+	if c.refuse.Load() {
+		return errors.Wrap(kv.ErrUnavailable, "refused")
 	}
 	if !c.silent.Load() {
 		return nil
@@ -48,23 +49,23 @@
 	return ctx.Err()
 }
 
-func (c *cut) Read(ctx context.Context, key string) (kv.Record, error) {
-	if err := c.stopped(ctx); err != nil {
+func (c *faultyStore) Read(ctx context.Context, key string) (kv.Record, error) {
+	if err := c.fault(ctx); err != nil {
 		return kv.Record{}, errors.Wrap(kv.ErrUnavailable, err.Error())
 	}
 	return c.Shared.Read(ctx, key)
 }
 
-func (c *cut) KeepLease(ctx context.Context, id kv.LeaseID) error {
-	if err := c.stopped(ctx); err != nil {
+func (c *faultyStore) KeepLease(ctx context.Context, id kv.LeaseID) error {
+	if err := c.fault(ctx); err != nil {
 		return errors.Wrap(kv.ErrUnknown, err.Error())
 	}
 	return c.Shared.KeepLease(ctx, id)
 }
 
-func (c *cut) Commit(ctx context.Context, t kv.Transaction) (kv.Committed, error) {
-	if err := c.stopped(ctx); err != nil {
-		if c.refuses.Load() {
+func (c *faultyStore) Commit(ctx context.Context, t kv.Transaction) (kv.Committed, error) {
+	if err := c.fault(ctx); err != nil {
+		if c.refuse.Load() {
 			return kv.Committed{}, err
 		}
 		return kv.Committed{}, errors.Wrap(kv.ErrUnknown, err.Error())
@@ -72,21 +73,21 @@
 	return c.Shared.Commit(ctx, t)
 }
 
-func (c *cut) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
-	if err := c.stopped(ctx); err != nil {
+func (c *faultyStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
+	if err := c.fault(ctx); err != nil {
 		return kv.Changes{}, errors.Wrap(kv.ErrUnavailable, err.Error())
 	}
 	return c.Shared.Await(ctx, prefix, after, wait)
 }
 
-// process is one process of the system with its way to the store.
+// process is one process of the system with its path to the store.
 type process struct {
-	own   *cut
-	store *storepath.Store
+	direct *faultyStore
+	store  *storepath.Store
 }
 
-// newProcesses starts processes that know each other, before one store. Those
-// whose names begin with "entry" are entries, the others workers.
+// newProcesses starts processes that are members of one cluster and share a store.
+// Those whose names start with "entry" are entries, the others are workers.
 func newProcesses(ctx context.Context, store kv.Shared, names ...string) []process {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -97,21 +98,21 @@
 		Expect(err).NotTo(HaveOccurred())
 		context.AfterFunc(ctx, func() { _ = listener.Close() })
 		self := cluster.Member{Name: name, Address: listener.Addr().String(), Worker: !strings.HasPrefix(name, "entry")}
-		own := &cut{Shared: store}
-		s := storepath.New(own, self, members, rpcpool.New(nil), log, metrics.NewRegistry())
+		direct := &faultyStore{Shared: store}
+		s := storepath.New(direct, self, members, rpcpool.New(nil), log, metrics.NewRegistry())
 		calls := rpc.NewServer()
 		Expect(s.Register(calls)).To(Succeed())
 		go serve(calls, listener)
 		r := cluster.NewRegistrar(store, self, time.Hour, members, log)
 		go func() { _ = (&cluster.Follower{Store: store, Topic: r.Topic()}).Run(ctx) }()
 		go func() { _ = r.Run(ctx) }()
-		all = append(all, process{own, s})
+		all = append(all, process{direct, s})
 	}
 	Eventually(func() int { return len(members.Live()) }).Should(Equal(len(names)))
 	return all
 }
 
-var _ = Describe("the store through peers", func() {
+var _ = Describe("Store with peers", func() {
 	var ctx context.Context
 	var store *standin.Shared
 	BeforeEach(func() {
@@ -120,70 +121,69 @@
 		ctx, store = limited, standin.NewShared()
 	})
 
-	It("renews a lease while this process is cut off in silence", func() {
-		// What the caller sees: nothing. An owner of batch jobs is cut off from the
-		// store; its renewal gets no answer, goes through another worker before the
-		// lease lapses, and the ones after it go there at once. Without it the lease
-		// lapsed and the owner's jobs began anew elsewhere.
+	It("renews a lease while this process gets no answers from the store", func() {
+		// An owner of batch jobs is cut off from the store. Its renewal gets no answer
+		// and goes through another worker before the lease expires; later renewals go
+		// there at once. Without relaying the lease expired, and the owner's jobs were
+		// started again elsewhere.
 		all := newProcesses(ctx, store, "a", "b", "c")
 		lease, _, err := all[0].store.GrantLease(ctx, time.Hour)
 		Expect(err).NotTo(HaveOccurred())
-		all[0].own.silent.Store(true)
+		all[0].direct.silent.Store(true)
 		Expect(all[0].store.KeepLease(ctx, lease)).To(Succeed())
-		before := all[0].own.calls.Load()
+		before := all[0].direct.calls.Load()
 		Expect(all[0].store.KeepLease(ctx, lease)).To(Succeed())
-		Expect(all[0].own.calls.Load()).To(Equal(before), "it goes through peers first")
+		Expect(all[0].direct.calls.Load()).To(Equal(before), "calls go through peers first")
 	})
 
-	It("never makes a transaction twice, and says that its outcome is unknown", func() {
-		// What happens: a write is under way when the process is cut off. Whether it
-		// took effect nobody knows; made again through a peer it would fail
-		// its own condition, which reads as "somebody else wrote".
+	It("never makes a transaction twice, and returns that its outcome is unknown", func() {
+		// A write is in flight when the process is cut off. Nobody knows whether it
+		// took effect. If it were repeated through a peer, its own condition would
+		// fail, which looks like a conflict with another writer.
 		all := newProcesses(ctx, store, "a", "b")
-		all[0].own.silent.Store(true)
+		all[0].direct.silent.Store(true)
 		write := kv.Transaction{Expect: []kv.Expectation{{Key: "k"}}, Puts: []kv.Put{{Key: "k", Value: []byte("v")}}}
 		_, err := all[0].store.Commit(ctx, write)
 		Expect(errors.Is(err, kv.ErrUnknown)).To(BeTrue())
 		record, err := store.Read(ctx, "k")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(record.Revision).To(BeZero(), "the cut swallowed it")
+		Expect(record.Revision).To(BeZero(), "the transaction was lost")
 		committed, err := all[0].store.Commit(ctx, write)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(committed.Done).To(BeTrue(), "the next one goes through the other process")
+		Expect(committed.Done).To(BeTrue(), "the next transaction goes through the other process")
 	})
 
-	It("makes a call that was refused through a peer at once", func() {
+	It("makes a refused call through a peer at once", func() {
 		all := newProcesses(ctx, store, "a", "b")
-		all[0].own.refuses.Store(true)
+		all[0].direct.refuse.Store(true)
 		committed, err := all[0].store.Commit(ctx, kv.Transaction{Puts: []kv.Put{{Key: "k", Value: []byte("v")}}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(committed.Done).To(BeTrue())
 	})
 
-	It("does not wait for the process that helped last when it falls silent", func() {
-		// What happens: the store loses answers, also those to the process that
-		// passes calls on. A renewal that waited for that one alone took so
-		// long that the lease lapsed, and the owner's jobs were moved.
+	It("asks another peer when the last one does not answer", func() {
+		// The store loses answers, including those to the peer that relays calls. A
+		// renewal that waited for that peer alone took so long that the lease expired,
+		// and the owner's jobs were moved.
 		all := newProcesses(ctx, store, "a", "b", "c")
 		lease, _, err := all[0].store.GrantLease(ctx, time.Hour)
 		Expect(err).NotTo(HaveOccurred())
-		all[0].own.silent.Store(true)
+		all[0].direct.silent.Store(true)
 		Expect(all[0].store.KeepLease(ctx, lease)).To(Succeed())
-		for _, helper := range all[1:] {
-			helper.own.silent.Store(true)
+		for _, peer := range all[1:] {
+			peer.direct.silent.Store(true)
 			Expect(all[0].store.KeepLease(ctx, lease)).To(Succeed())
-			helper.own.silent.Store(false)
+			peer.direct.silent.Store(false)
 		}
-		Expect(all[1].own.calls.Load()).To(BeNumerically(">", 0))
-		Expect(all[2].own.calls.Load()).To(BeNumerically(">", 0))
+		Expect(all[1].direct.calls.Load()).To(BeNumerically(">", 0))
+		Expect(all[2].direct.calls.Load()).To(BeNumerically(">", 0))
 	})
 
-	It("moves a waiting watch to another process when the cut is found", func() {
-		// What happens: a watch waits for long when the process is cut off. Another
-		// call finds the cut, and the watch hears a change at once instead of after
-		// its own long wait.
+	It("moves a waiting watch to a peer when the process turns out to be cut off", func() {
+		// A watch is waiting when the process is cut off. Another call detects that,
+		// and the watch receives a change at once instead of after its own long wait.
 		all := newProcesses(ctx, store, "a", "b")
-		all[0].own.silent.Store(true)
+		all[0].direct.silent.Store(true)
 		heard := make(chan kv.Changes, 1)
 		go func() {
 			defer GinkgoRecover()
@@ -191,7 +191,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			heard <- changes
 		}()
-		Eventually(all[0].own.calls.Load).Should(BeNumerically(">", 0))
+		Eventually(all[0].direct.calls.Load).Should(BeNumerically(">", 0))
 		_, err := all[0].store.Read(ctx, "any")
 		Expect(err).NotTo(HaveOccurred())
 		_, err = store.Commit(ctx, kv.Transaction{Puts: []kv.Put{{Key: "news/1", Value: []byte("v")}}})
@@ -199,15 +199,15 @@
 		Eventually(heard, 5*time.Second).Should(Receive())
 	})
 
-	It("goes through an entry when the workers are cut off as well, and stays with it", func() {
-		// What the caller sees: a batch job is submitted at an entry that is cut off
-		// from the store and from all workers, for twelve seconds. It reaches other
-		// entries; without them the job was refused at each entry of the domain that
+	It("goes through an entry when the workers are cut off as well, and keeps using it", func() {
+		// A batch job is submitted at an entry that is cut off from the store and from
+		// all workers for twelve seconds, but reaches other entries. Without relaying
+		// through entries the job was refused at each entry of the failure domain that
 		// was cut off, and its step was lost.
 		all := newProcesses(ctx, store, "entry-1", "entry-2", "w1", "w2")
-		all[0].own.silent.Store(true)
-		all[2].own.silent.Store(true)
-		all[3].own.silent.Store(true)
+		all[0].direct.silent.Store(true)
+		all[2].direct.silent.Store(true)
+		all[3].direct.silent.Store(true)
 		write := kv.Transaction{Expect: []kv.Expectation{{Key: "k"}}, Puts: []kv.Put{{Key: "k", Value: []byte("v")}}}
 		_, err := all[0].store.Commit(ctx, write)
 		Expect(errors.Is(err, kv.ErrUnknown)).To(BeTrue())
@@ -215,86 +215,85 @@
 		committed, err := all[0].store.Commit(ctx, write)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(committed.Done).To(BeTrue())
-		Expect(all[1].own.calls.Load()).To(BeNumerically(">=", 2))
+		Expect(all[1].direct.calls.Load()).To(BeNumerically(">=", 2))
 		GinkgoWriter.Println("second try took", time.Since(began))
 	})
 
-	It("returns to its direct path when that works again", func() {
+	It("returns to the direct path when that works again", func() {
 		all := newProcesses(ctx, store, "a", "b")
-		all[0].own.refuses.Store(true)
+		all[0].direct.refuse.Store(true)
 		_, err := all[0].store.Read(ctx, "any")
 		Expect(err).NotTo(HaveOccurred())
-		all[0].own.refuses.Store(false)
+		all[0].direct.refuse.Store(false)
 		passed := func() int64 {
-			before := all[1].own.calls.Load()
+			before := all[1].direct.calls.Load()
 			_, err := all[0].store.Read(ctx, "any")
 			Expect(err).NotTo(HaveOccurred())
-			return all[1].own.calls.Load() - before
+			return all[1].direct.calls.Load() - before
 		}
 		Expect(passed()).To(BeEquivalentTo(1))
 		Eventually(passed, 5*time.Second).Should(BeZero())
 	})
 
-	It("fails as the store does while no process reaches it", func() {
+	It("returns the store's error while no process reaches it", func() {
 		all := newProcesses(ctx, store, "a", "b")
 		for _, p := range all {
-			p.own.refuses.Store(true)
+			p.direct.refuse.Store(true)
 		}
 		_, err := all[0].store.Read(ctx, "any")
 		Expect(errors.Is(err, kv.ErrUnavailable)).To(BeTrue())
 	})
 
-	It("sends no write into an outage that it knows of, so that its outcome is certain", func() {
-		// What the caller sees: the store is silent for seconds. A submission
-		// that is sent into the silence may have been accepted for all that
-		// anybody knows, and its submitter waits until it gives up; one that is
-		// preceded by a probe is refused at once as certainly not run.
+	It("sends no write during a known outage, so that its outcome is certain", func() {
+		// The store does not answer for seconds. A submission that is sent meanwhile
+		// may have been accepted, so its submitter has to wait until it gives up. One
+		// that is preceded by a probe is refused at once as certainly not run.
 		all := newProcesses(ctx, store, "a", "b")
 		for _, p := range all {
-			p.own.refuses.Store(true)
+			p.direct.refuse.Store(true)
 		}
 		for range 3 {
 			_, err := all[0].store.Read(ctx, "any")
 			Expect(errors.Is(err, kv.ErrUnavailable)).To(BeTrue())
 		}
 		for _, p := range all {
-			p.own.silent.Store(true)
-			p.own.refuses.Store(false)
+			p.direct.silent.Store(true)
+			p.direct.refuse.Store(false)
 		}
 		write := kv.Transaction{Puts: []kv.Put{{Key: "k", Value: []byte("v")}}}
 		_, err := all[0].store.Commit(ctx, write)
 		Expect(errors.Is(err, kv.ErrUnavailable)).To(BeTrue())
 		for _, p := range all {
-			p.own.silent.Store(false)
+			p.direct.silent.Store(false)
 		}
 		returned := 0
 		all[0].store.Recovered = func() { returned++ }
 		committed, err := all[0].store.Commit(ctx, write)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(committed.Done).To(BeTrue())
-		Expect(returned).To(Equal(1), "what waits for the store is told")
+		Expect(returned).To(Equal(1), "calls of Recovered")
 	})
 
-	It("has one call find out whether a store that answers nobody is back, for all that read", func() {
-		// An outage of the store itself: the watches and listings of a process try again
-		// and again. Each try was a call of its own, refused or lost, and every process
-		// of the system made them.
+	It("shares one probe among all reads while the store answers no process", func() {
+		// During an outage of the store the watches and listings of a process retry
+		// again and again. Each retry was a call of its own, refused or lost, in every
+		// process of the system.
 		all := newProcesses(ctx, store, "a", "b")
 		for _, p := range all {
-			p.own.refuses.Store(true)
+			p.direct.refuse.Store(true)
 		}
 		for range 3 {
 			_, err := all[0].store.Read(ctx, "any")
 			Expect(errors.Is(err, kv.ErrUnavailable)).To(BeTrue())
 		}
-		before := all[0].own.calls.Load()
+		before := all[0].direct.calls.Load()
 		for range 50 {
 			_, err := all[0].store.Read(ctx, "any")
 			Expect(errors.Is(err, kv.ErrUnavailable)).To(BeTrue())
 		}
-		Expect(all[0].own.calls.Load()-before).To(BeNumerically("<=", 10), "calls of 50 reads")
+		Expect(all[0].direct.calls.Load()-before).To(BeNumerically("<=", 10), "calls of 50 reads")
 		for _, p := range all {
-			p.own.refuses.Store(false)
+			p.direct.refuse.Store(false)
 		}
 		Eventually(func() error {
 			_, err := all[0].store.Read(ctx, "any")
@@ -302,9 +301,9 @@
 		}).WithTimeout(10 * time.Second).Should(Succeed())
 	})
 
-	It("passes on the store's own refusals", func() {
+	It("returns the store's own errors through a peer", func() {
 		all := newProcesses(ctx, store, "a", "b")
-		all[0].own.refuses.Store(true)
+		all[0].direct.refuse.Store(true)
 		_, err := all[0].store.Read(ctx, "any")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(errors.Is(all[0].store.KeepLease(ctx, 12345), kv.ErrLeaseNotFound)).To(BeTrue())
