--- a/internal/policy/endpoints/bench_test.go
+++ b/internal/policy/endpoints/bench_test.go
@@ -7,11 +7,11 @@
 	"siskinloom.example/siskinloom/internal/policy/endpoints"
 )
 
-// BenchmarkPick chooses among 1,300 endpoints whose speed is known and ends the
-// request again: 40.5 us with a sort of all costs at each choice, 16.6 us with
-// one after a sixteenth of them changed.
+// BenchmarkPick picks one of 1,300 endpoints whose speed is known and ends the
+// request: 40.5 us if each choice sorts all costs, 16.6 us if they are sorted only
+// after as many new observations as a sixteenth of the endpoints.
 func BenchmarkPick(b *testing.B) {
-	s := set(1300)
+	s := newSet(1300)
 	now := start
 	for _, e := range s.All() {
 		e.InFlight++
--- a/internal/policy/endpoints/delay_test.go
+++ b/internal/policy/endpoints/delay_test.go
@@ -11,7 +11,7 @@
 	"siskinloom.example/siskinloom/internal/policy/endpoints"
 )
 
-var _ = Describe("the placement of long requests", func() {
+var _ = Describe("Set with placements", func() {
 	now := time.Unix(1000, 0)
 	engines := func(n int) *endpoints.Set {
 		s := endpoints.NewSet("self")
@@ -20,61 +20,61 @@
 		}
 		return s
 	}
-	long := endpoints.Placement{RemainingWork: 160, Weight: 1, Critical: true, CriticalBatchLimit: 5}
-	brief := endpoints.Placement{RemainingWork: 8, Weight: 0.01, CriticalBatchLimit: 5}
+	critical := endpoints.Placement{RemainingWork: 160, Weight: 1, Critical: true, CriticalBatchLimit: 5}
+	short := endpoints.Placement{RemainingWork: 8, Weight: 0.01, CriticalBatchLimit: 5}
 	pick := func(s *endpoints.Set, p endpoints.Placement) *endpoints.State {
 		return s.Pick(endpoints.Request{Now: now, Model: "m", RequireFreeSlot: true, Placement: p})
 	}
 
-	It("spreads the longest over the engines, and keeps brief ones from crowding them", func() {
-		// A step arrives: three long items first, then 140 brief ones, at four engines.
-		// At full batches everywhere the long ones would take a third longer.
+	It("spreads critical requests over the engines and limits short ones beside them", func() {
+		// A step arrives at four engines: three critical items first, then 140 short
+		// ones. If all batches were full, the critical ones would take a third longer.
 		s := engines(4)
 		for range 3 {
-			Expect(pick(s, long).InFlight).To(Equal(1), "an engine of its own")
+			Expect(pick(s, critical).InFlight).To(Equal(1), "an engine of its own")
 		}
 		started := 0
-		for pick(s, brief) != nil {
+		for pick(s, short) != nil {
 			started++
 		}
-		Expect(started).To(Equal(16+3*4), "one engine is filled; beside each long run there are four")
+		Expect(started).To(Equal(16+3*4), "one engine is full; beside each critical request there are four")
 	})
 
-	It("lets a request that matters onto any engine with a free slot", func() {
+	It("places a critical request on any engine with a free slot", func() {
 		s := engines(1)
-		pick(s, long)
+		pick(s, critical)
 		for range 4 {
-			Expect(pick(s, brief)).NotTo(BeNil())
+			Expect(pick(s, short)).NotTo(BeNil())
 		}
-		Expect(pick(s, brief)).To(BeNil())
-		Expect(pick(s, long)).NotTo(BeNil())
+		Expect(pick(s, short)).To(BeNil())
+		Expect(pick(s, critical)).NotTo(BeNil())
 	})
 
-	It("takes back what an ended request weighed", func() {
+	It("releases the placement of an ended request", func() {
 		s := engines(1)
-		e := pick(s, long)
+		e := pick(s, critical)
 		for range 4 {
-			pick(s, brief)
+			pick(s, short)
 		}
-		e.ReleasePlacement(&long)
+		e.ReleasePlacement(&critical)
 		e.End(now, endpoints.Answered, time.Second, 160)
-		Expect(pick(s, brief)).NotTo(BeNil(), "no long run is left there")
+		Expect(pick(s, short)).NotTo(BeNil(), "no critical request is left there")
 	})
 
-	It("avoids an engine that works slowly", func() {
+	It("avoids a slow engine", func() {
 		s := engines(2)
 		for range 10 {
 			s.Get("e0").ObservePace(0.1)
 			s.Get("e1").ObservePace(0.03)
 		}
 		for range 3 {
-			Expect(pick(s, long).ID).To(Equal("e1"))
+			Expect(pick(s, critical).ID).To(Equal("e1"))
 		}
 	})
 
-	It("tells a run of a full engine that a nearly idle one would save it time, but not for little", func() {
+	It("reports a less loaded engine if the move saves enough time", func() {
 		s := engines(2)
-		e := pick(s, long)
+		e := pick(s, critical)
 		other := "e1"
 		if e.ID == other {
 			other = "e0"
--- a/internal/policy/endpoints/endpoints.go
+++ b/internal/policy/endpoints/endpoints.go
@@ -1,7 +1,7 @@
-// Package endpoints decides which endpoint of a service gets a request. It
-// knows each endpoint from the platform's list and from what this process's own
-// requests showed: filters take out those that may not have the request, a
-// score compares the rest. It does no input or output and keeps no time.
+// Package endpoints selects the endpoint of a service for a request. It knows each
+// endpoint from the platform's list and from the outcomes of this process's own
+// requests. Filters exclude endpoints that may not serve the request, and the rest
+// are compared by a score. The package does no I/O and reads no clock.
 package endpoints
 
 import (
@@ -13,113 +13,117 @@
 )
 
 const (
-	// firstAside is how long an endpoint gets no requests after failures in a row.
-	// A crashed endpoint is back after some seconds, so a first short pause costs
-	// little if the failure was a single one.
-	firstAside = 500 * time.Millisecond
-	// mostAside bounds the pause, so that one that came back is found in time.
-	mostAside = 4 * time.Second
-	// failuresInRow put an endpoint aside even if it answered something: single
-	// lost or broken answers are no sign of a bad endpoint.
-	failuresInRow = 3
-	// latencyWeight is the share of a new observation in the running mean of an
-	// endpoint's time per unit of work: a fourfold slowdown shows after three.
-	latencyWeight = 0.3
-	// minSlowdown: below it, differences in speed are noise of single requests.
+	// baseEjection is the ejection time after a first failure; an ejected endpoint gets no
+	// requests. A crashed endpoint is back after some seconds, so a short first ejection
+	// costs little if the failure was a single one.
+	baseEjection = 500 * time.Millisecond
+	// maxEjection bounds the ejection time, which doubles with each failure, so that an
+	// endpoint that has recovered is used again soon.
+	maxEjection = 4 * time.Second
+	// ejectionThreshold is the number of failures in a row after which an endpoint that
+	// can be reached is ejected. Single lost or broken answers are no sign of a bad
+	// endpoint.
+	ejectionThreshold = 3
+	// observationWeight is the weight of a new observation in the moving averages of an
+	// endpoint's time per unit of work. A fourfold slowdown shows after three requests.
+	observationWeight = 0.3
+	// minSlowdown is the factor below which differences in speed are taken for noise
+	// between single requests.
 	minSlowdown = 1.3
-	// moveSlowdown is how many times slower than usual a request must run before it
-	// is worth moving. A full batch runs a quarter slower than an empty one, and an
-	// engine that has turned slow three times; moving costs some 10 ms of reading
-	// the text in again.
+	// moveSlowdown is by which factor a request must run slower than typical for a move
+	// to be worth it. A full batch is a quarter slower than an empty one, and an engine
+	// that has slowed down is three times slower. A move costs about 10 ms to process
+	// the text again.
 	moveSlowdown = 1.8
-	// strangerPenalty is added to the score of an endpoint in another failure
-	// domain, in slots: it decides between equals and yields to any real load.
-	strangerPenalty = 0.02
-	// backgroundShare of an endpoint's places, as a divisor, may hold one process's
-	// background requests. An owner that comes back with a step's whole texts would
-	// have them all scored at once, and callers' lookups would wait behind them; two
-	// such owners leave a third of the places.
-	backgroundShare = 3
-	// firstFullPause keeps an endpoint that refused as full from being asked at
-	// once; it doubles up to mostFullPause while the endpoint goes on refusing, as
-	// one that loads weights does for about a second.
-	firstFullPause = 25 * time.Millisecond
-	mostFullPause  = 200 * time.Millisecond
+	// remoteDomainPenalty is added to the score of an endpoint in another failure domain,
+	// in slots. It decides between equal endpoints only; any real load outweighs it.
+	remoteDomainPenalty = 0.02
+	// backgroundDivisor limits the background requests of one process at an endpoint to
+	// the endpoint's slots divided by it. An owner of jobs that comes back with all texts
+	// of a step would otherwise have them all scored at once, and callers' lookups would
+	// wait behind them. Two such owners leave a third of the slots.
+	backgroundDivisor = 3
+	// baseFullBackoff is the first delay before an endpoint that refused a request as
+	// full gets another one. It doubles up to maxFullBackoff while the endpoint goes on
+	// refusing, as one that loads weights does for about a second.
+	baseFullBackoff = 25 * time.Millisecond
+	maxFullBackoff  = 200 * time.Millisecond
 )
 
-// State is one endpoint and what this process saw of it.
+// State is an endpoint and what this process knows of it.
 type State struct {
 	deployment.Endpoint
-	InFlight int // requests of this process without an end
-
-	failures   int
-	aside      time.Duration // last pause
-	until      time.Time     // no requests before
-	full       time.Duration // last pause after a refusal
-	probing    bool          // one request tries it after a pause
-	cost       float64       // running mean of seconds per unit of work, waits included; 0: unknown
-	burden     float64       // sum of the requests' weighted work
-	heavy      int           // requests whose end others wait for
-	others     ProcessLoad   // that other processes have there
-	pace       float64       // running mean of seconds per unit of work once begun; 0: unknown
-	loads      *load         // weights being loaded; nil: none known
-	preference uint64        // of this process among equals, the highest first
-	set        *Set
+	InFlight int // requests of this process that have not ended
+
+	failures         int           // in a row
+	ejection         time.Duration // last ejection time
+	unavailableUntil time.Time     // no requests before
+	fullBackoff      time.Duration // last delay after a refusal
+	probing          bool          // one request is testing it after an ejection
+	cost             float64       // moving average of seconds per unit of work, including waiting; 0: unknown
+	weightedWork     float64       // sum of the requests' weighted work
+	critical         int           // number of critical requests
+	others           ProcessLoad   // load by other processes
+	pace             float64       // moving average of seconds per unit of work without the initial wait; 0: unknown
+	pendingLoad      *weightLoad   // weights being loaded; nil: none known
+	preference       uint64        // of this process, breaks ties between scores; the highest wins
+	set              *Set
 }
 
-// load is a load of weights under way at an endpoint.
-type load struct {
+// weightLoad describes weights that an endpoint is loading.
+type weightLoad struct {
 	model   string
 	version int64
 	until   time.Time
 }
 
-// loadTakes is how long a load is taken to last: 0.9 s where few load at once. One
-// that lasts longer is found out by the endpoint's refusals.
-const loadTakes = time.Second
+// assumedLoadDuration is how long a load is assumed to take; it takes 0.9 s where few
+// endpoints load at once. If it takes longer, the endpoint's refusals show it.
+const assumedLoadDuration = time.Second
 
-// MarkLoading notes that the endpoint was ordered to load weights. It starts nothing
-// of that model meanwhile: without the word of who gave the order, an owner of
-// items found that out by two or three refusals for each load.
+// MarkLoading records that the endpoint was ordered to load weights. Until it is done
+// the endpoint gets no requests for that model. Without this information an owner of
+// items learnt of each load by two or three refusals.
 func (e *State) MarkLoading(now time.Time, model string, version int64) {
-	e.loads = &load{model: model, version: version, until: now.Add(loadTakes)}
+	e.pendingLoad = &weightLoad{model: model, version: version, until: now.Add(assumedLoadDuration)}
 }
 
-func (e *State) loading(r *Request) bool {
-	l := e.loads
+// isLoading reports whether the endpoint is loading weights of the request's model.
+func (e *State) isLoading(r *Request) bool {
+	l := e.pendingLoad
 	return l != nil && l.model == r.Model && r.Now.Before(l.until) && e.Versions[l.model] < l.version
 }
 
-// Set is the endpoints of one service. It is not safe for concurrent use.
+// Set holds the endpoints of one service. It is not safe for concurrent use.
 type Set struct {
 	Options Options
 
-	self    uint64            // key of this process
+	self    uint64            // rendezvous key of this process
 	reports map[string]report // by process
 	byID    map[string]*State
-	list    []*State // sorted by ID, without those that are gone
+	list    []*State // sorted by ID, without removed ones
 
-	typical  float64 // median cost when it was last taken
-	observed int     // costs observed since then
-	pace     float64 // median pace when it was last taken
-	paced    int     // paces observed since then
+	medianCost float64 // cached median of the costs
+	newCosts   int     // costs observed since it was computed
+	pace       float64 // cached median of the paces
+	newPaces   int     // paces observed since it was computed
 }
 
-// Options change how endpoints are chosen. The zero value is the usual way.
+// Options switches off parts of the selection. The zero value is the normal behaviour.
 type Options struct {
-	DisableEjection  bool // endpoints that fail are not set aside
-	SharedPreference bool // all processes prefer the same endpoint among equals
-	IgnoreDomain     bool // endpoints in other failure domains are as good as near ones
+	DisableEjection  bool // failing endpoints are not ejected
+	SharedPreference bool // all processes prefer the same endpoint among equal ones
+	IgnoreDomain     bool // endpoints in other failure domains are as good as those in the own one
 }
 
-// NewSet returns an empty set of a process. Each process prefers other
-// endpoints among equals: with the first in the order of their IDs, as many idle
-// processes as there are in a failure domain all chose the same one.
+// NewSet returns an empty Set for the process named self. Each process has its own
+// order of preference among equal endpoints. With the order of their IDs, all idle
+// processes of a failure domain would choose the same endpoint.
 func NewSet(self string) *Set {
 	return &Set{self: rendezvous.Key(self), byID: map[string]*State{}}
 }
 
-// Put takes in what the platform lists of an endpoint.
+// Put adds or updates an endpoint as the platform lists it.
 func (s *Set) Put(e deployment.Endpoint) {
 	if known, found := s.byID[e.ID]; found && known.SameStart(&e) {
 		known.Endpoint = e
@@ -130,7 +134,7 @@
 	s.sort()
 }
 
-// Remove takes out an endpoint that is no longer listed.
+// Remove removes an endpoint that is no longer listed.
 func (s *Set) Remove(id string) {
 	if s.byID[id] == nil {
 		return
@@ -139,7 +143,7 @@
 	s.sort()
 }
 
-// Get returns an endpoint, or nil.
+// Get returns the endpoint with the ID, or nil.
 func (s *Set) Get(id string) *State { return s.byID[id] }
 
 // All returns the endpoints sorted by ID. The slice must not be changed.
@@ -154,49 +158,49 @@
 	s.list = list
 }
 
-// Request is what a choice depends on.
+// Request holds the properties of a request that a choice depends on.
 type Request struct {
 	Now             time.Time
-	Domain          string   // of this process
-	Tried           []string // IDs that the request was sent to
+	Domain          string   // failure domain of this process
+	Tried           []string // IDs of endpoints that the request was already sent to
 	Model           string   // empty: no model is needed
 	MinVersion      int64    // oldest weight version that may serve it
-	Version         int64    // the one version that may serve it; 0: any from MinVersion
+	Version         int64    // only weight version that may serve it; 0: any from MinVersion
 	RequireFreeSlot bool     // only an endpoint with a free slot, as far as is known
-	// Background has a request leave room for others: this process has no more such
-	// requests at an endpoint than a share of its places.
+	// Background limits the requests of this process at an endpoint to a share of its
+	// slots, so that the request leaves room for others.
 	Background bool
 	Placement
 }
 
-// Pick returns the endpoint with the lowest score and counts the request as in
-// flight there; nil if none may have it. End must be called for each pick.
-// Endpoints that are put aside are used only if no other is left: the fault may
-// be on this side.
+// Pick returns the endpoint with the lowest score and counts the request as in flight
+// there. It returns nil if no endpoint may serve the request. End must be called for
+// each pick. Unavailable endpoints are used only if no other is left and no free slot
+// is required: the fault may be on this side of the connection.
 func (s *Set) Pick(r Request) *State {
-	s.forgetOld(r.Now)
-	best, reserve := (*State)(nil), (*State)(nil)
-	least := 0.0
-	slow, pace := s.typicalCost(), 0.0
+	s.dropStaleReports(r.Now)
+	best, fallback := (*State)(nil), (*State)(nil)
+	lowest := 0.0
+	cost, pace := s.typicalCost(), 0.0
 	if r.RemainingWork > 0 {
 		pace = s.TypicalPace()
 	}
 	for _, e := range s.list {
-		if !e.may(&r) {
+		if !e.eligible(&r) {
 			continue
 		}
-		if !e.usable(r.Now) {
-			if reserve == nil || e.until.Before(reserve.until) {
-				reserve = e
+		if !e.available(r.Now) {
+			if fallback == nil || e.unavailableUntil.Before(fallback.unavailableUntil) {
+				fallback = e
 			}
 			continue
 		}
-		if score := e.score(&r, slow, pace); best == nil || score < least || score == least && !s.Options.SharedPreference && e.preference > best.preference {
-			best, least = e, score
+		if score := e.score(&r, cost, pace); best == nil || score < lowest || score == lowest && !s.Options.SharedPreference && e.preference > best.preference {
+			best, lowest = e, score
 		}
 	}
 	if best == nil && !r.RequireFreeSlot {
-		best = reserve
+		best = fallback
 	}
 	if best == nil {
 		return nil
@@ -205,71 +209,75 @@
 		best.probing = true
 	}
 	best.InFlight++
-	best.join(&r.Placement)
+	best.addPlacement(&r.Placement)
 	return best
 }
 
-func (e *State) may(r *Request) bool {
+// eligible reports whether the endpoint may serve the request, regardless of earlier
+// failures and refusals.
+func (e *State) eligible(r *Request) bool {
 	if e.Leaving || contains(r.Tried, e.ID) {
 		return false
 	}
-	if r.Background && e.InFlight >= max(1, e.slots()/backgroundShare) {
+	if r.Background && e.InFlight >= max(1, e.slots()/backgroundDivisor) {
 		return false
 	}
 	if r.RequireFreeSlot && e.running() >= e.slots() {
 		return false
 	}
-	if e.crowds(&r.Placement) {
+	if e.exceedsCriticalBatchLimit(&r.Placement) {
 		return false
 	}
 	if r.Model == "" {
 		return true
 	}
 	version, serves := e.Versions[r.Model]
-	if !serves || version < r.MinVersion || e.loading(r) {
+	if !serves || version < r.MinVersion || e.isLoading(r) {
 		return false
 	}
 	return r.Version == 0 || version == r.Version
 }
 
-func (e *State) usable(now time.Time) bool {
-	return !now.Before(e.until) && !e.probing
+// available reports whether the endpoint is neither ejected, nor in backoff, nor being
+// probed.
+func (e *State) available(now time.Time) bool {
+	return !now.Before(e.unavailableUntil) && !e.probing
 }
 
 func (e *State) slots() int { return max(1, e.Slots) }
 
-// score estimates how long a request would take there, in units of a request at
-// an idle endpoint of usual speed.
-func (e *State) score(r *Request, typical, pace float64) float64 {
+// score estimates the duration of the request at the endpoint, in units of a request
+// at an idle endpoint of typical speed, or the delay that a long request adds.
+func (e *State) score(r *Request, typicalCost, typicalPace float64) float64 {
 	if r.RemainingWork > 0 {
-		return e.delay(&r.Placement, pace)
+		return e.addedDelay(&r.Placement, typicalPace)
 	}
 	load := float64(e.InFlight+1) / float64(e.slots())
-	if typical > 0 && e.cost > minSlowdown*typical {
-		load *= e.cost / typical
+	if typicalCost > 0 && e.cost > minSlowdown*typicalCost {
+		load *= e.cost / typicalCost
 	}
 	if e.Domain != r.Domain && !e.set.Options.IgnoreDomain {
-		load += strangerPenalty
+		load += remoteDomainPenalty
 	}
 	return load
 }
 
-// fewChanges is the share of the endpoints, as a divisor, that must have shown
-// other figures for a median to be taken anew.
-const fewChanges = 16
+// refreshDivisor sets how often a median is computed again: after more new
+// observations than the number of endpoints divided by it.
+const refreshDivisor = 16
 
-// typicalCost is the median of the endpoints' costs, 0 if it is unknown. It is
-// taken anew only once some of the endpoints showed another cost: sorting more than
-// a thousand at each choice is most of its time.
+// typicalCost returns the median of the endpoints' costs, or 0 if it is unknown. The
+// median is cached, as sorting more than a thousand costs would take most of the time
+// of a choice.
 func (s *Set) typicalCost() float64 {
-	if s.observed > len(s.list)/fewChanges {
-		s.observed = 0
-		s.typical = median(s.list, func(e *State) float64 { return e.cost })
+	if s.newCosts > len(s.list)/refreshDivisor {
+		s.newCosts = 0
+		s.medianCost = median(s.list, func(e *State) float64 { return e.cost })
 	}
-	return s.typical
+	return s.medianCost
 }
 
-// median returns the lower median of what is known of the endpoints, or 0.
+// median returns the lower median of the known values of the endpoints, or 0.
 func median(list []*State, of func(*State) float64) float64 {
 	values := make([]float64, 0, len(list))
 	for _, e := range list {
@@ -289,102 +297,104 @@
 
 // The outcomes.
 const (
-	Answered     Outcome = iota // it answered, whatever the status
-	Refused                     // it said that it is full; the request did not run
-	Replaced                    // another instance has the address
-	BrokenAnswer                // the answer broke off or made no sense
-	Unreachable                 // no connection, or silence
+	Answered     Outcome = iota // it answered, with any status
+	Refused                     // it refused the request as full; the request did not run
+	Replaced                    // another instance has its address
+	BrokenAnswer                // the answer was cut off or malformed
+	Unreachable                 // no connection, or no answer
 	Cancelled                   // this side ended the request
 )
 
-// End takes the end of a picked request into account. took and work give its
-// duration and size in units of work; 0 work says nothing of the speed.
+// End records the end of a picked request. took is its duration and work its size in
+// units of work; a work of 0 says nothing about the speed.
 func (e *State) End(now time.Time, outcome Outcome, took time.Duration, work float64) {
 	e.InFlight--
 	e.probing = false
 	switch outcome {
 	case Answered:
-		e.failures, e.aside, e.full = 0, 0, 0
-		e.observe(took, work)
+		e.failures, e.ejection, e.fullBackoff = 0, 0, 0
+		e.observeCost(took, work)
 	case Refused:
-		if !now.Before(e.until) {
-			e.full = min(max(2*e.full, firstFullPause), mostFullPause)
-			e.until = now.Add(e.full)
+		if !now.Before(e.unavailableUntil) {
+			e.fullBackoff = min(max(2*e.fullBackoff, baseFullBackoff), maxFullBackoff)
+			e.unavailableUntil = now.Add(e.fullBackoff)
 		}
 	case Replaced, Unreachable:
-		e.putAside(now)
+		e.eject(now)
 	case BrokenAnswer:
 		e.failures++
-		if e.failures >= failuresInRow {
-			e.putAside(now)
+		if e.failures >= ejectionThreshold {
+			e.eject(now)
 		}
 	case Cancelled:
-		e.observeAtLeast(took, work)
+		e.observeMinCost(took, work)
 	}
 }
 
-// ObservePace notes how many seconds a unit of work took an endpoint, without the wait
-// before the first.
+// ObservePace records how many seconds a unit of work took at the endpoint, without
+// the wait before the first unit.
 func (e *State) ObservePace(seconds float64) {
-	e.set.paced++
+	e.set.newPaces++
 	if e.pace == 0 {
 		e.pace = seconds
 		return
 	}
-	e.pace += (seconds - e.pace) * latencyWeight
+	e.pace += (seconds - e.pace) * observationWeight
 }
 
-// HasFaster tells whether a request that has had pace seconds per unit of work here
-// would be served markedly faster at another endpoint that has a free slot.
-func (s *Set) HasFaster(r Request, than *State, pace float64) bool {
+// HasFaster reports whether a request that has taken pace seconds per unit of work at
+// its current endpoint would be served much faster at another one with a free slot.
+func (s *Set) HasFaster(r Request, current *State, pace float64) bool {
 	typical := s.TypicalPace()
 	if typical == 0 || pace < moveSlowdown*typical {
 		return false
 	}
 	r.RequireFreeSlot = true
 	for _, e := range s.list {
-		if e != than && e.may(&r) && e.usable(r.Now) && e.pace > 0 && e.pace*moveSlowdown < pace {
+		if e != current && e.eligible(&r) && e.available(r.Now) && e.pace > 0 && e.pace*moveSlowdown < pace {
 			return true
 		}
 	}
 	return false
 }
 
-// UnavailableUntil tells whether the endpoint is put aside at a time, and until when.
+// UnavailableUntil returns when the endpoint may get requests again and whether that
+// is after now.
 func (e *State) UnavailableUntil(now time.Time) (time.Time, bool) {
-	return e.until, now.Before(e.until)
+	return e.unavailableUntil, now.Before(e.unavailableUntil)
 }
 
-func (e *State) observe(took time.Duration, work float64) {
+// observeCost adds an observation to the endpoint's cost.
+func (e *State) observeCost(took time.Duration, work float64) {
 	if work <= 0 {
 		return
 	}
-	e.set.observed++
+	e.set.newCosts++
 	cost := took.Seconds() / work
 	if e.cost == 0 {
 		e.cost = cost
 		return
 	}
-	e.cost += (cost - e.cost) * latencyWeight
+	e.cost += (cost - e.cost) * observationWeight
 }
 
-// observeAtLeast takes in a request that was ended on this side while it was
-// under way: it would have taken longer. Without it an endpoint that turned slow
-// stayed the first choice, as each request that showed it was ended once a second
-// endpoint had answered.
-func (e *State) observeAtLeast(took time.Duration, work float64) {
+// observeMinCost records the duration of a request that this side ended, as a lower
+// bound of its cost. Otherwise an endpoint that slowed down would stay the first
+// choice: each request that showed it is ended once a second endpoint has answered.
+func (e *State) observeMinCost(took time.Duration, work float64) {
 	if work > 0 && took.Seconds()/work > e.cost {
-		e.observe(took, work)
+		e.observeCost(took, work)
 	}
 }
 
-func (e *State) putAside(now time.Time) {
+// eject takes the endpoint out of use for a time that doubles with each ejection.
+func (e *State) eject(now time.Time) {
 	e.failures++
-	if now.Before(e.until) || e.set.Options.DisableEjection {
-		return // further requests that were under way tell nothing new
+	if now.Before(e.unavailableUntil) || e.set.Options.DisableEjection {
+		return // further failures of requests already in flight add no information
 	}
-	e.aside = min(max(2*e.aside, firstAside), mostAside)
-	e.until = now.Add(e.aside)
+	e.ejection = min(max(2*e.ejection, baseEjection), maxEjection)
+	e.unavailableUntil = now.Add(e.ejection)
 }
 
 func contains(list []string, id string) bool {
--- a/internal/policy/endpoints/endpoints_test.go
+++ b/internal/policy/endpoints/endpoints_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-func set(n int) *endpoints.Set {
+func newSet(n int) *endpoints.Set {
 	s := endpoints.NewSet("self")
 	for i := range n {
 		s.Put(deployment.Endpoint{ID: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: "a", Slots: 2, Born: 1, Versions: map[string]int64{"m": int64(i)}})
@@ -21,20 +21,20 @@
 	return s
 }
 
-var _ = Describe("the choice of an endpoint", func() {
-	It("spreads requests over idle slots and counts what it gave", func() {
-		s := set(3)
+var _ = Describe("Set", func() {
+	It("spreads requests over idle slots and counts them", func() {
+		s := newSet(3)
 		counts := map[string]int{}
 		for range 6 {
 			counts[s.Pick(endpoints.Request{Now: start, Domain: "a"}).ID]++
 		}
 		Expect(counts).To(Equal(map[string]int{"e0": 2, "e1": 2, "e2": 2}))
 		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).To(BeNil(), "no slot is free")
-		Expect(s.Pick(endpoints.Request{Now: start})).NotTo(BeNil(), "without Within a queue is better than none")
+		Expect(s.Pick(endpoints.Request{Now: start})).NotTo(BeNil(), "if no free slot is required, a queue is better than no endpoint")
 	})
 
-	It("leaves out those that leave, were tried, or have too old weights", func() {
-		s := set(3)
+	It("excludes leaving and tried endpoints and those with too old weights", func() {
+		s := newSet(3)
 		s.Put(deployment.Endpoint{ID: "e2", Address: "10.0.0.2:1", Slots: 2, Born: 1, Leaving: true, Versions: map[string]int64{"m": 2}})
 		Expect(s.Pick(endpoints.Request{Now: start, Model: "m", MinVersion: 2})).To(BeNil())
 		Expect(s.Pick(endpoints.Request{Now: start, Model: "m", MinVersion: 1}).ID).To(Equal("e1"))
@@ -43,45 +43,45 @@
 		Expect(s.Pick(endpoints.Request{Now: start, Model: "m", Version: 1}).ID).To(Equal("e1"))
 	})
 
-	It("puts an endpoint without connection aside, longer each time, and tries it with one request", func() {
-		// What the caller sees: an engine went dark. The first request to it fails,
-		// the others must not follow; after the pause one request finds out whether
-		// it is back, and the rest wait for that one's outcome.
-		s := set(2)
-		dark := s.Pick(endpoints.Request{Now: start, Tried: []string{"e1"}})
-		dark.End(start, endpoints.Unreachable, 0, 0)
+	It("ejects an unreachable endpoint, longer each time, and probes it with one request", func() {
+		// An engine becomes unreachable. The first request to it fails, and others must
+		// not be sent there. After the ejection time one request tests whether it is
+		// back; until that one ends no other is sent.
+		s := newSet(2)
+		unreachable := s.Pick(endpoints.Request{Now: start, Tried: []string{"e1"}})
+		unreachable.End(start, endpoints.Unreachable, 0, 0)
 		for range 4 {
 			Expect(s.Pick(endpoints.Request{Now: start}).ID).To(Equal("e1"))
 		}
 		later := start.Add(time.Second)
 		probe := s.Pick(endpoints.Request{Now: later})
-		Expect(probe.ID).To(Equal("e0"), "the idle one is tried again")
+		Expect(probe.ID).To(Equal("e0"), "the ejected endpoint is tried again")
 		Expect(s.Pick(endpoints.Request{Now: later}).ID).To(Equal("e1"), "by one request only")
 		probe.End(later, endpoints.Unreachable, 0, 0)
-		until, aside := probe.UnavailableUntil(later)
-		Expect(aside).To(BeTrue())
-		Expect(until.Sub(later)).To(Equal(time.Second), "twice the first pause")
+		until, unavailable := probe.UnavailableUntil(later)
+		Expect(unavailable).To(BeTrue())
+		Expect(until.Sub(later)).To(Equal(time.Second), "twice the first ejection time")
 	})
 
-	It("uses one that is put aside if there is no other", func() {
-		s := set(1)
+	It("uses an ejected endpoint if there is no other", func() {
+		s := newSet(1)
 		s.Pick(endpoints.Request{Now: start}).End(start, endpoints.Unreachable, 0, 0)
 		Expect(s.Pick(endpoints.Request{Now: start})).NotTo(BeNil())
-		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).To(BeNil(), "work that can wait does")
+		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).To(BeNil(), "requests that need a free slot wait")
 	})
 
-	It("does not condemn an endpoint for single broken answers", func() {
-		s := set(2)
+	It("does not eject an endpoint after two broken answers", func() {
+		s := newSet(2)
 		for range 2 {
 			s.Pick(endpoints.Request{Now: start, Tried: []string{"e1"}}).End(start, endpoints.BrokenAnswer, 0, 0)
 		}
 		Expect(s.Pick(endpoints.Request{Now: start}).ID).To(Equal("e0"))
 	})
 
-	It("asks one that refuses as full less and less often, and afresh once it answers", func() {
-		// An engine that loads weights refuses everything for about a second; asked
-		// again every 25 ms by each of forty items, it answered some hundred refusals.
-		s := set(1)
+	It("backs off from an endpoint that refuses as full, until it answers", func() {
+		// An engine that loads weights refuses everything for about a second. Asked
+		// every 25 ms by each of forty items, it sent some hundred refusals.
+		s := newSet(1)
 		now, asked := start, 0
 		for now.Before(start.Add(time.Second)) {
 			if e := s.Pick(endpoints.Request{Now: now, RequireFreeSlot: true}); e != nil {
@@ -99,13 +99,13 @@
 		Expect(until.Sub(now)).To(BeNumerically("<=", 25*time.Millisecond))
 	})
 
-	It("is another one at each idle process, and the same one while it stays idle", func() {
-		// The load: 27 entries, each with a request now and then, before 6 endpoints of
-		// their failure domain. With the first in the order of their IDs all of them
-		// met at one endpoint; when that one turned slow, lookups of all entries were
-		// late. Staying with one keeps its connection in use.
+	It("prefers different endpoints in different idle processes, and always the same in one", func() {
+		// 27 entries with a request now and then share 6 endpoints of their failure
+		// domain. In the order of IDs all entries would choose the first endpoint, and
+		// when that one slows down, lookups of all entries are late. An entry that
+		// stays with one endpoint keeps the connection in use.
 		const entries, each = 27, 6
-		at := map[string]int{}
+		entriesAt := map[string]int{}
 		for i := range entries {
 			s := endpoints.NewSet(fmt.Sprintf("entry-%d", i))
 			for k := range each {
@@ -118,53 +118,53 @@
 				Expect(first == "" || first == e.ID).To(BeTrue())
 				first = e.ID
 			}
-			at[first]++
+			entriesAt[first]++
 		}
-		for _, n := range at {
+		for _, n := range entriesAt {
 			Expect(n).To(BeNumerically("<=", 2*entries/each))
 		}
 	})
 
-	It("learns that an endpoint is slow from requests that were ended for another's answer", func() {
-		// What the caller sees: lookups late by the time of a hedge, one after the
-		// other. The first endpoint turned slow; each request to it was ended when the
-		// second had answered, and the next one went there again.
-		s := set(2)
+	It("learns that an endpoint is slow from requests cancelled after another one's answer", func() {
+		// Each lookup was late by the delay of a hedge: the preferred endpoint had
+		// slowed down, each request to it was cancelled when the second endpoint had
+		// answered, and the next request went to the slow one again.
+		s := newSet(2)
 		for range 3 {
 			for _, other := range []string{"e0", "e1"} {
 				s.Pick(endpoints.Request{Now: start, Tried: []string{other}}).End(start, endpoints.Answered, 25*time.Millisecond, 1)
 			}
 		}
-		favourite := s.Pick(endpoints.Request{Now: start}).ID
-		s.Get(favourite).End(start, endpoints.Cancelled, 10*time.Millisecond, 1)
-		Expect(s.Pick(endpoints.Request{Now: start}).ID).To(Equal(favourite), "a caller that left early says nothing")
-		s.Get(favourite).End(start, endpoints.Cancelled, 150*time.Millisecond, 1)
-		Expect(s.Pick(endpoints.Request{Now: start}).ID).NotTo(Equal(favourite))
+		preferred := s.Pick(endpoints.Request{Now: start}).ID
+		s.Get(preferred).End(start, endpoints.Cancelled, 10*time.Millisecond, 1)
+		Expect(s.Pick(endpoints.Request{Now: start}).ID).To(Equal(preferred), "a caller that cancels early gives no information")
+		s.Get(preferred).End(start, endpoints.Cancelled, 150*time.Millisecond, 1)
+		Expect(s.Pick(endpoints.Request{Now: start}).ID).NotTo(Equal(preferred))
 	})
 
-	It("leaves an endpoint alone for the model that it loads, until it has it", func() {
-		// The load: a new version of the weights, which a quarter of the engines load at
-		// once while a step's items wait. An engine that loads refuses new items.
-		s := set(1)
+	It("sends no requests for a model to an endpoint that is loading it", func() {
+		// A quarter of the engines load a new version of the weights at once while a
+		// step's items wait. An engine that is loading refuses new items.
+		s := newSet(1)
 		e := s.Get("e0")
 		ask := func(model string, ms int) *endpoints.State {
 			return s.Pick(endpoints.Request{Now: start.Add(time.Duration(ms) * time.Millisecond), Model: model})
 		}
-		put := func(version int64) {
+		list := func(version int64) {
 			s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Domain: "a", Slots: 9, Born: 1, Versions: map[string]int64{"m": version, "n": 1}})
 		}
-		put(1)
+		list(1)
 		e.MarkLoading(start, "m", 2)
 		Expect(ask("m", 500)).To(BeNil())
-		Expect(ask("n", 500)).NotTo(BeNil(), "another model is served meanwhile")
-		Expect(ask("m", 1000)).NotTo(BeNil(), "it may be done without a word")
+		Expect(ask("n", 500)).NotTo(BeNil(), "another model is still served")
+		Expect(ask("m", 1000)).NotTo(BeNil(), "the load may have ended without notice")
 		e.MarkLoading(start, "m", 2)
-		put(2)
-		Expect(ask("m", 500)).NotTo(BeNil(), "the list says that it is done")
+		list(2)
+		Expect(ask("m", 500)).NotTo(BeNil(), "the list shows that the load has ended")
 	})
 
-	It("gives a slow endpoint fewer requests", func() {
-		s := set(3)
+	It("sends fewer requests to a slow endpoint", func() {
+		s := newSet(3)
 		for range 5 {
 			for _, id := range []string{"e0", "e1", "e2"} {
 				took := 20 * time.Millisecond
@@ -187,31 +187,31 @@
 		Expect(counts["e0"]).To(BeZero())
 	})
 
-	It("takes another start of the same ID for a new endpoint", func() {
-		// The engine crashed and is back under its ID. What was learnt of the old
-		// process, here that it does not answer, says nothing of the new one.
-		s := set(1)
+	It("treats a restart under the same ID as a new endpoint", func() {
+		// The engine crashed and is back under its ID. What was learnt about the old
+		// process, here that it is unreachable, does not apply to the new one.
+		s := newSet(1)
 		s.Pick(endpoints.Request{Now: start}).End(start, endpoints.Unreachable, 0, 0)
 		s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Slots: 2, Born: 2})
 		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).NotTo(BeNil())
 	})
 
-	It("keeps what it learnt when only the list's entry changes", func() {
-		s := set(1)
+	It("keeps what it has learnt when only the listed data change", func() {
+		s := newSet(1)
 		s.Pick(endpoints.Request{Now: start}).End(start, endpoints.Unreachable, 0, 0)
 		s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Slots: 2, Born: 1, Versions: map[string]int64{"m": 9}})
 		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).To(BeNil())
 	})
 
-	It("prefers its own failure domain between equals", func() {
-		s := set(2)
+	It("prefers its own failure domain among equal endpoints", func() {
+		s := newSet(2)
 		s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Domain: "b", Slots: 2, Born: 1})
 		Expect(s.Pick(endpoints.Request{Now: start, Domain: "a"}).ID).To(Equal("e1"))
 	})
 
-	It("leaves room for callers beside background requests", func() {
+	It("leaves slots for callers beside background requests", func() {
 		// An owner of jobs comes back with a hundred whole texts and has them all scored
-		// at once, at the service where callers look things up.
+		// at once, at the service that also serves callers' lookups.
 		s := endpoints.NewSet("self")
 		for i := range 3 {
 			s.Put(deployment.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "app", Slots: 6})
@@ -220,10 +220,10 @@
 		for s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true, Background: true}) != nil {
 			scores++
 		}
-		Expect(scores).To(Equal(6), "two of the six places of each")
+		Expect(scores).To(Equal(6), "two of the six slots of each")
 		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).NotTo(BeNil())
 		small := endpoints.NewSet("self")
 		small.Put(deployment.Endpoint{ID: "e", Service: "app", Slots: 1})
-		Expect(small.Pick(endpoints.Request{Now: start, RequireFreeSlot: true, Background: true})).NotTo(BeNil(), "one at least")
+		Expect(small.Pick(endpoints.Request{Now: start, RequireFreeSlot: true, Background: true})).NotTo(BeNil(), "at least one")
 	})
 })
--- a/internal/policy/endpoints/reports.go
+++ b/internal/policy/endpoints/reports.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// reportLife is how long another process's report counts: ten times the usual
-// time between two. The requests of one that died have ended by then.
-const reportLife = time.Second
+// reportTTL is how long the report of another process is used: ten times the usual
+// interval between reports. The requests of a process that died have ended by then.
+const reportTTL = time.Second
 
-// ProcessLoad is what one process has at an endpoint.
+// ProcessLoad is the load that one process puts on an endpoint. Processes exchange
+// it, so its fields keep their names.
 type ProcessLoad struct {
 	InFlight int
-	Heavy    int     // requests whose end others wait for
-	Burden   float64 // sum of the requests' weighted work
+	Heavy    int     // number of critical requests, see Placement.Critical
+	Burden   float64 // sum of the requests' weighted work, see Placement
 }
 
-func (s *ProcessLoad) add(other ProcessLoad) {
-	s.InFlight += other.InFlight
-	s.Heavy += other.Heavy
-	s.Burden += other.Burden
+func (l *ProcessLoad) add(other ProcessLoad) {
+	l.InFlight += other.InFlight
+	l.Heavy += other.Heavy
+	l.Burden += other.Burden
 }
 
-// report is what another process told last.
+// report is the last report of another process.
 type report struct {
-	at     time.Time
-	shares map[string]ProcessLoad // by endpoint ID
+	receivedAt time.Time
+	loads      map[string]ProcessLoad // by endpoint ID
 }
 
-// SetReport takes in what another process has at the endpoints, in place of what it
-// told before. Without such reports two owners of jobs each keep narrow what the
-// other one fills.
-func (s *Set) SetReport(now time.Time, from string, shares map[string]ProcessLoad) {
+// SetReport replaces the report of another process. Without reports two owners of
+// jobs interfere: one keeps the load of an endpoint low for its critical requests
+// while the other fills it.
+func (s *Set) SetReport(now time.Time, from string, loads map[string]ProcessLoad) {
 	if s.reports == nil {
 		s.reports = map[string]report{}
 	}
-	s.reports[from] = report{now, shares}
+	s.reports[from] = report{now, loads}
 	s.sumReports()
 }
 
-// forgetOld drops reports of processes that tell nothing more.
-func (s *Set) forgetOld(now time.Time) {
+// dropStaleReports drops the reports of processes that no longer send any.
+func (s *Set) dropStaleReports(now time.Time) {
 	dropped := false
 	for from, r := range s.reports {
-		if now.Sub(r.at) > reportLife {
+		if now.Sub(r.receivedAt) > reportTTL {
 			delete(s.reports, from)
 			dropped = true
 		}
@@ -50,26 +51,27 @@
 	}
 }
 
+// sumReports updates each endpoint's load by other processes.
 func (s *Set) sumReports() {
 	for _, e := range s.list {
 		e.others = ProcessLoad{}
 		for _, r := range s.reports {
-			e.others.add(r.shares[e.ID])
+			e.others.add(r.loads[e.ID])
 		}
 	}
 }
 
-// ProcessLoads returns what this process has at the endpoints, without those where it
-// has nothing.
+// ProcessLoads returns the load that this process puts on the endpoints, by endpoint
+// ID, without those where it has no requests.
 func (s *Set) ProcessLoads() map[string]ProcessLoad {
-	shares := map[string]ProcessLoad{}
+	loads := map[string]ProcessLoad{}
 	for _, e := range s.list {
 		if e.InFlight > 0 {
-			shares[e.ID] = ProcessLoad{InFlight: e.InFlight, Heavy: e.heavy, Burden: e.burden}
+			loads[e.ID] = ProcessLoad{InFlight: e.InFlight, Heavy: e.critical, Burden: e.weightedWork}
 		}
 	}
-	return shares
+	return loads
 }
 
-// running is how many requests the endpoint has, as far as is known.
+// running returns the number of requests at the endpoint, as far as it is known.
 func (e *State) running() int { return e.InFlight + e.others.InFlight }
--- a/internal/policy/endpoints/reports_test.go
+++ b/internal/policy/endpoints/reports_test.go
@@ -11,14 +11,14 @@
 	"siskinloom.example/siskinloom/internal/policy/endpoints"
 )
 
-var _ = Describe("what other processes have at endpoints", func() {
+var _ = Describe("Set with reports of other processes", func() {
 	now := time.Unix(1000, 0)
 	var s *endpoints.Set
 	pick := func(at time.Time, p endpoints.Placement) *endpoints.State {
 		return s.Pick(endpoints.Request{Now: at, Model: "m", RequireFreeSlot: true, Placement: p})
 	}
-	long := endpoints.Placement{RemainingWork: 160, Weight: 1, Critical: true, CriticalBatchLimit: 3}
-	brief := endpoints.Placement{RemainingWork: 8, Weight: 0.01, CriticalBatchLimit: 3}
+	critical := endpoints.Placement{RemainingWork: 160, Weight: 1, Critical: true, CriticalBatchLimit: 3}
+	short := endpoints.Placement{RemainingWork: 8, Weight: 0.01, CriticalBatchLimit: 3}
 
 	BeforeEach(func() {
 		s = endpoints.NewSet("self")
@@ -27,28 +27,29 @@
 		}
 	})
 
-	It("counts like this process's own requests until it is told anew", func() {
-		// Another owner's step has filled one engine, and its longest run is at the
-		// other: long runs avoid the full one, short ones do not crowd the long run.
+	It("counts reported requests like its own until the next report", func() {
+		// Another owner's step has filled one engine, and its critical request is at
+		// the other. Critical requests avoid the full engine, and few short ones join
+		// the other critical request.
 		s.SetReport(now, "other", map[string]endpoints.ProcessLoad{"e0": {InFlight: 7}, "e1": {InFlight: 2, Heavy: 1, Burden: 160}})
-		Expect(pick(now, brief).ID).To(Equal("e0"))
-		Expect(pick(now, brief).ID).To(Equal("e1"), "e0 is full")
-		Expect(pick(now, brief)).To(BeNil(), "e1 is as wide as it may be beside a heavy run")
-		Expect(pick(now, long).ID).To(Equal("e1"))
+		Expect(pick(now, short).ID).To(Equal("e0"))
+		Expect(pick(now, short).ID).To(Equal("e1"), "e0 is full")
+		Expect(pick(now, short)).To(BeNil(), "e1 has reached the limit beside a critical request")
+		Expect(pick(now, critical).ID).To(Equal("e1"))
 		s.SetReport(now, "other", nil)
-		Expect(pick(now, long).ID).To(Equal("e0"))
+		Expect(pick(now, critical).ID).To(Equal("e0"))
 	})
 
-	It("is forgotten a second after the last word of a process that died", func() {
+	It("drops the report of a dead process after a second", func() {
 		s.SetReport(now, "other", map[string]endpoints.ProcessLoad{"e0": {InFlight: 8}, "e1": {InFlight: 8}})
-		Expect(pick(now.Add(900*time.Millisecond), brief)).To(BeNil())
-		Expect(pick(now.Add(1100*time.Millisecond), brief)).NotTo(BeNil())
+		Expect(pick(now.Add(900*time.Millisecond), short)).To(BeNil())
+		Expect(pick(now.Add(1100*time.Millisecond), short)).NotTo(BeNil())
 	})
 
-	It("is summed over processes, and an endpoint that nobody lists is of no use", func() {
+	It("sums reports over processes and ignores endpoints that are not listed", func() {
 		s.SetReport(now, "a", map[string]endpoints.ProcessLoad{"e0": {InFlight: 4}, "gone": {InFlight: 9}})
 		s.SetReport(now, "b", map[string]endpoints.ProcessLoad{"e0": {InFlight: 4}})
-		Expect(pick(now, long).ID).To(Equal("e1"))
-		Expect(s.ProcessLoads()).To(Equal(map[string]endpoints.ProcessLoad{"e1": {InFlight: 1, Heavy: 1, Burden: 160}}), "its own only")
+		Expect(pick(now, critical).ID).To(Equal("e1"))
+		Expect(s.ProcessLoads()).To(Equal(map[string]endpoints.ProcessLoad{"e1": {InFlight: 1, Heavy: 1, Burden: 160}}), "only its own requests")
 	})
 })
