--- a/internal/agentless/batchrun/runs.go
+++ b/internal/agentless/batchrun/runs.go
@@ -98,7 +98,7 @@
 		if last != "" {
 			request.Tried = []string{last}
 		}
-		pick := o.Directory.Pick(routes.Service(route, scorer.ID), request)
+		pick := o.Directory.Pick(routes.SelectService(route, scorer.ID), request)
 		if pick == nil {
 			o.scored(j, now, i, batch.ScoreRetryable, "", route.MaxAttempts)
 			return
--- a/internal/agentless/batchrun/starts.go
+++ b/internal/agentless/batchrun/starts.go
@@ -70,7 +70,7 @@
 		view.Due = spec.Due.Sub(spec.Submitted).Seconds()
 	}
 	if route := table.Match(spec.Host, spec.Items[0].Path); route != nil {
-		view.EventSeconds, _ = o.Directory.Pace(routes.Service(route, spec.Items[0].ID))
+		view.EventSeconds, _ = o.Directory.Pace(routes.SelectService(route, spec.Items[0].ID))
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -121,7 +121,7 @@
 		j.postpone(c.Index, r.now.Add(noRoutePause))
 		return
 	}
-	service := routes.Service(route, item.ID)
+	service := routes.SelectService(route, item.ID)
 	request := engineFor(j.job.Spec, start, r.now)
 	request.Placement = r.placement(j, c, service)
 	pick := r.owner.pickEngine(service, start, request)
--- a/internal/agentless/gate/gate.go
+++ b/internal/agentless/gate/gate.go
@@ -156,7 +156,7 @@
 	left := r.left(route, time.Now())
 	limited, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	c := &course{gate: g, route: route, request: r, service: routes.Service(route, r.ID), ended: make(chan attempt, route.MaxAttempts)}
+	c := &course{gate: g, route: route, request: r, service: routes.SelectService(route, r.ID), ended: make(chan attempt, route.MaxAttempts)}
 	g.earn(c.service)
 	outcome := c.run(limited)
 	if began := c.began(); !began.IsZero() {
--- a/internal/agentless/gate/stream.go
+++ b/internal/agentless/gate/stream.go
@@ -51,7 +51,7 @@
 	limited, cancel := context.WithTimeout(ctx, r.left(route, time.Now()))
 	defer cancel()
 	s := &stream{sink: sink, lastEvent: r.Resume, counted: counted}
-	s.course = course{gate: g, route: route, request: r, service: routes.Service(route, r.ID)}
+	s.course = course{gate: g, route: route, request: r, service: routes.SelectService(route, r.ID)}
 	outcome := s.attempts(limited)
 	if limited.Err() != nil && outcome.End != Answered && !s.began {
 		outcome = Outcome{End: TimedOut}
--- a/internal/policy/routes/admit.go
+++ b/internal/policy/routes/admit.go
@@ -33,10 +33,10 @@
 	return t.admit(key, r.Public, r.Priority)
 }
 
-// AdmitToJobs decides about a call on batch jobs that were submitted at a host. No
+// AdmitJobCall decides about a call on batch jobs that were submitted at a host. No
 // route matches the paths of these calls. They need no key where nobody needed one
 // to submit.
-func (t *Table) AdmitToJobs(host, key string) Admission {
+func (t *Table) AdmitJobCall(host, key string) Admission {
 	submitted, public := 0, 0
 	for _, r := range t.byHost[bareHost(host)] {
 		if r.Kind != deployment.Rollout {
--- a/internal/policy/routes/admit_test.go
+++ b/internal/policy/routes/admit_test.go
@@ -59,16 +59,16 @@
 	})
 
 	It("needs a key for jobs unless nobody needed one to submit them", func() {
-		Expect(table.AdmitToJobs("a", "").Allowed).To(BeFalse(), "one of the routes is not public")
-		Expect(table.AdmitToJobs("a", "p1")).To(Equal(routes.Admission{Allowed: true, Customer: "plain"}))
-		Expect(table.AdmitToJobs("b:80", "").Allowed).To(BeTrue())
-		Expect(table.AdmitToJobs("c", "").Allowed).To(BeFalse(), "no jobs are submitted there")
-		Expect(table.AdmitToJobs("none", "").Allowed).To(BeFalse())
+		Expect(table.AdmitJobCall("a", "").Allowed).To(BeFalse(), "one of the routes is not public")
+		Expect(table.AdmitJobCall("a", "p1")).To(Equal(routes.Admission{Allowed: true, Customer: "plain"}))
+		Expect(table.AdmitJobCall("b:80", "").Allowed).To(BeTrue())
+		Expect(table.AdmitJobCall("c", "").Allowed).To(BeFalse(), "no jobs are submitted there")
+		Expect(table.AdmitJobCall("none", "").Allowed).To(BeFalse())
 	})
 
 	It("needs no key where the operator declared none", func() {
 		all := routes.NewTable(&deployment.Declaration{Routes: []deployment.Route{{Host: "a", Prefix: "/", Priority: 2}}})
 		Expect(all.Admit(all.Match("a", "/x"), "x")).To(Equal(routes.Admission{Allowed: true, Priority: 2}))
-		Expect(all.AdmitToJobs("a", "").Allowed).To(BeTrue())
+		Expect(all.AdmitJobCall("a", "").Allowed).To(BeTrue())
 	})
 })
--- a/internal/policy/routes/routes.go
+++ b/internal/policy/routes/routes.go
@@ -51,9 +51,9 @@
 	return strings.ToLower(host)
 }
 
-// Service returns the service that a request goes to: the same one for the same
+// SelectService returns the service that a request goes to: the same one for the same
 // key, in proportion to the backends' weights.
-func Service(r *deployment.Route, key string) string {
+func SelectService(r *deployment.Route, key string) string {
 	total := 0
 	for _, b := range r.Backends {
 		total += b.Weight
--- a/internal/policy/routes/routes_test.go
+++ b/internal/policy/routes/routes_test.go
@@ -43,8 +43,8 @@
 		counts := map[string]int{}
 		for i := range 2000 {
 			key := strconv.Itoa(i)
-			service := routes.Service(route, key)
-			Expect(routes.Service(route, key)).To(Equal(service))
+			service := routes.SelectService(route, key)
+			Expect(routes.SelectService(route, key)).To(Equal(service))
 			counts[service]++
 		}
 		Expect(counts["new"]).To(BeNumerically("~", 200, 60))
@@ -54,9 +54,9 @@
 	It("sends nothing to a backend of weight 0, and takes one without weights", func() {
 		zero := &deployment.Route{Backends: []deployment.Backend{{Service: "off"}, {Service: "on", Weight: 1}}}
 		for i := range 100 {
-			Expect(routes.Service(zero, strconv.Itoa(i))).To(Equal("on"))
+			Expect(routes.SelectService(zero, strconv.Itoa(i))).To(Equal("on"))
 		}
-		Expect(routes.Service(&deployment.Route{Backends: []deployment.Backend{{Service: "only"}}}, "k")).To(Equal("only"))
-		Expect(routes.Service(&deployment.Route{}, "k")).To(BeEmpty())
+		Expect(routes.SelectService(&deployment.Route{Backends: []deployment.Backend{{Service: "only"}}}, "k")).To(Equal("only"))
+		Expect(routes.SelectService(&deployment.Route{}, "k")).To(BeEmpty())
 	})
 })
