--- a/internal/policy/routes/admit.go
+++ b/internal/policy/routes/admit.go
@@ -5,49 +5,50 @@
 	"siskinloom.example/siskinloom/internal/policy/keys"
 )
 
-// Admission says on whose behalf a request is served.
+// Admission is the decision whether a request is served, and for which customer.
 type Admission struct {
 	Allowed  bool
-	Customer string // empty: nobody's, as the route is public or no keys are needed
+	Customer string // empty if the route is public or no keys are declared
 	Priority int    // 0 is the highest
 }
 
-// ring returns the customers' keys. A key that two of them have is the first one's;
-// whoever decodes a declaration refuses such a one.
-func ring(customers []deployment.Customer) *keys.Index[*deployment.Customer] {
+// newKeyIndex returns the index of the customers' keys. A key of two customers belongs
+// to the first; the decoder of declarations rejects such keys.
+func newKeyIndex(customers []deployment.Customer) *keys.Index[*deployment.Customer] {
 	size := 0
 	for i := range customers {
 		size += len(customers[i].Keys)
 	}
-	r := keys.NewIndex[*deployment.Customer](size)
+	index := keys.NewIndex[*deployment.Customer](size)
 	for i := range customers {
 		for _, key := range customers[i].Keys {
-			r.Add(key, &customers[i])
+			index.Add(key, &customers[i])
 		}
 	}
-	return r
+	return index
 }
 
-// Admit decides about a request that bears a key, empty for none.
+// Admit decides whether a request with the key is served on the route. The key is
+// empty if the request has none.
 func (t *Table) Admit(r *deployment.Route, key string) Admission {
 	return t.admit(key, r.Public, r.Priority)
 }
 
-// AdmitJobCall decides about a call on batch jobs that were submitted at a host. No
-// route matches the paths of these calls. They need no key where nobody needed one
-// to submit.
+// AdmitJobCall decides whether a call on a batch job is served. The job was submitted
+// at the host, and no route matches the path of the call. It needs no key if all
+// rollout routes of the host are public, as then submitting needs none.
 func (t *Table) AdmitJobCall(host, key string) Admission {
-	submitted, public := 0, 0
-	for _, r := range t.byHost[bareHost(host)] {
+	rollouts, public := 0, 0
+	for _, r := range t.byHost[normalizeHost(host)] {
 		if r.Kind != deployment.Rollout {
 			continue
 		}
-		submitted++
+		rollouts++
 		if r.Public {
 			public++
 		}
 	}
-	return t.admit(key, submitted > 0 && public == submitted, 0)
+	return t.admit(key, rollouts > 0 && public == rollouts, 0)
 }
 
 func (t *Table) admit(key string, public bool, priority int) Admission {
--- a/internal/policy/routes/admit_test.go
+++ b/internal/policy/routes/admit_test.go
@@ -9,16 +9,16 @@
 	"siskinloom.example/siskinloom/internal/policy/routes"
 )
 
-var _ = Describe("what a declaration changes of customers' keys", func() {
-	customer := func(name string, held ...string) deployment.Customer {
+var _ = Describe("KeyChanges", func() {
+	customer := func(name string, apiKeys ...string) deployment.Customer {
 		c := deployment.Customer{Name: name}
-		for _, k := range held {
+		for _, k := range apiKeys {
 			c.Keys = append(c.Keys, keys.Hash(k))
 		}
 		return c
 	}
 
-	It("is told by customer", func() {
+	It("counts added and removed keys by customer", func() {
 		before := &deployment.Declaration{Customers: []deployment.Customer{customer("gone", "a", "b"), customer("same", "c"), customer("turned", "d", "e")}}
 		after := &deployment.Declaration{Customers: []deployment.Customer{customer("turned", "e", "f", "g"), customer("same", "c"), customer("come", "h")}}
 		Expect(routes.KeyChanges(before, after)).To(Equal([]routes.KeyChange{
@@ -27,7 +27,7 @@
 	})
 })
 
-var _ = Describe("the admission of a request", func() {
+var _ = Describe("Admission", func() {
 	first := 0
 	table := routes.NewTable(&deployment.Declaration{
 		Keyed: true,
@@ -45,7 +45,7 @@
 	})
 	closed, open := table.Match("a", "/x"), table.Match("a", "/open/x")
 
-	It("goes by its key, and a customer's priority before its route's", func() {
+	It("depends on the key, and a customer's priority overrides the route's", func() {
 		Expect(table.Admit(closed, "u2")).To(Equal(routes.Admission{Allowed: true, Customer: "urgent", Priority: 0}))
 		Expect(table.Admit(closed, "p1")).To(Equal(routes.Admission{Allowed: true, Customer: "plain", Priority: 3}))
 		Expect(table.Admit(closed, "x").Allowed).To(BeFalse())
@@ -58,7 +58,7 @@
 		Expect(table.Admit(open, "p1").Customer).To(Equal("plain"))
 	})
 
-	It("needs a key for jobs unless nobody needed one to submit them", func() {
+	It("needs a key for job calls unless the jobs could be submitted without one", func() {
 		Expect(table.AdmitJobCall("a", "").Allowed).To(BeFalse(), "one of the routes is not public")
 		Expect(table.AdmitJobCall("a", "p1")).To(Equal(routes.Admission{Allowed: true, Customer: "plain"}))
 		Expect(table.AdmitJobCall("b:80", "").Allowed).To(BeTrue())
@@ -66,7 +66,7 @@
 		Expect(table.AdmitJobCall("none", "").Allowed).To(BeFalse())
 	})
 
-	It("needs no key where the operator declared none", func() {
+	It("needs no key if the operator declared none", func() {
 		all := routes.NewTable(&deployment.Declaration{Routes: []deployment.Route{{Host: "a", Prefix: "/", Priority: 2}}})
 		Expect(all.Admit(all.Match("a", "/x"), "x")).To(Equal(routes.Admission{Allowed: true, Priority: 2}))
 		Expect(all.AdmitJobCall("a", "").Allowed).To(BeTrue())
--- a/internal/policy/routes/keychanges.go
+++ b/internal/policy/routes/keychanges.go
@@ -8,44 +8,45 @@
 	"siskinloom.example/siskinloom/internal/policy/keys"
 )
 
-// KeyChange is how many keys of a customer a declaration brought and took away.
+// KeyChange counts the keys of a customer that a new declaration adds and removes.
 type KeyChange struct {
 	Customer string
 	Added    int
 	Removed  int
 }
 
-// KeyChanges returns what a declaration changed of the keys that one before it had, sorted
-// by customer.
+// KeyChanges returns how the keys of each customer differ between two declarations,
+// sorted by customer. Customers without differences are left out.
 func KeyChanges(before, after *deployment.Declaration) []KeyChange {
 	var list []KeyChange
-	held := keysByCustomer(before)
-	for name, now := range keysByCustomer(after) {
-		c := KeyChange{Customer: name, Added: lacking(now, held[name]), Removed: lacking(held[name], now)}
+	old := keysByCustomer(before)
+	for name, current := range keysByCustomer(after) {
+		c := KeyChange{Customer: name, Added: countMissing(current, old[name]), Removed: countMissing(old[name], current)}
 		if c.Added+c.Removed > 0 {
 			list = append(list, c)
 		}
-		delete(held, name)
+		delete(old, name)
 	}
-	for name, gone := range held {
-		list = append(list, KeyChange{Customer: name, Removed: len(gone)})
+	for name, removed := range old {
+		list = append(list, KeyChange{Customer: name, Removed: len(removed)})
 	}
 	slices.SortFunc(list, func(a, b KeyChange) int { return strings.Compare(a.Customer, b.Customer) })
 	return list
 }
 
+// keysByCustomer returns the declared keys by the customer's name.
 func keysByCustomer(d *deployment.Declaration) map[string][]keys.Digest {
-	held := make(map[string][]keys.Digest, len(d.Customers))
+	byName := make(map[string][]keys.Digest, len(d.Customers))
 	for i := range d.Customers {
-		held[d.Customers[i].Name] = d.Customers[i].Keys
+		byName[d.Customers[i].Name] = d.Customers[i].Keys
 	}
-	return held
+	return byName
 }
 
-// lacking returns how many of some keys others lack.
-func lacking(some, others []keys.Digest) int {
+// countMissing returns how many keys of the list others does not contain.
+func countMissing(list, others []keys.Digest) int {
 	n := 0
-	for _, k := range some {
+	for _, k := range list {
 		if !slices.Contains(others, k) {
 			n++
 		}
--- a/internal/policy/routes/routes.go
+++ b/internal/policy/routes/routes.go
@@ -1,5 +1,5 @@
-// Package routes finds the route of a request and the service it goes to. It
-// does no input or output.
+// Package routes finds the route of a request and the service that it is sent to. It
+// does no I/O.
 package routes
 
 import (
@@ -12,15 +12,15 @@
 	"siskinloom.example/siskinloom/internal/policy/keys"
 )
 
-// Table is the routes of one declaration. It is immutable and safe for
-// concurrent use.
+// Table holds the routes and the customers' keys of one declaration. It is immutable
+// and safe for concurrent use.
 type Table struct {
 	Declaration *deployment.Declaration
 	byHost      map[string][]*deployment.Route // longest prefix first
 	customers   *keys.Index[*deployment.Customer]
 }
 
-// NewTable indexes a declaration, which must not change afterwards.
+// NewTable returns the Table of a declaration, which must not change afterwards.
 func NewTable(d *deployment.Declaration) *Table {
 	t := &Table{Declaration: d, byHost: map[string][]*deployment.Route{}}
 	for i := range d.Routes {
@@ -30,13 +30,14 @@
 	for _, routes := range t.byHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
-	t.customers = ring(d.Customers)
+	t.customers = newKeyIndex(d.Customers)
 	return t
 }
 
-// Match returns the route of the host with the longest prefix of path, or nil.
+// Match returns the route of the host with the longest prefix that path starts with,
+// or nil if there is none.
 func (t *Table) Match(host, path string) *deployment.Route {
-	for _, r := range t.byHost[bareHost(host)] {
+	for _, r := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -44,15 +45,18 @@
 	return nil
 }
 
-func bareHost(host string) string {
+// normalizeHost returns the host in lower case and without its port.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
 	return strings.ToLower(host)
 }
 
-// SelectService returns the service that a request goes to: the same one for the same
-// key, in proportion to the backends' weights.
+// SelectService returns the service of the backend that a request is sent to. Requests
+// are distributed in proportion to the backends' weights, and a key always selects the
+// same backend. Without weights the first backend is selected; without backends the
+// result is empty.
 func SelectService(r *deployment.Route, key string) string {
 	total := 0
 	for _, b := range r.Backends {
@@ -64,12 +68,12 @@
 		}
 		return r.Backends[0].Service
 	}
-	at := int(xxhash.Sum64String(key) % uint64(total))
+	point := int(xxhash.Sum64String(key) % uint64(total))
 	for _, b := range r.Backends {
-		if at < b.Weight {
+		if point < b.Weight {
 			return b.Service
 		}
-		at -= b.Weight
+		point -= b.Weight
 	}
 	return r.Backends[len(r.Backends)-1].Service
 }
--- a/internal/policy/routes/routes_test.go
+++ b/internal/policy/routes/routes_test.go
@@ -10,7 +10,7 @@
 	"siskinloom.example/siskinloom/internal/policy/routes"
 )
 
-var _ = Describe("a table of routes", func() {
+var _ = Describe("Table", func() {
 	table := routes.NewTable(&deployment.Declaration{Version: 3, Routes: []deployment.Route{
 		{Name: "all", Host: "a.example", Prefix: "/"},
 		{Name: "long", Host: "a.example", Prefix: "/x/y/"},
@@ -38,7 +38,7 @@
 		Entry("no host", "c.example", "/x/", ""),
 	)
 
-	It("splits requests by weight, the same key always alike", func() {
+	It("distributes requests by weight, and the same key always to the same service", func() {
 		route := &deployment.Route{Backends: []deployment.Backend{{Service: "new", Weight: 10}, {Service: "old", Weight: 90}}}
 		counts := map[string]int{}
 		for i := range 2000 {
@@ -51,7 +51,7 @@
 		Expect(counts["old"]).To(BeNumerically("~", 1800, 60))
 	})
 
-	It("sends nothing to a backend of weight 0, and takes one without weights", func() {
+	It("selects no backend of weight 0 unless no backend has a weight", func() {
 		zero := &deployment.Route{Backends: []deployment.Backend{{Service: "off"}, {Service: "on", Weight: 1}}}
 		for i := range 100 {
 			Expect(routes.SelectService(zero, strconv.Itoa(i))).To(Equal("on"))
