--- a/internal/agentless/batchrun/fakes_test.go
+++ b/internal/agentless/batchrun/fakes_test.go
@@ -49,8 +49,8 @@
 	e.mu.Lock()
 	e.sent[r.ID]++
 	hold, broken := e.hold, false
-	if r.Resume > 0 {
-		e.resumed = append(e.resumed, r.Resume)
+	if r.ResumeAfter > 0 {
+		e.resumed = append(e.resumed, r.ResumeAfter)
 	}
 	if e.breaks > 0 && !strings.HasPrefix(r.Target, "/score/") {
 		e.breaks--
@@ -65,7 +65,7 @@
 	if e.length > 0 {
 		length, early = e.length, e.pause
 	}
-	if r.Resume >= length {
+	if r.ResumeAfter >= length {
 		// Nothing is left to generate, so no weights are named.
 		return &dispatch.Answer{Status: http.StatusOK, Signed: true, Body: io.NopCloser(strings.NewReader(""))}, nil
 	}
@@ -75,7 +75,7 @@
 		return answer, nil
 	}
 	read, write := io.Pipe()
-	go (&text{after: r.Resume, length: length, early: early, hold: hold, broken: broken, cutEnd: cutEnd}).stream(ctx, write)
+	go (&text{after: r.ResumeAfter, length: length, early: early, hold: hold, broken: broken, cutEnd: cutEnd}).stream(ctx, write)
 	answer.Body = read
 	return answer, nil
 }
--- a/internal/agentless/batchrun/itemrun.go
+++ b/internal/agentless/batchrun/itemrun.go
@@ -59,11 +59,11 @@
 	if how, outcome, done := refusedRun(answer, r.start); done {
 		return how, outcome, errors.Errorf("status %d", answer.Status)
 	}
-	return r.read(ctx, dispatch.NewEvents(answer), silence)
+	return r.read(ctx, dispatch.NewEventReader(answer), silence)
 }
 
 // read takes in events until the stream ends or the run is better ended.
-func (r *itemRun) read(ctx context.Context, in *dispatch.Events, silence *time.Timer) (batch.RunOutcome, endpoints.Outcome, error) {
+func (r *itemRun) read(ctx context.Context, in *dispatch.EventReader, silence *time.Timer) (batch.RunOutcome, endpoints.Outcome, error) {
 	for {
 		event, err := in.Next()
 		if errors.Is(err, io.EOF) {
@@ -187,7 +187,7 @@
 	// the preempted model's steps were the ones that came late.
 	return &dispatch.Request{
 		ID: item.ID, Method: http.MethodPost, Target: item.Path, Host: spec.Host, Header: header, Body: item.Body,
-		Left: left, Resume: start.ResumeAfter, Version: start.RequiredVersion, Urgency: -1, Customer: spec.Customer,
+		Timeout: left, ResumeAfter: start.ResumeAfter, Version: start.RequiredVersion, Urgency: -1, Customer: spec.Customer,
 	}
 }
 
--- a/internal/agentless/batchrun/runs.go
+++ b/internal/agentless/batchrun/runs.go
@@ -142,7 +142,7 @@
 func (o *Owner) askScorer(j *ownedJob, scorer *batch.Scorer, pick *directory.Pick) (batch.ScoreOutcome, endpoints.Outcome, string, error) {
 	ctx, cancel := context.WithTimeout(j.ctx, scoreLimit)
 	defer cancel()
-	request := &dispatch.Request{ID: scorer.ID, Method: http.MethodPost, Target: scorer.Path, Host: scorer.Host, Header: http.Header{}, Body: scorer.Body, Left: scoreLimit, Urgency: -1}
+	request := &dispatch.Request{ID: scorer.ID, Method: http.MethodPost, Target: scorer.Path, Host: scorer.Host, Header: http.Header{}, Body: scorer.Body, Timeout: scoreLimit, Urgency: -1}
 	answer, err := o.Sender.Send(ctx, &pick.Endpoint, request)
 	if err != nil {
 		return batch.ScoreRetryable, unreachedOrBroke(j.ctx, err), "", err
--- a/internal/agentless/dispatch/dispatch.go
+++ b/internal/agentless/dispatch/dispatch.go
@@ -14,16 +14,16 @@
 
 // Request is a request to an endpoint.
 type Request struct {
-	ID      string
-	Method  string
-	Target  string // path and query
-	Host    string
-	Header  http.Header // passed on; not changed
-	Body    []byte
-	Left    time.Duration // how long an answer is of use; the endpoint stops then
-	Resume  int64         // go on after this event; 0: from the start
-	Version int64         // only weights of this version may serve it; 0: any
-	Urgency int           // 0 is the most urgent, 9 the least; -1: not said
+	ID          string
+	Method      string
+	Target      string // path and query
+	Host        string
+	Header      http.Header // passed on; not changed
+	Body        []byte
+	Timeout     time.Duration // how long an answer is of use; the endpoint stops then
+	ResumeAfter int64         // go on after this event; 0: from the start
+	Version     int64         // only weights of this version may serve it; 0: any
+	Urgency     int           // 0 is the most urgent, 9 the least; -1: not said
 
 	Customer string // on whose behalf; empty: nobody's
 }
@@ -58,20 +58,20 @@
 	Version int64  // weight version that generated it; 0: not known
 }
 
-// Events reads the events of an answer.
-type Events struct {
+// EventReader reads the events of an answer.
+type EventReader struct {
 	reader  *sse.Reader
 	field   string
 	version int64
 }
 
-// NewEvents returns a reader of the answer's body.
-func NewEvents(a *Answer) *Events {
-	return &Events{reader: sse.NewReader(a.Body), field: a.VersionField, version: a.Version}
+// NewEventReader returns a reader of the answer's body.
+func NewEventReader(a *Answer) *EventReader {
+	return &EventReader{reader: sse.NewReader(a.Body), field: a.VersionField, version: a.Version}
 }
 
 // Next returns the next event; io.EOF after the last one of a whole stream.
-func (e *Events) Next() (Event, error) {
+func (e *EventReader) Next() (Event, error) {
 	event, err := e.reader.Next()
 	if err != nil {
 		return Event{}, err
--- a/internal/agentless/gate/gate.go
+++ b/internal/agentless/gate/gate.go
@@ -220,7 +220,7 @@
 // told to come back, it reaches a process that knows.
 func (g *Gate) Deny(end End) Outcome {
 	if g.Current != nil && !g.Current() {
-		return Starting()
+		return NotReadyOutcome()
 	}
 	return Outcome{End: end}
 }
@@ -245,8 +245,8 @@
 	return Outcome{End: Refused, RetryAfter: wait}
 }
 
-// Starting returns the outcome while this process knows no declaration, or not the newest.
-func Starting() Outcome { return Outcome{End: NotReady, RetryAfter: noDeclarationReturn} }
+// NotReadyOutcome returns the outcome while this process knows no declaration, or not the newest.
+func NotReadyOutcome() Outcome { return Outcome{End: NotReady, RetryAfter: noDeclarationReturn} }
 
 // pickFor chooses an endpoint for the next attempt.
 func (g *Gate) pickFor(service string, r *Request, tried []string) *directory.Pick {
@@ -256,7 +256,7 @@
 func (r *Request) toEndpoint(left time.Duration) *dispatch.Request {
 	return &dispatch.Request{
 		ID: r.ID, Method: r.Method, Target: r.Target, Host: r.Host, Header: r.Header, Body: r.Body,
-		Left: left, Resume: r.Resume, Urgency: -1, Customer: r.Customer,
+		Timeout: left, ResumeAfter: r.Resume, Urgency: -1, Customer: r.Customer,
 	}
 }
 
--- a/internal/agentless/gate/gate_test.go
+++ b/internal/agentless/gate/gate_test.go
@@ -48,8 +48,8 @@
 	s.mu.Lock()
 	next := s.replies[min(len(s.sent), len(s.replies)-1)]
 	s.sent = append(s.sent, e.ID)
-	s.left = append(s.left, r.Left)
-	s.resumes = append(s.resumes, r.Resume)
+	s.left = append(s.left, r.Timeout)
+	s.resumes = append(s.resumes, r.ResumeAfter)
 	s.mu.Unlock()
 	if next.sendErr != nil {
 		return nil, next.sendErr
--- a/internal/agentless/gate/stream.go
+++ b/internal/agentless/gate/stream.go
@@ -108,7 +108,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	request := s.request.toEndpoint(s.request.left(s.route, time.Now()))
-	request.Resume = s.lastEvent
+	request.ResumeAfter = s.lastEvent
 	answer, err := s.gate.sender.Send(ctx, &pick.Endpoint, request)
 	if err != nil {
 		a, how := failed(ctx, err)
@@ -127,7 +127,7 @@
 	if err := s.begin(answer); err != nil {
 		return Outcome{End: Left}, attempt{err: err}, endpoints.Cancelled
 	}
-	err = s.pass(cancel, dispatch.NewEvents(answer))
+	err = s.pass(cancel, dispatch.NewEventReader(answer))
 	if errors.Is(err, io.EOF) {
 		return Outcome{End: Answered, Status: answer.Status}, attempt{whole: true}, endpoints.Answered
 	}
@@ -156,7 +156,7 @@
 }
 
 // pass passes events on until the stream ends.
-func (s *stream) pass(cancel context.CancelCauseFunc, in *dispatch.Events) error {
+func (s *stream) pass(cancel context.CancelCauseFunc, in *dispatch.EventReader) error {
 	silence := time.AfterFunc(silenceLimit, func() { cancel(errSilent) })
 	defer silence.Stop()
 	for {
