--- a/internal/agentless/gate/gate.go
+++ b/internal/agentless/gate/gate.go
@@ -57,17 +57,17 @@
 
 // Request is a caller's request.
 type Request struct {
-	ID      string
-	Method  string
-	Target  string // path and query
-	Path    string
-	Host    string
-	Header  http.Header // to be passed on
-	Body    []byte
-	Arrived time.Time
-	Wait    time.Duration // how long the caller waits; 0: not said
-	Model   string        // empty: no model is needed
-	Resume  int64         // a stream goes on after this event
+	ID          string
+	Method      string
+	Target      string // path and query
+	Path        string
+	Host        string
+	Header      http.Header // to be passed on
+	Body        []byte
+	Arrived     time.Time
+	Timeout     time.Duration // how long the caller waits; 0: not said
+	Model       string        // empty: no model is needed
+	ResumeAfter int64         // a stream goes on after this event
 
 	Customer string // on whose behalf; empty: nobody's
 }
@@ -84,8 +84,8 @@
 	Refused                 // it did not run and never will
 	Unknown                 // it may have run
 	TimedOut                // its time is over; it may have run
-	Left                    // the caller left
-	BrokenOff               // the answer broke off after it began
+	Cancelled               // the caller left
+	Interrupted             // the answer broke off after it began
 )
 
 // Outcome is what the caller is told.
@@ -108,7 +108,7 @@
 	sender    dispatch.Sender
 	log       *logrus.Logger
 	latency   metrics.Timer
-	ends      [BrokenOff + 1]metrics.Counter
+	ends      [Interrupted + 1]metrics.Counter
 	hedges    metrics.Counter
 	retries   metrics.Counter
 
@@ -143,8 +143,8 @@
 	if limit <= 0 {
 		limit = defaultWait
 	}
-	if r.Wait > 0 {
-		limit = min(limit, r.Wait)
+	if r.Timeout > 0 {
+		limit = min(limit, r.Timeout)
 	}
 	return limit - now.Sub(r.Arrived)
 }
@@ -163,7 +163,7 @@
 		counted.Began(began)
 	}
 	if outcome.End == TimedOut && ctx.Err() != nil {
-		outcome = Outcome{End: Left}
+		outcome = Outcome{End: Cancelled}
 	}
 	g.note(route, r, c, outcome)
 	return outcome
@@ -195,7 +195,7 @@
 	event := events.RequestAnswered
 	switch o.End {
 	case Answered:
-	case Left:
+	case Cancelled:
 		event = events.RequestLeft
 	case NoRoute, NotReady, Unauthorized, Refused:
 		event = events.RequestRefused
@@ -208,9 +208,9 @@
 	})
 }
 
-// Malformed logs a request that is answered as malformed, or as larger than the
+// LogMalformed logs a request that is answered as malformed, or as larger than the
 // operator allows.
-func (g *Gate) Malformed(id string, status int, why string) {
+func (g *Gate) LogMalformed(id string, status int, why string) {
 	events.RequestBad.Log(g.log, logrus.Fields{"request": id, "status": status, "error": why})
 }
 
@@ -225,9 +225,9 @@
 	return Outcome{End: end}
 }
 
-// TurnedAway logs a request that ends before it is served: End is NoRoute, NotReady or
+// LogRejected logs a request that ends before it is served: End is NoRoute, NotReady or
 // Unauthorized.
-func (g *Gate) TurnedAway(id, host, path string, end End) {
+func (g *Gate) LogRejected(id, host, path string, end End) {
 	g.ends[end].Inc(1)
 	version := int64(0)
 	if table := g.directory.Table(); table != nil {
@@ -256,7 +256,7 @@
 func (r *Request) toEndpoint(left time.Duration) *dispatch.Request {
 	return &dispatch.Request{
 		ID: r.ID, Method: r.Method, Target: r.Target, Host: r.Host, Header: r.Header, Body: r.Body,
-		Timeout: left, ResumeAfter: r.Resume, Urgency: -1, Customer: r.Customer,
+		Timeout: left, ResumeAfter: r.ResumeAfter, Urgency: -1, Customer: r.Customer,
 	}
 }
 
--- a/internal/agentless/gate/gate_test.go
+++ b/internal/agentless/gate/gate_test.go
@@ -98,7 +98,7 @@
 }
 
 func request() *gate.Request {
-	return &gate.Request{ID: "q", Method: "POST", Target: "/p", Host: "h", Header: http.Header{}, Arrived: time.Now(), Wait: 20 * time.Second}
+	return &gate.Request{ID: "q", Method: "POST", Target: "/p", Host: "h", Header: http.Header{}, Arrived: time.Now(), Timeout: 20 * time.Second}
 }
 
 var (
@@ -175,7 +175,7 @@
 	It("ends at the time of its route or its caller, whichever is shorter", func() {
 		s := &script{replies: []reply{{forever: true}}}
 		r := request()
-		r.Wait = 50 * time.Millisecond
+		r.Timeout = 50 * time.Millisecond
 		o := newGate(s, 1).Serve(context.Background(), route(deployment.NonIdempotent), r)
 		Expect(o.End).To(Equal(gate.TimedOut))
 		s.mu.Lock()
@@ -188,7 +188,7 @@
 		ctx, leave := context.WithCancel(context.Background())
 		time.AfterFunc(20*time.Millisecond, leave)
 		o := newGate(s, 1).Serve(ctx, route(deployment.NonIdempotent), request())
-		Expect(o.End).To(Equal(gate.Left))
+		Expect(o.End).To(Equal(gate.Cancelled))
 		Eventually(func() int { s.mu.Lock(); defer s.mu.Unlock(); return s.ended }).Should(Equal(1))
 	})
 
@@ -265,7 +265,7 @@
 	It("is broken off, never joined or ended as whole, where it may not", func() {
 		out := &sink{}
 		s := &script{replies: []reply{{status: 200, body: streamed("1"), broken: true}, {status: 200, body: streamed("1", "2")}}}
-		Expect(newGate(s, 2).Stream(context.Background(), route(deployment.Streaming), request(), out).End).To(Equal(gate.BrokenOff))
+		Expect(newGate(s, 2).Stream(context.Background(), route(deployment.Streaming), request(), out).End).To(Equal(gate.Interrupted))
 		Expect(s.endpoints()).To(HaveLen(1))
 	})
 
--- a/internal/agentless/gate/stream.go
+++ b/internal/agentless/gate/stream.go
@@ -50,14 +50,14 @@
 	defer counted.Leave()
 	limited, cancel := context.WithTimeout(ctx, r.left(route, time.Now()))
 	defer cancel()
-	s := &stream{sink: sink, lastEvent: r.Resume, counted: counted}
+	s := &stream{sink: sink, lastEvent: r.ResumeAfter, counted: counted}
 	s.course = course{gate: g, route: route, request: r, service: routes.Service(route, r.ID)}
 	outcome := s.attempts(limited)
 	if limited.Err() != nil && outcome.End != Answered && !s.began {
 		outcome = Outcome{End: TimedOut}
 	}
 	if ctx.Err() != nil && outcome.End != Answered {
-		outcome = Outcome{End: Left}
+		outcome = Outcome{End: Cancelled}
 	}
 	g.note(route, r, &s.course, outcome)
 	return outcome
@@ -76,7 +76,7 @@
 		}
 	}
 	if s.began {
-		return Outcome{End: BrokenOff}
+		return Outcome{End: Interrupted}
 	}
 	return s.last()
 }
@@ -94,7 +94,7 @@
 	s.mayRun = s.mayRun || !a.notRun
 	if !a.notRun && !s.route.Repeatable() {
 		if s.began {
-			return Outcome{End: BrokenOff}, false
+			return Outcome{End: Interrupted}, false
 		}
 		return Outcome{End: Unknown}, false
 	}
@@ -125,7 +125,7 @@
 		return Outcome{}, attempt{err: errSpoiled}, endpoints.BrokenAnswer
 	}
 	if err := s.begin(answer); err != nil {
-		return Outcome{End: Left}, attempt{err: err}, endpoints.Cancelled
+		return Outcome{End: Cancelled}, attempt{err: err}, endpoints.Cancelled
 	}
 	err = s.pass(cancel, dispatch.NewEventReader(answer))
 	if errors.Is(err, io.EOF) {
