--- a/internal/agentless/upstream/call.go
+++ b/internal/agentless/upstream/call.go
@@ -34,9 +34,9 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine tells whether an answer belongs to this request; nil takes the first.
+	// Matches tells whether an answer belongs to this request; nil takes the first.
 	// An endpoint may send a second answer to an earlier request late.
-	Mine func(http.Header) bool
+	Matches func(http.Header) bool
 }
 
 // SendError is a call without an answer.
@@ -154,7 +154,7 @@
 		if response.StatusCode < http.StatusOK {
 			continue // 1xx: the final answer follows
 		}
-		if call.Mine == nil || call.Mine(response.Header) {
+		if call.Matches == nil || call.Matches(response.Header) {
 			return response, nil
 		}
 		if _, err := io.CopyN(io.Discard, response.Body, maxStrayBody); !errors.Is(err, io.EOF) {
--- a/internal/agentless/upstream/pool.go
+++ b/internal/agentless/upstream/pool.go
@@ -90,8 +90,8 @@
 	p.idle[c.address] = append(kept, c)
 }
 
-// Forget closes the kept connections to an address, whose endpoint is gone.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the kept connections to an address, whose endpoint is gone.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	kept := p.idle[address]
 	delete(p.idle, address)
--- a/internal/agentless/upstream/upstream_test.go
+++ b/internal/agentless/upstream/upstream_test.go
@@ -121,14 +121,14 @@
 	It("reads past a late answer to another request", func() {
 		s := serve("HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nwrong" + ok)
 		c := call()
-		c.Mine = func(h http.Header) bool { return h.Get("X-Id") == "1" }
+		c.Matches = func(h http.Header) bool { return h.Get("X-Id") == "1" }
 		Expect(read(upstream.NewPool(nil, nil), s.address(), c)).To(Equal("ok"))
 	})
 
 	It("gives up where only answers to others come", func() {
 		s := serve(strings.Repeat("HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 0\r\n\r\n", 5))
 		c := call()
-		c.Mine = func(h http.Header) bool { return h.Get("X-Id") == "1" }
+		c.Matches = func(h http.Header) bool { return h.Get("X-Id") == "1" }
 		_, err := read(upstream.NewPool(nil, nil), s.address(), c)
 		Expect(sent(err)).To(BeTrue())
 	})
