--- a/internal/agentless/batchrun/starts.go
+++ b/internal/agentless/batchrun/starts.go
@@ -70,7 +70,7 @@
 		view.Due = spec.Due.Sub(spec.Submitted).Seconds()
 	}
 	if route := table.Match(spec.Host, spec.Items[0].Path); route != nil {
-		view.EventSeconds, _ = o.Directory.Pace(routes.Service(route, spec.Items[0].ID))
+		view.EventSeconds, _ = o.Directory.TypicalPace(routes.Service(route, spec.Items[0].ID))
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -144,7 +144,7 @@
 	weight := r.load.Weight(&j.view, c.RemainingWork, c.Spare)
 	p := endpoints.Placement{RemainingWork: c.RemainingWork, Weight: weight, Critical: weight >= schedule.CriticalWeight}
 	if r.owner.Switches.On(mechanism.KeepNarrow) {
-		_, engines := r.owner.Directory.Pace(service)
+		_, engines := r.owner.Directory.TypicalPace(service)
 		p.CriticalBatchLimit = r.load.CriticalBatchLimit(&j.view, engines)
 	}
 	return p
--- a/internal/agentless/directory/directory.go
+++ b/internal/agentless/directory/directory.go
@@ -208,9 +208,9 @@
 	return p.shard.set.HasLessLoaded(r, p.state, gain)
 }
 
-// Pace returns the usual seconds per unit of work at a service's endpoints, 0 if
+// TypicalPace returns the usual seconds per unit of work at a service's endpoints, 0 if
 // they are not known, and how many endpoints it has.
-func (d *Directory) Pace(service string) (seconds float64, endpoints int) {
+func (d *Directory) TypicalPace(service string) (seconds float64, endpoints int) {
 	s := d.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -256,20 +256,20 @@
 	return nil
 }
 
-// Seen is an endpoint with its requests in flight.
-type Seen struct {
+// EndpointStatus is an endpoint with its requests in flight.
+type EndpointStatus struct {
 	deployment.Endpoint
 	InFlight int
 }
 
 // List returns the endpoints of a service.
-func (d *Directory) List(service string) []Seen {
+func (d *Directory) List(service string) []EndpointStatus {
 	s := d.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := make([]Seen, 0, len(s.set.All()))
+	list := make([]EndpointStatus, 0, len(s.set.All()))
 	for _, e := range s.set.All() {
-		list = append(list, Seen{Endpoint: e.Endpoint, InFlight: e.InFlight})
+		list = append(list, EndpointStatus{Endpoint: e.Endpoint, InFlight: e.InFlight})
 	}
 	return list
 }
@@ -294,9 +294,9 @@
 	return counts
 }
 
-// Soonest returns how long until an endpoint of the service may be tried again;
+// TimeUntilAvailable returns how long until an endpoint of the service may be tried again;
 // 0 if one may now or none is known.
-func (d *Directory) Soonest(service string, now time.Time) time.Duration {
+func (d *Directory) TimeUntilAvailable(service string, now time.Time) time.Duration {
 	s := d.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/agentless/gate/gate.go
+++ b/internal/agentless/gate/gate.go
@@ -239,7 +239,7 @@
 // refusal returns the outcome of a request that certainly did not run.
 func (g *Gate) refusal(service string) Outcome {
 	wait := firstReturn + rand.N(returnSpread)
-	if soonest := g.directory.Soonest(service, time.Now()); soonest > wait {
+	if soonest := g.directory.TimeUntilAvailable(service, time.Now()); soonest > wait {
 		wait = soonest
 	}
 	return Outcome{End: Refused, RetryAfter: wait}
--- a/internal/agentless/modelrun/modelrun.go
+++ b/internal/agentless/modelrun/modelrun.go
@@ -152,7 +152,7 @@
 	}
 }
 
-func (r *Runner) next(service string, models []string, seen []directory.Seen) []modelplan.Order {
+func (r *Runner) next(service string, models []string, seen []directory.EndpointStatus) []modelplan.Order {
 	engines := make([]modelplan.Engine, len(seen))
 	for i, e := range seen {
 		engines[i] = modelplan.Engine{ID: e.ID, Born: e.Born, Leaving: e.Leaving, InFlight: e.InFlight, Slots: e.Slots, Versions: e.Versions}
@@ -176,7 +176,7 @@
 	return planner.Next(time.Now(), engines)
 }
 
-func find(seen []directory.Seen, id string) *deployment.Endpoint {
+func find(seen []directory.EndpointStatus, id string) *deployment.Endpoint {
 	for i := range seen {
 		if seen[i].ID == id {
 			return &seen[i].Endpoint
