--- a/internal/agentless/batchrun/guard_test.go
+++ b/internal/agentless/batchrun/guard_test.go
@@ -187,7 +187,7 @@
 
 	It("waits for the registration to lapse where operators took the mechanism out", func() {
 		switches := &mechanism.Switches{}
-		switches.TakeOut([]mechanism.Mechanism{mechanism.TakeOver})
+		switches.SetDisabled([]mechanism.Mechanism{mechanism.TakeOver})
 		start(switches)
 		owner, standby := submitted()
 		owner.stop()
--- a/internal/agentless/mechanism/mechanism.go
+++ b/internal/agentless/mechanism/mechanism.go
@@ -97,16 +97,16 @@
 	out atomic.Pointer[[]Mechanism]
 }
 
-// TakeOut takes these mechanisms out, and puts all others back in.
-func (s *Switches) TakeOut(out []Mechanism) {
+// SetDisabled takes these mechanisms out, and puts all others back in.
+func (s *Switches) SetDisabled(out []Mechanism) {
 	sorted := slices.Clone(out)
 	slices.Sort(sorted)
 	sorted = slices.Compact(sorted)
 	s.out.Store(&sorted)
 }
 
-// Out returns the mechanisms that are out, sorted.
-func (s *Switches) Out() []Mechanism {
+// Disabled returns the mechanisms that are out, sorted.
+func (s *Switches) Disabled() []Mechanism {
 	if s == nil {
 		return nil
 	}
@@ -118,5 +118,5 @@
 
 // On tells whether a mechanism is in.
 func (s *Switches) On(m Mechanism) bool {
-	return !slices.Contains(s.Out(), m)
+	return !slices.Contains(s.Disabled(), m)
 }
--- a/internal/agentless/mechanism/mechanism_test.go
+++ b/internal/agentless/mechanism/mechanism_test.go
@@ -44,10 +44,10 @@
 		Expect(none.On(mechanism.Hedges)).To(BeTrue())
 		switches := &mechanism.Switches{}
 		Expect(switches.On(mechanism.Hedges)).To(BeTrue())
-		switches.TakeOut([]mechanism.Mechanism{mechanism.Relay, mechanism.Hedges, mechanism.Relay})
-		Expect(switches.Out()).To(Equal([]mechanism.Mechanism{mechanism.Hedges, mechanism.Relay}))
+		switches.SetDisabled([]mechanism.Mechanism{mechanism.Relay, mechanism.Hedges, mechanism.Relay})
+		Expect(switches.Disabled()).To(Equal([]mechanism.Mechanism{mechanism.Hedges, mechanism.Relay}))
 		Expect(switches.On(mechanism.Hedges)).To(BeFalse())
-		switches.TakeOut(nil)
+		switches.SetDisabled(nil)
 		Expect(switches.On(mechanism.Hedges)).To(BeTrue())
 	})
 })
