--- a/internal/agentless/netcount/netcount.go
+++ b/internal/agentless/netcount/netcount.go
@@ -33,9 +33,9 @@
 	return &Meter{domain: domain, registry: registry}
 }
 
-// Locate has the meter ask for the failure domain of an ip:port. Until then, and
+// SetDomainLookup has the meter ask for the failure domain of an ip:port. Until then, and
 // where it is not known, bytes count as "elsewhere".
-func (m *Meter) Locate(domainOf func(address string) (domain string, known bool)) {
+func (m *Meter) SetDomainLookup(domainOf func(address string) (domain string, known bool)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.domainOf = domainOf
@@ -58,8 +58,8 @@
 	}
 }
 
-// Count returns the connection with its bytes counted. A nil meter counts nothing.
-func (m *Meter) Count(use Use, conn net.Conn, address string) net.Conn {
+// Wrap returns the connection with its bytes counted. A nil meter counts nothing.
+func (m *Meter) Wrap(use Use, conn net.Conn, address string) net.Conn {
 	if m == nil {
 		return conn
 	}
@@ -95,8 +95,8 @@
 // NetConn returns the connection that is counted.
 func (c *counted) NetConn() net.Conn { return c.Conn }
 
-// Plain returns the connection beneath one that is counted.
-func Plain(conn net.Conn) net.Conn {
+// Unwrap returns the connection beneath one that is counted.
+func Unwrap(conn net.Conn) net.Conn {
 	if c, ok := conn.(*counted); ok {
 		return c.NetConn()
 	}
--- a/internal/agentless/netcount/netcount_test.go
+++ b/internal/agentless/netcount/netcount_test.go
@@ -15,7 +15,7 @@
 	exchange := func(m *netcount.Meter, address string) net.Conn {
 		own, theirs := net.Pipe()
 		DeferCleanup(own.Close)
-		counted := m.Count(netcount.Inner, own, address)
+		counted := m.Wrap(netcount.Inner, own, address)
 		go func() {
 			_, _ = io.CopyN(io.Discard, theirs, 3)
 			_, _ = theirs.Write([]byte("12345"))
@@ -24,7 +24,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, err = io.ReadFull(counted, make([]byte, 5))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(netcount.Plain(counted)).To(BeIdenticalTo(own))
+		Expect(netcount.Unwrap(counted)).To(BeIdenticalTo(own))
 		return counted
 	}
 
@@ -32,7 +32,7 @@
 		registry := metrics.NewRegistry()
 		m := netcount.NewMeter("hall-a", registry)
 		exchange(m, "10.0.0.1:1")
-		m.Locate(func(address string) (string, bool) {
+		m.SetDomainLookup(func(address string) (string, bool) {
 			return map[string]string{"10.0.0.1:1": "hall-a", "10.0.0.2:1": "hall-b"}[address], address != "10.0.0.3:1"
 		})
 		exchange(m, "10.0.0.1:1")
@@ -47,7 +47,7 @@
 	It("are not counted without a meter", func() {
 		var none *netcount.Meter
 		own, _ := net.Pipe()
-		Expect(none.Count(netcount.Inner, own, "x:1")).To(BeIdenticalTo(own))
-		Expect(netcount.Plain(own)).To(BeIdenticalTo(own))
+		Expect(none.Wrap(netcount.Inner, own, "x:1")).To(BeIdenticalTo(own))
+		Expect(netcount.Unwrap(own)).To(BeIdenticalTo(own))
 	})
 })
--- a/internal/agentless/node/node.go
+++ b/internal/agentless/node/node.go
@@ -148,14 +148,14 @@
 	n.directory.Switches = switches
 	inner := net.JoinHostPort(s.IP, strconv.Itoa(s.InnerPort))
 	if a.Meter != nil {
-		a.Meter.Locate(n.domainOf)
+		a.Meter.SetDomainLookup(n.domainOf)
 	}
 	peers := rpcpool.New(func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := netdial.Dial(ctx, address)
 		if err != nil {
 			return nil, err
 		}
-		return a.Meter.Count(netcount.Inner, conn, address), nil
+		return a.Meter.Wrap(netcount.Inner, conn, address), nil
 	})
 	self := cluster.Member{Name: s.ID, Address: inner, Domain: s.FailureDomain, Worker: s.Worker, Boot: time.Now().UnixNano()}
 	n.store = storepath.New(a.Store, self, n.members, peers, log, registry)
--- a/internal/agentless/upstream/pool.go
+++ b/internal/agentless/upstream/pool.go
@@ -64,7 +64,7 @@
 	if p.opened != nil {
 		p.opened()
 	}
-	return newConn(p.meter.Count(netcount.Endpoint, raw, address), address), nil
+	return newConn(p.meter.Wrap(netcount.Endpoint, raw, address), address), nil
 }
 
 func (p *Pool) takeIdle(address string) *conn {
@@ -106,6 +106,6 @@
 	if c.in.Buffered() > 0 {
 		return false
 	}
-	tcp, ok := netcount.Plain(c.raw).(*net.TCPConn)
+	tcp, ok := netcount.Unwrap(c.raw).(*net.TCPConn)
 	return !ok || netdial.Quiet(tcp)
 }
