--- a/internal/agentless/batchrun/adopt.go
+++ b/internal/agentless/batchrun/adopt.go
@@ -180,7 +180,7 @@
 // inherit takes over what this process made of a job while it stood by; the owner's lock
 // is held.
 func (o *Owner) inherit(owned *ownedJob) (items int) {
-	made := o.Guard.end(owned.id)
+	made := o.Standby.end(owned.id)
 	if made == nil {
 		return 0
 	}
@@ -213,8 +213,8 @@
 	_, _, _, done := job.Counts()
 	o.mu.Unlock() // from here on the job is run
 	o.Copier.announce()
-	if o.Adopted != nil {
-		o.Adopted(job.Spec)
+	if o.OnAdopt != nil {
+		o.OnAdopt(job.Spec)
 	}
 	events.JobOwned.Log(o.Log, logrus.Fields{"job": id, "mark": mark, "resumed": resumed, "items": job.Total(), "done": done, "model": job.Spec.Model, "min_version": job.Spec.MinVersion, "step": job.Spec.Step})
 	o.kick()
--- a/internal/agentless/batchrun/answer.go
+++ b/internal/agentless/batchrun/answer.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func (o *Owner) sure() bool { return o.Certain == nil || o.Certain() }
+func (o *Owner) sure() bool { return o.OwnershipCertain == nil || o.OwnershipCertain() }
 
 // readEnded answers from what is kept of jobs that ended here.
 func (o *Owner) readEnded(args ReadArgs) ReadReply {
--- a/internal/agentless/batchrun/copies.go
+++ b/internal/agentless/batchrun/copies.go
@@ -63,8 +63,8 @@
 // would take each job over. It is safe for concurrent use.
 type Copier struct {
 	Owner *Owner
-	// Standby names the process that would own a model's job if this one were gone.
-	Standby func(model, job string) (name string, found bool)
+	// StandbyFor names the process that would own a model's job if this one were gone.
+	StandbyFor func(model, job string) (name string, found bool)
 	// Send hands a process new events; lacking tells that it needs all of them.
 	Send func(ctx context.Context, to string, args CopyArgs) (lacking bool, err error)
 
@@ -90,7 +90,7 @@
 }
 
 func (c *Copier) run(ctx context.Context) error {
-	if c.Standby == nil {
+	if c.StandbyFor == nil {
 		return nil
 	}
 	ticker := time.NewTicker(copyEvery)
@@ -150,7 +150,7 @@
 	if j == nil || j.mark != g.Mark {
 		return
 	}
-	to, found := c.Standby(j.job.Spec.Model, g.Job)
+	to, found := c.StandbyFor(j.job.Spec.Model, g.Job)
 	if !found {
 		c.forget(g.Job)
 		return
@@ -247,10 +247,10 @@
 		if err != nil {
 			return err
 		}
-		s.owner.Guard.take(args, spec)
+		s.owner.Standby.take(args, spec)
 	}
 	kept := s.owner.Texts.Put(textlog.JobParts{Job: args.Job, Mark: args.Mark, Parts: parts}, args.Whole)
-	reply.Lacking = !kept || args.Owner != "" && !s.owner.Guard.knows(args.Job, args.Mark)
+	reply.Lacking = !kept || args.Owner != "" && !s.owner.Standby.knows(args.Job, args.Mark)
 	return nil
 }
 
@@ -268,12 +268,12 @@
 	if o.Switches.On(mechanism.TextJournal) {
 		texts = o.Texts.Load(ctx, id)
 	}
-	if !texts.Empty() || o.AskTexts == nil || !o.Switches.On(mechanism.TextCopies) {
+	if !texts.Empty() || o.FetchTexts == nil || !o.Switches.On(mechanism.TextCopies) {
 		return texts
 	}
 	ctx, cancel := context.WithTimeout(ctx, askLimit)
 	defer cancel()
-	for _, raw := range o.AskTexts(ctx, id) {
+	for _, raw := range o.FetchTexts(ctx, id) {
 		parts, err := unpack[[]batch.TextPart](raw)
 		if err != nil {
 			events.TextRecordBad.Log(o.Log, logrus.Fields{"place": "another process's texts of " + id, "error": err.Error()})
--- a/internal/agentless/batchrun/copies_test.go
+++ b/internal/agentless/batchrun/copies_test.go
@@ -30,7 +30,7 @@
 		for _, name := range names {
 			p := newProcess(name, store, llm)
 			p.owner.Texts = textlog.New(GinkgoT().TempDir(), silent(), metrics.NewRegistry())
-			p.owner.Copier.Standby, p.owner.Copier.Send, p.owner.AskTexts = p.desk.Standby, p.desk.SendCopy, p.desk.AskTexts
+			p.owner.Copier.StandbyFor, p.owner.Copier.Send, p.owner.FetchTexts = p.desk.StandbyFor, p.desk.SendCopy, p.desk.FetchTexts
 			wrap(p)
 			processes = append(processes, p.run())
 		}
@@ -116,7 +116,7 @@
 		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		owner, others := ownerOf("j")
 		standby, third := others[0], others[1]
-		if name, _ := owner.desk.Standby("m", "j"); name == third.name {
+		if name, _ := owner.desk.StandbyFor("m", "j"); name == third.name {
 			standby, third = third, standby
 		}
 		Eventually(copied(standby)).WithTimeout(patience).Should(Equal(3 * made))
@@ -125,7 +125,7 @@
 		Expect(standby.register.Leave(context.Background())).To(Succeed())
 		Eventually(func() int { return len(third.members.Owners()) }).WithTimeout(patience).Should(Equal(2))
 		owner.stop()
-		texts := third.desk.AskTexts(context.Background(), "j")
+		texts := third.desk.FetchTexts(context.Background(), "j")
 		Expect(texts).NotTo(BeEmpty(), "the standby is leaving and still has them")
 	})
 
--- a/internal/agentless/batchrun/desk.go
+++ b/internal/agentless/batchrun/desk.go
@@ -33,8 +33,8 @@
 	storePoll = 400 * time.Millisecond
 )
 
-// Desk takes submitters' calls at any process. It is safe for concurrent use.
-type Desk struct {
+// Frontend takes submitters' calls at any process. It is safe for concurrent use.
+type Frontend struct {
 	Store      kv.Shared
 	Members    *cluster.Members
 	Peers      *rpcpool.Pool
@@ -66,7 +66,7 @@
 }
 
 // Register has a hub read results for other processes.
-func (d *Desk) Register(server *rpc.Server) error {
+func (d *Frontend) Register(server *rpc.Server) error {
 	if !d.IsHub {
 		return nil
 	}
@@ -75,7 +75,7 @@
 
 // Submit accepts a job. nil means that it is durable; ErrNotRun that no part of
 // it runs; ErrOutcomeUnknown that nobody can tell.
-func (d *Desk) Submit(ctx context.Context, spec *batch.Spec) error {
+func (d *Frontend) Submit(ctx context.Context, spec *batch.Spec) error {
 	if d.snapshot(spec.ID) != nil {
 		return nil
 	}
@@ -108,7 +108,7 @@
 
 // tryAccept writes the job once; done is true if it stands, by this try or an
 // earlier one.
-func (d *Desk) tryAccept(ctx context.Context, spec *batch.Spec, parts [][]byte) (done bool, err error) {
+func (d *Frontend) tryAccept(ctx context.Context, spec *batch.Spec, parts [][]byte) (done bool, err error) {
 	owner, found := d.ownerFor(ctx, affinity(spec.Model, spec.ID))
 	if !found {
 		return false, errors.Wrap(kv.ErrUnavailable, "no process to own it")
@@ -151,7 +151,7 @@
 // write repeats a conditional write until its outcome is known, and for a while if
 // nobody reaches the store. Once a try may have taken effect, a later refusal no
 // longer means "not run".
-func (d *Desk) write(ctx context.Context, try func() (bool, error)) error {
+func (d *Frontend) write(ctx context.Context, try func() (bool, error)) error {
 	began := time.Now()
 	unknown := 0 // tries since one whose outcome is not known
 	var last error
@@ -181,7 +181,7 @@
 
 // hold returns the pause until a write that certainly had no effect is tried again;
 // 0 if it is not.
-func (d *Desk) hold(began time.Time, err error) time.Duration {
+func (d *Frontend) hold(began time.Time, err error) time.Duration {
 	unreachable := d.Unreachable != nil && errors.Is(err, kv.ErrUnavailable) && d.Unreachable()
 	if time.Since(began) < storepath.HoldDuration(unreachable) {
 		return storepath.HoldRetryInterval
@@ -190,7 +190,7 @@
 }
 
 // End ends a job. nil means that the end is durable.
-func (d *Desk) End(ctx context.Context, id string) error {
+func (d *Frontend) End(ctx context.Context, id string) error {
 	if known := d.snapshot(id); known != nil && known.record.Ended {
 		return nil
 	}
@@ -218,7 +218,7 @@
 // endAtOwner ends a job under the mark that its owner names, which spares
 // reading the record: whoever changes the record changes the mark as well. done
 // is false if no owner knows the job, or it moved meanwhile.
-func (d *Desk) endAtOwner(ctx context.Context, id string) (done bool, err error) {
+func (d *Frontend) endAtOwner(ctx context.Context, id string) (done bool, err error) {
 	owner, found := d.likelyOwner(ctx, id)
 	if !found {
 		return false, nil
@@ -236,13 +236,13 @@
 	return d.commitEnd(ctx, id, standing.Record, expect)
 }
 
-func (d *Desk) askStanding(ctx context.Context, owner, id string) (StandingReply, error) {
+func (d *Frontend) askStanding(ctx context.Context, owner, id string) (StandingReply, error) {
 	return ask(ctx, d, owner, callStands, 0, StandingArgs{Job: id}, func() StandingReply { return d.Local.standing(id) })
 }
 
 // commitEnd writes a job's end under a condition that says that the record is
 // as given.
-func (d *Desk) commitEnd(ctx context.Context, id string, record jobRecord, expect kv.Expectation) (done bool, err error) {
+func (d *Frontend) commitEnd(ctx context.Context, id string, record jobRecord, expect kv.Expectation) (done bool, err error) {
 	record.Ended = true
 	raw, err := encode(record)
 	if err != nil {
@@ -261,7 +261,7 @@
 	return true, nil
 }
 
-func (d *Desk) tryEnd(ctx context.Context, id string) (done, found bool, err error) {
+func (d *Frontend) tryEnd(ctx context.Context, id string) (done, found bool, err error) {
 	standing, record, err := d.fetch(ctx, id)
 	if err != nil || standing.Revision == 0 {
 		return false, false, err
@@ -276,14 +276,14 @@
 	return done, true, err
 }
 
-// TellMoved tells a job's new owner of its mark.
-func (d *Desk) TellMoved(owner, job string, revision int64) {
+// NotifyMoved tells a job's new owner of its mark.
+func (d *Frontend) NotifyMoved(owner, job string, revision int64) {
 	d.tellOwner(owner, callMarked, MarkArgs{Job: job, Revision: revision, Begun: true})
 }
 
-// TellLoading tells the owner of a model's jobs that an endpoint was ordered to
+// NotifyLoading tells the owner of a model's jobs that an endpoint was ordered to
 // load weights of it. A word that is lost costs a few refusals.
-func (d *Desk) TellLoading(args LoadingArgs) {
+func (d *Frontend) NotifyLoading(args LoadingArgs) {
 	members := d.Members.Owners()
 	if len(members) == 0 {
 		return
@@ -294,13 +294,13 @@
 	}()
 }
 
-// Fellows names the other processes that own jobs of these models.
-func (d *Desk) Fellows(models []string) []string {
+// OtherOwners names the other processes that own jobs of these models.
+func (d *Frontend) OtherOwners(models []string) []string {
 	return slices.DeleteFunc(d.ownersOf(models), func(name string) bool { return name == d.Local.Name })
 }
 
 // ownersOf names the processes that own jobs of these models, each once.
-func (d *Desk) ownersOf(models []string) []string {
+func (d *Frontend) ownersOf(models []string) []string {
 	members := d.Members.Owners()
 	if len(members) == 0 {
 		return nil
@@ -315,12 +315,12 @@
 }
 
 // SendLoad tells a process of this one's load.
-func (d *Desk) SendLoad(ctx context.Context, to string, args LoadArgs) error {
+func (d *Frontend) SendLoad(ctx context.Context, to string, args LoadArgs) error {
 	return d.call(ctx, to, callLoad, 0, args, &struct{}{})
 }
 
-// Standby names the process that would own a job of this one if it were gone.
-func (d *Desk) Standby(model, job string) (name string, found bool) {
+// StandbyFor names the process that would own a job of this one if it were gone.
+func (d *Frontend) StandbyFor(model, job string) (name string, found bool) {
 	others := without(d.trusted(d.Members.Owners()), d.Local.Name)
 	if len(others) == 0 {
 		return "", false
@@ -330,7 +330,7 @@
 
 // SendCopy hands a process new events of a job's texts; lacking tells that it needs
 // all of them.
-func (d *Desk) SendCopy(ctx context.Context, to string, args CopyArgs) (lacking bool, err error) {
+func (d *Frontend) SendCopy(ctx context.Context, to string, args CopyArgs) (lacking bool, err error) {
 	var reply CopyReply
 	if err := d.call(ctx, to, callCopy, 0, args, &reply); err != nil {
 		return false, err // the reply may still be written to
@@ -338,9 +338,9 @@
 	return reply.Lacking, nil
 }
 
-// AskTexts asks the other workers for a job's texts, and returns what came until
+// FetchTexts asks the other workers for a job's texts, and returns what came until
 // ctx ends. One that is leaving is asked too: it may be who had the job.
-func (d *Desk) AskTexts(ctx context.Context, job string) [][]byte {
+func (d *Frontend) FetchTexts(ctx context.Context, job string) [][]byte {
 	others := d.otherWorkers()
 	for len(others) == 0 && ctx.Err() == nil {
 		pause(ctx, askAgain) // this process has just started
@@ -371,7 +371,7 @@
 	return texts
 }
 
-func (d *Desk) otherWorkers() []cluster.Member {
+func (d *Frontend) otherWorkers() []cluster.Member {
 	var workers []cluster.Member
 	for _, m := range without(d.Members.Live(), d.Local.Name) {
 		if m.Worker {
@@ -382,18 +382,18 @@
 }
 
 // tellOwner tells an owner what its watch will tell it as well, only later.
-func (d *Desk) tellOwner(owner, method string, args MarkArgs) {
+func (d *Frontend) tellOwner(owner, method string, args MarkArgs) {
 	go func() { _ = d.tellMark(owner, method, args) }()
 }
 
-func (d *Desk) tellMark(owner, method string, args MarkArgs) error {
+func (d *Frontend) tellMark(owner, method string, args MarkArgs) error {
 	fields := logrus.Fields{"job": args.Job, "revision": args.Revision}
 	return d.tell(owner, method, args, fields, func() { d.Local.take(method, args) })
 }
 
 // tell calls a method of an owner that answers nothing. One that fails is logged
 // with the fields.
-func (d *Desk) tell(owner, method string, args any, fields logrus.Fields, local func()) error {
+func (d *Frontend) tell(owner, method string, args any, fields logrus.Fields, local func()) error {
 	_, err := ask(context.Background(), d, owner, method, 0, args, func() struct{} {
 		local()
 		return struct{}{}
@@ -406,7 +406,7 @@
 }
 
 // fetch reads a job's record from the store and remembers it.
-func (d *Desk) fetch(ctx context.Context, id string) (kv.Record, jobRecord, error) {
+func (d *Frontend) fetch(ctx context.Context, id string) (kv.Record, jobRecord, error) {
 	standing, record, err := readRecord(ctx, d.Store, id)
 	if err == nil && standing.Revision != 0 {
 		d.remember(id, record)
@@ -414,7 +414,7 @@
 	return standing, record, err
 }
 
-func (d *Desk) remember(id string, record jobRecord) {
+func (d *Frontend) remember(id string, record jobRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.known == nil {
@@ -431,7 +431,7 @@
 	known.record.Ended = ended || record.Ended
 }
 
-func (d *Desk) forgetOldest() {
+func (d *Frontend) forgetOldest() {
 	for len(d.known) > knownJobs {
 		oldest := ""
 		for id, k := range d.known {
--- a/internal/agentless/batchrun/export_test.go
+++ b/internal/agentless/batchrun/export_test.go
@@ -6,7 +6,7 @@
 )
 
 // Distrusted tells whether a process was found silent lately.
-func (d *Desk) Distrusted(name string) bool {
+func (d *Frontend) Distrusted(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_, found := d.silent[name]
@@ -39,24 +39,24 @@
 
 // Guards tells whether a process stands by for a job.
 func Guards(o *Owner, job string) bool {
-	o.Guard.mu.Lock()
-	defer o.Guard.mu.Unlock()
-	return o.Guard.jobs[job] != nil
+	o.Standby.mu.Lock()
+	defer o.Standby.mu.Unlock()
+	return o.Standby.jobs[job] != nil
 }
 
 // RunsFor tells whether a process runs a job that it does not own.
 func RunsFor(o *Owner, job string) bool {
-	o.Guard.mu.Lock()
-	defer o.Guard.mu.Unlock()
-	j := o.Guard.jobs[job]
+	o.Standby.mu.Lock()
+	defer o.Standby.mu.Unlock()
+	j := o.Standby.jobs[job]
 	return j != nil && j.run != nil
 }
 
 // MadeFor returns how many results a process has of a job that it does not own.
 func MadeFor(o *Owner, job string) int {
-	o.Guard.mu.Lock()
-	defer o.Guard.mu.Unlock()
-	j := o.Guard.jobs[job]
+	o.Standby.mu.Lock()
+	defer o.Standby.mu.Unlock()
+	j := o.Standby.jobs[job]
 	if j == nil || j.run == nil {
 		return 0
 	}
@@ -68,7 +68,7 @@
 
 // RunsNow tells whether a process generates for a job that it does not own.
 func RunsNow(o *Owner, job string) bool {
-	for _, j := range o.Guard.running() {
+	for _, j := range o.Standby.running() {
 		if j.id == job {
 			return true
 		}
--- a/internal/agentless/batchrun/fakes_test.go
+++ b/internal/agentless/batchrun/fakes_test.go
@@ -139,7 +139,7 @@
 	name     string
 	store    kv.Shared
 	owner    *batchrun.Owner
-	desk     *batchrun.Desk
+	desk     *batchrun.Frontend
 	mover    *batchrun.Mover
 	members  *cluster.Members
 	register *cluster.Registrar
@@ -195,7 +195,7 @@
 		d.Put(deployment.Endpoint{ID: fmt.Sprintf("app%d", i), Service: "app", Address: "x:2", Slots: 8})
 	}
 	p := &process{name: name, store: store, cutOff: cutOff, members: cluster.NewMembers()}
-	p.owner = &batchrun.Owner{Name: name, Store: store, Directory: d, Sender: sender, Log: silent(), Keep: time.Minute, Registry: metrics.NewRegistry()}
+	p.owner = &batchrun.Owner{Name: name, Store: store, Directory: d, Sender: sender, Log: silent(), ResultTTL: time.Minute, Registry: metrics.NewRegistry()}
 	p.owner.Init()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -204,7 +204,7 @@
 	Expect(p.owner.Register(p.server)).To(Succeed())
 	go p.accept(p.server)
 	p.register = cluster.NewRegistrar(store, cluster.Member{Name: name, Address: listener.Addr().String(), Worker: true}, hour, p.members, silent())
-	p.desk = &batchrun.Desk{Store: store, Members: p.members, Peers: rpcpool.New(nil), Local: p.owner, Log: silent(), ValueBytes: 64}
+	p.desk = &batchrun.Frontend{Store: store, Members: p.members, Peers: rpcpool.New(nil), Local: p.owner, Log: silent(), ValueBytes: 64}
 	p.mover = &batchrun.Mover{Self: name, Store: store, Members: p.members, Log: silent(), Unsettled: func() bool { return false }}
 	return p
 }
@@ -253,7 +253,7 @@
 	Expect(p.desk.Register(p.server)).To(Succeed())
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	marks := &cluster.Follower{Store: p.store, Topic: p.owner.Marks(), Wait: batchrun.MarksWait}
+	marks := &cluster.Follower{Store: p.store, Topic: p.owner.Assignments(), Wait: batchrun.AssignmentsWait}
 	members := &cluster.Follower{Store: p.store, Topic: p.register.Topic()}
 	for _, part := range []func(context.Context) error{p.owner.Run, p.register.Run, members.Run, marks.Run} {
 		done.Go(func() {
--- a/internal/agentless/batchrun/guard.go
+++ b/internal/agentless/batchrun/guard.go
@@ -64,33 +64,33 @@
 
 // Reaches implements the call of that name.
 func (s *Service) Reaches(args ReachesArgs, reply *ReachesReply) error {
-	if s.owner.Guard.Peers == nil {
+	if s.owner.Standby.Peers == nil {
 		return nil
 	}
 	// A machine without power does not refuse a connection: the call hangs.
 	ctx, cancel := context.WithTimeout(context.Background(), pingLimit)
 	defer cancel()
-	reply.Answers = s.owner.Guard.Peers.Answers(ctx, args.Name)
+	reply.Answers = s.owner.Standby.Peers.Answers(ctx, args.Name)
 	return nil
 }
 
-// GuardPeers are the calls that a standby makes.
-type GuardPeers interface {
-	// Guarded asks an owner how jobs stand.
-	Guarded(ctx context.Context, owner string, args GuardedArgs) (GuardedReply, error)
+// StandbyPeers are the calls that a standby makes.
+type StandbyPeers interface {
+	// QueryJobs asks an owner how jobs stand.
+	QueryJobs(ctx context.Context, owner string, args GuardedArgs) (GuardedReply, error)
 	// Answers tells whether a process answers calls.
 	Answers(ctx context.Context, name string) bool
-	// Witness asks another process, not the one named, whether that one answers it; known
+	// IndirectPing asks another process, not the one named, whether that one answers it; known
 	// is false if none could be asked.
-	Witness(ctx context.Context, name string) (answers, known bool)
+	IndirectPing(ctx context.Context, name string) (answers, known bool)
 }
 
-// Guard stands by for the jobs of other owners, whose texts are copied to this process.
+// Standby stands by for the jobs of other owners, whose texts are copied to this process.
 // When an owner is lost it takes its jobs over, and while the store is away it runs them.
 // It is safe for concurrent use.
-type Guard struct {
-	Peers  GuardPeers    // nil: this process stands by for nobody
-	RunFor time.Duration // the longest that it runs a job that it does not own
+type Standby struct {
+	Peers      StandbyPeers  // nil: this process stands by for nobody
+	MaxRunTime time.Duration // the longest that it runs a job that it does not own
 
 	owner *Owner
 
@@ -114,12 +114,12 @@
 	since    time.Time // when that began
 }
 
-func newGuard(o *Owner) *Guard {
-	return &Guard{RunFor: defaultRunFor, owner: o, watch: standby.NewFailureDetector(), jobs: map[string]*guardedJob{}}
+func newGuard(o *Owner) *Standby {
+	return &Standby{MaxRunTime: defaultRunFor, owner: o, watch: standby.NewFailureDetector(), jobs: map[string]*guardedJob{}}
 }
 
 // take takes in that this process stands by for a job.
-func (g *Guard) take(args CopyArgs, spec *batch.Spec) {
+func (g *Standby) take(args CopyArgs, spec *batch.Spec) {
 	if g.Peers == nil {
 		return
 	}
@@ -136,7 +136,7 @@
 }
 
 // knows tells whether this process stands by for a job under a mark.
-func (g *Guard) knows(job string, mark int64) bool {
+func (g *Standby) knows(job string, mark int64) bool {
 	if g.Peers == nil {
 		return true
 	}
@@ -155,7 +155,7 @@
 
 // running returns the jobs that this process runs without owning them, but for those
 // that it has run for long enough.
-func (g *Guard) running() []*ownedJob {
+func (g *Standby) running() []*ownedJob {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var jobs []*ownedJob
@@ -168,8 +168,8 @@
 	return jobs
 }
 
-// Waits tells whether a job of a lost owner waits for the store.
-func (g *Guard) Waits() bool {
+// HasOrphanedJobs tells whether a job of a lost owner waits for the store.
+func (g *Standby) HasOrphanedJobs() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -183,7 +183,7 @@
 
 // end forgets a job that this process owns from now on, and returns what it ran of it;
 // nil: nothing.
-func (g *Guard) end(job string) *ownedJob {
+func (g *Standby) end(job string) *ownedJob {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	j := g.jobs[job]
@@ -196,7 +196,7 @@
 	return made
 }
 
-func (g *Guard) run(ctx context.Context) error {
+func (g *Standby) run(ctx context.Context) error {
 	if g.Peers == nil {
 		return nil
 	}
@@ -204,7 +204,7 @@
 	return nil
 }
 
-func (g *Guard) look(ctx context.Context, now time.Time) {
+func (g *Standby) look(ctx context.Context, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.expire(now)
@@ -229,20 +229,20 @@
 
 // expire forgets jobs that nobody can want any more, and ends runs of those that this
 // process has run for long enough; the lock is held.
-func (g *Guard) expire(now time.Time) {
+func (g *Standby) expire(now time.Time) {
 	for id, j := range g.jobs {
-		if now.Sub(j.spec.Submitted) > g.owner.Keep {
+		if now.Sub(j.spec.Submitted) > g.owner.ResultTTL {
 			j.stop()
 			delete(g.jobs, id)
 		}
-		if j.run != nil && now.Sub(j.since) > g.RunFor {
+		if j.run != nil && now.Sub(j.since) > g.MaxRunTime {
 			j.run.cancel() // what it made is kept for the job's next owner
 		}
 	}
 }
 
 // owners returns the owners of the jobs; the lock is held.
-func (g *Guard) owners() []string {
+func (g *Standby) owners() []string {
 	var names []string
 	for _, j := range g.jobs {
 		if !slices.Contains(names, j.owner) {
@@ -253,7 +253,7 @@
 }
 
 // asked returns what an owner is asked for; the lock is held.
-func (g *Guard) asked(owner string) GuardedArgs {
+func (g *Standby) asked(owner string) GuardedArgs {
 	args := GuardedArgs{Listed: map[string]int{}}
 	for _, j := range g.jobs {
 		if j.owner == owner {
@@ -263,10 +263,10 @@
 	return args
 }
 
-func (g *Guard) ping(ctx context.Context, name string, args GuardedArgs) {
+func (g *Standby) ping(ctx context.Context, name string, args GuardedArgs) {
 	ctx, cancel := context.WithTimeout(ctx, pingLimit)
 	defer cancel()
-	reply, err := g.Peers.Guarded(ctx, name, args)
+	reply, err := g.Peers.QueryJobs(ctx, name, args)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
@@ -283,7 +283,7 @@
 
 // takeState takes in how an owner says that a job stands; the zero state says that it has
 // the job no more. The lock is held.
-func (g *Guard) takeState(j *guardedJob, from int, s GuardedState) {
+func (g *Standby) takeState(j *guardedJob, from int, s GuardedState) {
 	switch {
 	case s.Mark == 0:
 		j.stop()
@@ -300,10 +300,10 @@
 }
 
 // ask asks another process whether it reaches an owner that does not answer this one.
-func (g *Guard) ask(ctx context.Context, name string) {
+func (g *Standby) ask(ctx context.Context, name string) {
 	ctx, cancel := context.WithTimeout(ctx, witnessLimit)
 	defer cancel()
-	answers, known := g.Peers.Witness(ctx, name)
+	answers, known := g.Peers.IndirectPing(ctx, name)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
@@ -315,7 +315,7 @@
 }
 
 // rescue takes a job over, or runs it until that is possible.
-func (g *Guard) rescue(ctx context.Context, j *guardedJob) {
+func (g *Standby) rescue(ctx context.Context, j *guardedJob) {
 	found := g.takeOver(ctx, j)
 	if found == storeAway {
 		g.standIn(ctx, j)
@@ -346,7 +346,7 @@
 
 // standIn runs a job whose owner is lost while the store is away. What it generates is
 // listed once the job can be taken over; without it a step begins anew then and is late.
-func (g *Guard) standIn(ctx context.Context, j *guardedJob) {
+func (g *Standby) standIn(ctx context.Context, j *guardedJob) {
 	if !g.owner.Switches.On(mechanism.StandbyRuns) {
 		return
 	}
@@ -373,7 +373,7 @@
 }
 
 // takeOver moves a job to this process.
-func (g *Guard) takeOver(ctx context.Context, j *guardedJob) finding {
+func (g *Standby) takeOver(ctx context.Context, j *guardedJob) finding {
 	standing, record, err := readRecord(ctx, g.owner.Store, j.id)
 	switch {
 	case err != nil:
--- a/internal/agentless/batchrun/guard_test.go
+++ b/internal/agentless/batchrun/guard_test.go
@@ -15,27 +15,27 @@
 
 // blind is a standby's calls, of which some do not come through.
 type blind struct {
-	batchrun.GuardPeers
+	batchrun.StandbyPeers
 	cut      atomic.Bool  // it reaches no owner
 	isolated atomic.Bool  // nor anybody else
 	deaf     atomic.Value // the process that others do not reach either
 }
 
-func (b *blind) Guarded(ctx context.Context, owner string, args batchrun.GuardedArgs) (batchrun.GuardedReply, error) {
+func (b *blind) QueryJobs(ctx context.Context, owner string, args batchrun.GuardedArgs) (batchrun.GuardedReply, error) {
 	if b.cut.Load() || b.isolated.Load() {
 		return batchrun.GuardedReply{}, context.DeadlineExceeded
 	}
-	return b.GuardPeers.Guarded(ctx, owner, args)
+	return b.StandbyPeers.QueryJobs(ctx, owner, args)
 }
 
-func (b *blind) Witness(ctx context.Context, name string) (answers, known bool) {
+func (b *blind) IndirectPing(ctx context.Context, name string) (answers, known bool) {
 	if b.isolated.Load() {
 		return false, false
 	}
 	if b.deaf.Load() == name {
 		return false, true
 	}
-	return b.GuardPeers.Witness(ctx, name)
+	return b.StandbyPeers.IndirectPing(ctx, name)
 }
 
 var _ = Describe("the standby of a job", func() {
@@ -50,9 +50,9 @@
 		for _, name := range []string{"a", "b", "c"} {
 			p := newProcess(name, store, llm)
 			p.owner.Switches = switches
-			p.owner.Copier.Standby, p.owner.Copier.Send, p.owner.AskTexts = p.desk.Standby, p.desk.SendCopy, p.desk.AskTexts
-			p.peers = &blind{GuardPeers: p.desk}
-			p.owner.Guard.Peers = p.peers
+			p.owner.Copier.StandbyFor, p.owner.Copier.Send, p.owner.FetchTexts = p.desk.StandbyFor, p.desk.SendCopy, p.desk.FetchTexts
+			p.peers = &blind{StandbyPeers: p.desk}
+			p.owner.Standby.Peers = p.peers
 			p.run()
 			processes = append(processes, p)
 		}
@@ -72,7 +72,7 @@
 		}
 		Eventually(owned).WithTimeout(patience).ShouldNot(BeNil())
 		owner = owned()
-		name, _ := owner.desk.Standby("m", "j")
+		name, _ := owner.desk.StandbyFor("m", "j")
 		for _, p := range processes {
 			if p.name == name {
 				standby = p
@@ -130,7 +130,7 @@
 		// The store answers others, through whom the job may have ended long ago.
 		start(nil)
 		owner, standby := submitted()
-		standby.owner.Guard.RunFor = 100 * time.Millisecond
+		standby.owner.Standby.MaxRunTime = 100 * time.Millisecond
 		store.SetDown(true)
 		owner.stop()
 		Eventually(func() bool { return batchrun.RunsFor(standby.owner, "j") }).WithTimeout(patience).Should(BeTrue())
--- a/internal/agentless/batchrun/helpers_test.go
+++ b/internal/agentless/batchrun/helpers_test.go
@@ -33,7 +33,7 @@
 	return kv.Changes{}, ctx.Err()
 }
 
-func readAll(d *batchrun.Desk, id string) ([]batch.Result, error) {
+func readAll(d *batchrun.Frontend, id string) ([]batch.Result, error) {
 	var all []batch.Result
 	for {
 		reading, err := d.Results(context.Background(), id, len(all), 0)
--- a/internal/agentless/batchrun/hub.go
+++ b/internal/agentless/batchrun/hub.go
@@ -31,7 +31,7 @@
 }
 
 // Hub answers reads of other processes in its failure domain.
-type Hub struct{ desk *Desk }
+type Hub struct{ desk *Frontend }
 
 // Results implements the call of that name.
 func (h *Hub) Results(args ResultsArgs, reply *ResultsReply) error {
@@ -46,7 +46,7 @@
 // are read: the same one for all processes of the domain. Otherwise every entry takes
 // each result over the domain's border by itself, or from the store once the job's
 // owner has forgotten it, as after a kill of all processes.
-func (d *Desk) hub(job string) (name string, found bool) {
+func (d *Frontend) hub(job string) (name string, found bool) {
 	if d.IsHub || !d.Local.Switches.On(mechanism.ReadNear) {
 		return "", false
 	}
@@ -73,7 +73,7 @@
 }
 
 // byHub reads by way of the domain's hub; settled is false if it could not tell.
-func (d *Desk) byHub(ctx context.Context, id string, from int, wait time.Duration) (r Reading, settled bool, err error) {
+func (d *Frontend) byHub(ctx context.Context, id string, from int, wait time.Duration) (r Reading, settled bool, err error) {
 	name, found := d.hub(id)
 	if !found {
 		return Reading{}, false, nil
--- a/internal/agentless/batchrun/hub_test.go
+++ b/internal/agentless/batchrun/hub_test.go
@@ -80,7 +80,7 @@
 		Expect(err).To(MatchError(batchrun.ErrNoJob))
 		store.SetDown(true)
 		_, err = entry.desk.Results(context.Background(), "other", 0, 0)
-		Expect(err).To(MatchError(batchrun.ErrCannotTell))
+		Expect(err).To(MatchError(batchrun.ErrUnavailable))
 		store.SetDown(false)
 	})
 })
--- a/internal/agentless/batchrun/loads.go
+++ b/internal/agentless/batchrun/loads.go
@@ -86,7 +86,7 @@
 
 // tellLoads tells fellows of this process's load until ctx ends.
 func (o *Owner) tellLoads(ctx context.Context) error {
-	if o.Fellows == nil {
+	if o.OtherOwners == nil {
 		return nil
 	}
 	told := map[string]bool{} // services of which something was told last
@@ -121,7 +121,7 @@
 		}
 		told[name] = busy
 		args := LoadArgs{From: o.Name, Service: name, Load: load, Shares: shares}
-		fellows := o.Fellows(service.Models)
+		fellows := o.OtherOwners(service.Models)
 		size := tellSize + shareSize*len(shares)
 		if len(fellows)*size > mostTold {
 			continue
@@ -131,7 +131,7 @@
 			group.Go(func() error {
 				ctx, cancel := context.WithTimeout(ctx, tellLimit)
 				defer cancel()
-				_ = o.TellLoad(ctx, fellow, args) // one that is not told counts what it knows for a second
+				_ = o.SendLoad(ctx, fellow, args) // one that is not told counts what it knows for a second
 				return nil
 			})
 		}
--- a/internal/agentless/batchrun/loads_test.go
+++ b/internal/agentless/batchrun/loads_test.go
@@ -22,8 +22,8 @@
 		told := make(chan batchrun.LoadArgs, 1000)
 		p := newProcess("a", store, llm)
 		p.owner.Directory.Declare(withModels(p.owner.Directory.Table().Declaration))
-		p.owner.Fellows = func([]string) []string { return []string{"b"} }
-		p.owner.TellLoad = func(_ context.Context, to string, args batchrun.LoadArgs) error {
+		p.owner.OtherOwners = func([]string) []string { return []string{"b"} }
+		p.owner.SendLoad = func(_ context.Context, to string, args batchrun.LoadArgs) error {
 			Expect(to).To(Equal("b"))
 			told <- args
 			return nil
--- a/internal/agentless/batchrun/moving.go
+++ b/internal/agentless/batchrun/moving.go
@@ -39,8 +39,8 @@
 	Models func() []string
 	// Answers tells whether a process answers calls; nil: not known.
 	Answers func(ctx context.Context, name string) bool
-	// Tell tells the new owner of its mark; may be nil.
-	Tell func(owner, job string, revision int64)
+	// NotifyOwner tells the new owner of its mark; may be nil.
+	NotifyOwner func(owner, job string, revision int64)
 }
 
 // MemberGone moves a process's jobs unless it comes back. It returns when that
@@ -142,8 +142,8 @@
 		return false, err
 	}
 	if committed.Done {
-		if m.Tell != nil {
-			m.Tell(to, id, committed.Revision)
+		if m.NotifyOwner != nil {
+			m.NotifyOwner(to, id, committed.Revision)
 		}
 		events.JobHandedOn.Log(m.Log, logrus.Fields{"job": id, "from": from, "to": to, "mark": mark.Revision})
 	}
--- a/internal/agentless/batchrun/owner.go
+++ b/internal/agentless/batchrun/owner.go
@@ -31,12 +31,12 @@
 	// makes its group whole, as a straggler's does, is written at once; readers poll
 	// twice a second, and at this pace a job costs at most four writes a second.
 	gatherResults = 250 * time.Millisecond
-	// MarksWait is how long a watch of the marks waits. Who accepts, ends or moves
+	// AssignmentsWait is how long a watch of the marks waits. Who accepts, ends or moves
 	// a job tells its owner by a call; the watch is for calls that did not come
 	// through, as from an entry that is cut off from every worker. Its changes come
 	// at once, but what a deaf store kept from it is found when it asks anew: items of
 	// a job whose end was acknowledged have three seconds to stop.
-	MarksWait = 2 * time.Second
+	AssignmentsWait = 2 * time.Second
 	// retryWrite is the pause after a write that failed.
 	retryWrite = 200 * time.Millisecond
 )
@@ -44,35 +44,35 @@
 // Owner runs the jobs whose mark names this process. It is safe for concurrent
 // use.
 type Owner struct {
-	Name      string // of this process
-	Store     kv.Shared
-	Directory *directory.Directory
-	Sender    dispatch.Sender
-	Log       *logrus.Logger
-	Keep      time.Duration // how long results stay readable after submission
-	Retry     time.Duration // pause before results are written again; 0: retryWrite
-	Registry  metrics.Registry
+	Name       string // of this process
+	Store      kv.Shared
+	Directory  *directory.Directory
+	Sender     dispatch.Sender
+	Log        *logrus.Logger
+	ResultTTL  time.Duration // how long results stay readable after submission
+	RetryDelay time.Duration // pause before results are written again; 0: retryWrite
+	Registry   metrics.Registry
 
 	Switches *mechanism.Switches
 	Texts    *textlog.Log // keeps texts under way; nil: nothing does
 	Copier   *Copier      // keeps them at a second process; its calls may be nil
-	Guard    *Guard       // stands by for the jobs of other owners
-	// Fellows names the processes that own jobs of models which the service has
+	Standby  *Standby     // stands by for the jobs of other owners
+	// OtherOwners names the processes that own jobs of models which the service has
 	// too; nil: none.
-	Fellows func(models []string) []string
-	// TellLoad tells a process of this one's load.
-	TellLoad func(ctx context.Context, to string, args LoadArgs) error
-	// AskTexts asks other processes for a job's texts; may be nil.
-	AskTexts func(ctx context.Context, job string) [][]byte
+	OtherOwners func(models []string) []string
+	// SendLoad tells a process of this one's load.
+	SendLoad func(ctx context.Context, to string, args LoadArgs) error
+	// FetchTexts asks other processes for a job's texts; may be nil.
+	FetchTexts func(ctx context.Context, job string) [][]byte
 
-	// Certain tells whether nobody can have moved this process's jobs unnoticed;
+	// OwnershipCertain tells whether nobody can have moved this process's jobs unnoticed;
 	// nil: always.
-	Certain func() bool
-	// Spared tells that no job will be marked for this process, as others are
+	OwnershipCertain func() bool
+	// Ineligible tells that no job will be marked for this process, as others are
 	// there to own them; nil: never.
-	Spared func() bool
-	// Adopted is called with each job taken on; may be nil.
-	Adopted  func(*batch.Spec)
+	Ineligible func() bool
+	// OnAdopt is called with each job taken on; may be nil.
+	OnAdopt  func(*batch.Spec)
 	lifetime context.Context // of Run
 
 	mu     sync.Mutex
@@ -125,16 +125,16 @@
 func (o *Owner) Init() {
 	o.jobs = map[string]*ownedJob{}
 	o.claims = map[string]int64{}
-	o.ended = newEndedJobs(o.Keep)
+	o.ended = newEndedJobs(o.ResultTTL)
 	o.seen = map[string]*sharedLengths{}
 	o.wake = make(chan struct{}, 1)
 	o.back = make(chan struct{})
 	o.running = make(chan struct{})
 	o.Copier = newCopier(o.Registry)
 	o.Copier.Owner = o
-	o.Guard = newGuard(o)
-	if o.Retry == 0 {
-		o.Retry = retryWrite
+	o.Standby = newGuard(o)
+	if o.RetryDelay == 0 {
+		o.RetryDelay = retryWrite
 	}
 	o.stats = stats{
 		listed:  metrics.GetOrRegisterCounter("batch.items.listed", o.Registry),
@@ -162,16 +162,16 @@
 	group.Go(func() error { return o.Texts.Run(ctx) })
 	group.Go(func() error { return o.Copier.run(ctx) })
 	group.Go(func() error { return o.tellLoads(ctx) })
-	group.Go(func() error { return o.Guard.run(ctx) })
+	group.Go(func() error { return o.Standby.run(ctx) })
 	return group.Wait()
 }
 
-// Marks returns the topic of the marks that name this process. Whoever follows it
+// Assignments returns the topic of the marks that name this process. Whoever follows it
 // need not wait for Run.
-func (o *Owner) Marks() *cluster.Topic {
+func (o *Owner) Assignments() *cluster.Topic {
 	listed := false
 	return &cluster.Topic{
-		Prefix: todoPrefix(o.Name), Carrier: MarksPrefix, Idle: o.idle,
+		Prefix: todoPrefix(o.Name), Carrier: AssignmentsPrefix, Idle: o.idle,
 		Changed: func(r kv.Record) {
 			afterStart := listed // of the record, not of the goroutine that takes it in
 			o.runs.Go(func() error {
@@ -187,7 +187,7 @@
 
 // idle tells whether the marks need not be watched.
 func (o *Owner) idle() bool {
-	return o.Spared != nil && o.Spared() && len(o.Jobs()) == 0
+	return o.Ineligible != nil && o.Ineligible() && len(o.Jobs()) == 0
 }
 
 // drop gives a job up whose mark went at a revision. What is durable of it is
@@ -251,10 +251,10 @@
 	return owned
 }
 
-// StoreBack tells that the store answers again: what waits to be written goes out
+// StoreRecovered tells that the store answers again: what waits to be written goes out
 // at once, as all processes may be killed a moment later, and what is not durable
 // then is lost.
-func (o *Owner) StoreBack() {
+func (o *Owner) StoreRecovered() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	close(o.back)
@@ -266,7 +266,7 @@
 	o.mu.Lock()
 	back := o.back
 	o.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, o.Retry)
+	ctx, cancel := context.WithTimeout(ctx, o.RetryDelay)
 	defer cancel()
 	select {
 	case <-ctx.Done():
@@ -292,7 +292,7 @@
 		case <-o.wake:
 		case <-ticker.C:
 		}
-		jobs := append(o.open(), o.Guard.running()...)
+		jobs := append(o.open(), o.Standby.running()...)
 		o.startRuns(jobs)
 		for _, j := range jobs {
 			o.startScores(j)
--- a/internal/agentless/batchrun/reading.go
+++ b/internal/agentless/batchrun/reading.go
@@ -21,13 +21,13 @@
 }
 
 // Results returns a job's results from a position on, waiting for some if none
-// are there. ErrNoJob only if the store says so; ErrCannotTell if neither the
+// are there. ErrNoJob only if the store says so; ErrUnavailable if neither the
 // owner nor the store answers.
 //
 // An owner that lost the store may have lost the job without knowing: asked
 // alone, it would go on showing less than others have read. So an answer that
 // is not sure counts only where the store does not answer either.
-func (d *Desk) Results(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
+func (d *Frontend) Results(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
 	if d.Local.Switches.On(mechanism.CacheResults) {
 		return d.withCached(ctx, id, from, wait)
 	}
@@ -37,14 +37,14 @@
 // withCached returns the results that were read here before, with what came since.
 // Who can be given some does not wait for more, and gets them though neither owner
 // nor store answers: what is durable does not change.
-func (d *Desk) withCached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
+func (d *Frontend) withCached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
 	kept, next := d.cache.from(id, from)
 	if len(kept.Results) > 0 {
 		wait = 0
 	}
 	fresh, err := d.readAnew(ctx, id, next, wait)
 	switch {
-	case errors.Is(err, ErrCannotTell) && len(kept.Results) > 0:
+	case errors.Is(err, ErrUnavailable) && len(kept.Results) > 0:
 		return kept, nil
 	case err != nil:
 		return Reading{}, err
@@ -54,7 +54,7 @@
 	return fresh, nil
 }
 
-func (d *Desk) readAnew(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
+func (d *Frontend) readAnew(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
 	if r, settled, err := d.byHub(ctx, id, from, wait); settled {
 		return r, err
 	}
@@ -64,7 +64,7 @@
 		return reading(reply), nil
 	}
 	stored, err := d.fromStore(ctx, id, from, until)
-	if errors.Is(err, ErrCannotTell) && reply.Owned {
+	if errors.Is(err, ErrUnavailable) && reply.Owned {
 		return reading(reply), nil
 	}
 	return stored, err
@@ -74,7 +74,7 @@
 
 // fromOwner asks the job's owner as far as it is known or can be guessed. The
 // zero answer stands for none.
-func (d *Desk) fromOwner(ctx context.Context, id string, from int, wait time.Duration) ReadReply {
+func (d *Frontend) fromOwner(ctx context.Context, id string, from int, wait time.Duration) ReadReply {
 	owner, found := d.likelyOwner(ctx, id)
 	if !found {
 		return ReadReply{}
@@ -90,7 +90,7 @@
 
 // likelyOwner names the job's owner as far as it is remembered, or as the owners
 // of today's models say.
-func (d *Desk) likelyOwner(ctx context.Context, id string) (owner string, found bool) {
+func (d *Frontend) likelyOwner(ctx context.Context, id string) (owner string, found bool) {
 	if known := d.snapshot(id); known != nil {
 		return known.record.Owner, true
 	}
@@ -100,7 +100,7 @@
 // locate finds a job's owner among those that own the jobs of the models served
 // today, so that the many processes at which a job is read make no call to the
 // store for it.
-func (d *Desk) locate(ctx context.Context, id string) (owner string, found bool) {
+func (d *Frontend) locate(ctx context.Context, id string) (owner string, found bool) {
 	if d.Models == nil {
 		return "", false
 	}
@@ -128,16 +128,16 @@
 	return "", false
 }
 
-func (d *Desk) cannotTell(id string, err error) error {
+func (d *Frontend) cannotTell(id string, err error) error {
 	if errors.Is(err, ErrNoJob) {
 		return err
 	}
 	events.ReadFailed.Log(d.Log, logrus.Fields{"job": id, "error": err.Error()})
-	return comeBack(errors.Wrap(ErrCannotTell, err.Error()))
+	return comeBack(errors.Wrap(ErrUnavailable, err.Error()))
 }
 
 // snapshot returns a copy of what is remembered of a job, or nil.
-func (d *Desk) snapshot(id string) *knownJob {
+func (d *Frontend) snapshot(id string) *knownJob {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	known := d.known[id]
@@ -148,14 +148,14 @@
 	return &copied
 }
 
-func (d *Desk) askOwner(ctx context.Context, owner, id string, from int, wait time.Duration) (ReadReply, error) {
+func (d *Frontend) askOwner(ctx context.Context, owner, id string, from int, wait time.Duration) (ReadReply, error) {
 	args := ReadArgs{Job: id, From: from, Wait: wait}
 	return ask(ctx, d, owner, callRead, wait, args, func() ReadReply { return d.Local.read(ctx, args) })
 }
 
 // ask calls a method of an owner, or does locally what it would do if the owner
 // is this process.
-func ask[R any](ctx context.Context, d *Desk, owner, method string, wait time.Duration, args any, local func() R) (R, error) {
+func ask[R any](ctx context.Context, d *Frontend, owner, method string, wait time.Duration, args any, local func() R) (R, error) {
 	if owner == d.Local.Name {
 		return local(), nil
 	}
@@ -166,7 +166,7 @@
 	return reply, nil
 }
 
-func (d *Desk) call(ctx context.Context, owner, method string, wait time.Duration, args, reply any) error {
+func (d *Frontend) call(ctx context.Context, owner, method string, wait time.Duration, args, reply any) error {
 	member, found := d.Members.Get(owner)
 	if !found {
 		return errors.Errorf("batchrun: %s is not listed", owner)
@@ -178,7 +178,7 @@
 
 // fromStore reads results from the store: the job has ended, or its owner does
 // not answer or has changed.
-func (d *Desk) fromStore(ctx context.Context, id string, from int, until time.Time) (Reading, error) {
+func (d *Frontend) fromStore(ctx context.Context, id string, from int, until time.Time) (Reading, error) {
 	for {
 		standing, record, err := d.fresh(ctx, id)
 		if err != nil {
@@ -202,7 +202,7 @@
 }
 
 // fresh returns the record as the store has it; an ended one cannot change.
-func (d *Desk) fresh(ctx context.Context, id string) (found bool, record jobRecord, err error) {
+func (d *Frontend) fresh(ctx context.Context, id string) (found bool, record jobRecord, err error) {
 	if known := d.snapshot(id); known != nil && known.record.Ended {
 		return true, known.record, nil
 	}
@@ -212,7 +212,7 @@
 
 // storedResults returns the durable results from a position on, reading only
 // the chunks that were not read before.
-func (d *Desk) storedResults(ctx context.Context, id string, from int) ([]batch.Result, error) {
+func (d *Frontend) storedResults(ctx context.Context, id string, from int) ([]batch.Result, error) {
 	known := d.snapshot(id)
 	if known == nil {
 		known = &knownJob{}
@@ -229,7 +229,7 @@
 	return known.results[from:], nil
 }
 
-func (d *Desk) readChunks(ctx context.Context, id string, known *knownJob) error {
+func (d *Frontend) readChunks(ctx context.Context, id string, known *knownJob) error {
 	results, after := known.results[:len(known.results):len(known.results)], known.lastKey
 	for {
 		page, err := d.Store.ReadPage(ctx, donePrefix(id), after)
@@ -259,7 +259,7 @@
 
 // Body returns the body of an item that is not listed yet. ErrNoJob: the job
 // does not exist, has ended, or has no such item that is not listed.
-func (d *Desk) Body(ctx context.Context, id, item string) ([]byte, error) {
+func (d *Frontend) Body(ctx context.Context, id, item string) ([]byte, error) {
 	if owner, found := d.likelyOwner(ctx, id); found {
 		reply, err := d.askBody(ctx, owner, id, item)
 		switch {
@@ -273,12 +273,12 @@
 	return d.storedBody(ctx, id, item)
 }
 
-func (d *Desk) askBody(ctx context.Context, owner, id, item string) (BodyReply, error) {
+func (d *Frontend) askBody(ctx context.Context, owner, id, item string) (BodyReply, error) {
 	args := BodyArgs{Job: id, Item: item}
 	return ask(ctx, d, owner, callBody, 0, args, func() BodyReply { return d.Local.body(args) })
 }
 
-func (d *Desk) storedBody(ctx context.Context, id, item string) ([]byte, error) {
+func (d *Frontend) storedBody(ctx context.Context, id, item string) ([]byte, error) {
 	found, record, err := d.fresh(ctx, id)
 	if err != nil {
 		return nil, d.cannotTell(id, err)
--- a/internal/agentless/batchrun/reading_test.go
+++ b/internal/agentless/batchrun/reading_test.go
@@ -26,7 +26,7 @@
 		// try meets an outage and is not sent, and the job ends as the store returns. That
 		// the last try certainly had no effect says nothing of the one before it; an owner
 		// that took it for the last word showed readers less than others had read.
-		a.owner.Retry, b.owner.Retry = time.Hour, time.Hour
+		a.owner.RetryDelay, b.owner.RetryDelay = time.Hour, time.Hour
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
 		owner, other := owned("j")
@@ -41,7 +41,7 @@
 		store.SetDown(true)
 		before := tries()
 		Eventually(func() int {
-			owner.owner.StoreBack()
+			owner.owner.StoreRecovered()
 			return tries()
 		}).WithTimeout(patience).Should(BeNumerically(">", before))
 		store.SetDown(false)
@@ -121,7 +121,7 @@
 		// killed a moment after it did. An owner that waits for its own next look loses
 		// what others wrote in that moment. Here its own next look never comes.
 		patient := newProcess("p", store, llm)
-		patient.owner.Retry = time.Hour
+		patient.owner.RetryDelay = time.Hour
 		patient.desk.Members = a.members
 		a.stop()
 		b.stop()
@@ -140,7 +140,7 @@
 		Eventually(func() int { return store.Count("commit") }).WithTimeout(patience).Should(BeNumerically(">", commits), "a write failed")
 		store.SetDown(false)
 		Eventually(func() int {
-			patient.owner.StoreBack()
+			patient.owner.StoreRecovered()
 			return results(patient, "j")()
 		}).WithTimeout(patience).Should(Equal(1))
 	})
@@ -186,7 +186,7 @@
 		reader := newProcess("r", store, llm)
 		reader.desk.Members = other.members
 		Expect(results(reader, "j")()).To(Equal(0))
-		owner.owner.Certain = func() bool { return false }
+		owner.owner.OwnershipCertain = func() bool { return false }
 		owner.cutOff.Store(true)
 		Expect(other.mover.MoveAll(context.Background(), owner.name)).To(Succeed())
 		close(llm.hold)
@@ -203,7 +203,7 @@
 		other.stop()
 		store.SetDown(true)
 		_, err := readAll(fresh.desk, "j")
-		Expect(err).To(MatchError(batchrun.ErrCannotTell))
+		Expect(err).To(MatchError(batchrun.ErrUnavailable))
 		store.SetDown(false)
 		_, err = readAll(fresh.desk, "j")
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/agentless/batchrun/records.go
+++ b/internal/agentless/batchrun/records.go
@@ -22,8 +22,8 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// MarksPrefix is the prefix of the marks of all owners.
-const MarksPrefix = "todo/"
+// AssignmentsPrefix is the prefix of the marks of all owners.
+const AssignmentsPrefix = "todo/"
 
 const (
 	prefixJobs = "jobs/"
@@ -43,8 +43,8 @@
 	// ErrTooLarge is returned for a job that the store cannot hold.
 	ErrTooLarge      = errors.New("batchrun: batch job is too large")
 	errNobodyAnswers = errors.New("batchrun: no other owner answers")
-	// ErrCannotTell is returned when neither the job's owner nor the store answers.
-	ErrCannotTell = errors.New("batchrun: neither owner nor store answers")
+	// ErrUnavailable is returned when neither the job's owner nor the store answers.
+	ErrUnavailable = errors.New("batchrun: neither owner nor store answers")
 )
 
 // NotRunError tells the caller of a call that certainly had no effect, or could not be
@@ -57,7 +57,7 @@
 // Error implements error.
 func (e *NotRunError) Error() string { return e.Err.Error() }
 
-// Unwrap returns ErrNotRun or ErrCannotTell with its cause.
+// Unwrap returns ErrNotRun or ErrUnavailable with its cause.
 func (e *NotRunError) Unwrap() error { return e.Err }
 
 // jobRecord is the value of jobs/ID.
@@ -78,7 +78,7 @@
 func jobKey(id string) string                { return prefixJobs + id }
 func specPrefix(id string) string            { return prefixSpec + id + "/" }
 func specKey(id string, part int) string     { return fmt.Sprintf("%s%02d", specPrefix(id), part) }
-func todoPrefix(owner string) string         { return MarksPrefix + owner + "/" }
+func todoPrefix(owner string) string         { return AssignmentsPrefix + owner + "/" }
 func todoKey(owner, id string) string        { return todoPrefix(owner) + id }
 func donePrefix(id string) string            { return prefixDone + id + "/" }
 func doneKey(id string, position int) string { return fmt.Sprintf("%s%06d", donePrefix(id), position) }
--- a/internal/agentless/batchrun/rehome.go
+++ b/internal/agentless/batchrun/rehome.go
@@ -26,7 +26,7 @@
 
 // trusted returns the owners without those that did not answer lately, or all if
 // none is left.
-func (d *Desk) trusted(owners []cluster.Member) []cluster.Member {
+func (d *Frontend) trusted(owners []cluster.Member) []cluster.Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var trusted []cluster.Member
@@ -41,7 +41,7 @@
 	return trusted
 }
 
-func (d *Desk) distrust(owner string) {
+func (d *Frontend) distrust(owner string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.silent == nil {
@@ -54,7 +54,7 @@
 // chooses, or the next one if that does not answer. After an outage of the store a
 // dead process is listed for some seconds more, and a step that was accepted for it
 // began half a second late.
-func (d *Desk) ownerFor(ctx context.Context, key string) (string, bool) {
+func (d *Frontend) ownerFor(ctx context.Context, key string) (string, bool) {
 	owners := d.trusted(d.Members.Owners())
 	if len(owners) == 0 {
 		return "", false
@@ -73,7 +73,7 @@
 
 // reaches tells whether an owner answers soon. One that started anew is asked a
 // second time, as the connection was to the one before.
-func (d *Desk) reaches(ctx context.Context, name string) bool {
+func (d *Frontend) reaches(ctx context.Context, name string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingLimit)
 	defer cancel()
 	return d.Answers(ctx, name) || ctx.Err() == nil && d.Answers(ctx, name)
@@ -83,7 +83,7 @@
 // does not answer, the job goes to another one: its mark alone would wait for
 // the owner's registration to lapse, which took four seconds after an outage of
 // the store in which the owner had died, half of the time that a step has.
-func (d *Desk) tellAccepted(owner, job string, revision int64) {
+func (d *Frontend) tellAccepted(owner, job string, revision int64) {
 	args := MarkArgs{Job: job, Revision: revision}
 	go func() {
 		err := d.tellMark(owner, callMarked, args)
@@ -106,7 +106,7 @@
 // entry that is cut off finds none, and the job stays. The transaction's
 // conditions are the mark that the old owner would write under, and that it has
 // listed nothing; afterwards it can list nothing.
-func (d *Desk) rehome(ctx context.Context, from, job string, revision int64) error {
+func (d *Frontend) rehome(ctx context.Context, from, job string, revision int64) error {
 	standing, record, err := readRecord(ctx, d.Store, job)
 	if err != nil || record.Owner != from || record.Ended {
 		return err
@@ -132,7 +132,7 @@
 }
 
 // answering returns the first owner for a key that answers.
-func (d *Desk) answering(ctx context.Context, key string) (string, bool) {
+func (d *Frontend) answering(ctx context.Context, key string) (string, bool) {
 	owners := d.trusted(d.Members.Owners())
 	for range owners {
 		name := ownersFor(d.Models).of(key, owners)
@@ -146,7 +146,7 @@
 }
 
 // Answers tells whether a process answers calls.
-func (d *Desk) Answers(ctx context.Context, name string) bool {
+func (d *Frontend) Answers(ctx context.Context, name string) bool {
 	if name == d.Local.Name {
 		return true
 	}
--- a/internal/agentless/batchrun/remembered_test.go
+++ b/internal/agentless/batchrun/remembered_test.go
@@ -19,7 +19,7 @@
 		// whether an end looks at a record that is being written.
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		d := &Desk{Store: standin.NewShared(), Log: log}
+		d := &Frontend{Store: standin.NewShared(), Log: log}
 		d.remember("j", jobRecord{Owner: "w", Ended: true})
 		var calls sync.WaitGroup
 		for range 100 {
--- a/internal/agentless/batchrun/sinks.go
+++ b/internal/agentless/batchrun/sinks.go
@@ -19,7 +19,7 @@
 	if o.Texts != nil && o.Switches.On(mechanism.TextJournal) {
 		s = append(s, o.Texts.Buffer)
 	}
-	if o.Copier.Standby != nil && o.Switches.On(mechanism.TextCopies) {
+	if o.Copier.StandbyFor != nil && o.Switches.On(mechanism.TextCopies) {
 		s = append(s, o.Copier.gather)
 	}
 	return s
--- a/internal/agentless/batchrun/sweep.go
+++ b/internal/agentless/batchrun/sweep.go
@@ -21,18 +21,18 @@
 // Sweeper removes jobs from the store once nobody may ask for them any more.
 // Without it the store would fill with every job there ever was.
 type Sweeper struct {
-	Store kv.Shared
-	Keep  time.Duration // how long results stay readable after submission
-	Log   *logrus.Logger
-	// May tells whether this process is the one that sweeps.
-	May func() bool
+	Store     kv.Shared
+	ResultTTL time.Duration // how long results stay readable after submission
+	Log       *logrus.Logger
+	// ShouldSweep tells whether this process is the one that sweeps.
+	ShouldSweep func() bool
 }
 
 // Run sweeps until ctx ends.
 func (s *Sweeper) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause(ctx, sweepEvery)
-		if ctx.Err() == nil && s.May() {
+		if ctx.Err() == nil && s.ShouldSweep() {
 			s.sweep(ctx, time.Now())
 		}
 	}
@@ -50,7 +50,7 @@
 			events.JobUnreadable.Log(s.Log, logrus.Fields{"key": r.Key, "error": err.Error()})
 			continue
 		}
-		if now.Sub(record.Submitted) < s.Keep+sweepSlack {
+		if now.Sub(record.Submitted) < s.ResultTTL+sweepSlack {
 			continue
 		}
 		id := r.Key[len(prefixJobs):]
--- a/internal/agentless/batchrun/sweep_test.go
+++ b/internal/agentless/batchrun/sweep_test.go
@@ -28,7 +28,7 @@
 			}
 			Expect(store.Commit(ctx, t)).To(HaveField("Done", true))
 		}
-		s := &Sweeper{Store: store, Keep: 2 * time.Minute, Log: log}
+		s := &Sweeper{Store: store, ResultTTL: 2 * time.Minute, Log: log}
 		s.sweep(ctx, now)
 		left, err := kv.ReadAll(ctx, store, "")
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/agentless/batchrun/witness.go
+++ b/internal/agentless/batchrun/witness.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// Guarded implements GuardPeers.
-func (d *Desk) Guarded(ctx context.Context, owner string, args GuardedArgs) (GuardedReply, error) {
+// QueryJobs implements StandbyPeers.
+func (d *Frontend) QueryJobs(ctx context.Context, owner string, args GuardedArgs) (GuardedReply, error) {
 	var reply GuardedReply
 	if err := d.call(ctx, owner, callGuarded, 0, args, &reply); err != nil {
 		return GuardedReply{}, err // the reply may still be written to
@@ -11,8 +11,8 @@
 	return reply, nil
 }
 
-// Witness implements GuardPeers.
-func (d *Desk) Witness(ctx context.Context, name string) (answers, known bool) {
+// IndirectPing implements StandbyPeers.
+func (d *Frontend) IndirectPing(ctx context.Context, name string) (answers, known bool) {
 	for _, other := range without(d.otherWorkers(), name) {
 		if answers, err := d.askReaches(ctx, other.Name, name); err == nil {
 			return answers, true
@@ -22,7 +22,7 @@
 }
 
 // askReaches asks a process whether another answers it.
-func (d *Desk) askReaches(ctx context.Context, witness, name string) (bool, error) {
+func (d *Frontend) askReaches(ctx context.Context, witness, name string) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*pingLimit)
 	defer cancel()
 	var reply ReachesReply
--- a/internal/agentless/node/node.go
+++ b/internal/agentless/node/node.go
@@ -66,7 +66,7 @@
 // Parts are what an adapter needs to serve callers.
 type Parts struct {
 	Gate     *gate.Gate
-	Desk     *batchrun.Desk
+	Frontend *batchrun.Frontend
 	Stopping func() bool
 }
 
@@ -124,7 +124,7 @@
 	members   *cluster.Members
 	registrar *cluster.Registrar
 	owner     *batchrun.Owner
-	desk      *batchrun.Desk
+	frontend  *batchrun.Frontend
 	mover     *batchrun.Mover
 	gate      *gate.Gate
 	leader    *cluster.Leader
@@ -168,26 +168,26 @@
 	}
 	n.registrar = cluster.NewRegistrar(a.Store, self, ttl, n.members, log)
 	n.registrar.Unsettled = n.trouble.recent
-	n.owner = &batchrun.Owner{Name: s.ID, Store: a.Store, Directory: n.directory, Sender: a.Sender, Log: log, Keep: s.KeepResults, Registry: registry, Switches: switches}
+	n.owner = &batchrun.Owner{Name: s.ID, Store: a.Store, Directory: n.directory, Sender: a.Sender, Log: log, ResultTTL: s.KeepResults, Registry: registry, Switches: switches}
 	if s.DataDir != "" {
 		n.owner.Texts = textlog.New(filepath.Join(s.DataDir, "texts"), log, registry)
 	}
 	n.owner.Init()
-	n.desk = &batchrun.Desk{Store: a.Store, Members: n.members, Peers: peers, Local: n.owner, Log: log, ValueBytes: s.ValueBytes, Models: n.directory.Models, Domain: s.FailureDomain, IsHub: s.Worker, Unreachable: n.store.Unreachable}
-	n.mover = &batchrun.Mover{Self: s.ID, Store: a.Store, Members: n.members, Log: log, Unsettled: n.trouble.recent, Answers: n.desk.Answers, Models: n.directory.Models, Tell: n.desk.TellMoved}
+	n.frontend = &batchrun.Frontend{Store: a.Store, Members: n.members, Peers: peers, Local: n.owner, Log: log, ValueBytes: s.ValueBytes, Models: n.directory.Models, Domain: s.FailureDomain, IsHub: s.Worker, Unreachable: n.store.Unreachable}
+	n.mover = &batchrun.Mover{Self: s.ID, Store: a.Store, Members: n.members, Log: log, Unsettled: n.trouble.recent, Answers: n.frontend.Answers, Models: n.directory.Models, NotifyOwner: n.frontend.NotifyMoved}
 	n.gate = gate.New(n.directory, a.Sender, log, registry)
 	n.gate.Switches, n.gate.Current = switches, n.news.current
 	n.addUsage(self, peers)
 	if s.Worker {
-		n.owner.Fellows, n.owner.TellLoad = n.desk.Fellows, n.desk.SendLoad
-		n.owner.Copier.Standby, n.owner.Copier.Send, n.owner.AskTexts = n.desk.Standby, n.desk.SendCopy, n.desk.AskTexts
-		n.owner.Guard.Peers = n.desk
+		n.owner.OtherOwners, n.owner.SendLoad = n.frontend.OtherOwners, n.frontend.SendLoad
+		n.owner.Copier.StandbyFor, n.owner.Copier.Send, n.owner.FetchTexts = n.frontend.StandbyFor, n.frontend.SendCopy, n.frontend.FetchTexts
+		n.owner.Standby.Peers = n.frontend
 	}
-	n.owner.Certain = n.registrar.Certain
-	n.store.Returned = n.owner.StoreBack
-	n.store.Urgent = func() bool { return n.isScout() || len(n.owner.Jobs()) > 0 || n.owner.Guard.Waits() }
-	n.owner.Spared = n.spared
-	n.owner.Adopted = func(spec *batch.Spec) {
+	n.owner.OwnershipCertain = n.registrar.Certain
+	n.store.Returned = n.owner.StoreRecovered
+	n.store.Urgent = func() bool { return n.isScout() || len(n.owner.Jobs()) > 0 || n.owner.Standby.HasOrphanedJobs() }
+	n.owner.Ineligible = n.spared
+	n.owner.OnAdopt = func(spec *batch.Spec) {
 		modelrun.Tell(context.Background(), n.members, peers, modelrun.NeedArgs{Model: spec.Model, Version: spec.MinVersion, Items: len(spec.Items)})
 	}
 	if s.Worker {
@@ -195,7 +195,7 @@
 		n.leader = cluster.NewLeader(a.Store, keyDuty, s.ID, s.LeaseTTL, s.MinTTL, n.isScout, n.leads)
 		n.registrar.DutyGone = func(string) { n.leader.Vacant() }
 		loading := func(endpoint, model string, version int64) {
-			n.desk.TellLoading(batchrun.LoadingArgs{Endpoint: endpoint, Model: model, Version: version})
+			n.frontend.NotifyLoading(batchrun.LoadingArgs{Endpoint: endpoint, Model: model, Version: version})
 		}
 		n.usage.reporter = n.newReporter()
 		n.models = &modelrun.Runner{Loading: loading, Self: s.ID, Directory: n.directory, Leader: n.leader, Commander: a.Commander, Log: log, Registry: registry, Switches: switches}
@@ -252,7 +252,7 @@
 	if n.leader != nil {
 		group.Go(func() error { return n.leader.Run(work) })
 		group.Go(func() error { return n.models.Run(work) })
-		sweeper := &batchrun.Sweeper{Store: n.adapter.Store, Keep: n.settings.KeepResults, Log: n.log, May: n.leading}
+		sweeper := &batchrun.Sweeper{Store: n.adapter.Store, ResultTTL: n.settings.KeepResults, Log: n.log, ShouldSweep: n.leading}
 		group.Go(func() error { return sweeper.Run(work) })
 	}
 	n.usage.run(work, group)
@@ -296,7 +296,7 @@
 	if err := n.store.Register(calls); err != nil {
 		return nil, err
 	}
-	if err := n.desk.Register(calls); err != nil {
+	if err := n.frontend.Register(calls); err != nil {
 		return nil, err
 	}
 	if n.settings.Worker {
@@ -312,7 +312,7 @@
 	}
 	group.Go(func() error { return serveCalls(ctx, calls, inner) })
 	if n.settings.Callers != "" {
-		handler := n.adapter.Ingress(Parts{Gate: n.gate, Desk: n.desk, Stopping: n.stopping.Load})
+		handler := n.adapter.Ingress(Parts{Gate: n.gate, Frontend: n.frontend, Stopping: n.stopping.Load})
 		if s.callers, err = n.serveHTTP(group, n.settings.Callers, handler); err != nil {
 			return nil, err
 		}
--- a/internal/agentless/node/views.go
+++ b/internal/agentless/node/views.go
@@ -104,11 +104,11 @@
 			group.Go(func() error { n.mover.MemberGone(ctx, name); return nil })
 		}
 	}
-	marks := n.owner.Marks()
+	marks := n.owner.Assignments()
 	v := &views{node: n, own: []*cluster.Topic{operator, endpoints, members, marks}}
 	if n.relay != nil {
-		all := &cluster.Topic{Prefix: batchrun.MarksPrefix, Part: marks}
-		v.carried = []followed{{operator, 0, 0}, {endpoints, 0, gatherList}, {members, membersWait, gatherList}, {all, batchrun.MarksWait, gatherMarks}}
+		all := &cluster.Topic{Prefix: batchrun.AssignmentsPrefix, Part: marks}
+		v.carried = []followed{{operator, 0, 0}, {endpoints, 0, gatherList}, {members, membersWait, gatherList}, {all, batchrun.AssignmentsWait, gatherMarks}}
 		n.carry(v.carried)
 	} else {
 		endpoints.Scopes = n.neededServices
@@ -191,7 +191,7 @@
 func (v *views) run(ctx context.Context) error {
 	n := v.node
 	s := &cluster.Subscriber{
-		Store: n.adapter.Store, Topics: v.own, Members: n.members, Peers: n.desk.Peers, Self: n.registrar.Self, FirstStart: n.settings.FirstStart,
+		Store: n.adapter.Store, Topics: v.own, Members: n.members, Peers: n.frontend.Peers, Self: n.registrar.Self, FirstStart: n.settings.FirstStart,
 		Failed: n.storeFailed, Recovered: n.storeBack, Served: n.served, Heard: n.news.note, CutOff: n.store.PeersCutOff, Source: n.newsFrom,
 	}
 	for ctx.Err() == nil {
