--- a/internal/agentless/batchrun/owner.go
+++ b/internal/agentless/batchrun/owner.go
@@ -171,7 +171,7 @@
 func (o *Owner) Assignments() *cluster.Topic {
 	listed := false
 	return &cluster.Topic{
-		Prefix: todoPrefix(o.Name), Carrier: AssignmentsPrefix, Idle: o.idle,
+		Prefix: todoPrefix(o.Name), RelayPrefix: AssignmentsPrefix, Idle: o.idle,
 		Changed: func(r kv.Record) {
 			afterStart := listed // of the record, not of the goroutine that takes it in
 			o.runs.Go(func() error {
@@ -181,7 +181,7 @@
 			})
 		},
 		Deleted: func(key string, revision int64) { o.drop(jobOfTodo(key), revision) },
-		Synced:  func() { listed = true },
+		Listed:  func() { listed = true },
 	}
 }
 
--- a/internal/agentless/cluster/cluster_test.go
+++ b/internal/agentless/cluster/cluster_test.go
@@ -103,8 +103,8 @@
 		whole, part := &view{}, &view{}
 		all, own := whole.topic("p/"), part.topic("p/self/")
 		synced := make(chan struct{})
-		own.Synced = func() { close(synced) }
-		all.Part = own
+		own.Listed = func() { close(synced) }
+		all.SubTopic = own
 		start((&cluster.Follower{Store: store, Topic: all}).Run)
 		Eventually(synced).WithTimeout(patience).Should(BeClosed())
 		Expect(part.now()).To(Equal(map[string]string{"p/self/a": "1"}))
@@ -169,7 +169,7 @@
 
 func newWorker(store kv.Shared, boot int64) *worker {
 	w := &worker{relay: cluster.NewRelay(boot)}
-	w.relay.Carry("p/", 0, 0, func(r kv.Record) string { return string(r.Value) })
+	w.relay.AddTopic("p/", 0, 0, func(r kv.Record) string { return string(r.Value) })
 	topic := &cluster.Topic{Prefix: "p/", Relay: w.relay}
 	server := rpc.NewServer()
 	Expect(w.relay.Register(server)).To(Succeed())
@@ -177,7 +177,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	w.address = listener.Addr().String()
 	go server.Accept(listener)
-	f := &cluster.Follower{Store: store, Topic: topic, Heard: func(asOf int64) { w.relay.Heard("p/", asOf) }}
+	f := &cluster.Follower{Store: store, Topic: topic, Synced: func(asOf int64) { w.relay.MarkSynced("p/", asOf) }}
 	stop := start(f.Run)
 	w.stop = func() {
 		stop()
@@ -206,7 +206,7 @@
 		Eventually(func() int { return len(members.Live()) }).WithTimeout(patience).Should(Equal(len(workers)))
 		s := &cluster.Subscriber{
 			Store: own, Topics: []*cluster.Topic{topic}, Members: members, Peers: rpcpool.New(nil), Self: cluster.Member{Name: "self"}, FirstStart: firstStart,
-			Source: func(name string, _ error) {
+			SourceChanged: func(name string, _ error) {
 				mu.Lock()
 				defer mu.Unlock()
 				sources = append(sources, name)
--- a/internal/agentless/cluster/follow.go
+++ b/internal/agentless/cluster/follow.go
@@ -41,12 +41,12 @@
 	Topic *Topic
 	// Wait is how long one watch call waits; 0 stands for the shortest.
 	Wait time.Duration
-	// Gather is how long changes are gathered after some came, so that a crowd of
+	// CoalesceDelay is how long changes are gathered after some came, so that a crowd of
 	// them makes few calls.
-	Gather time.Duration
-	// Heard is called after each call that succeeded, with the revision up to
+	CoalesceDelay time.Duration
+	// Synced is called after each call that succeeded, with the revision up to
 	// which everything was told, before changes are gathered; may be nil.
-	Heard func(asOf int64)
+	Synced func(asOf int64)
 	// Failed is called when a call fails, Recovered when one succeeds again.
 	Failed    func(error)
 	Recovered func()
@@ -68,7 +68,7 @@
 			pause = firstRetry
 			f.fine(asOf)
 			if changed {
-				sleep(ctx, f.Gather)
+				sleep(ctx, f.CoalesceDelay)
 			}
 			continue
 		}
@@ -131,8 +131,8 @@
 }
 
 func (f *Follower) fine(asOf int64) {
-	if f.Heard != nil {
-		f.Heard(asOf)
+	if f.Synced != nil {
+		f.Synced(asOf)
 	}
 	if f.broken && f.Recovered != nil {
 		f.Recovered()
--- a/internal/agentless/cluster/leader.go
+++ b/internal/agentless/cluster/leader.go
@@ -35,10 +35,10 @@
 	Key   string
 	Self  string
 	TTL   time.Duration
-	Apart time.Duration // must lie between the acts of two holders
+	HandoverDelay time.Duration // must lie between the acts of two holders
 	Log   func(taken bool, term int64)
-	// May tells whether this process should stand for the duty.
-	May func() bool
+	// Eligible tells whether this process should stand for the duty.
+	Eligible func() bool
 
 	mu     sync.Mutex
 	lease  kv.LeaseID
@@ -51,11 +51,11 @@
 
 // NewLeader returns a leader that does not hold the duty.
 func NewLeader(store kv.Shared, key, self string, apart, shortest time.Duration, may func() bool, log func(bool, int64)) *Leader {
-	return &Leader{Store: store, Key: key, Self: self, TTL: max(dutyTTL, shortest), Apart: apart, May: may, Log: log, look: make(chan struct{}, 1)}
+	return &Leader{Store: store, Key: key, Self: self, TTL: max(dutyTTL, shortest), HandoverDelay: apart, Eligible: may, Log: log, look: make(chan struct{}, 1)}
 }
 
-// Vacant tells that the duty's key may have gone.
-func (l *Leader) Vacant() {
+// TryNow tells that the duty's key may have gone.
+func (l *Leader) TryNow() {
 	select {
 	case l.look <- struct{}{}:
 	default:
@@ -67,7 +67,7 @@
 	for ctx.Err() == nil {
 		if l.holds() {
 			l.renew(ctx)
-		} else if l.May() {
+		} else if l.Eligible() {
 			l.stand(ctx)
 		}
 		wait := l.pause()
@@ -129,13 +129,13 @@
 		l.Resign()
 		return 0, false
 	}
-	return term, Fresh(began)
+	return term, ConfirmationValid(began)
 }
 
-// Fresh tells whether a holder may still act on what the store said to a call that began
+// ConfirmationValid tells whether a holder may still act on what the store said to a call that began
 // then. The steady clock does not count a time for which the machine was suspended, and
 // the clock of the day may be set, so that both are looked at.
-func Fresh(began time.Time) bool {
+func ConfirmationValid(began time.Time) bool {
 	now := time.Now()
 	return now.Sub(began) < actWithin/2 && now.Round(0).Sub(began.Round(0)) < actWithin/2
 }
@@ -157,19 +157,19 @@
 
 // wait is how long a new holder waits. The last one acted at most actWithin
 // after a proof of its lease, which lapsed a whole time after that proof.
-func (l *Leader) wait() time.Duration { return max(0, l.Apart-l.TTL) + actWithin + waitMargin }
+func (l *Leader) wait() time.Duration { return max(0, l.HandoverDelay-l.TTL) + actWithin + waitMargin }
 
-// Rest has this process act no more while it still holds the duty, and returns
+// Suspend has this process act no more while it still holds the duty, and returns
 // after a lease's time.
-func (l *Leader) Rest(ctx context.Context) {
+func (l *Leader) Suspend(ctx context.Context) {
 	l.mu.Lock()
-	l.from = time.Now().Add(2 * l.Apart)
+	l.from = time.Now().Add(2 * l.HandoverDelay)
 	l.mu.Unlock()
-	sleep(ctx, l.Apart)
+	sleep(ctx, l.HandoverDelay)
 }
 
-// End gives the duty up, so that another can take it at once.
-func (l *Leader) End(ctx context.Context) error {
+// Release gives the duty up, so that another can take it at once.
+func (l *Leader) Release(ctx context.Context) error {
 	l.mu.Lock()
 	lease := l.lease
 	l.mu.Unlock()
--- a/internal/agentless/cluster/members.go
+++ b/internal/agentless/cluster/members.go
@@ -172,13 +172,13 @@
 	TTL     time.Duration
 	Members *Members
 	Log     *logrus.Logger
-	// Gone is called when a member's registration ends, including this process's
+	// MemberGone is called when a member's registration ends, including this process's
 	// own.
-	Gone func(name string)
-	// Unsettled tells whether the store was away until a moment ago; nil: never.
-	Unsettled func() bool
-	// DutyGone is called when a duty's key goes; may be nil.
-	DutyGone func(key string)
+	MemberGone func(name string)
+	// StoreRecentlyDown tells whether the store was away until a moment ago; nil: never.
+	StoreRecentlyDown func() bool
+	// DutyVacant is called when a duty's key goes; may be nil.
+	DutyVacant func(key string)
 	mu       sync.Mutex
 	lease    kv.LeaseID
 	leaving  bool
@@ -195,7 +195,7 @@
 
 // Topic returns the topic that keeps the members up to date.
 func (r *Registrar) Topic() *Topic {
-	return &Topic{Prefix: prefixLive, Changed: r.changed, Deleted: r.deleted, Synced: r.listedAll}
+	return &Topic{Prefix: prefixLive, Changed: r.changed, Deleted: r.deleted, Listed: r.listedAll}
 }
 
 // listedAll notes that a list was taken in. The first one gets one line: a line for
@@ -240,13 +240,13 @@
 
 func (r *Registrar) deleted(key string, revision int64) {
 	if strings.HasPrefix(key, DutyKey) {
-		if r.DutyGone != nil {
-			r.DutyGone(key)
+		if r.DutyVacant != nil {
+			r.DutyVacant(key)
 		}
 		return
 	}
 	name := strings.TrimPrefix(key, prefixMembers)
-	unsettled := r.Unsettled != nil && r.Unsettled()
+	unsettled := r.StoreRecentlyDown != nil && r.StoreRecentlyDown()
 	events.MemberGone.Log(r.Log, logrus.Fields{"member": name, "revision": revision, "lingers": unsettled})
 	if unsettled {
 		r.Members.linger(name)
@@ -258,8 +258,8 @@
 		events.MemberLapsed.Log(r.Log, logrus.Fields{"member": name})
 		r.anew()
 	}
-	if r.Gone != nil {
-		r.Gone(name)
+	if r.MemberGone != nil {
+		r.MemberGone(name)
 	}
 }
 
@@ -324,9 +324,9 @@
 	r.proven = at
 }
 
-// Certain tells whether this process's registration certainly stands: nobody
+// CertainlyRegistered tells whether this process's registration certainly stands: nobody
 // moves its jobs before it lapses.
-func (r *Registrar) Certain() bool {
+func (r *Registrar) CertainlyRegistered() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.listed && time.Since(r.proven) < time.Duration(certainShare*float64(r.TTL))
@@ -393,8 +393,8 @@
 	return r.write(ctx, lease, true)
 }
 
-// End gives the registration up.
-func (r *Registrar) End(ctx context.Context) error {
+// Deregister gives the registration up.
+func (r *Registrar) Deregister(ctx context.Context) error {
 	r.mu.Lock()
 	lease := r.lease
 	r.mu.Unlock()
--- a/internal/agentless/cluster/relay.go
+++ b/internal/agentless/cluster/relay.go
@@ -43,10 +43,10 @@
 	return &Relay{topics: news.NewTopics[kv.Change](boot), scopes: map[string]func(kv.Record) string{}, wake: make(chan struct{})}
 }
 
-// Carry has the relay carry a topic whose watch waits for so long, 0 standing for
+// AddTopic has the relay carry a topic whose watch waits for so long, 0 standing for
 // the shortest, and whose changes are gathered between two watches. scope says
 // which part of it a record belongs to; nil: there are no parts.
-func (r *Relay) Carry(prefix string, wait, gather time.Duration, scope func(kv.Record) string) {
+func (r *Relay) AddTopic(prefix string, wait, gather time.Duration, scope func(kv.Record) string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.topics.Add(prefix, gather+max(wait, watchWait)+freshSlack)
@@ -71,9 +71,9 @@
 	r.topics.Get(prefix).MarkListed(asOf)
 }
 
-// Heard notes that the store answered, with everything told up to a revision, and
+// MarkSynced notes that the store answered, with everything told up to a revision, and
 // wakes the followers if there is anything new: once for all changes of an answer.
-func (r *Relay) Heard(prefix string, asOf int64) {
+func (r *Relay) MarkSynced(prefix string, asOf int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.topics.Get(prefix).MarkSynced(time.Now(), asOf)
--- a/internal/agentless/cluster/scouts.go
+++ b/internal/agentless/cluster/relays.go
@@ -10,9 +10,9 @@
 // ask the store themselves until the list names new ones.
 const scoutCount = 2
 
-// Scouts returns the workers that follow the store and pass its news on. Every
+// Relays returns the workers that follow the store and pass its news on. Every
 // process that knows the same members finds the same scouts.
-func Scouts(members *Members) []Member {
+func Relays(members *Members) []Member {
 	var workers []Member
 	var keys []uint64
 	for _, m := range members.Live() {
--- a/internal/agentless/cluster/subscribe.go
+++ b/internal/agentless/cluster/subscribe.go
@@ -47,19 +47,19 @@
 	// Failed and Recovered tell of the store where it is followed directly.
 	Failed    func(error)
 	Recovered func()
-	// Served is called with each answer of a scout that hears from the store; may be
+	// SyncedFromRelay is called with each answer of a scout that hears from the store; may be
 	// nil.
-	Served func()
-	// Heard is called when the store itself told all topics; may be nil.
-	Heard func()
-	// CutOff is called when all scouts answer that they do not hear from the store; may
+	SyncedFromRelay func()
+	// SyncedFromStore is called when the store itself told all topics; may be nil.
+	SyncedFromStore func()
+	// RelaysCutOff is called when all scouts answer that they do not hear from the store; may
 	// be nil.
-	CutOff func()
-	// Source is told where news come from from now on; may be nil.
-	Source func(name string, why error)
-	// Known is set once everything was told, from whatever source: a later Run
+	RelaysCutOff func()
+	// SourceChanged is told where news come from from now on; may be nil.
+	SourceChanged func(name string, why error)
+	// InitialSyncDone is set once everything was told, from whatever source: a later Run
 	// then begins with the scouts.
-	Known bool
+	InitialSyncDone bool
 
 	broken   bool // the store failed when it was last asked
 	position news.Position
@@ -74,7 +74,7 @@
 		s.fromScouts(ctx)
 		switch {
 		case ctx.Err() != nil:
-		case !s.Known && time.Since(began) < scoutsStart:
+		case !s.InitialSyncDone && time.Since(began) < scoutsStart:
 			// The scouts have just started as well and may not be registered yet.
 			sleep(ctx, askAgainEvery)
 			if try%listEvery == 0 {
@@ -94,7 +94,7 @@
 // was until now. When the whole system starts there is nobody yet; what scouts
 // will have in a moment is not listed by every process.
 func (s *Subscriber) start(ctx context.Context) {
-	if s.Known {
+	if s.InitialSyncDone {
 		return
 	}
 	if s.FirstStart {
@@ -142,8 +142,8 @@
 		sleep(ctx, askAgainEvery)
 		return
 	}
-	if s.round(ctx, watchWait, func(*Topic) bool { return true }) && s.Heard != nil {
-		s.Heard()
+	if s.round(ctx, watchWait, func(*Topic) bool { return true }) && s.SyncedFromStore != nil {
+		s.SyncedFromStore()
 	}
 }
 
@@ -191,14 +191,14 @@
 		}
 		s.note(scout.Name, err)
 	}
-	if stale > 0 && stale == len(scouts) && s.CutOff != nil {
-		s.CutOff()
+	if stale > 0 && stale == len(scouts) && s.RelaysCutOff != nil {
+		s.RelaysCutOff()
 	}
 }
 
 // scouts lists the scouts, the one in this process's failure domain first.
 func (s *Subscriber) scouts() []Member {
-	scouts := Scouts(s.Members)
+	scouts := Relays(s.Members)
 	SortNearest(s.Self, scouts)
 	return scouts
 }
@@ -232,10 +232,10 @@
 		}
 		s.take(reply, asked)
 		s.position = reply.Position
-		if s.Served != nil {
-			s.Served()
+		if s.SyncedFromRelay != nil {
+			s.SyncedFromRelay()
 		}
-		s.Known = s.Known || len(asked) == len(s.Topics)
+		s.InitialSyncDone = s.InitialSyncDone || len(asked) == len(s.Topics)
 		wait = relayWait
 		if current, listed := s.Members.Get(scout.Name); !listed || current.Leaving {
 			return errors.New("cluster: scout leaves")
@@ -257,7 +257,7 @@
 		}
 		s.widen(t, needed)
 		interest := news.Interest{Prefix: t.carrier(), Scopes: needed, AsOf: t.AsOf()}
-		if t.Carrier != "" {
+		if t.RelayPrefix != "" {
 			interest.Only = t.Prefix
 		}
 		asked[t] = needed
@@ -316,7 +316,7 @@
 }
 
 func (s *Subscriber) note(name string, why error) {
-	if s.Source != nil {
-		s.Source(name, why)
+	if s.SourceChanged != nil {
+		s.SourceChanged(name, why)
 	}
 }
--- a/internal/agentless/cluster/topic.go
+++ b/internal/agentless/cluster/topic.go
@@ -17,15 +17,15 @@
 // concurrent use; its functions are called one at a time.
 type Topic struct {
 	Prefix string
-	// Carrier is the prefix of the relays' topic that this one is a part of; empty:
+	// RelayPrefix is the prefix of the relays' topic that this one is a part of; empty:
 	// its own prefix.
-	Carrier string
+	RelayPrefix string
 	// Changed is called with each record as it stands, Deleted with each key that
 	// went.
 	Changed func(kv.Record)
 	Deleted func(key string, revision int64)
-	// Synced is called after each listing was told in full; may be nil.
-	Synced func()
+	// Listed is called after each listing was told in full; may be nil.
+	Listed func()
 	// Scopes names the parts of the topic that this process needs, nil for all, and
 	// whether it knows them yet; a nil function stands for all.
 	Scopes func() (scopes []string, known bool)
@@ -33,9 +33,9 @@
 	Idle func() bool
 	// Relay takes in all that is told, for other processes; may be nil.
 	Relay *Relay
-	// Part is told what concerns its prefix, which lies within this topic's; may be
+	// SubTopic is told what concerns its prefix, which lies within this topic's; may be
 	// nil.
-	Part *Topic
+	SubTopic *Topic
 
 	mu    sync.Mutex
 	known map[string]int64 // revision by key
@@ -51,8 +51,8 @@
 
 // carrier returns the prefix under which relays carry the topic.
 func (t *Topic) carrier() string {
-	if t.Carrier != "" {
-		return t.Carrier
+	if t.RelayPrefix != "" {
+		return t.RelayPrefix
 	}
 	return t.Prefix
 }
@@ -105,8 +105,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.asOf = max(t.asOf, asOf)
-	if t.Part != nil {
-		t.Part.reached(asOf)
+	if t.SubTopic != nil {
+		t.SubTopic.reached(asOf)
 	}
 }
 
@@ -116,8 +116,8 @@
 	defer t.mu.Unlock()
 	t.init()
 	t.tellLocked(c, false)
-	if t.Part != nil && strings.HasPrefix(c.Record.Key, t.Part.Prefix) {
-		t.Part.tell(c)
+	if t.SubTopic != nil && strings.HasPrefix(c.Record.Key, t.SubTopic.Prefix) {
+		t.SubTopic.tell(c)
 	}
 }
 
@@ -167,11 +167,11 @@
 	if t.Relay != nil {
 		t.Relay.listed(t.Prefix, page.AsOf)
 	}
-	if t.Synced != nil {
-		t.Synced()
+	if t.Listed != nil {
+		t.Listed()
 	}
-	if t.Part != nil {
-		t.Part.listing(partOf(page, t.Part.Prefix))
+	if t.SubTopic != nil {
+		t.SubTopic.listing(partOf(page, t.SubTopic.Prefix))
 	}
 }
 
--- a/internal/agentless/node/node.go
+++ b/internal/agentless/node/node.go
@@ -167,7 +167,7 @@
 		ttl *= entryTTL
 	}
 	n.registrar = cluster.NewRegistrar(a.Store, self, ttl, n.members, log)
-	n.registrar.Unsettled = n.trouble.recent
+	n.registrar.StoreRecentlyDown = n.trouble.recent
 	n.owner = &batchrun.Owner{Name: s.ID, Store: a.Store, Directory: n.directory, Sender: a.Sender, Log: log, ResultTTL: s.KeepResults, Registry: registry, Switches: switches}
 	if s.DataDir != "" {
 		n.owner.Texts = textlog.New(filepath.Join(s.DataDir, "texts"), log, registry)
@@ -183,7 +183,7 @@
 		n.owner.Copier.StandbyFor, n.owner.Copier.Send, n.owner.FetchTexts = n.frontend.StandbyFor, n.frontend.SendCopy, n.frontend.FetchTexts
 		n.owner.Standby.Peers = n.frontend
 	}
-	n.owner.OwnershipCertain = n.registrar.Certain
+	n.owner.OwnershipCertain = n.registrar.CertainlyRegistered
 	n.store.Recovered = n.owner.StoreRecovered
 	n.store.HasWaiters = func() bool { return n.isScout() || len(n.owner.Jobs()) > 0 || n.owner.Standby.HasOrphanedJobs() }
 	n.owner.Ineligible = n.spared
@@ -193,7 +193,7 @@
 	if s.Worker {
 		n.relay = cluster.NewRelay(self.Boot)
 		n.leader = cluster.NewLeader(a.Store, keyDuty, s.ID, s.LeaseTTL, s.MinTTL, n.isScout, n.leads)
-		n.registrar.DutyGone = func(string) { n.leader.Vacant() }
+		n.registrar.DutyVacant = func(string) { n.leader.TryNow() }
 		loading := func(endpoint, model string, version int64) {
 			n.frontend.NotifyLoading(batchrun.LoadingArgs{Endpoint: endpoint, Model: model, Version: version})
 		}
--- a/internal/agentless/node/stop.go
+++ b/internal/agentless/node/stop.go
@@ -46,7 +46,7 @@
 	if s.ready != nil {
 		_ = s.ready.Close() // the balancer took this process out already
 	}
-	if err := n.registrar.End(ctx); err != nil {
+	if err := n.registrar.Deregister(ctx); err != nil {
 		events.StoreLost.Log(n.log, logrus.Fields{"error": err.Error(), "while": "ending the registration"})
 	}
 }
@@ -63,7 +63,7 @@
 		events.StoreLost.Log(n.log, logrus.Fields{"error": err.Error(), "while": "leaving"})
 	}
 	if n.leader != nil {
-		if err := n.leader.End(ctx); err != nil {
+		if err := n.leader.Release(ctx); err != nil {
 			events.StoreLost.Log(n.log, logrus.Fields{"error": err.Error(), "while": "giving up weight orders"})
 		}
 	}
--- a/internal/agentless/node/views.go
+++ b/internal/agentless/node/views.go
@@ -71,7 +71,7 @@
 		events.StoreBack.Log(n.log, logrus.Fields{})
 	}
 	if n.leader != nil {
-		n.leader.Vacant()
+		n.leader.TryNow()
 	}
 }
 
@@ -97,17 +97,17 @@
 func (n *Node) follow(ctx context.Context, group *errgroup.Group) {
 	keys := n.adapter.Keys
 	operator := &cluster.Topic{Prefix: keys.Operator, Changed: func(r kv.Record) { n.operatorWrote(ctx, group, r) }, Deleted: func(string, int64) {}}
-	endpoints := &cluster.Topic{Prefix: keys.Endpoints, Changed: n.endpointListed, Deleted: n.endpointGone, Synced: n.endpointsListed}
+	endpoints := &cluster.Topic{Prefix: keys.Endpoints, Changed: n.endpointListed, Deleted: n.endpointGone, Listed: n.endpointsListed}
 	members := n.registrar.Topic()
 	if n.settings.Worker {
-		n.registrar.Gone = func(name string) {
+		n.registrar.MemberGone = func(name string) {
 			group.Go(func() error { n.mover.MemberGone(ctx, name); return nil })
 		}
 	}
 	marks := n.owner.Assignments()
 	v := &views{node: n, own: []*cluster.Topic{operator, endpoints, members, marks}}
 	if n.relay != nil {
-		all := &cluster.Topic{Prefix: batchrun.AssignmentsPrefix, Part: marks}
+		all := &cluster.Topic{Prefix: batchrun.AssignmentsPrefix, SubTopic: marks}
 		v.carried = []followed{{operator, 0, 0}, {endpoints, 0, gatherList}, {members, membersWait, gatherList}, {all, batchrun.AssignmentsWait, gatherMarks}}
 		n.carry(v.carried)
 	} else {
@@ -123,7 +123,7 @@
 		if f.topic.Prefix == n.adapter.Keys.Endpoints {
 			scope = n.serviceOf
 		}
-		n.relay.Carry(f.topic.Prefix, f.wait, f.gather, scope)
+		n.relay.AddTopic(f.topic.Prefix, f.wait, f.gather, scope)
 		f.topic.Relay = n.relay
 	}
 }
@@ -192,7 +192,7 @@
 	n := v.node
 	s := &cluster.Subscriber{
 		Store: n.adapter.Store, Topics: v.own, Members: n.members, Peers: n.frontend.Peers, Self: n.registrar.Self, FirstStart: n.settings.FirstStart,
-		Failed: n.storeFailed, Recovered: n.storeBack, Served: n.served, Heard: n.news.note, CutOff: n.store.PeersCutOff, Source: n.newsFrom,
+		Failed: n.storeFailed, Recovered: n.storeBack, SyncedFromRelay: n.served, SyncedFromStore: n.news.note, RelaysCutOff: n.store.PeersCutOff, SourceChanged: n.newsFrom,
 	}
 	for ctx.Err() == nil {
 		scout := n.isScout()
@@ -200,9 +200,9 @@
 		go v.endWhenChanged(spell, end, scout)
 		if scout {
 			n.newsFrom("store, as a scout", nil)
-			n.leader.Vacant() // a scout may stand for the duty
+			n.leader.TryNow() // a scout may stand for the duty
 			v.scout(spell)
-			s.Known = true
+			s.InitialSyncDone = true
 		} else if err := s.Run(spell); err != nil {
 			end()
 			return err
@@ -223,7 +223,7 @@
 	if t.Prefix == n.adapter.Keys.Operator {
 		n.news.note()
 	}
-	n.relay.Heard(t.Prefix, asOf)
+	n.relay.MarkSynced(t.Prefix, asOf)
 }
 
 // endWhenChanged ends a spell when this process becomes a scout or no longer is.
@@ -248,7 +248,7 @@
 	if !n.settings.Worker || n.stopping.Load() {
 		return false
 	}
-	for _, m := range cluster.Scouts(n.members) {
+	for _, m := range cluster.Relays(n.members) {
 		if m.Name == n.settings.ID {
 			return true
 		}
@@ -261,8 +261,8 @@
 	var group errgroup.Group
 	for _, t := range v.carried {
 		f := &cluster.Follower{
-			Store: n.adapter.Store, Topic: t.topic, Wait: t.wait, Gather: t.gather, Failed: n.storeFailed, Recovered: n.storeBack,
-			Heard: func(asOf int64) { n.heard(t.topic, asOf) },
+			Store: n.adapter.Store, Topic: t.topic, Wait: t.wait, CoalesceDelay: t.gather, Failed: n.storeFailed, Recovered: n.storeBack,
+			Synced: func(asOf int64) { n.heard(t.topic, asOf) },
 		}
 		group.Go(func() error { return f.Run(ctx) })
 	}
@@ -425,7 +425,7 @@
 		return
 	}
 	if _, leads := n.leader.Term(time.Now()); leads {
-		n.leader.Rest(ctx)
+		n.leader.Suspend(ctx)
 	}
 }
 
--- a/internal/agentless/usagerun/reporter.go
+++ b/internal/agentless/usagerun/reporter.go
@@ -226,7 +226,7 @@
 }
 
 func (r *Reporter) send(ctx context.Context, c usage.SendReport) usage.Result {
-	if !cluster.Fresh(r.proved) {
+	if !cluster.ConfirmationValid(r.proved) {
 		return usage.Result{}
 	}
 	verdict, err := r.Biller.Report(ctx, Report{Report: c.Report, Holder: r.Self, Term: c.Term})
--- a/internal/agentless/usagerun/teller.go
+++ b/internal/agentless/usagerun/teller.go
@@ -82,7 +82,7 @@
 
 // targets returns the holder of the duty and the scouts, one of which is the next.
 func (t *Teller) targets() []cluster.Member {
-	targets := cluster.Scouts(t.Members)
+	targets := cluster.Relays(t.Members)
 	holder, found := t.Members.Get(t.Members.Holder(t.Duty))
 	if !found {
 		return targets
--- a/internal/agentless/usagerun/usagerun_test.go
+++ b/internal/agentless/usagerun/usagerun_test.go
@@ -184,9 +184,9 @@
 		second := s.worker("b")
 		s.serve("desk", 3)
 		Eventually(s.bills.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 3}))
-		Expect(first.End(context.Background())).To(Succeed())
+		Expect(first.Release(context.Background())).To(Succeed())
 		s.serve("desk", 2)
-		second.Vacant()
+		second.TryNow()
 		Eventually(s.bills.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 5}))
 		terms := map[string]int64{}
 		for _, r := range s.bills.seen() {
