--- a/internal/agentless/gate/gate.go
+++ b/internal/agentless/gate/gate.go
@@ -160,7 +160,7 @@
 	g.earn(c.service)
 	outcome := c.run(limited)
 	if began := c.began(); !began.IsZero() {
-		counted.Began(began)
+		counted.CountStart(began)
 	}
 	if outcome.End == TimedOut && ctx.Err() != nil {
 		outcome = Outcome{End: Cancelled}
--- a/internal/agentless/gate/stream.go
+++ b/internal/agentless/gate/stream.go
@@ -165,7 +165,7 @@
 			return err
 		}
 		silence.Reset(silenceLimit)
-		s.counted.Began(time.Now()) // a stream begins to run with its first event
+		s.counted.CountStart(time.Now()) // a stream begins to run with its first event
 		if event.ID != 0 && event.ID <= s.lastEvent {
 			return errors.Errorf("event %d came after %d", event.ID, s.lastEvent)
 		}
--- a/internal/agentless/gate/usage_test.go
+++ b/internal/agentless/gate/usage_test.go
@@ -26,7 +26,7 @@
 		} else {
 			g.Serve(context.Background(), route(kind), r)
 		}
-		telling, _ := g.Usage.Telling(0, time.Now())
+		telling, _ := g.Usage.Update(0, time.Now())
 		sum := usage.Counts{}
 		for _, tally := range telling.Tallies {
 			for name, n := range tally.Counts {
@@ -69,11 +69,11 @@
 		go func() { done <- g.Serve(ctx, route(deployment.NonIdempotent), r) }()
 		Eventually(s.endpoints).Should(HaveLen(1))
 		time.Sleep(3 * short.WindowLength)
-		telling, _ := g.Usage.Telling(0, time.Now())
+		telling, _ := g.Usage.Update(0, time.Now())
 		Expect(telling.Through).To(BeNumerically("<", short.WindowAt(time.Now())-1))
 		cancel()
 		<-done
-		telling, _ = g.Usage.Telling(0, time.Now())
+		telling, _ = g.Usage.Update(0, time.Now())
 		Expect(telling.Through).To(BeNumerically(">=", entered))
 		Expect(telling.Tallies).To(HaveLen(1))
 	})
--- a/internal/agentless/node/usage.go
+++ b/internal/agentless/node/usage.go
@@ -14,8 +14,8 @@
 // usageParts are a process's parts of the reports of usage. Those that serve callers
 // count and tell, workers take in what is told. The zero value has none.
 type usageParts struct {
-	teller   *usagerun.Teller
-	books    *usagerun.Books
+	teller   *usagerun.Sender
+	books    *usagerun.Ledger
 	reporter *usagerun.Reporter
 }
 
@@ -24,10 +24,10 @@
 	switch {
 	case !rules.Enabled():
 	case self.Worker:
-		n.usage.books = usagerun.NewBooks(rules, self.Boot)
+		n.usage.books = usagerun.NewLedger(rules, self.Boot)
 	default:
 		n.gate.Usage = usagerun.NewCounter(rules)
-		n.usage.teller = &usagerun.Teller{Rules: rules, Counter: n.gate.Usage, Self: self, Members: n.members, Duty: keyDuty, Peers: peers, Log: n.log}
+		n.usage.teller = &usagerun.Sender{Config: rules, Counter: n.gate.Usage, Self: self, Members: n.members, Duty: keyDuty, Peers: peers, Log: n.log}
 	}
 }
 
@@ -37,7 +37,7 @@
 		return nil
 	}
 	return &usagerun.Reporter{
-		Rules: n.settings.Usage, Self: n.settings.ID, Books: n.usage.books, Members: n.members, Leader: n.leader, Store: n.adapter.Store,
+		Config: n.settings.Usage, Self: n.settings.ID, Ledger: n.usage.books, Members: n.members, Leader: n.leader, Store: n.adapter.Store,
 		Biller: n.adapter.Biller, Log: n.log, Registry: n.registry,
 	}
 }
--- a/internal/agentless/usagerun/counter.go
+++ b/internal/agentless/usagerun/counter.go
@@ -44,8 +44,8 @@
 	return &Request{counter: c, customer: customer, entered: c.meter.Enter(time.Now())}
 }
 
-// Began counts the request, once, as begun by an endpoint at a moment.
-func (r *Request) Began(at time.Time) {
+// CountStart counts the request, once, as begun by an endpoint at a moment.
+func (r *Request) CountStart(at time.Time) {
 	if r == nil || r.begun {
 		return
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// Telling returns what is to be told to one who was told everything up to a version.
-func (c *Counter) Telling(after int64, now time.Time) (telling usage.Update, version int64) {
+// Update returns what is to be told to one who was told everything up to a version.
+func (c *Counter) Update(after int64, now time.Time) (telling usage.Update, version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	telling.Through = c.meter.FinalThrough(now)
--- a/internal/agentless/usagerun/reporter.go
+++ b/internal/agentless/usagerun/reporter.go
@@ -61,9 +61,9 @@
 // Reporter reports usage while this process holds the duty. It carries out what
 // usage.Holder decides.
 type Reporter struct {
-	Rules    usage.Config
+	Config    usage.Config
 	Self     string
-	Books    *Books
+	Ledger    *Ledger
 	Members  *cluster.Members
 	Leader   *cluster.Leader
 	Store    kv.Shared
@@ -78,21 +78,21 @@
 
 // Run reports until ctx ends.
 func (r *Reporter) Run(ctx context.Context) error {
-	r.holder = usage.NewPlanner(r.Rules)
+	r.holder = usage.NewPlanner(r.Config)
 	periodic.Run(ctx, lookEvery, func(now time.Time) { r.look(ctx, now) })
 	return nil
 }
 
 func (r *Reporter) look(ctx context.Context, now time.Time) {
 	expected := r.expected()
-	r.Books.with(func(l *usage.Ledger) { l.Prune(r.Rules.WindowAt(now)-r.Rules.RetainedWindows(), expected) })
+	r.Ledger.with(func(l *usage.Ledger) { l.Prune(r.Config.WindowAt(now)-r.Config.RetainedWindows(), expected) })
 	term, leads := r.Leader.Term(now)
 	if !leads {
 		term = 0
 	}
 	r.holder.SetTerm(term)
 	var closed []usage.ClosedWindow
-	r.Books.with(func(l *usage.Ledger) { closed = r.holder.CloseWindows(now, l, expected) })
+	r.Ledger.with(func(l *usage.Ledger) { closed = r.holder.CloseWindows(now, l, expected) })
 	for _, c := range closed {
 		r.noteClosed(c, now)
 	}
@@ -186,7 +186,7 @@
 
 // removable returns the oldest keys that nobody needs once a window is fixed.
 func (r *Reporter) removable(w usage.Window) []string {
-	oldest := reportKey(w - r.Rules.RetainedWindows())
+	oldest := reportKey(w - r.Config.RetainedWindows())
 	n := 0
 	for n < min(len(r.stale), mostRemoved) && r.stale[n] < oldest {
 		n++
@@ -264,7 +264,7 @@
 	}
 	fields := logrus.Fields{
 		"window": c.Window, "requests": c.Counts.Sum(), "customers": len(c.Counts),
-		"age_ms": now.Sub(r.Rules.WindowEnd(c.Window)).Milliseconds(), "missing": c.Missing,
+		"age_ms": now.Sub(r.Config.WindowEnd(c.Window)).Milliseconds(), "missing": c.Missing,
 	}
 	if len(c.Counts) <= mostLogged {
 		fields["counts"] = c.Counts
--- a/internal/agentless/usagerun/teller.go
+++ b/internal/agentless/usagerun/sender.go
@@ -24,10 +24,10 @@
 	windowSlack = 10 * time.Millisecond
 )
 
-// Teller tells a process's counts to those who may have to report them. What began and
+// Sender tells a process's counts to those who may have to report them. What began and
 // was not told yet is lost if this process dies, so that counts are told at once.
-type Teller struct {
-	Rules   usage.Config
+type Sender struct {
+	Config   usage.Config
 	Counter *Counter
 	Self    cluster.Member
 	Members *cluster.Members
@@ -49,7 +49,7 @@
 }
 
 // Run tells counts until ctx ends.
-func (t *Teller) Run(ctx context.Context) error {
+func (t *Sender) Run(ctx context.Context) error {
 	t.listeners = map[string]*listener{}
 	t.ended = make(chan string)
 	for ctx.Err() == nil {
@@ -64,11 +64,11 @@
 }
 
 // untilFinal returns how long it is until a window's counts may be final.
-func (t *Teller) untilFinal(now time.Time) time.Duration {
-	return t.Rules.WindowEnd(t.Rules.WindowAt(now)).Add(windowSlack).Sub(now)
+func (t *Sender) untilFinal(now time.Time) time.Duration {
+	return t.Config.WindowEnd(t.Config.WindowAt(now)).Add(windowSlack).Sub(now)
 }
 
-func (t *Teller) await(ctx context.Context, wait time.Duration) {
+func (t *Sender) await(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(max(wait, time.Millisecond))
 	defer timer.Stop()
 	select {
@@ -81,7 +81,7 @@
 }
 
 // targets returns the holder of the duty and the scouts, one of which is the next.
-func (t *Teller) targets() []cluster.Member {
+func (t *Sender) targets() []cluster.Member {
 	targets := cluster.Relays(t.Members)
 	holder, found := t.Members.Get(t.Members.Holder(t.Duty))
 	if !found {
@@ -96,7 +96,7 @@
 }
 
 // tell begins a call if there is something to tell, and returns when to look again.
-func (t *Teller) tell(ctx context.Context, to cluster.Member, now time.Time) time.Duration {
+func (t *Sender) tell(ctx context.Context, to cluster.Member, now time.Time) time.Duration {
 	l := t.listeners[to.Name]
 	if l == nil {
 		l = &listener{}
@@ -108,7 +108,7 @@
 	if wait := l.earliest.Sub(now); wait > 0 {
 		return wait
 	}
-	telling, version := t.Counter.Telling(l.version, now)
+	telling, version := t.Counter.Update(l.version, now)
 	if version == l.version {
 		return tellLimit
 	}
@@ -125,7 +125,7 @@
 }
 
 // call tells one process. The listener is this call's until it is over.
-func (t *Teller) call(ctx context.Context, to cluster.Member, l *listener, telling usage.Update, version int64) {
+func (t *Sender) call(ctx context.Context, to cluster.Member, l *listener, telling usage.Update, version int64) {
 	ctx, cancel := context.WithTimeout(ctx, tellLimit)
 	defer cancel()
 	var reply TellReply
@@ -147,8 +147,8 @@
 }
 
 // Flush tells everything once more before this process ends.
-func (t *Teller) Flush(ctx context.Context) {
-	telling, _ := t.Counter.Telling(0, time.Now())
+func (t *Sender) Flush(ctx context.Context) {
+	telling, _ := t.Counter.Update(0, time.Now())
 	telling.Process, telling.Boot = t.Self.Name, t.Self.Boot
 	for _, to := range t.targets() {
 		limited, cancel := context.WithTimeout(ctx, tellLimit)
--- a/internal/agentless/usagerun/service.go
+++ b/internal/agentless/usagerun/service.go
@@ -20,33 +20,33 @@
 	Boot int64 // Unix nanoseconds of the start of the process that was told
 }
 
-// Books holds what other processes told. It is safe for concurrent use.
-type Books struct {
+// Ledger holds what other processes told. It is safe for concurrent use.
+type Ledger struct {
 	boot int64
 
 	mu     sync.Mutex
 	ledger *usage.Ledger
 }
 
-// NewBooks returns the books of a process that started at boot, in Unix nanoseconds.
-func NewBooks(rules usage.Config, boot int64) *Books {
-	return &Books{boot: boot, ledger: usage.NewLedger(rules)}
+// NewLedger returns the books of a process that started at boot, in Unix nanoseconds.
+func NewLedger(rules usage.Config, boot int64) *Ledger {
+	return &Ledger{boot: boot, ledger: usage.NewLedger(rules)}
 }
 
 // Register offers the call by which counts are told.
-func (b *Books) Register(server *rpc.Server) error {
+func (b *Ledger) Register(server *rpc.Server) error {
 	return errors.Wrap(server.RegisterName(serviceName, &Service{books: b}), "usagerun")
 }
 
 // with has a function work on the ledger under its lock.
-func (b *Books) with(work func(*usage.Ledger)) {
+func (b *Ledger) with(work func(*usage.Ledger)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	work(b.ledger)
 }
 
 // Service takes in what other processes tell.
-type Service struct{ books *Books }
+type Service struct{ books *Ledger }
 
 // Tell implements the call of that name.
 func (s *Service) Tell(telling usage.Update, reply *TellReply) error {
--- a/internal/agentless/usagerun/usagerun_test.go
+++ b/internal/agentless/usagerun/usagerun_test.go
@@ -108,7 +108,7 @@
 	registrar := s.list(entry)
 	follower := &cluster.Follower{Store: s.store, Topic: registrar.Topic()}
 	start(follower.Run)
-	teller := &usagerun.Teller{Rules: rules, Counter: s.counter, Self: entry, Members: s.members, Duty: duty, Peers: rpcpool.New(nil), Log: silent()}
+	teller := &usagerun.Sender{Config: rules, Counter: s.counter, Self: entry, Members: s.members, Duty: duty, Peers: rpcpool.New(nil), Log: silent()}
 	start(teller.Run)
 	return s
 }
@@ -123,7 +123,7 @@
 // worker starts a process that is told, and reports while it holds the duty.
 func (s *site) worker(name string) *cluster.Leader {
 	boot := time.Now().UnixNano()
-	books := usagerun.NewBooks(rules, boot)
+	books := usagerun.NewLedger(rules, boot)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	calls := rpc.NewServer()
@@ -133,7 +133,7 @@
 	s.list(cluster.Member{Name: name, Address: listener.Addr().String(), Worker: true, Boot: boot})
 	leader := cluster.NewLeader(s.store, duty, name, 0, 0, func() bool { return true }, func(bool, int64) {})
 	start(leader.Run)
-	reporter := &usagerun.Reporter{Rules: rules, Self: name, Books: books, Members: s.members, Leader: leader, Store: s.store, Biller: s.bills, Log: silent(), Registry: metrics.NewRegistry()}
+	reporter := &usagerun.Reporter{Config: rules, Self: name, Ledger: books, Members: s.members, Leader: leader, Store: s.store, Biller: s.bills, Log: silent(), Registry: metrics.NewRegistry()}
 	start(reporter.Run)
 	return leader
 }
@@ -141,7 +141,7 @@
 func (s *site) serve(customer string, n int) {
 	for range n {
 		r := s.counter.Enter(customer)
-		r.Began(time.Now())
+		r.CountStart(time.Now())
 		r.Leave()
 	}
 }
