--- a/internal/agentless/cluster/cluster_test.go
+++ b/internal/agentless/cluster/cluster_test.go
@@ -18,8 +18,8 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-// patience is how long a spec waits for what must come; nothing passes for
-// being fast.
+// patience is how long a spec waits for an expected state. It is generous, as no spec
+// checks speed.
 const patience = 20 * time.Second
 
 func silent() *logrus.Logger {
@@ -28,7 +28,7 @@
 	return log
 }
 
-// view collects what a topic told.
+// view records the keys and values that a topic reported.
 type view struct {
 	mu   sync.Mutex
 	keys map[string]string
@@ -50,7 +50,7 @@
 	}
 }
 
-func (v *view) now() map[string]string {
+func (v *view) snapshot() map[string]string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	copied := map[string]string{}
@@ -81,22 +81,23 @@
 	return stop
 }
 
-var _ = Describe("following the store", func() {
-	It("tells a listing of several pages, then changes and removals", func() {
+var _ = Describe("Follower", func() {
+	It("reports a listing of several pages, then changes and deletions", func() {
 		store := standin.NewShared()
 		for _, k := range []string{"p/a", "p/b", "p/c", "p/d", "q/x"} {
 			put(store, k, "1")
 		}
 		v := &view{}
 		start((&cluster.Follower{Store: store, Topic: v.topic("p/")}).Run)
-		Eventually(v.now).WithTimeout(patience).Should(HaveLen(4))
+		Eventually(v.snapshot).WithTimeout(patience).Should(HaveLen(4))
 		put(store, "p/e", "2")
 		store.Revoke("p/a")
-		Eventually(v.now).WithTimeout(patience).Should(Equal(map[string]string{"p/b": "1", "p/c": "1", "p/d": "1", "p/e": "2"}))
+		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/b": "1", "p/c": "1", "p/d": "1", "p/e": "2"}))
 	})
 
-	It("tells a part of the prefix to whom it concerns", func() {
-		// A scout follows the marks of all owners for the others, and its own with them.
+	It("reports changes under the sub-topic's prefix to the sub-topic as well", func() {
+		// A relay watches the assignments of all owners for the other processes, which
+		// include its own.
 		store := standin.NewShared()
 		put(store, "p/self/a", "1")
 		put(store, "p/other/a", "1")
@@ -107,34 +108,34 @@
 		all.SubTopic = own
 		start((&cluster.Follower{Store: store, Topic: all}).Run)
 		Eventually(synced).WithTimeout(patience).Should(BeClosed())
-		Expect(part.now()).To(Equal(map[string]string{"p/self/a": "1"}))
+		Expect(part.snapshot()).To(Equal(map[string]string{"p/self/a": "1"}))
 		put(store, "p/self/b", "2")
 		put(store, "p/other/b", "2")
 		store.Revoke("p/self/a")
-		Eventually(part.now).WithTimeout(patience).Should(Equal(map[string]string{"p/self/b": "2"}))
-		Eventually(whole.now).WithTimeout(patience).Should(HaveLen(3))
-		Expect(own.AsOf()).To(BeNumerically(">", 0), "it can be gone on with by itself")
+		Eventually(part.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/self/b": "2"}))
+		Eventually(whole.snapshot).WithTimeout(patience).Should(HaveLen(3))
+		Expect(own.AsOf()).To(BeNumerically(">", 0), "the sub-topic can be followed on its own from there")
 	})
 
-	It("finds what a deaf watch missed before history was dropped", func() {
-		// The store does not tell waiting watches of a change and drops its history.
-		// No later change comes that would have the watch answered; the declaration
-		// that was written must be in force all the same.
+	It("finds changes that a watch missed before history was dropped", func() {
+		// The store does not notify waiting watches of a change and drops its history.
+		// No later change answers the watch either. The declaration that was written
+		// must take effect nevertheless.
 		store := standin.NewShared()
 		put(store, "p/a", "1")
 		put(store, "p/gone", "1")
 		v := &view{}
 		start((&cluster.Follower{Store: store, Topic: v.topic("p/")}).Run)
-		Eventually(v.now).WithTimeout(patience).Should(HaveLen(2))
+		Eventually(v.snapshot).WithTimeout(patience).Should(HaveLen(2))
 		Eventually(func() int { return store.Count("watch") }).WithTimeout(patience).Should(BeNumerically(">", 0))
 		store.SetDeaf(true)
 		put(store, "p/a", "2")
 		store.Revoke("p/gone")
 		store.DropHistory()
-		Eventually(v.now).WithTimeout(patience).Should(Equal(map[string]string{"p/a": "2"}))
+		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/a": "2"}))
 	})
 
-	It("goes on after an outage, with what changed meanwhile", func() {
+	It("continues after an outage with the changes made meanwhile", func() {
 		store := standin.NewShared()
 		put(store, "p/a", "1")
 		v := &view{}
@@ -148,19 +149,19 @@
 			}
 		}
 		start((&cluster.Follower{Store: store, Topic: v.topic("p/"), Failed: func(error) { note("lost") }, Recovered: func() { note("back") }}).Run)
-		Eventually(v.now).WithTimeout(patience).Should(HaveLen(1))
+		Eventually(v.snapshot).WithTimeout(patience).Should(HaveLen(1))
 		store.SetDown(true)
 		Eventually(func() int { mu.Lock(); defer mu.Unlock(); return len(states) }).WithTimeout(patience).Should(Equal(1))
 		store.SetDown(false)
 		put(store, "p/a", "2")
-		Eventually(v.now).WithTimeout(patience).Should(Equal(map[string]string{"p/a": "2"}))
+		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/a": "2"}))
 		mu.Lock()
 		defer mu.Unlock()
 		Expect(states).To(Equal([]string{"lost", "back"}))
 	})
 })
 
-// worker is a process that follows the store and passes news on.
+// worker is a process that watches the store and relays its changes.
 type worker struct {
 	address string
 	relay   *cluster.Relay
@@ -186,7 +187,7 @@
 	return w
 }
 
-var _ = Describe("news from workers", func() {
+var _ = Describe("updates from relays", func() {
 	var store *standin.Shared
 	var members *cluster.Members
 	var v *view
@@ -223,20 +224,21 @@
 
 	It("reach an entry without calls of its own to the store", func() {
 		w := newWorker(store, 1)
-		own := &counting{Shared: store}
+		own := &countingStore{Shared: store}
 		subscribe(own, w)
-		Eventually(v.now).WithTimeout(patience).Should(HaveKey("p/a"))
-		Eventually(func() bool { return w.relay != nil && own.settled() }).WithTimeout(patience).Should(BeTrue())
+		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
+		Eventually(func() bool { return w.relay != nil && own.quiet() }).WithTimeout(patience).Should(BeTrue())
 		before := own.count()
 		put(store, "p/b", "2")
 		store.Revoke("p/a")
-		Eventually(v.now).WithTimeout(patience).Should(Equal(map[string]string{"p/b": "2"}))
+		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/b": "2"}))
 		Expect(own.count()).To(Equal(before))
 	})
 
-	It("tell a process of the parts that it needs, and of all of a part once it needs it", func() {
-		// Entries need few services. Of the others they hear nothing, until a
-		// declaration sends requests there: then all that stands, not only what changes.
+	It("contain only the scopes that a process needs, and all keys of a scope that it comes to need", func() {
+		// Entries need few services and receive nothing about the others, until a
+		// declaration routes requests there. Then they need all existing keys of the
+		// service, not only changes.
 		put(store, "p/app", "app")
 		put(store, "p/llm", "llm")
 		needed := []string{"app"}
@@ -245,130 +247,130 @@
 			defer mu.Unlock()
 			return needed, true
 		}
-		firstStart = true // nothing is listed but the members
+		firstStart = true // only the members are listed
 		subscribe(store, newWorker(store, 1))
-		Eventually(v.now).WithTimeout(patience).Should(Equal(map[string]string{"p/app": "app"}))
+		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/app": "app"}))
 		put(store, "p/llm2", "llm")
 		put(store, "p/app2", "app")
-		Eventually(v.now).WithTimeout(patience).Should(Equal(map[string]string{"p/app": "app", "p/app2": "app"}))
+		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/app": "app", "p/app2": "app"}))
 		mu.Lock()
 		needed = []string{"app", "llm"}
 		mu.Unlock()
-		Eventually(v.now).WithTimeout(patience).Should(HaveLen(4))
+		Eventually(v.snapshot).WithTimeout(patience).Should(HaveLen(4))
 	})
 
-	It("are waited for while the whole system starts, with no call to the store", func() {
-		// Each of hundreds of processes listed everything two or three times in its
-		// first second, as the scouts were not registered yet.
+	It("are awaited without calls to the store while the whole system starts", func() {
+		// Without the delay each of hundreds of processes listed everything two or
+		// three times in its first second, because the relays were not registered yet.
 		firstStart = true
-		own := &counting{Shared: store}
+		own := &countingStore{Shared: store}
 		subscribe(own, newWorker(store, 1))
-		Eventually(v.now).WithTimeout(patience).Should(HaveKey("p/a"))
+		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
 		Expect(own.count()).To(BeZero())
 	})
 
-	It("end an outage with no listing, and begin it with few calls of each process", func() {
-		// The store answers nobody for some seconds. Every process used to try every
-		// topic again and again meanwhile, and to list all of them afterwards.
-		cut := &cuttable{Shared: store}
-		own := &counting{Shared: cut}
+	It("cause few calls of each process at the start of an outage and no listing at its end", func() {
+		// The store answers no process for some seconds. Formerly every process retried
+		// every topic again and again meanwhile, and listed all of them afterwards.
+		cut := &cuttableStore{Shared: store}
+		own := &countingStore{Shared: cut}
 		subscribe(own, newWorker(cut, 1))
-		Eventually(v.now).WithTimeout(patience).Should(HaveKey("p/a"))
-		Eventually(own.settled).WithTimeout(patience).Should(BeTrue())
+		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
+		Eventually(own.quiet).WithTimeout(patience).Should(BeTrue())
 		before, listed := own.count(), own.listings()
 		cut.cut(true)
 		Eventually(func() int { return own.count() - before }).WithTimeout(patience).Should(BeNumerically(">=", 3))
 		Expect(own.listings()).To(Equal(listed))
 		cut.cut(false)
 		put(store, "p/b", "2")
-		Eventually(v.now).WithTimeout(patience).Should(HaveKey("p/b"))
+		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/b"))
 		Expect(own.listings()).To(Equal(listed))
 	})
 
-	It("come from the store at once when a process starts beside scouts that are as dead", func() {
-		// What the caller sees: all processes were killed and start again. Scouts are
-		// still registered and do not answer yet; an entry that waited for them refused
-		// callers for half a second longer.
+	It("come from the store at once when a process starts while the relays are down", func() {
+		// All processes were killed and start again. The relays are still registered
+		// but do not answer yet. An entry that waited for them refused callers for half
+		// a second longer.
 		w := newWorker(store, 1)
 		w.stop()
 		topic = v.topic("p/")
-		tell, asked := topic.Changed, -1
+		changed, reported := topic.Changed, -1
 		topic.Changed = func(r kv.Record) {
 			mu.Lock()
-			asked = len(sources)
+			reported = len(sources)
 			mu.Unlock()
-			tell(r)
+			changed(r)
 		}
 		subscribe(store, w)
-		Eventually(v.now).WithTimeout(patience).Should(HaveKey("p/a"))
+		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
 		mu.Lock()
 		defer mu.Unlock()
-		Expect(asked).To(BeZero(), "sources that failed before")
+		Expect(reported).To(BeZero(), "sources that were reported before")
 	})
 
 	It("come from the store while the only worker is cut off from it", func() {
-		// The worker still answers, but has not heard from the store for seconds. What
-		// it knows may be an old declaration, which the entry must not stay with.
-		cut := &cuttable{Shared: store}
+		// The worker still answers but has had no contact with the store for seconds.
+		// It may know only an old declaration, which the entry must not keep.
+		cut := &cuttableStore{Shared: store}
 		subscribe(store, newWorker(cut, 1))
-		Eventually(v.now).WithTimeout(patience).Should(HaveKey("p/a"))
+		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
 		cut.cut(true)
 		put(store, "p/a", "2")
-		Eventually(v.now).WithTimeout(patience).Should(Equal(map[string]string{"p/a": "2"}))
+		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/a": "2"}))
 	})
 
-	It("never go back when a worker that lags behind takes over", func() {
-		// The first worker told of a removal and died. The second one is cut off from
-		// the store and still lists the key; the entry must not take it in again.
-		cut := &cuttable{Shared: store}
+	It("never restore old state from a relay that lags behind", func() {
+		// The first worker relayed a deletion and died. The second one is cut off from
+		// the store and still lists the key. The entry must not restore the key.
+		cut := &cuttableStore{Shared: store}
 		lagging := newWorker(cut, 2)
 		first := newWorker(store, 1)
 		subscribe(store, first, lagging)
-		Eventually(v.now).WithTimeout(patience).Should(HaveKey("p/a"))
+		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
 		cut.cut(true)
 		store.Revoke("p/a")
-		Eventually(v.now).WithTimeout(patience).Should(BeEmpty())
+		Eventually(v.snapshot).WithTimeout(patience).Should(BeEmpty())
 		first.stop()
-		Consistently(v.now).WithTimeout(2 * time.Second).Should(BeEmpty())
+		Consistently(v.snapshot).WithTimeout(2 * time.Second).Should(BeEmpty())
 	})
 })
 
-// counting counts the calls of one process.
-type counting struct {
+// countingStore counts the calls of one process to the store.
+type countingStore struct {
 	kv.Shared
 	mu    sync.Mutex
 	calls int
-	pages int // of them, listings
+	pages int // calls of ReadPage
 	last  time.Time
 }
 
-func (c *counting) listings() int {
+func (c *countingStore) listings() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pages
 }
 
-func (c *counting) note() {
+func (c *countingStore) note() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
 	c.last = time.Now()
 }
 
-func (c *counting) count() int {
+func (c *countingStore) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-// settled tells that no call came for longer than a watch waits.
-func (c *counting) settled() bool {
+// quiet reports whether no call was made for longer than a watch waits.
+func (c *countingStore) quiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.last) > 3*time.Second
 }
 
-func (c *counting) ReadPage(ctx context.Context, prefix, after string) (kv.Page, error) {
+func (c *countingStore) ReadPage(ctx context.Context, prefix, after string) (kv.Page, error) {
 	c.note()
 	c.mu.Lock()
 	c.pages++
@@ -376,38 +378,38 @@
 	return c.Shared.ReadPage(ctx, prefix, after)
 }
 
-func (c *counting) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
+func (c *countingStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
 	c.note()
 	return c.Shared.Await(ctx, prefix, after, wait)
 }
 
-// cuttable is a process's path to the store, which can be cut.
-type cuttable struct {
+// cuttableStore is one process's path to the store, which can be cut.
+type cuttableStore struct {
 	kv.Shared
 	mu  sync.Mutex
 	off bool
 }
 
-func (c *cuttable) cut(off bool) {
+func (c *cuttableStore) cut(off bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.off = off
 }
 
-func (c *cuttable) isCut() bool {
+func (c *cuttableStore) isCut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.off
 }
 
-func (c *cuttable) ReadPage(ctx context.Context, prefix, after string) (kv.Page, error) {
+func (c *cuttableStore) ReadPage(ctx context.Context, prefix, after string) (kv.Page, error) {
 	if c.isCut() {
 		return kv.Page{}, kv.ErrUnavailable
 	}
 	return c.Shared.ReadPage(ctx, prefix, after)
 }
 
-func (c *cuttable) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
+func (c *cuttableStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
 	changes, err := c.Shared.Await(ctx, prefix, after, wait)
 	if c.isCut() {
 		return kv.Changes{}, kv.ErrUnavailable
--- a/internal/agentless/cluster/export_test.go
+++ b/internal/agentless/cluster/export_test.go
@@ -2,11 +2,11 @@
 
 import "siskinloom.example/siskinloom/internal/kv"
 
-// Listing has a topic tell a whole listing.
-func Listing(t *Topic, page kv.Page) { t.listing(page) }
+// ApplyListing applies a complete listing to a topic.
+func ApplyListing(t *Topic, page kv.Page) { t.applyListing(page) }
 
-// Tell has a topic tell a change.
-func Tell(t *Topic, c kv.Change) { t.tell(c) }
+// Apply applies a change to a topic.
+func Apply(t *Topic, c kv.Change) { t.apply(c) }
 
-// Widen has a topic be listed anew with more parts.
-func Widen(t *Topic) { t.widen() }
+// ResetForScopes makes a topic be listed again with more scopes.
+func ResetForScopes(t *Topic) { t.resetForScopes() }
--- a/internal/agentless/cluster/follow.go
+++ b/internal/agentless/cluster/follow.go
@@ -1,6 +1,7 @@
-// Package cluster keeps a process's view of what the platform's store holds:
-// declarations, endpoints and the system's own members. Every view is a listing
-// followed by a watch that continues from its revision.
+// Package cluster maintains a process's view of the keys in the platform's store:
+// declarations, endpoints and the system's own members. Every view starts with a
+// listing and continues with a watch from the listing's revision. Most processes get
+// the changes from relays, which are the few workers that watch the store.
 package cluster
 
 import (
@@ -14,83 +15,88 @@
 )
 
 const (
-	// watchWait is how long one watch call waits. A store that dropped history
-	// which a waiting watch had not heard says so only at the next change, so a
-	// declaration would be missed until another one comes; asking anew finds it.
-	// And a scout that is cut off from the store passes old news on for as long.
-	// Declarations and leaving endpoints have two seconds; longer waits would save
-	// calls and break that.
-	watchWait = time.Second
-	// firstRetry and mostRetry bound the pause after a failed call. A store that
-	// is back must be noticed within the second that new declarations have to
-	// spare, and one that is down is not worth more calls than that.
-	firstRetry = 100 * time.Millisecond
-	mostRetry  = 700 * time.Millisecond
-	// goneAgain passes at least between two listings because history was gone. A
-	// store that drops it as fast as it comes refuses every watch, and each listing is
-	// followed by a refusal and the next listing.
-	goneAgain = 400 * time.Millisecond
-	// idleLook is how often an idle follower looks whether it still is.
-	idleLook = time.Second
+	// minWatchWait is the shortest wait of one watch call. If the store drops history
+	// that a waiting watch has not received, it reports that only at the next change,
+	// and a declaration would be missed until then. A new call detects it. A relay that
+	// is cut off from the store also serves outdated data for as long as a call waits.
+	// Declarations and leaving endpoints must take effect within two seconds; longer
+	// waits would save calls but exceed that.
+	minWatchWait = time.Second
+	// initialBackoff and maxBackoff bound the delay after a failed call. A store that
+	// has recovered must be noticed within the second that remains for new
+	// declarations, and a store that is down should not get more calls than that
+	// requires.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 700 * time.Millisecond
+	// relistInterval is the least time between two listings that became necessary
+	// because the store dropped history. A store that drops history as fast as it grows
+	// refuses every watch, so that each listing is followed by a refusal and another
+	// listing.
+	relistInterval = 400 * time.Millisecond
+	// idleCheckInterval is how often an idle follower checks whether its topic is still
+	// idle.
+	idleCheckInterval = time.Second
 )
 
-// Follower follows one prefix of the store, from where its topic stands. While
-// the topic is idle it makes no calls.
+// Follower watches one prefix of the store and applies the changes to its topic,
+// starting from the topic's revision. It makes no calls while the topic is idle.
 type Follower struct {
 	Store kv.Shared
 	Topic *Topic
-	// Wait is how long one watch call waits; 0 stands for the shortest.
+	// Wait is how long one watch call waits. Values below minWatchWait are raised to
+	// it.
 	Wait time.Duration
-	// CoalesceDelay is how long changes are gathered after some came, so that a crowd of
-	// them makes few calls.
+	// CoalesceDelay is the pause before the next watch call after one returned changes,
+	// so that many changes in a row need few calls.
 	CoalesceDelay time.Duration
-	// Synced is called after each call that succeeded, with the revision up to
-	// which everything was told, before changes are gathered; may be nil.
+	// Synced is called after each successful call, before CoalesceDelay, with the
+	// revision up to which all changes were applied. It may be nil.
 	Synced func(asOf int64)
-	// Failed is called when a call fails, Recovered when one succeeds again.
+	// Failed is called when a call fails, Recovered when a call succeeds again. Both
+	// may be nil.
 	Failed    func(error)
 	Recovered func()
 
-	broken bool
+	failing bool
 }
 
-// Run follows the prefix until ctx ends.
+// Run watches the prefix until ctx is done.
 func (f *Follower) Run(ctx context.Context) error {
-	pause := firstRetry
+	backoff := initialBackoff
 	asOf := f.Topic.AsOf()
-	wait := time.Duration(0) // the first answer tells whether the store answers at all
-	var gone time.Time       // when history was last found gone
+	wait := time.Duration(0)    // the first call shows whether the store answers at all
+	var historyLostAt time.Time // when the store last lacked the history that a watch needed
 	for ctx.Err() == nil {
 		next, changed, err := f.step(ctx, asOf, wait)
 		if err == nil {
-			wait = max(f.Wait, watchWait)
+			wait = max(f.Wait, minWatchWait)
 			asOf = next
-			pause = firstRetry
-			f.fine(asOf)
+			backoff = initialBackoff
+			f.succeeded(asOf)
 			if changed {
 				sleep(ctx, f.CoalesceDelay)
 			}
 			continue
 		}
-		wait = 0 // a store that is back is noticed by its first answer, not when a watch ends
+		wait = 0 // a recovered store is noticed by its first answer, not at the end of a watch
 		if errors.Is(err, kv.ErrHistoryGone) {
 			asOf = 0
-			sleep(ctx, goneAgain-time.Since(gone))
-			gone = time.Now()
+			sleep(ctx, relistInterval-time.Since(historyLostAt))
+			historyLostAt = time.Now()
 			continue
 		}
 		f.failed(ctx, err)
-		sleep(ctx, pause/2+rand.N(pause))
-		pause = min(2*pause, mostRetry)
+		sleep(ctx, backoff/2+rand.N(backoff))
+		backoff = min(2*backoff, maxBackoff)
 	}
 	return nil
 }
 
-// once makes one call, which may wait for so long.
-func (f *Follower) once(ctx context.Context, wait time.Duration) error {
+// callOnce makes one call, which waits for changes for up to wait.
+func (f *Follower) callOnce(ctx context.Context, wait time.Duration) error {
 	_, _, err := f.step(ctx, f.Topic.AsOf(), wait)
 	if errors.Is(err, kv.ErrHistoryGone) {
-		f.Topic.restart()
+		f.Topic.reset()
 		return nil
 	}
 	if err != nil {
@@ -99,11 +105,13 @@
 	return err
 }
 
-// step makes one call; changed tells that a watch told something.
+// step makes one call to the store: a listing if asOf is 0, otherwise a watch. It
+// returns the revision that the topic has reached, and whether a watch returned
+// changes.
 func (f *Follower) step(ctx context.Context, asOf int64, wait time.Duration) (next int64, changed bool, err error) {
 	switch {
-	case f.Topic.idle():
-		sleep(ctx, idleLook)
+	case f.Topic.isIdle():
+		sleep(ctx, idleCheckInterval)
 		return asOf, false, nil
 	case asOf <= 0:
 		next, err = f.list(ctx)
@@ -114,42 +122,46 @@
 		return 0, false, err
 	}
 	for _, c := range changes.Changes {
-		f.Topic.tell(c)
+		f.Topic.apply(c)
 	}
 	asOf = max(asOf, changes.AsOf)
-	f.Topic.reached(asOf)
+	f.Topic.advance(asOf)
 	return asOf, len(changes.Changes) > 0, nil
 }
 
+// list applies a listing of the prefix and returns its revision.
 func (f *Follower) list(ctx context.Context) (int64, error) {
 	page, err := kv.ReadAll(ctx, f.Store, f.Topic.Prefix)
 	if err != nil {
 		return 0, err
 	}
-	f.Topic.listing(page)
+	f.Topic.applyListing(page)
 	return page.AsOf, nil
 }
 
-func (f *Follower) fine(asOf int64) {
+// succeeded reports a successful call to the callbacks.
+func (f *Follower) succeeded(asOf int64) {
 	if f.Synced != nil {
 		f.Synced(asOf)
 	}
-	if f.broken && f.Recovered != nil {
+	if f.failing && f.Recovered != nil {
 		f.Recovered()
 	}
-	f.broken = false
+	f.failing = false
 }
 
+// failed reports a failed call to the callback unless ctx is done.
 func (f *Follower) failed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	f.broken = true
+	f.failing = true
 	if f.Failed != nil {
 		f.Failed(err)
 	}
 }
 
+// sleep pauses for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/agentless/cluster/leader.go
+++ b/internal/agentless/cluster/leader.go
@@ -11,110 +11,117 @@
 )
 
 const (
-	// candidateLook is how often a process that does not lead looks whether it may;
-	// the registrations' follower tells it of most changes at once.
-	candidateLook = 2 * time.Second
-	// regainLook and regainFor are for one that held the duty until just now: after
-	// an outage its key mostly stands, and it goes on at once.
-	regainLook = 250 * time.Millisecond
-	regainFor  = 10 * time.Second
-	// dutyTTL is the duty's own lease: a holder that is gone is replaced after it,
-	// and a shorter one would be renewed twice a second.
+	// acquireInterval is how often a process that does not hold the duty tries to
+	// acquire it. Watching the registrations triggers most attempts at once.
+	acquireInterval = 2 * time.Second
+	// reacquireInterval and reacquirePeriod apply to a process that has just lost the
+	// duty. After an outage of the store its key mostly still exists, and the process
+	// continues immediately.
+	reacquireInterval = 250 * time.Millisecond
+	reacquirePeriod   = 10 * time.Second
+	// dutyTTL is the TTL of the duty's lease, unless the store's minimum is longer. A
+	// lost holder is replaced after that time. A shorter lease would have to be renewed
+	// twice a second.
 	dutyTTL = 2 * time.Second
-	// actWithin is how long after the store's word a holder may act on it.
-	actWithin = 500 * time.Millisecond
-	// waitMargin covers the time a call takes.
+	// confirmationTTL is the longest time after a confirmation by the store for which a
+	// holder acts. ConfirmationValid accepts half of it.
+	confirmationTTL = 500 * time.Millisecond
+	// waitMargin covers the duration of a call.
 	waitMargin = 100 * time.Millisecond
 )
 
-// Leader holds one duty that one process at a time may have. Its term is the
-// revision at which the store took the holder's name, which only grows and so
-// serves as a fencing token.
+// Leader holds one duty, which at most one process may have at a time. Its term is the
+// revision at which the store accepted the holder's name. Terms only increase, so a
+// term serves as a fencing token.
 type Leader struct {
-	Store kv.Shared
-	Key   string
-	Self  string
-	TTL   time.Duration
-	HandoverDelay time.Duration // must lie between the acts of two holders
-	Log   func(taken bool, term int64)
-	// Eligible tells whether this process should stand for the duty.
+	Store         kv.Shared
+	Key           string
+	Self          string
+	TTL           time.Duration
+	HandoverDelay time.Duration // least time between the acts of two holders
+	Log           func(taken bool, term int64)
+	// Eligible reports whether this process should try to acquire the duty.
 	Eligible func() bool
 
-	mu     sync.Mutex
-	lease  kv.LeaseID
-	term   int64
-	from   time.Time // may act
-	proven time.Time // the store last confirmed the lease, counted from the call's start
-	lost   time.Time // the duty was last lost unasked
-	look   chan struct{}
+	mu          sync.Mutex
+	lease       kv.LeaseID
+	term        int64
+	actFrom     time.Time // this process may not act before
+	confirmedAt time.Time // start of the last call in which the store confirmed the lease
+	lostAt      time.Time // when the duty was last lost
+	wake        chan struct{}
 }
 
-// NewLeader returns a leader that does not hold the duty.
-func NewLeader(store kv.Shared, key, self string, apart, shortest time.Duration, may func() bool, log func(bool, int64)) *Leader {
-	return &Leader{Store: store, Key: key, Self: self, TTL: max(dutyTTL, shortest), HandoverDelay: apart, Eligible: may, Log: log, look: make(chan struct{}, 1)}
+// NewLeader returns a Leader that does not hold the duty. minTTL is the store's
+// shortest lease TTL.
+func NewLeader(store kv.Shared, key, self string, handoverDelay, minTTL time.Duration, eligible func() bool, log func(bool, int64)) *Leader {
+	return &Leader{Store: store, Key: key, Self: self, TTL: max(dutyTTL, minTTL), HandoverDelay: handoverDelay, Eligible: eligible, Log: log, wake: make(chan struct{}, 1)}
 }
 
-// TryNow tells that the duty's key may have gone.
+// TryNow makes Run try to acquire the duty now, because its key may have been deleted.
 func (l *Leader) TryNow() {
 	select {
-	case l.look <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run stands for the duty and renews it until ctx ends.
+// Run acquires the duty and renews its lease until ctx is done.
 func (l *Leader) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if l.holds() {
 			l.renew(ctx)
 		} else if l.Eligible() {
-			l.stand(ctx)
+			l.acquire(ctx)
 		}
-		wait := l.pause()
+		wait := l.interval()
 		timer := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case <-l.look:
+		case <-l.wake:
 		}
 		timer.Stop()
 	}
 	return nil
 }
 
-// pause is how long to wait before the next look.
-func (l *Leader) pause() time.Duration {
+// interval returns the time until the next renewal or attempt to acquire the duty.
+func (l *Leader) interval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.lease != 0:
-		return time.Duration(renewShare * float64(l.TTL))
-	case time.Since(l.lost) < regainFor:
-		return regainLook
+		return time.Duration(renewFraction * float64(l.TTL))
+	case time.Since(l.lostAt) < reacquirePeriod:
+		return reacquireInterval
 	default:
-		return candidateLook
+		return acquireInterval
 	}
 }
 
+// holds reports whether this process has the duty's lease, as far as it knows.
 func (l *Leader) holds() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lease != 0
 }
 
-// Term returns the fencing token while this process may act.
+// Term returns the fencing token and whether this process may act under it at the given
+// time.
 func (l *Leader) Term(now time.Time) (int64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lease == 0 || now.Before(l.from) || now.Sub(l.proven) > l.TTL {
+	if l.lease == 0 || now.Before(l.actFrom) || now.Sub(l.confirmedAt) > l.TTL {
 		return 0, false
 	}
 	return l.term, true
 }
 
-// Confirm asks the store whether the term still stands. A store may take a
-// process's keys away without a word to it, and a pause of the process does not
-// count in its own clock, so it is asked before each round of orders.
+// Confirm reads from the store whether this process still holds the duty, and returns
+// its term. It is called before each round of orders, because a store may delete a
+// process's keys without notice, and the process's own clock does not count time for
+// which the process was paused.
 func (l *Leader) Confirm(ctx context.Context) (int64, bool) {
 	began := time.Now()
 	term, held := l.Term(began)
@@ -132,43 +139,46 @@
 	return term, ConfirmationValid(began)
 }
 
-// ConfirmationValid tells whether a holder may still act on what the store said to a call that began
-// then. The steady clock does not count a time for which the machine was suspended, and
-// the clock of the day may be set, so that both are looked at.
+// ConfirmationValid reports whether a holder may still act on a confirmation that it
+// requested from the store at began. The monotonic clock does not count time for which
+// the machine was suspended, and the wall clock may be set, so both are checked.
 func ConfirmationValid(began time.Time) bool {
 	now := time.Now()
-	return now.Sub(began) < actWithin/2 && now.Round(0).Sub(began.Round(0)) < actWithin/2
+	return now.Sub(began) < confirmationTTL/2 && now.Round(0).Sub(began.Round(0)) < confirmationTTL/2
 }
 
-// Resign forgets the duty; another process has it.
+// Resign makes this process forget the duty, because another process has it.
 func (l *Leader) Resign() {
 	l.mu.Lock()
 	term := l.term
-	had := l.lease != 0
+	held := l.lease != 0
 	l.lease = 0
-	if had {
-		l.lost = time.Now()
+	if held {
+		l.lostAt = time.Now()
 	}
 	l.mu.Unlock()
-	if had {
+	if held {
 		l.Log(false, term)
 	}
 }
 
-// wait is how long a new holder waits. The last one acted at most actWithin
-// after a proof of its lease, which lapsed a whole time after that proof.
-func (l *Leader) wait() time.Duration { return max(0, l.HandoverDelay-l.TTL) + actWithin + waitMargin }
+// handoverWait returns how long a new holder waits before its first act. Its
+// predecessor acted at most confirmationTTL after the last confirmation of its lease,
+// and the lease expired one TTL after that confirmation.
+func (l *Leader) handoverWait() time.Duration {
+	return max(0, l.HandoverDelay-l.TTL) + confirmationTTL + waitMargin
+}
 
-// Suspend has this process act no more while it still holds the duty, and returns
-// after a lease's time.
+// Suspend keeps this process from acting while it still holds the duty, and returns
+// after HandoverDelay.
 func (l *Leader) Suspend(ctx context.Context) {
 	l.mu.Lock()
-	l.from = time.Now().Add(2 * l.HandoverDelay)
+	l.actFrom = time.Now().Add(2 * l.HandoverDelay)
 	l.mu.Unlock()
 	sleep(ctx, l.HandoverDelay)
 }
 
-// Release gives the duty up, so that another can take it at once.
+// Release gives up the duty, so that another process can acquire it immediately.
 func (l *Leader) Release(ctx context.Context) error {
 	l.mu.Lock()
 	lease := l.lease
@@ -180,27 +190,29 @@
 	return l.Store.RevokeLease(ctx, lease)
 }
 
+// renew renews the lease. It gives up the duty if the lease does not exist any more or
+// was not confirmed for a TTL.
 func (l *Leader) renew(ctx context.Context) {
 	l.mu.Lock()
-	lease, proven := l.lease, l.proven
+	lease, confirmedAt := l.lease, l.confirmedAt
 	l.mu.Unlock()
 	began := time.Now()
 	err := l.Store.KeepLease(ctx, lease)
 	switch {
-	case errors.Is(err, kv.ErrLeaseNotFound), err != nil && time.Since(proven) > l.TTL:
+	case errors.Is(err, kv.ErrLeaseNotFound), err != nil && time.Since(confirmedAt) > l.TTL:
 		l.Resign()
 	case err == nil:
 		l.mu.Lock()
-		l.proven = began
+		l.confirmedAt = began
 		l.mu.Unlock()
 	}
 }
 
-// stand takes the duty if nobody has it. A predecessor on this very machine is
-// no other holder: its term is taken over at once.
-func (l *Leader) stand(ctx context.Context) {
-	standing, err := l.Store.Read(ctx, l.Key)
-	if err != nil || standing.Revision != 0 && string(standing.Value) != l.Self {
+// acquire tries to acquire the duty if no other process holds it. A predecessor on this
+// same machine is not another holder: this process replaces it without waiting.
+func (l *Leader) acquire(ctx context.Context) {
+	current, err := l.Store.Read(ctx, l.Key)
+	if err != nil || current.Revision != 0 && string(current.Value) != l.Self {
 		return
 	}
 	began := time.Now()
@@ -209,23 +221,23 @@
 		return
 	}
 	committed, err := l.Store.Commit(ctx, kv.Transaction{
-		Expect: []kv.Expectation{{Key: l.Key, Revision: standing.Revision}},
+		Expect: []kv.Expectation{{Key: l.Key, Revision: current.Revision}},
 		Puts:   []kv.Put{{Key: l.Key, Value: []byte(l.Self), Lease: lease}},
 	})
 	if errors.Is(err, kv.ErrUnknown) {
 		var put kv.Record
-		put, err = settlePut(ctx, l.Store, l.Key, lease, err)
+		put, err = resolvePut(ctx, l.Store, l.Key, lease, err)
 		committed = kv.Committed{Done: err == nil, Revision: put.Revision}
 	}
 	if err != nil || !committed.Done {
-		return // the lease lapses unused
+		return // the unused lease expires
 	}
 	from := time.Now()
-	if standing.Revision == 0 {
-		from = from.Add(l.wait())
+	if current.Revision == 0 {
+		from = from.Add(l.handoverWait())
 	}
 	l.mu.Lock()
-	l.lease, l.term, l.from, l.proven = lease, committed.Revision, from, began
+	l.lease, l.term, l.actFrom, l.confirmedAt = lease, committed.Revision, from, began
 	l.mu.Unlock()
 	l.Log(true, committed.Revision)
 }
--- a/internal/agentless/cluster/leader_test.go
+++ b/internal/agentless/cluster/leader_test.go
@@ -12,7 +12,7 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-var _ = Describe("a duty", func() {
+var _ = Describe("Leader", func() {
 	lead := func(store kv.Shared, name string, apart time.Duration) *cluster.Leader {
 		l := cluster.NewLeader(store, "live/duty/x", name, apart, 0, func() bool { return true }, func(bool, int64) {})
 		start(l.Run)
@@ -22,7 +22,7 @@
 		return func() bool { _, ok := l.Term(time.Now()); return ok }
 	}
 
-	It("has one holder, whose successor gets a higher term", func() {
+	It("has one holder at a time, and its successor gets a higher term", func() {
 		store := standin.NewShared()
 		first := lead(store, "a", 0)
 		Eventually(acts(first)).WithTimeout(patience).Should(BeTrue())
@@ -36,10 +36,10 @@
 		Expect(after).To(BeNumerically(">", before))
 	})
 
-	It("is taken over at once by a new process on the same machine", func() {
-		// The process was killed and is back after a second. The lease of its
-		// predecessor stands for some more; waiting it out, and the time between two
-		// holders after it, left engines without new weights for 6 s.
+	It("acquires the duty of a previous process on the same machine at once", func() {
+		// The process was killed and restarts after a second. The lease of its
+		// predecessor has not expired yet. Waiting for that, and then for the delay
+		// between two holders, left engines without new weights for 6 s.
 		store := standin.NewShared()
 		_, _, err := store.GrantLease(context.Background(), time.Hour)
 		Expect(err).NotTo(HaveOccurred())
@@ -48,7 +48,7 @@
 		Eventually(acts(lead(store, "a", time.Hour))).WithTimeout(patience).Should(BeTrue())
 	})
 
-	It("is not acted on by a holder whose key the store took away", func() {
+	It("does not confirm the term after the store deleted the duty's key", func() {
 		store := standin.NewShared()
 		l := lead(store, "a", 0)
 		Eventually(acts(l)).WithTimeout(patience).Should(BeTrue())
@@ -61,7 +61,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("is not acted on while the store does not confirm it", func() {
+	It("may not act while the store does not confirm the duty", func() {
 		store := standin.NewShared()
 		l := lead(store, "a", 0)
 		Eventually(acts(l)).WithTimeout(patience).Should(BeTrue())
--- a/internal/agentless/cluster/members.go
+++ b/internal/agentless/cluster/members.go
@@ -17,51 +17,51 @@
 )
 
 const (
-	// prefixLive holds what lives as long as a process's lease: registrations and
-	// duties, so that one watch tells of both.
+	// prefixLive is the prefix of all keys that exist as long as a process's lease:
+	// registrations and duties. One watch covers both.
 	prefixLive    = "live/"
 	prefixMembers = prefixLive + "members/"
-	// DutyKey is the prefix of duties' keys.
+	// DutyKey is the prefix of the keys of duties.
 	DutyKey = prefixLive + "duty/"
 )
 
 const (
-	// renewShare of a lease's time passes between renewals, so that two may be
-	// lost before it lapses.
-	renewShare = 0.3
-	// certainShare of a lease's time after its last proof it cannot have lapsed,
-	// whatever the clocks' drift.
-	certainShare = 0.9
-	// registerRetry is the pause after a registration that failed.
-	registerRetry = 300 * time.Millisecond
+	// renewFraction is the fraction of a lease's TTL between renewals. Two renewals may
+	// be lost before the lease expires.
+	renewFraction = 0.3
+	// certainFraction is the fraction of a lease's TTL after the last confirmation for
+	// which the lease certainly has not expired, despite clock drift.
+	certainFraction = 0.9
+	// registerRetryDelay is the delay after a failed registration.
+	registerRetryDelay = 300 * time.Millisecond
 )
 
 // Member is one process of the system.
 type Member struct {
 	Name    string
-	Address string // ip:port of the inner protocol
+	Address string // ip:port of the internal protocol
 	Domain  string // failure domain
-	Worker  bool   // takes on batch jobs before others do
+	Worker  bool   // whether it takes on batch jobs before other processes do
 	Leaving bool
-	Boot    int64 // Unix nanoseconds of its start
+	Boot    int64 // start of the process in Unix nanoseconds
 }
 
-// Members is the list of the system's live processes. It is safe for
-// concurrent use.
+// Members is the list of the system's live processes and of the holders of duties. It
+// is safe for concurrent use.
 type Members struct {
-	mu     sync.RWMutex
-	list   map[string]Member
-	lapsed map[string]bool // registrations that lapsed and whose member is still listed
+	mu      sync.RWMutex
+	list    map[string]Member
+	expired map[string]bool // listed members whose registration expired
 
 	holders map[string]string // of duties, by key
 }
 
 // NewMembers returns an empty list.
 func NewMembers() *Members {
-	return &Members{list: map[string]Member{}, lapsed: map[string]bool{}, holders: map[string]string{}}
+	return &Members{list: map[string]Member{}, expired: map[string]bool{}, holders: map[string]string{}}
 }
 
-// Get returns a member.
+// Get returns the member of the given name, if it is listed.
 func (m *Members) Get(name string) (Member, bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -69,14 +69,14 @@
 	return member, found
 }
 
-// Count returns how many members there are.
+// Count returns the number of members.
 func (m *Members) Count() int {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return len(m.list)
 }
 
-// Holder returns the name of the last known holder of a duty; empty: none is known.
+// Holder returns the name of the last known holder of a duty, or "" if none is known.
 func (m *Members) Holder(duty string) string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -89,15 +89,15 @@
 	m.holders[duty] = name
 }
 
-// Registered tells whether a member's registration stands.
+// Registered reports whether a member is listed and its registration has not expired.
 func (m *Members) Registered(name string) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	_, found := m.list[name]
-	return found && !m.lapsed[name]
+	return found && !m.expired[name]
 }
 
-// Live returns the members sorted by name.
+// Live returns all members, sorted by name.
 func (m *Members) Live() []Member {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -109,8 +109,8 @@
 	return live
 }
 
-// Owners returns the members that may take on work: workers that stay, or if
-// there are none, any member that stays.
+// Owners returns the members that may take on work: the workers that are not leaving
+// or, if there are none, all members that are not leaving.
 func (m *Members) Owners() []Member {
 	var workers, others []Member
 	for _, member := range m.Live() {
@@ -132,30 +132,31 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.list[member.Name] = member
-	delete(m.lapsed, member.Name)
+	delete(m.expired, member.Name)
 }
 
-// lingerFor is how long a member whose registration lapsed in an outage of the
-// store stays listed: those that live are back within two seconds. Without it
-// every registration lapses at once, and nobody is left to follow the store or
-// to give weight orders.
-const lingerFor = 2 * time.Second
+// lingerDuration is how long a member stays listed whose registration expired during an
+// outage of the store. Live processes register again within two seconds. Without this
+// delay all registrations would expire at once, and no process would be left to watch
+// the store or to give weight orders.
+const lingerDuration = 2 * time.Second
 
+// linger keeps a member whose registration expired listed for lingerDuration.
 func (m *Members) linger(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	lapsed, found := m.list[name]
+	expired, found := m.list[name]
 	if !found {
 		return
 	}
-	time.AfterFunc(lingerFor, func() {
+	time.AfterFunc(lingerDuration, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.list[name] == lapsed && m.lapsed[name] {
+		if m.list[name] == expired && m.expired[name] {
 			delete(m.list, name)
 		}
 	})
-	m.lapsed[name] = true
+	m.expired[name] = true
 }
 
 func (m *Members) remove(name string) {
@@ -164,47 +165,49 @@
 	delete(m.list, name)
 }
 
-// Registrar keeps this process registered under a lease and takes in the
-// registrations of the others.
+// Registrar keeps this process registered under a lease and applies the registrations
+// of all processes to Members.
 type Registrar struct {
 	Store   kv.Shared
 	Self    Member
 	TTL     time.Duration
 	Members *Members
 	Log     *logrus.Logger
-	// MemberGone is called when a member's registration ends, including this process's
-	// own.
+	// MemberGone is called when the registration of a member, or of this process, ends.
+	// It may be nil.
 	MemberGone func(name string)
-	// StoreRecentlyDown tells whether the store was away until a moment ago; nil: never.
+	// StoreRecentlyDown reports whether the store was down until a moment ago; nil
+	// means never.
 	StoreRecentlyDown func() bool
-	// DutyVacant is called when a duty's key goes; may be nil.
+	// DutyVacant is called when the key of a duty is deleted; it may be nil.
 	DutyVacant func(key string)
-	mu       sync.Mutex
-	lease    kv.LeaseID
-	leaving  bool
-	proven   time.Time     // the store last confirmed the lease, counted from the call's start
-	listed   bool          // the registration was seen in the list, and not its end
-	again    chan struct{} // the registration must be made anew
-	synced   bool          // the first list was told; only the topic uses it
+
+	mu            sync.Mutex
+	lease         kv.LeaseID
+	leaving       bool
+	confirmedAt   time.Time     // start of the last call in which the store confirmed the lease
+	listed        bool          // whether the last known state of the list includes this process
+	reregister    chan struct{} // requests a new registration
+	firstListDone bool          // whether a listing was applied; only the topic's callbacks use it
 }
 
-// NewRegistrar returns a registrar that has not registered yet.
+// NewRegistrar returns a Registrar that has not registered the process yet.
 func NewRegistrar(store kv.Shared, self Member, ttl time.Duration, members *Members, log *logrus.Logger) *Registrar {
-	return &Registrar{Store: store, Self: self, TTL: ttl, Members: members, Log: log, again: make(chan struct{}, 1)}
+	return &Registrar{Store: store, Self: self, TTL: ttl, Members: members, Log: log, reregister: make(chan struct{}, 1)}
 }
 
-// Topic returns the topic that keeps the members up to date.
+// Topic returns the topic that keeps Members up to date.
 func (r *Registrar) Topic() *Topic {
-	return &Topic{Prefix: prefixLive, Changed: r.changed, Deleted: r.deleted, Listed: r.listedAll}
+	return &Topic{Prefix: prefixLive, Changed: r.changed, Deleted: r.deleted, Listed: r.listDone}
 }
 
-// listedAll notes that a list was taken in. The first one gets one line: a line for
-// each of hundreds of processes at each of them would hide all else.
-func (r *Registrar) listedAll() {
-	if r.synced {
+// listDone is called after each listing. The first one logs a summary; a log line for
+// each of hundreds of processes at each listing would hide everything else.
+func (r *Registrar) listDone() {
+	if r.firstListDone {
 		return
 	}
-	r.synced = true
+	r.firstListDone = true
 	workers := 0
 	live := r.Members.Live()
 	for _, m := range live {
@@ -215,6 +218,7 @@
 	events.MembersTaken.Log(r.Log, logrus.Fields{"members": len(live), "workers": workers})
 }
 
+// changed applies a new or changed key.
 func (r *Registrar) changed(record kv.Record) {
 	if strings.HasPrefix(record.Key, DutyKey) {
 		r.Members.setHolder(record.Key, string(record.Value))
@@ -232,12 +236,14 @@
 	if member.Name == r.Self.Name {
 		r.setListed(true)
 	}
-	if !r.synced {
+	if !r.firstListDone {
 		return
 	}
 	events.MemberListed.Log(r.Log, logrus.Fields{"member": member.Name, "leaving": member.Leaving, "revision": record.Revision})
 }
 
+// deleted applies the deletion of a key. If the store was recently down, the member
+// stays listed for lingerDuration.
 func (r *Registrar) deleted(key string, revision int64) {
 	if strings.HasPrefix(key, DutyKey) {
 		if r.DutyVacant != nil {
@@ -256,22 +262,23 @@
 	if name == r.Self.Name {
 		r.setListed(false)
 		events.MemberLapsed.Log(r.Log, logrus.Fields{"member": name})
-		r.anew()
+		r.requestRegistration()
 	}
 	if r.MemberGone != nil {
 		r.MemberGone(name)
 	}
 }
 
-func (r *Registrar) anew() {
+// requestRegistration makes Run register the process again.
+func (r *Registrar) requestRegistration() {
 	select {
-	case r.again <- struct{}{}:
+	case r.reregister <- struct{}{}:
 	default:
 	}
 }
 
-// Run holds the registration until ctx ends: it renews the lease and registers
-// anew when the lease or its key was lost.
+// Run keeps the process registered until ctx is done. It renews the lease, and
+// registers the process again if the lease or the key was lost.
 func (r *Registrar) Run(ctx context.Context) error {
 	wait := time.Duration(0)
 	for {
@@ -280,56 +287,61 @@
 		case <-ctx.Done():
 			timer.Stop()
 			return nil
-		case <-r.again:
+		case <-r.reregister:
 			timer.Stop()
-			r.forget()
+			r.forgetLease()
 		case <-timer.C:
 		}
 		wait = r.step(ctx)
 	}
 }
 
-func (r *Registrar) forget() {
+// forgetLease makes the next step register the process under a new lease.
+func (r *Registrar) forgetLease() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lease = 0
 }
 
+// step registers the process or renews its lease, and returns the delay before the next
+// step.
 func (r *Registrar) step(ctx context.Context) time.Duration {
 	r.mu.Lock()
 	lease, leaving := r.lease, r.leaving
 	r.mu.Unlock()
-	renew := time.Duration(renewShare * float64(r.TTL))
+	renew := time.Duration(renewFraction * float64(r.TTL))
 	if lease == 0 {
 		if r.register(ctx, leaving) != nil {
-			return registerRetry
+			return registerRetryDelay
 		}
 		return renew
 	}
 	began := time.Now()
 	err := r.Store.KeepLease(ctx, lease)
 	if errors.Is(err, kv.ErrLeaseNotFound) {
-		r.forget()
+		r.forgetLease()
 		return 0
 	}
 	if err == nil {
-		r.prove(began)
+		r.setConfirmed(began)
 	}
-	return max(0, renew-time.Since(began)) // one that took long must not put off the next
+	return max(0, renew-time.Since(began)) // a slow call must not delay the next renewal
 }
 
-func (r *Registrar) prove(at time.Time) {
+// setConfirmed records that the store confirmed the lease in a call that was sent at
+// the given time.
+func (r *Registrar) setConfirmed(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.proven = at
+	r.confirmedAt = at
 }
 
-// CertainlyRegistered tells whether this process's registration certainly stands: nobody
-// moves its jobs before it lapses.
+// CertainlyRegistered reports whether this process's registration certainly has not
+// expired. Other processes move its jobs only after it expires.
 func (r *Registrar) CertainlyRegistered() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.listed && time.Since(r.proven) < time.Duration(certainShare*float64(r.TTL))
+	return r.listed && time.Since(r.confirmedAt) < time.Duration(certainFraction*float64(r.TTL))
 }
 
 func (r *Registrar) setListed(listed bool) {
@@ -338,6 +350,7 @@
 	r.listed = listed
 }
 
+// register registers the process under a new lease.
 func (r *Registrar) register(ctx context.Context, leaving bool) error {
 	began := time.Now()
 	lease, _, err := r.Store.GrantLease(ctx, r.TTL)
@@ -348,12 +361,13 @@
 		return err
 	}
 	r.mu.Lock()
-	r.lease, r.proven = lease, began
+	r.lease, r.confirmedAt = lease, began
 	r.mu.Unlock()
 	events.MemberRegistered.Log(r.Log, logrus.Fields{"member": r.Self.Name, "lease": lease})
 	return nil
 }
 
+// write writes the registration under a lease.
 func (r *Registrar) write(ctx context.Context, lease kv.LeaseID, leaving bool) error {
 	self := r.Self
 	self.Leaving = leaving
@@ -364,24 +378,25 @@
 	key := prefixMembers + self.Name
 	_, err := r.Store.Commit(ctx, kv.Transaction{Puts: []kv.Put{{Key: key, Value: raw.Bytes(), Lease: lease}}})
 	if errors.Is(err, kv.ErrUnknown) {
-		_, err = settlePut(ctx, r.Store, key, lease, err)
+		_, err = resolvePut(ctx, r.Store, key, lease, err)
 	}
 	return err
 }
 
-// settlePut finds out whether a put whose answer was lost took effect, by the
-// lease that the key has now. While the store loses every second answer, a
-// process that began anew each time was unregistered for seconds, and its jobs
-// were moved.
-func settlePut(ctx context.Context, store kv.Shared, key string, lease kv.LeaseID, unknown error) (kv.Record, error) {
-	standing, err := store.Read(ctx, key)
-	if err != nil || standing.Lease != lease {
+// resolvePut determines whether a put whose answer was lost took effect, by comparing
+// the key's current lease. Without it, while the store lost every second answer, a
+// process registered again after each lost answer, was unregistered for seconds, and
+// its jobs were moved.
+func resolvePut(ctx context.Context, store kv.Shared, key string, lease kv.LeaseID, unknown error) (kv.Record, error) {
+	current, err := store.Read(ctx, key)
+	if err != nil || current.Lease != lease {
 		return kv.Record{}, unknown
 	}
-	return standing, nil
+	return current, nil
 }
 
-// Leave tells the others that this process stops: they give it nothing new.
+// Leave marks this process as stopping in its registration, so that others give it no
+// new work.
 func (r *Registrar) Leave(ctx context.Context) error {
 	r.mu.Lock()
 	r.leaving = true
@@ -393,7 +408,7 @@
 	return r.write(ctx, lease, true)
 }
 
-// Deregister gives the registration up.
+// Deregister revokes the lease of the registration.
 func (r *Registrar) Deregister(ctx context.Context) error {
 	r.mu.Lock()
 	lease := r.lease
--- a/internal/agentless/cluster/members_test.go
+++ b/internal/agentless/cluster/members_test.go
@@ -11,10 +11,10 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-var _ = Describe("registration", func() {
-	It("is made anew when the store took the key away without a word", func() {
-		// Lease and renewals look fine; only the key is gone. Others would move this
-		// process's jobs and never give it new ones.
+var _ = Describe("Registrar", func() {
+	It("registers again when the store deleted the key without notice", func() {
+		// The lease and its renewals are fine, but the key is gone. Other processes
+		// would move this process's jobs and never give it new ones.
 		store := standin.NewShared()
 		members := cluster.NewMembers()
 		r := cluster.NewRegistrar(store, cluster.Member{Name: "self", Worker: true}, time.Hour, members, silent())
@@ -27,9 +27,10 @@
 		Eventually(listed).WithTimeout(patience).Should(BeTrue())
 	})
 
-	It("stands though the store's answer to it was lost", func() {
-		// The key is there, under this process's lease; only the answer was lost. Taken
-		// for a failure, the process would begin anew and let its first key lapse.
+	It("keeps its registration when the store's answer was lost", func() {
+		// The key exists under this process's lease; only the answer was lost. If the
+		// process took that for a failure, it would register again and let its first
+		// key expire.
 		store := standin.NewShared()
 		r := cluster.NewRegistrar(store, cluster.Member{Name: "self"}, time.Hour, cluster.NewMembers(), silent())
 		store.LoseAnswers(1)
@@ -38,7 +39,7 @@
 		Consistently(func() int { return store.Count("lease") }).WithTimeout(time.Second).Should(Equal(1))
 	})
 
-	It("gives work to workers that stay, and to others only if there is none", func() {
+	It("lists workers that are not leaving as owners, and other members only if there are none", func() {
 		store := standin.NewShared()
 		members := cluster.NewMembers()
 		r := cluster.NewRegistrar(store, cluster.Member{Name: "w", Worker: true}, time.Hour, members, silent())
--- a/internal/agentless/cluster/relay.go
+++ b/internal/agentless/cluster/relay.go
@@ -11,49 +11,52 @@
 	"siskinloom.example/siskinloom/internal/policy/news"
 )
 
-// Names of the calls between processes.
+// Names of the net/rpc service and its method.
 const (
-	relayName = "News"
-	callNews  = relayName + ".After"
+	newsService = "News"
+	callNews    = newsService + ".After"
 )
 
 const (
-	// freshSlack is how much longer than its watch waits a topic may be without a
-	// word from the store and still be passed on. Declarations have two seconds to
-	// be in force, which leaves a process that lost the store no more.
-	freshSlack = 300 * time.Millisecond
-	// relayWait is how long a call for news waits. A scout that died in silence is
-	// found out that long, and newsSlack, after its last answer.
-	relayWait = time.Second
+	// ttlMargin is how much longer than its watch waits a topic may be served without
+	// an answer of the store. Declarations must be in force within two seconds, which
+	// leaves a process that lost the store no more time.
+	ttlMargin = 300 * time.Millisecond
+	// maxNewsWait is the longest wait of a call for news. The failure of a relay that
+	// does not answer is detected maxNewsWait plus newsCallMargin after its last
+	// answer.
+	maxNewsWait = time.Second
 )
 
-// Relay passes what this process hears from the store on to others, so that the
-// calls to the store grow with the few processes that follow it and not with
-// all. It is safe for concurrent use.
+// Relay serves the changes that this process receives from the store to other
+// processes, so that the load on the store grows with the number of relays and not with
+// that of all processes. It is safe for concurrent use.
 type Relay struct {
-	mu     sync.Mutex
-	topics *news.Topics[kv.Change]
-	scopes map[string]func(kv.Record) string // by topic
-	told   news.Position                     // of which followers were woken
-	wake   chan struct{}
+	mu       sync.Mutex
+	topics   *news.Topics[kv.Change]
+	scopes   map[string]func(kv.Record) string // returns a record's scope, by topic
+	notified news.Position                     // position of which waiting calls were last notified
+	wake     chan struct{}
 }
 
-// NewRelay returns a relay without topics; boot names its numbering.
+// NewRelay returns a Relay without topics. boot identifies this run of the process,
+// which numbers the changes.
 func NewRelay(boot int64) *Relay {
 	return &Relay{topics: news.NewTopics[kv.Change](boot), scopes: map[string]func(kv.Record) string{}, wake: make(chan struct{})}
 }
 
-// AddTopic has the relay carry a topic whose watch waits for so long, 0 standing for
-// the shortest, and whose changes are gathered between two watches. scope says
-// which part of it a record belongs to; nil: there are no parts.
-func (r *Relay) AddTopic(prefix string, wait, gather time.Duration, scope func(kv.Record) string) {
+// AddTopic adds a topic. wait is the wait of the topic's watch calls, and values below
+// minWatchWait are raised to it; coalesceDelay is the pause between two of them after
+// changes. scope returns the scope that a record belongs to; nil means that the topic
+// has no scopes.
+func (r *Relay) AddTopic(prefix string, wait, coalesceDelay time.Duration, scope func(kv.Record) string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.topics.Add(prefix, gather+max(wait, watchWait)+freshSlack)
+	r.topics.Add(prefix, coalesceDelay+max(wait, minWatchWait)+ttlMargin)
 	r.scopes[prefix] = scope
 }
 
-// put takes in a change of a topic's key.
+// put applies a change of a key.
 func (r *Relay) put(prefix string, c kv.Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,72 +67,75 @@
 	r.topics.Get(prefix).Put(change)
 }
 
-// listed notes that a topic was listed in full.
-func (r *Relay) listed(prefix string, asOf int64) {
+// markListed records that a complete listing of a topic was applied.
+func (r *Relay) markListed(prefix string, asOf int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.topics.Get(prefix).MarkListed(asOf)
 }
 
-// MarkSynced notes that the store answered, with everything told up to a revision, and
-// wakes the followers if there is anything new: once for all changes of an answer.
+// MarkSynced records that the store answered and that all changes up to a revision were
+// applied. If there are any new ones, it wakes the waiting calls, once for all changes
+// of an answer.
 func (r *Relay) MarkSynced(prefix string, asOf int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.topics.Get(prefix).MarkSynced(time.Now(), asOf)
-	if r.told != r.topics.Position() {
-		r.told = r.topics.Position()
+	if r.notified != r.topics.Position() {
+		r.notified = r.topics.Position()
 		close(r.wake)
 		r.wake = make(chan struct{})
 	}
 }
 
-// NewsArgs asks for what has changed since an earlier answer.
+// NewsArgs requests the changes since an earlier answer.
 type NewsArgs struct {
-	Position  news.Position // after the answer before, of whichever process
+	Position  news.Position // position of the last answer, of whichever process
 	Interests []news.Interest
 	Wait      time.Duration
 }
 
-// NewsReply is the answer.
+// NewsReply is the answer to NewsArgs.
 type NewsReply struct {
-	Stale    bool // this process has not heard from the store lately
+	Stale    bool // this process has had no contact with the store lately
 	Position news.Position
-	Topics   map[string]TopicNews // by prefix, of all interests
+	Topics   map[string]TopicNews // by prefix of the interest
 }
 
-// TopicNews are the changes of one topic.
+// TopicNews contains the changes of one topic. It corresponds to news.Update.
 type TopicNews struct {
-	Full    bool // Changes and Stands are all keys that stand; others have gone
+	Full    bool // Changes and Stands are all existing keys; every other key is deleted
 	AsOf    int64
 	Changes []kv.Change
-	Stands  []string // keys that are as the follower knows them, if Full
+	Stands  []string // if Full: existing keys that have not changed since the follower's revision
 }
 
-// Register offers the relay to other processes.
+// Register registers the net/rpc service that serves the relay's topics.
 func (r *Relay) Register(server *rpc.Server) error {
-	return errors.Wrap(server.RegisterName(relayName, &RelayService{relay: r}), "cluster")
+	return errors.Wrap(server.RegisterName(newsService, &RelayService{relay: r}), "cluster")
 }
 
-// RelayService takes other processes' calls.
+// RelayService is the net/rpc service of a Relay.
 type RelayService struct{ relay *Relay }
 
-// After implements the call of that name: news after a position.
+// After returns the changes after a position. It waits for changes if there are none.
 func (s *RelayService) After(args NewsArgs, reply *NewsReply) error {
 	*reply = s.relay.await(args)
 	return nil
 }
 
+// await returns an answer as soon as there are changes, the data becomes stale or the
+// wait of the call ends.
 func (r *Relay) await(args NewsArgs) NewsReply {
-	deadline := time.Now().Add(min(args.Wait, relayWait))
+	deadline := time.Now().Add(min(args.Wait, maxNewsWait))
 	for {
 		r.mu.Lock()
-		fresh := r.topics.RemainingTTL(time.Now(), args.Interests)
-		reply, any := r.answer(args, fresh)
+		ttl := r.topics.RemainingTTL(time.Now(), args.Interests)
+		reply, changed := r.answer(args, ttl)
 		wake := r.wake
 		r.mu.Unlock()
-		wait := min(time.Until(deadline), fresh)
-		if reply.Stale || any || wait <= 0 {
+		wait := min(time.Until(deadline), ttl)
+		if reply.Stale || changed || wait <= 0 {
 			return reply
 		}
 		timer := time.NewTimer(wait)
@@ -141,9 +147,10 @@
 	}
 }
 
-// answer returns what a follower should be told, and whether there is anything.
-func (r *Relay) answer(args NewsArgs, fresh time.Duration) (reply NewsReply, any bool) {
-	if fresh <= 0 {
+// answer returns the reply to a call for news, and whether it contains changes. ttl is
+// how much longer the requested topics may be served.
+func (r *Relay) answer(args NewsArgs, ttl time.Duration) (reply NewsReply, changed bool) {
+	if ttl <= 0 {
 		return NewsReply{Stale: true}, false
 	}
 	reply = NewsReply{Position: r.topics.Position(), Topics: make(map[string]TopicNews, len(args.Interests))}
@@ -151,7 +158,7 @@
 		interest := &args.Interests[i]
 		n := r.topics.Get(interest.Prefix).Since(args.Position, interest)
 		reply.Topics[interest.Prefix] = TopicNews(n)
-		any = any || n.Full || len(n.Changes) > 0
+		changed = changed || n.Full || len(n.Changes) > 0
 	}
-	return reply, any
+	return reply, changed
 }
--- a/internal/agentless/cluster/relays.go
+++ b/internal/agentless/cluster/relays.go
@@ -4,14 +4,14 @@
 	"siskinloom.example/siskinloom/internal/policy/rendezvous"
 )
 
-// scoutCount is how many processes follow the store for all others. Each costs
-// the store a watch and an answer for every change, whatever the size of the
-// fleet. One that is cut off follows by way of others; when both are gone, the rest
-// ask the store themselves until the list names new ones.
-const scoutCount = 2
+// relayCount is the number of relays. Each one costs the store a watch and an answer
+// per change, regardless of the size of the fleet. A relay that is cut off from the
+// store reaches it through other processes. When both relays are lost, all processes
+// ask the store directly until the list of members yields new relays.
+const relayCount = 2
 
-// Relays returns the workers that follow the store and pass its news on. Every
-// process that knows the same members finds the same scouts.
+// Relays returns the workers that watch the store and serve its changes to the other
+// processes. All processes that know the same members compute the same relays.
 func Relays(members *Members) []Member {
 	var workers []Member
 	var keys []uint64
@@ -21,10 +21,10 @@
 			keys = append(keys, rendezvous.Key(m.Name))
 		}
 	}
-	ranked := rendezvous.Ranked(rendezvous.Key("scouts"), keys, scoutCount)
-	scouts := make([]Member, len(ranked))
+	ranked := rendezvous.Ranked(rendezvous.Key("scouts"), keys, relayCount)
+	relays := make([]Member, len(ranked))
 	for i, at := range ranked {
-		scouts[i] = workers[at]
+		relays[i] = workers[at]
 	}
-	return scouts
+	return relays
 }
--- a/internal/agentless/cluster/subscribe.go
+++ b/internal/agentless/cluster/subscribe.go
@@ -16,104 +16,109 @@
 )
 
 const (
-	// scoutsStart is how long after its own start a process waits for scouts that
-	// have just started as well, asking them every askAgainEvery and listing the
-	// members anew at every third time.
-	scoutsStart   = 2500 * time.Millisecond
-	askAgainEvery = 300 * time.Millisecond
-	listEvery     = 3
-	// fleetStart is how long a process waits when the whole system starts for the
-	// first time: by then all are registered, and one listing names the scouts.
-	// Nobody calls yet.
-	fleetStart = 800 * time.Millisecond
-	// newsSlack is how much longer than its own wait a call for news may take, and
-	// wholeSlack the first call of a process, which is answered with whole listings.
-	newsSlack  = 500 * time.Millisecond
-	wholeSlack = 2 * time.Second
+	// relayStartTimeout is how long after its own start a process waits for relays that
+	// are still starting as well. It asks them every relayRetryInterval and lists the
+	// members again at every third attempt (membersListTries).
+	relayStartTimeout  = 2500 * time.Millisecond
+	relayRetryInterval = 300 * time.Millisecond
+	membersListTries   = 3
+	// firstStartDelay is the delay before the first listing when the whole system
+	// starts for the first time. All processes have registered by then, so that one
+	// listing yields the relays, and there are no callers yet.
+	firstStartDelay = 800 * time.Millisecond
+	// newsCallMargin is how much longer than its own wait a call for news may take.
+	// fullNewsCallMargin applies to calls that are answered with complete listings, as
+	// the first call of a process is.
+	newsCallMargin     = 500 * time.Millisecond
+	fullNewsCallMargin = 2 * time.Second
 )
 
-var errStaleNews = errors.New("cluster: scout has not heard from the store lately")
+var errStaleNews = errors.New("cluster: the relay has had no contact with the store lately")
 
-// Subscriber keeps topics up to date from scouts, or from the store itself while
-// none of them can.
+// Subscriber keeps topics up to date from a relay, or from the store while no relay can
+// serve them.
 type Subscriber struct {
 	Store   kv.Shared
 	Topics  []*Topic
 	Members *Members
 	Peers   *rpcpool.Pool
 	Self    Member
-	// FirstStart tells that the whole system starts for the first time.
+	// FirstStart is true if the whole system starts for the first time.
 	FirstStart bool
-	// Failed and Recovered tell of the store where it is followed directly.
+	// Failed and Recovered are called when direct calls to the store fail and succeed
+	// again. They may be nil.
 	Failed    func(error)
 	Recovered func()
-	// SyncedFromRelay is called with each answer of a scout that hears from the store; may be
-	// nil.
+	// SyncedFromRelay is called after each answer of a relay that is in contact with
+	// the store. It may be nil.
 	SyncedFromRelay func()
-	// SyncedFromStore is called when the store itself told all topics; may be nil.
+	// SyncedFromStore is called when all topics were updated from the store directly.
+	// It may be nil.
 	SyncedFromStore func()
-	// RelaysCutOff is called when all scouts answer that they do not hear from the store; may
-	// be nil.
+	// RelaysCutOff is called when all relays answer that they have no contact with the
+	// store. It may be nil.
 	RelaysCutOff func()
-	// SourceChanged is told where news come from from now on; may be nil.
+	// SourceChanged is called with the name of the process or store that updates come
+	// from, and with the error that ended the use of a relay. It may be nil.
 	SourceChanged func(name string, why error)
-	// InitialSyncDone is set once everything was told, from whatever source: a later Run
-	// then begins with the scouts.
+	// InitialSyncDone is set once all topics were received from any source. A later Run
+	// then starts with the relays.
 	InitialSyncDone bool
 
-	broken   bool // the store failed when it was last asked
-	position news.Position
-	scopes   map[*Topic][]string // parts that were told of each topic
+	storeFailing   bool // whether the last direct call to the store failed
+	position       news.Position
+	receivedScopes map[*Topic][]string // scopes that were received of each topic
 }
 
-// Run keeps the topics up to date until ctx ends.
+// Run keeps the topics up to date until ctx is done.
 func (s *Subscriber) Run(ctx context.Context) error {
-	s.start(ctx)
+	s.listAtStart(ctx)
 	began := time.Now()
 	for try := 1; ctx.Err() == nil; try++ {
-		s.fromScouts(ctx)
+		s.fromRelays(ctx)
 		switch {
 		case ctx.Err() != nil:
-		case !s.InitialSyncDone && time.Since(began) < scoutsStart:
-			// The scouts have just started as well and may not be registered yet.
-			sleep(ctx, askAgainEvery)
-			if try%listEvery == 0 {
-				s.list(ctx, isMembers)
+		case !s.InitialSyncDone && time.Since(began) < relayStartTimeout:
+			// The relays may be starting as well and not be registered yet.
+			sleep(ctx, relayRetryInterval)
+			if try%membersListTries == 0 {
+				s.listTopics(ctx, isMembers)
 			}
 		default:
-			s.direct(ctx)
+			s.fromStore(ctx)
 		}
 	}
 	return nil
 }
 
+// isMembers reports whether a topic is that of the members.
 func isMembers(t *Topic) bool { return t.Prefix == prefixLive }
 
-// start lists the members, and everything else if others are registered: callers
-// may be waiting then, and a scout that is listed may be as dead as this process
-// was until now. When the whole system starts there is nobody yet; what scouts
-// will have in a moment is not listed by every process.
-func (s *Subscriber) start(ctx context.Context) {
+// listAtStart lists the members and, if other processes are registered, all other
+// topics: callers may be waiting, and a listed relay may have failed, as this process
+// had until now. When the whole system starts for the first time there are no callers,
+// and not every process needs to list what the relays will serve in a moment.
+func (s *Subscriber) listAtStart(ctx context.Context) {
 	if s.InitialSyncDone {
 		return
 	}
 	if s.FirstStart {
-		sleep(ctx, fleetStart)
+		sleep(ctx, firstStartDelay)
 	}
-	s.list(ctx, isMembers)
+	s.listTopics(ctx, isMembers)
 	if s.FirstStart {
 		return
 	}
 	for _, m := range s.Members.Live() {
 		if m.Name != s.Self.Name {
-			s.list(ctx, func(t *Topic) bool { return !isMembers(t) && !t.idle() })
+			s.listTopics(ctx, func(t *Topic) bool { return !isMembers(t) && !t.isIdle() })
 			return
 		}
 	}
 }
 
-// list lists some of the topics from the store.
-func (s *Subscriber) list(ctx context.Context, which func(*Topic) bool) {
+// listTopics lists some of the topics from the store.
+func (s *Subscriber) listTopics(ctx context.Context, which func(*Topic) bool) {
 	var group errgroup.Group
 	for _, topic := range s.Topics {
 		if !which(topic) {
@@ -122,7 +127,7 @@
 		group.Go(func() error {
 			page, err := kv.ReadAll(ctx, s.Store, topic.Prefix)
 			if err == nil {
-				topic.listing(page)
+				topic.applyListing(page)
 			}
 			return err
 		})
@@ -132,80 +137,82 @@
 	}
 }
 
-// direct asks the store itself once for each topic, from where it stands. In an
-// outage of the store no scout has fresh news either, and all processes come here at
-// once: one call of each then tells that the store is away, and nothing is listed
-// when it is back.
-func (s *Subscriber) direct(ctx context.Context) {
-	s.note("store", nil)
-	if !s.round(ctx, 0, isMembers) {
-		sleep(ctx, askAgainEvery)
+// fromStore makes one call to the store for each topic, from the topic's revision.
+// During an outage of the store the relays have no current data either, and all
+// processes get here at the same time. One call by each of them then detects the
+// outage, and nothing needs to be listed afterwards.
+func (s *Subscriber) fromStore(ctx context.Context) {
+	s.reportSource("store", nil)
+	if !s.callTopics(ctx, 0, isMembers) {
+		sleep(ctx, relayRetryInterval)
 		return
 	}
-	if s.round(ctx, watchWait, func(*Topic) bool { return true }) && s.SyncedFromStore != nil {
+	if s.callTopics(ctx, minWatchWait, func(*Topic) bool { return true }) && s.SyncedFromStore != nil {
 		s.SyncedFromStore()
 	}
 }
 
-// round makes one call for each of some topics, and tells whether all succeeded.
-func (s *Subscriber) round(ctx context.Context, wait time.Duration, which func(*Topic) bool) bool {
+// callTopics makes one call to the store for each of some topics, and reports whether
+// all succeeded.
+func (s *Subscriber) callTopics(ctx context.Context, wait time.Duration, which func(*Topic) bool) bool {
 	var group errgroup.Group
 	for _, topic := range s.Topics {
 		if !which(topic) {
 			continue
 		}
-		if needed, known := topic.needed(); known {
-			s.widen(topic, needed)
+		if needed, known := topic.neededScopes(); known {
+			s.ensureScopes(topic, needed)
 		}
 		f := &Follower{Store: s.Store, Topic: topic, Failed: s.Failed}
-		group.Go(func() error { return f.once(ctx, wait) })
+		group.Go(func() error { return f.callOnce(ctx, wait) })
 	}
 	err := group.Wait()
-	if err == nil && s.broken && s.Recovered != nil {
+	if err == nil && s.storeFailing && s.Recovered != nil {
 		s.Recovered()
 	}
-	s.broken = err != nil
+	s.storeFailing = err != nil
 	return err == nil
 }
 
-// widen has a topic be listed anew, with all its parts, if some are needed that
-// were not told.
-func (s *Subscriber) widen(topic *Topic, needed []string) {
-	if !covers(s.scopes[topic], needed) {
-		topic.widen()
-		delete(s.scopes, topic)
+// ensureScopes makes a topic be listed again, with all needed scopes, if some of those
+// were not received yet.
+func (s *Subscriber) ensureScopes(topic *Topic, needed []string) {
+	if !covers(s.receivedScopes[topic], needed) {
+		topic.resetForScopes()
+		delete(s.receivedScopes, topic)
 	}
 }
 
-// fromScouts takes news from one scout after the other until none has any.
-func (s *Subscriber) fromScouts(ctx context.Context) {
-	scouts := s.scouts()
+// fromRelays gets updates from one relay after the other until none can serve them.
+func (s *Subscriber) fromRelays(ctx context.Context) {
+	relays := s.relays()
 	stale := 0
-	for _, scout := range scouts {
-		err := s.follow(ctx, scout)
+	for _, relay := range relays {
+		err := s.followRelay(ctx, relay)
 		if ctx.Err() != nil {
 			return
 		}
 		if errors.Is(err, errStaleNews) {
 			stale++
 		}
-		s.note(scout.Name, err)
+		s.reportSource(relay.Name, err)
 	}
-	if stale > 0 && stale == len(scouts) && s.RelaysCutOff != nil {
+	if stale > 0 && stale == len(relays) && s.RelaysCutOff != nil {
 		s.RelaysCutOff()
 	}
 }
 
-// scouts lists the scouts, the one in this process's failure domain first.
-func (s *Subscriber) scouts() []Member {
-	scouts := Relays(s.Members)
-	SortNearest(s.Self, scouts)
-	return scouts
+// relays returns the relays, those in this process's failure domain first.
+func (s *Subscriber) relays() []Member {
+	relays := Relays(s.Members)
+	SortNearest(s.Self, relays)
+	return relays
 }
 
-// SortNearest sorts members as a process should ask them: those of its failure
-// domain first, as bytes between domains are dearer, and among equals in an order
-// of its own, so that not all processes ask the same one.
+// SortNearest sorts members in the order in which a process should ask them. Those in
+// its failure domain come first, because traffic between domains costs more. Among
+// equals the order differs between processes, so that not all of them ask the same
+// member.
 func SortNearest(self Member, members []Member) {
 	key := rendezvous.Key(self.Name)
 	sort.SliceStable(members, func(i, j int) bool {
@@ -217,46 +224,47 @@
 	})
 }
 
-// follow takes a scout's news until it fails or has none that are fresh. The
-// first call does not wait, so that a dead scout costs its slack only.
-func (s *Subscriber) follow(ctx context.Context, scout Member) error {
+// followRelay gets updates from a relay until a call fails or the relay's data is
+// stale. The first call does not wait, so that a failed relay costs only the call's
+// margin.
+func (s *Subscriber) followRelay(ctx context.Context, relay Member) error {
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
 		interests, asked := s.interests()
-		reply, err := s.ask(ctx, scout.Address, NewsArgs{Position: s.position, Interests: interests, Wait: wait})
+		reply, err := s.requestNews(ctx, relay.Address, NewsArgs{Position: s.position, Interests: interests, Wait: wait})
 		switch {
 		case err != nil:
 			return err
 		case reply.Stale:
 			return errStaleNews
 		}
-		s.take(reply, asked)
+		s.apply(reply, asked)
 		s.position = reply.Position
 		if s.SyncedFromRelay != nil {
 			s.SyncedFromRelay()
 		}
 		s.InitialSyncDone = s.InitialSyncDone || len(asked) == len(s.Topics)
-		wait = relayWait
-		if current, listed := s.Members.Get(scout.Name); !listed || current.Leaving {
-			return errors.New("cluster: scout leaves")
+		wait = maxNewsWait
+		if current, listed := s.Members.Get(relay.Name); !listed || current.Leaving {
+			return errors.New("cluster: the relay is leaving")
 		}
 	}
 	return nil
 }
 
-// interests returns what is to be asked for, with the topics that it covers and
-// their parts. A topic of which more parts are needed than before is asked for as
-// a whole; one whose parts are not known yet is left out.
+// interests returns the interests to request, and the topics that they cover with their
+// scopes. A topic that needs more scopes than before is requested in full; one whose
+// scopes are not known yet is left out.
 func (s *Subscriber) interests() ([]news.Interest, map[*Topic][]string) {
 	var interests []news.Interest
 	asked := map[*Topic][]string{}
 	for _, t := range s.Topics {
-		needed, known := t.needed()
+		needed, known := t.neededScopes()
 		if !known {
 			continue
 		}
-		s.widen(t, needed)
-		interest := news.Interest{Prefix: t.carrier(), Scopes: needed, AsOf: t.AsOf()}
+		s.ensureScopes(t, needed)
+		interest := news.Interest{Prefix: t.relayPrefix(), Scopes: needed, AsOf: t.AsOf()}
 		if t.RelayPrefix != "" {
 			interest.Only = t.Prefix
 		}
@@ -266,56 +274,58 @@
 	return interests, asked
 }
 
-// covers tells whether what was told of some parts holds all that is needed; nil
-// stands for all parts.
-func covers(told, needed []string) bool {
+// covers reports whether the received scopes include all needed ones; nil means all
+// scopes.
+func covers(received, needed []string) bool {
 	switch {
-	case told == nil:
+	case received == nil:
 		return true
 	case needed == nil:
 		return false
 	}
-	return !slices.ContainsFunc(needed, func(scope string) bool { return !slices.Contains(told, scope) })
+	return !slices.ContainsFunc(needed, func(scope string) bool { return !slices.Contains(received, scope) })
 }
 
-func (s *Subscriber) ask(ctx context.Context, address string, args NewsArgs) (NewsReply, error) {
-	slack := newsSlack
+// requestNews calls a relay.
+func (s *Subscriber) requestNews(ctx context.Context, address string, args NewsArgs) (NewsReply, error) {
+	margin := newsCallMargin
 	if slices.ContainsFunc(args.Interests, func(i news.Interest) bool { return i.AsOf == 0 }) {
-		slack = wholeSlack
+		margin = fullNewsCallMargin
 	}
-	ctx, cancel := context.WithTimeout(ctx, args.Wait+slack)
+	ctx, cancel := context.WithTimeout(ctx, args.Wait+margin)
 	defer cancel()
 	var reply NewsReply
 	if err := s.Peers.Call(ctx, address, callNews, args, &reply); err != nil {
-		return NewsReply{}, err // the reply may still be written to
+		return NewsReply{}, err // net/rpc may still write to reply
 	}
 	return reply, nil
 }
 
-// take takes in an answer to what was asked.
-func (s *Subscriber) take(reply NewsReply, asked map[*Topic][]string) {
-	if s.scopes == nil {
-		s.scopes = map[*Topic][]string{}
+// apply applies a relay's answer to the topics that were requested.
+func (s *Subscriber) apply(reply NewsReply, asked map[*Topic][]string) {
+	if s.receivedScopes == nil {
+		s.receivedScopes = map[*Topic][]string{}
 	}
 	for topic, scopes := range asked {
-		told := reply.Topics[topic.carrier()]
-		if told.Full {
-			page := kv.Page{AsOf: told.AsOf}
-			for _, c := range told.Changes {
+		update := reply.Topics[topic.relayPrefix()]
+		if update.Full {
+			page := kv.Page{AsOf: update.AsOf}
+			for _, c := range update.Changes {
 				page.Records = append(page.Records, c.Record)
 			}
-			topic.listing(page, told.Stands...)
+			topic.applyListing(page, update.Stands...)
 		} else {
-			for _, c := range told.Changes {
-				topic.tell(c)
+			for _, c := range update.Changes {
+				topic.apply(c)
 			}
-			topic.reached(told.AsOf)
+			topic.advance(update.AsOf)
 		}
-		s.scopes[topic] = scopes
+		s.receivedScopes[topic] = scopes
 	}
 }
 
-func (s *Subscriber) note(name string, why error) {
+// reportSource calls SourceChanged if it is set.
+func (s *Subscriber) reportSource(name string, why error) {
 	if s.SourceChanged != nil {
 		s.SourceChanged(name, why)
 	}
--- a/internal/agentless/cluster/topic.go
+++ b/internal/agentless/cluster/topic.go
@@ -8,175 +8,181 @@
 	"siskinloom.example/siskinloom/internal/kv"
 )
 
-// mostTombstones bounds what is remembered of keys that went.
-const mostTombstones = 2048
+// maxTombstones limits the deleted keys that a topic remembers.
+const maxTombstones = 2048
 
-// Topic is one prefix of the store and who is told of its changes. News may
-// come from the store or from other processes that follow it, some of which lag
-// behind: what is older than what was told is not told again. It is safe for
-// concurrent use; its functions are called one at a time.
+// Topic is the view of one prefix of the store, with callbacks for its changes. Updates
+// may come from the store or from relays, some of which lag behind; a change that is
+// older than the known state of its key is ignored. It is safe for concurrent use. Its
+// callbacks run one at a time.
 type Topic struct {
 	Prefix string
-	// RelayPrefix is the prefix of the relays' topic that this one is a part of; empty:
-	// its own prefix.
+	// RelayPrefix is the prefix of the relays' topic that contains this one; empty
+	// means that it is the same prefix.
 	RelayPrefix string
-	// Changed is called with each record as it stands, Deleted with each key that
-	// went.
+	// Changed is called with the new state of a record, Deleted with a deleted key.
+	// Both may be nil.
 	Changed func(kv.Record)
 	Deleted func(key string, revision int64)
-	// Listed is called after each listing was told in full; may be nil.
+	// Listed is called after a listing was applied; it may be nil.
 	Listed func()
-	// Scopes names the parts of the topic that this process needs, nil for all, and
-	// whether it knows them yet; a nil function stands for all.
+	// Scopes returns the scopes that this process needs, or nil for all, and whether it
+	// knows them yet. If the function is nil, all scopes are needed.
 	Scopes func() (scopes []string, known bool)
-	// Idle tells that changes are of no use now; may be nil.
+	// Idle reports whether changes are of no use at present; it may be nil.
 	Idle func() bool
-	// Relay takes in all that is told, for other processes; may be nil.
+	// Relay receives all changes, to serve them to other processes; it may be nil.
 	Relay *Relay
-	// SubTopic is told what concerns its prefix, which lies within this topic's; may be
-	// nil.
+	// SubTopic receives the changes under its own prefix, which must be within this
+	// topic's; it may be nil.
 	SubTopic *Topic
 
-	mu    sync.Mutex
-	known map[string]int64 // revision by key
-	gone  map[string]tombstone
-	asOf  int64 // everything up to it was told; 0: unknown
+	mu         sync.Mutex
+	revisions  map[string]int64 // by key
+	tombstones map[string]tombstone
+	asOf       int64 // all changes up to it were applied; 0: unknown
 }
 
-// tombstone is what is remembered of a key that went.
+// tombstone records the deletion of a key.
 type tombstone struct {
-	revision int64 // at which it went, at the latest
-	inferred bool  // from a listing that lacked it, and not told as such
+	revision int64 // latest possible revision of the deletion
+	inferred bool  // the key was missing in a listing; no deletion was received
 }
 
-// carrier returns the prefix under which relays carry the topic.
-func (t *Topic) carrier() string {
+// relayPrefix returns the prefix of the relays' topic that contains this one.
+func (t *Topic) relayPrefix() string {
 	if t.RelayPrefix != "" {
 		return t.RelayPrefix
 	}
 	return t.Prefix
 }
 
-// needed returns the parts that this process needs, nil for all, and whether it
-// knows them yet.
-func (t *Topic) needed() (scopes []string, known bool) {
+// neededScopes returns the scopes that this process needs, or nil for all, and whether
+// it knows them yet.
+func (t *Topic) neededScopes() (scopes []string, known bool) {
 	if t.Scopes == nil {
 		return nil, true
 	}
 	return t.Scopes()
 }
 
-func (t *Topic) idle() bool { return t.Idle != nil && t.Idle() }
+func (t *Topic) isIdle() bool { return t.Idle != nil && t.Idle() }
 
+// init creates the maps. It drops all tombstones when there are more than
+// maxTombstones.
 func (t *Topic) init() {
-	if t.known == nil {
-		t.known = map[string]int64{}
+	if t.revisions == nil {
+		t.revisions = map[string]int64{}
 	}
-	if t.gone == nil || len(t.gone) > mostTombstones {
-		t.gone = map[string]tombstone{}
+	if t.tombstones == nil || len(t.tombstones) > maxTombstones {
+		t.tombstones = map[string]tombstone{}
 	}
 }
 
-// AsOf returns the revision up to which everything was told; 0: unknown.
+// AsOf returns the revision up to which all changes were applied; 0 means that it is
+// unknown.
 func (t *Topic) AsOf() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.asOf
 }
 
-// restart has the topic be listed anew.
-func (t *Topic) restart() {
+// reset makes the topic be listed again.
+func (t *Topic) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.asOf = 0
 }
 
-// widen has the topic be listed anew with parts that were left out so far. A key that
-// a listing lacked may have been of such a part and never have gone.
-func (t *Topic) widen() {
+// resetForScopes makes the topic be listed again with additional scopes. Deletions that
+// were inferred from a listing are forgotten: the key may belong to a scope that was
+// left out and may still exist.
+func (t *Topic) resetForScopes() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.asOf = 0
-	maps.DeleteFunc(t.gone, func(_ string, g tombstone) bool { return g.inferred })
+	maps.DeleteFunc(t.tombstones, func(_ string, g tombstone) bool { return g.inferred })
 }
 
-// reached notes that everything up to a revision was told.
-func (t *Topic) reached(asOf int64) {
+// advance records that all changes up to a revision were applied.
+func (t *Topic) advance(asOf int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.asOf = max(t.asOf, asOf)
 	if t.SubTopic != nil {
-		t.SubTopic.reached(asOf)
+		t.SubTopic.advance(asOf)
 	}
 }
 
-// tell passes a change on unless a newer one of its key was told.
-func (t *Topic) tell(c kv.Change) {
+// apply applies a change unless the topic knows a newer state of the key.
+func (t *Topic) apply(c kv.Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.init()
-	t.tellLocked(c, false)
+	t.applyLocked(c, false)
 	if t.SubTopic != nil && strings.HasPrefix(c.Record.Key, t.SubTopic.Prefix) {
-		t.SubTopic.tell(c)
+		t.SubTopic.apply(c)
 	}
 }
 
-func (t *Topic) tellLocked(c kv.Change, inferred bool) {
+// applyLocked is apply with mu held, without the SubTopic. inferred means that a
+// listing lacked the key.
+func (t *Topic) applyLocked(c kv.Change, inferred bool) {
 	r := c.Record
-	if r.Revision <= t.known[r.Key] || r.Revision <= t.gone[r.Key].revision {
+	if r.Revision <= t.revisions[r.Key] || r.Revision <= t.tombstones[r.Key].revision {
 		return
 	}
 	if t.Relay != nil {
 		t.Relay.put(t.Prefix, c)
 	}
 	if c.Deleted {
-		delete(t.known, r.Key)
-		t.gone[r.Key] = tombstone{r.Revision, inferred}
+		delete(t.revisions, r.Key)
+		t.tombstones[r.Key] = tombstone{r.Revision, inferred}
 		if t.Deleted != nil {
 			t.Deleted(r.Key, r.Revision)
 		}
 		return
 	}
-	delete(t.gone, r.Key)
-	t.known[r.Key] = r.Revision
+	delete(t.tombstones, r.Key)
+	t.revisions[r.Key] = r.Revision
 	if t.Changed != nil {
 		t.Changed(r)
 	}
 }
 
-// listing tells a whole listing: keys that it lacks have gone, unless they are
-// newer than the listing. stands names keys of it that are as they were told.
-func (t *Topic) listing(page kv.Page, stands ...string) {
+// applyListing applies a complete listing. Keys that it lacks are deleted unless they
+// are newer than the listing. unchanged names keys that exist and have not changed.
+func (t *Topic) applyListing(page kv.Page, unchanged ...string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.init()
-	present := make(map[string]bool, len(page.Records)+len(stands))
-	for _, key := range stands {
+	present := make(map[string]bool, len(page.Records)+len(unchanged))
+	for _, key := range unchanged {
 		present[key] = true
 	}
 	for _, r := range page.Records {
 		present[r.Key] = true
-		t.tellLocked(kv.Change{Record: r}, false)
+		t.applyLocked(kv.Change{Record: r}, false)
 	}
-	for key, revision := range t.known {
+	for key, revision := range t.revisions {
 		if !present[key] && revision <= page.AsOf {
-			t.tellLocked(kv.Change{Record: kv.Record{Key: key, Revision: max(page.AsOf, revision+1)}, Deleted: true}, true)
+			t.applyLocked(kv.Change{Record: kv.Record{Key: key, Revision: max(page.AsOf, revision+1)}, Deleted: true}, true)
 		}
 	}
 	t.asOf = max(t.asOf, page.AsOf)
 	if t.Relay != nil {
-		t.Relay.listed(t.Prefix, page.AsOf)
+		t.Relay.markListed(t.Prefix, page.AsOf)
 	}
 	if t.Listed != nil {
 		t.Listed()
 	}
 	if t.SubTopic != nil {
-		t.SubTopic.listing(partOf(page, t.SubTopic.Prefix))
+		t.SubTopic.applyListing(filterPage(page, t.SubTopic.Prefix))
 	}
 }
 
-// partOf returns a listing's records under a prefix.
-func partOf(page kv.Page, prefix string) kv.Page {
+// filterPage returns the records of a listing under a prefix.
+func filterPage(page kv.Page, prefix string) kv.Page {
 	part := kv.Page{AsOf: page.AsOf}
 	for _, r := range page.Records {
 		if strings.HasPrefix(r.Key, prefix) {
