--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -43,10 +43,10 @@
 	return ids
 }
 
-var _ = Describe("the fair queue", func() {
-	It("serves a business that sends little next to one that floods", func() {
-		// The greedy business has 50 requests waiting when the other's first
-		// one comes. First in, first out would put it behind all of them.
+var _ = Describe("fair queueing", func() {
+	It("serves a business with few requests before a flooding one", func() {
+		// The greedy business has 50 requests waiting when the first request of the
+		// other one arrives. A FIFO queue would put it behind all of them.
 		q := admission.New(admission.Config{Slots: 1, QueueLimit: 100})
 		for i := range 50 {
 			q.Offer(start, item(fmt.Sprint("greedy-", i), "greedy", 0.1))
@@ -56,7 +56,7 @@
 		Expect(next).To(Equal([]string{"modest"}))
 	})
 
-	It("divides between agencies by their declared weights", func() {
+	It("shares the endpoint between agencies by their declared weights", func() {
 		p := func(agency string) wire.Principal { return wire.Principal{Business: "b", Agency: agency} }
 		q := admission.New(admission.Config{Slots: 1, QueueLimit: 1000, Weights: map[wire.Principal]float64{p("x"): 3}})
 		for i := range 400 {
@@ -75,8 +75,8 @@
 		Expect(served['x']).To(BeNumerically("~", 300, 2))
 	})
 
-	It("charges the time a slot was really held", func() {
-		// A caller that understates its costs tenfold is served no more time.
+	It("charges the time that a slot was held", func() {
+		// A caller that states a tenth of its real costs gets no more slot time.
 		q := admission.New(admission.Config{Slots: 1, QueueLimit: 10000})
 		for i := range 2000 {
 			q.Offer(start, item(fmt.Sprint("liar-", i), "liar", 0.001))
@@ -113,7 +113,7 @@
 })
 
 var _ = Describe("refusals", func() {
-	It("refuses at once what cannot meet its deadline and says when to come back", func() {
+	It("refuses at once a request that cannot meet its deadline, with a time to retry after", func() {
 		q := admission.New(admission.Config{Slots: 1, QueueLimit: 100})
 		for i := range 20 {
 			q.Offer(start, item(fmt.Sprint(i), "b", 0.1))
@@ -128,19 +128,19 @@
 		Expect(idsOf(q.Offer(start, it), admission.Refuse)).To(BeEmpty())
 	})
 
-	It("refuses a waiting request the moment its deadline is out of reach", func() {
+	It("refuses a waiting request as soon as it can no longer meet its deadline", func() {
 		q := admission.New(admission.Config{Slots: 1, QueueLimit: 100})
 		q.Offer(start, item("running", "b", 0.01))
 		it := item("waiting", "b", 0.1)
 		it.Deadline = start.Add(time.Second)
 		q.Offer(start, it)
-		at, some := q.NextExpiry()
-		Expect(some).To(BeTrue())
+		at, found := q.NextExpiry()
+		Expect(found).To(BeTrue())
 		Expect(q.Tick(at)).To(BeEmpty())
 		Expect(idsOf(q.Tick(at.Add(1)), admission.Refuse)).To(Equal([]string{"waiting"}))
 	})
 
-	It("sheds the flooding business when the queue is full", func() {
+	It("sheds requests of the flooding business when the queue is full", func() {
 		q := admission.New(admission.Config{Slots: 1, QueueLimit: 10})
 		for i := range 11 {
 			Expect(idsOf(q.Offer(start, item(fmt.Sprint("greedy-", i), "greedy", 0.1)), admission.Refuse)).To(BeEmpty())
@@ -161,7 +161,7 @@
 		Expect(started(q.Offer(start.Add(refusal.RetryAfter), item("3", "b", 0.1)))).To(HaveLen(1))
 	})
 
-	It("divides a caller's rate by the agents that its requests are spread over", func() {
+	It("divides a caller's rate by the number of agents that its requests are spread over", func() {
 		p := wire.Principal{Business: "b", Agency: "a", Caller: "c"}
 		q := admission.New(admission.Config{Slots: 100, QueueLimit: 10, Rates: map[wire.Principal]admission.Rate{p: {PerSecond: 20, Burst: 1}}})
 		q.SetAgentCount(start, 10)
@@ -173,7 +173,7 @@
 		Expect(served).To(BeNumerically("~", 20, 1))
 	})
 
-	It("never calls a request under a known id not run", func() {
+	It("never reports a request with a known ID as not run", func() {
 		q := admission.New(admission.Config{Slots: 1, QueueLimit: 10})
 		q.Offer(start, item("1", "b", 0.1))
 		refusal := q.Offer(start, item("1", "b", 0.1))[0]
@@ -183,9 +183,9 @@
 })
 
 var _ = Describe("rollouts", func() {
-	It("are preempted for a caller's request and go on afterwards", func() {
-		// Rollouts hold both slots when a lookup comes. One of them is stopped,
-		// the lookup takes its slot, and the rollout goes on when it is done.
+	It("are preempted for a deadline request and continue afterwards", func() {
+		// Rollouts hold both slots when a lookup arrives. One of them is stopped,
+		// the lookup gets its slot, and the rollout continues when it is done.
 		q := admission.New(admission.Config{Slots: 2, QueueLimit: 10})
 		q.Offer(start, rollout("r1"))
 		q.Offer(start, rollout("r2"))
@@ -195,7 +195,7 @@
 		Expect(q.Load().Running).To(Equal(2))
 	})
 
-	It("are not called not run once they ran", func() {
+	It("are not reported as not run once they have run", func() {
 		q := admission.New(admission.Config{Slots: 1, QueueLimit: 10})
 		r := rollout("r")
 		r.Deadline = start.Add(20 * time.Second)
@@ -207,7 +207,7 @@
 		Expect(refusal.Started).To(BeTrue())
 	})
 
-	It("that never started are refused at a graceful stop; everything else is served", func() {
+	It("that never started are refused at a graceful stop, and all other requests are served", func() {
 		q := admission.New(admission.Config{Slots: 1, QueueLimit: 10})
 		q.Offer(start, item("running", "b", 1))
 		q.Offer(start, item("waiting", "b", 1))
@@ -220,9 +220,9 @@
 	})
 })
 
-var _ = Describe("a suspect", func() {
+var _ = Describe("a suspect request", func() {
 	It("runs alone", func() {
-		// If it crashes the endpoint, no innocent neighbour is in the batch.
+		// If it crashes the endpoint, no other request is in the same batch.
 		q := admission.New(admission.Config{Slots: 2, QueueLimit: 10})
 		q.Offer(start, item("before", "b", 1))
 		suspect := item("suspect", "b", 1)
@@ -234,8 +234,8 @@
 	})
 })
 
-var _ = Describe("the tail of the cost", func() {
-	It("is kept before the deadline, so what starts last still ends in time", func() {
+var _ = Describe("the tail cost", func() {
+	It("is subtracted from the deadline, so that a request that starts last ends in time", func() {
 		q := admission.New(admission.Config{Slots: 1, QueueLimit: 100})
 		q.Offer(start, item("running", "b", 0.1))
 		it := item("waiting", "b", 0.1)
@@ -247,8 +247,9 @@
 	})
 
 	It("never refuses a request that can start now", func() {
-		// After a slow spell the estimate is ten times the deadline. Refused
-		// for it, the class would never run again and the estimate never change.
+		// After a temporary slowdown the estimate is ten times the deadline. If the
+		// request were refused, the class would never run again and its estimate
+		// never change.
 		q := admission.New(admission.Config{Slots: 1, QueueLimit: 100})
 		it := item("first", "b", 10)
 		it.Deadline = start.Add(time.Second)
@@ -258,8 +259,8 @@
 
 const benchQueued = 10_000
 
-// filled returns a queue with benchQueued requests of 100 callers waiting.
-func filled(b *testing.B) (*admission.Queue, []admission.Item) {
+// newFilledQueue returns a queue with benchQueued waiting requests of 100 callers.
+func newFilledQueue(b *testing.B) (*admission.Queue, []admission.Item) {
 	items := make([]admission.Item, benchQueued+1)
 	for i := range items {
 		items[i] = admission.Item{
@@ -280,10 +281,10 @@
 	return q, items
 }
 
-// BenchmarkEnqueueDequeue10000 ends the running request, which starts the next
-// one in fair order, and offers the ended one again.
+// BenchmarkEnqueueDequeue10000 ends the running request, which starts the next one in
+// fair order, and offers the ended request again.
 func BenchmarkEnqueueDequeue10000(b *testing.B) {
-	q, items := filled(b)
+	q, items := newFilledQueue(b)
 	running := "0"
 	index := map[string]int{}
 	for i, it := range items {
@@ -296,7 +297,7 @@
 	}
 }
 
-// The baseline of BenchmarkEnqueueDequeue10000: first in, first out.
+// BenchmarkFIFO10000 is the baseline of BenchmarkEnqueueDequeue10000: a FIFO queue.
 func BenchmarkFIFO10000(b *testing.B) {
 	fifo := make(chan admission.Item, benchQueued+1)
 	for i := range benchQueued {
--- a/internal/policy/admission/entry.go
+++ b/internal/policy/admission/entry.go
@@ -2,38 +2,41 @@
 
 import "time"
 
+// state is where an entry stands between queue and endpoint.
 type state int
 
 const (
-	waiting state = iota
-	held          // a suspect whose turn came and that waits to be alone
+	waiting      state = iota
+	pendingAlone       // a suspect whose turn has come; it waits until nothing else runs
 	running
-	preempting // told to stop, still holds its slot
+	preempting // asked to stop, still holds its slot
 )
 
-// entry is a request in the queue or at the endpoint.
+// entry is a request that waits in the queue or runs at the endpoint.
 type entry struct {
-	item     Item
-	leaf     *node
-	cost     float64
-	state    state
-	started  bool // ran before, so it can no longer be called "not run"
-	since    time.Time
-	order    uint64
-	latest   time.Time // start, with which it can still meet its deadline
-	index    int       // in its lane
-	expIndex int       // in the expiry heap; None: has no deadline or does not wait
+	item        Item
+	leaf        *node
+	cost        float64
+	state       state
+	started     bool // has run before, so it cannot be refused as "not run"
+	startedAt   time.Time
+	order       uint64    // of arrival
+	latestStart time.Time // latest start time that can still meet the deadline
+	index       int       // in its lane
+	expiryIndex int       // in the expiry heap; NotInHeap: it has no deadline or does not wait
 }
 
-// setLatest works out the last moment at which the request can start. With the
-// mean cost alone half of those that start last would end too late.
-func (e *entry) setLatest() {
-	e.latest = e.item.Deadline.Add(-seconds(max(e.cost, e.item.TailCost)))
+// updateLatestStart computes the latest time at which the request can start. It uses
+// the tail of the cost: with the mean, half of the requests that start last would end
+// too late.
+func (e *entry) updateLatestStart() {
+	e.latestStart = e.item.Deadline.Add(-seconds(max(e.cost, e.item.TailCost)))
 }
 
-// sooner orders a lane's requests by deadline, those without one last, then by
-// arrival. A preempted rollout keeps its arrival and so goes first again.
-func sooner(a, b *entry) bool {
+// earlierDeadline orders the requests of a lane by deadline, those without one last,
+// then by arrival. A preempted rollout keeps its order of arrival, so it starts before
+// later ones.
+func earlierDeadline(a, b *entry) bool {
 	if a.item.Deadline.Equal(b.item.Deadline) {
 		return a.order < b.order
 	}
@@ -43,5 +46,5 @@
 	return a.item.Deadline.Before(b.item.Deadline)
 }
 
-// expiresFirst orders waiting requests by their latest start.
-func expiresFirst(a, b *entry) bool { return a.latest.Before(b.latest) }
+// earlierLatestStart orders waiting requests by their latest start time.
+func earlierLatestStart(a, b *entry) bool { return a.latestStart.Before(b.latestStart) }
--- a/internal/policy/admission/queue.go
+++ b/internal/policy/admission/queue.go
@@ -10,92 +10,91 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Queue is the admission decision of one endpoint. It is not safe for
-// concurrent use.
+// Queue decides about the requests of one endpoint. It is not safe for concurrent use.
 type Queue struct {
-	cfg      Config
-	slots    int
-	peers    int // agents among which a caller's rate limit is divided; at least 1
-	callers  *tree
-	rollouts *tree
-	entries  map[string]*entry
-	expiry   *indexheap.Heap[*entry] // waiting requests with a deadline
-	limiters map[wire.Principal]*rate.Limiter
+	cfg          Config
+	slots        int
+	agents       int                     // agents that a caller's rate limit is divided by; at least 1
+	deadlineTree *tree                   // waiting deadline requests
+	rolloutTree  *tree                   // waiting rollouts
+	entries      map[string]*entry       // by ID, waiting and running
+	expiry       *indexheap.Heap[*entry] // waiting requests with a deadline, by latest start time
+	limiters     map[wire.Principal]*rate.Limiter
 
-	running     int // entries that hold a slot, preempting ones included
-	preempting  int
-	runningCost float64  // of the deadline requests at the endpoint
-	preemptible []*entry // running rollouts, in the order of their start
-	held        *entry
-	alone       *entry // a running suspect; nothing starts beside it
-	leaving     bool
-	order       uint64
-	actions     []Action
+	running      int // entries that hold a slot, including preempting ones
+	preempting   int
+	runningCost  float64  // of the deadline requests at the endpoint
+	preemptible  []*entry // running and preempting rollouts, in the order of their start
+	pendingAlone *entry   // entry in state pendingAlone, or nil; nothing starts before it
+	runningAlone *entry   // running suspect, or nil; nothing starts beside it
+	draining     bool
+	order        uint64 // arrivals so far
+	actions      []Action
 }
 
-// New returns an empty queue.
+// New returns an empty Queue.
 func New(cfg Config) *Queue {
 	return &Queue{
-		cfg:      cfg,
-		slots:    cfg.Slots,
-		peers:    1,
-		callers:  newTree(cfg.Weights),
-		rollouts: newTree(cfg.Weights),
-		entries:  map[string]*entry{},
-		expiry:   indexheap.New(expiresFirst, func(e *entry) *int { return &e.expIndex }),
-		limiters: map[wire.Principal]*rate.Limiter{},
+		cfg:          cfg,
+		slots:        cfg.Slots,
+		agents:       1,
+		deadlineTree: newTree(cfg.Weights),
+		rolloutTree:  newTree(cfg.Weights),
+		entries:      map[string]*entry{},
+		expiry:       indexheap.New(earlierLatestStart, func(e *entry) *int { return &e.expiryIndex }),
+		limiters:     map[wire.Principal]*rate.Limiter{},
 	}
 }
 
-// Configure puts a changed declaration in force. Waiting requests stay.
+// Configure applies a changed configuration. Waiting requests stay in the queue.
 func (q *Queue) Configure(now time.Time, cfg Config) []Action {
-	q.begin()
+	q.resetActions()
 	q.cfg = cfg
-	q.callers.reweigh(cfg.Weights)
-	q.rollouts.reweigh(cfg.Weights)
+	q.deadlineTree.setWeights(cfg.Weights)
+	q.rolloutTree.setWeights(cfg.Weights)
 	q.limiters = map[wire.Principal]*rate.Limiter{}
 	q.slots = cfg.Slots
 	q.dispatch(now)
 	return q.actions
 }
 
-// SetSlots changes how many requests the endpoint may run at once, within what
-// is declared.
+// SetSlots changes how many requests the endpoint may run at once, up to the declared
+// number.
 func (q *Queue) SetSlots(now time.Time, slots int) []Action {
-	q.begin()
+	q.resetActions()
 	q.slots = min(slots, q.cfg.Slots)
 	q.dispatch(now)
 	return q.actions
 }
 
-// SetAgentCount tells over how many queues callers' requests are spread. Each grants
-// a caller that part of its declared rate, and the whole burst, as requests do
-// not come evenly.
+// SetAgentCount sets the number of agents over which callers' requests are spread. Each
+// agent grants a caller an equal part of the declared rate, but the whole burst, as
+// requests do not arrive evenly.
 func (q *Queue) SetAgentCount(now time.Time, n int) {
 	n = max(n, 1)
-	if n == q.peers {
+	if n == q.agents {
 		return
 	}
-	q.peers = n
+	q.agents = n
 	for p, limiter := range q.limiters {
 		limiter.SetLimitAt(now, rate.Limit(q.rateOf(p)))
 	}
 }
 
-// Offer asks for the endpoint. A request that cannot meet its deadline, or for
+// Offer adds a request to the queue. A request that cannot meet its deadline, or for
 // which there is no room, is refused in the same call.
 func (q *Queue) Offer(now time.Time, item Item) []Action {
-	q.begin()
-	if refusal, refused := q.check(now, item); refused {
+	q.resetActions()
+	if refusal, refused := q.refuseEarly(now, item); refused {
 		q.actions = append(q.actions, refusal)
 		return q.actions
 	}
 	t := q.treeOf(item)
-	e := &entry{item: item, leaf: t.leaf(item.Principal), cost: max(item.Cost, minCost), order: q.order, expIndex: indexheap.NotInHeap}
+	e := &entry{item: item, leaf: t.leaf(item.Principal), cost: max(item.Cost, minCost), order: q.order, expiryIndex: indexheap.NotInHeap}
 	q.order++
-	e.setLatest()
-	if wait := q.wait(e); q.tooLate(now, e, wait) {
-		q.refuse(e, wire.ReasonDeadline, q.retryAfter(now, e, wait))
+	e.updateLatestStart()
+	if estimatedWait := q.estimatedWait(e); q.missesDeadline(now, e, estimatedWait) {
+		q.refuse(e, wire.ReasonDeadline, q.retryAfter(now, e, estimatedWait))
 		return q.actions
 	}
 	q.enqueue(e)
@@ -106,9 +105,9 @@
 	return q.actions
 }
 
-// Done tells that a request left the endpoint, whatever its outcome.
+// Done records that a request has left the endpoint, with any outcome.
 func (q *Queue) Done(now time.Time, id string) []Action {
-	q.begin()
+	q.resetActions()
 	e := q.entries[id]
 	if e == nil || (e.state != running && e.state != preempting) {
 		return q.actions
@@ -119,58 +118,58 @@
 	return q.actions
 }
 
-// Preempted tells that a rollout stopped as it was told to. It waits again,
-// before its caller's later ones, with the cost it has left.
+// Preempted records that a rollout has stopped as asked. It waits again, before later
+// requests of its caller, with the rest of its cost.
 func (q *Queue) Preempted(now time.Time, id string) []Action {
-	q.begin()
+	q.resetActions()
 	e := q.entries[id]
 	if e == nil || e.state != preempting {
 		return q.actions
 	}
-	ran := now.Sub(e.since).Seconds()
+	ran := now.Sub(e.startedAt).Seconds()
 	q.release(now, e)
 	e.cost = max(e.cost-ran, minCost)
-	e.setLatest()
+	e.updateLatestStart()
 	q.enqueue(e)
 	q.dispatch(now)
 	return q.actions
 }
 
-// Cancel takes a waiting request out of the queue. It reports whether the
-// request was waiting, and whether it had run before a preemption.
+// Cancel removes a waiting request from the queue. It returns whether the request was
+// waiting, and whether it had run before a preemption.
 func (q *Queue) Cancel(now time.Time, id string) (removed, started bool, actions []Action) {
-	q.begin()
+	q.resetActions()
 	e := q.entries[id]
 	if e == nil || e.state == running || e.state == preempting {
 		return false, false, q.actions
 	}
-	q.takeOut(e)
+	q.removeWaiting(e)
 	q.dispatch(now)
 	return true, e.started, q.actions
 }
 
 // Tick refuses the waiting requests that can no longer meet their deadline.
 func (q *Queue) Tick(now time.Time) []Action {
-	q.begin()
-	q.expire(now)
+	q.resetActions()
+	q.refuseExpired(now)
 	q.dispatch(now)
 	return q.actions
 }
 
-// NextExpiry returns when Tick has something to do; false: nothing waits with
-// a deadline.
+// NextExpiry returns the time after which Tick refuses a request. It returns false if
+// no request with a deadline waits.
 func (q *Queue) NextExpiry() (time.Time, bool) {
 	if q.expiry.Len() == 0 {
 		return time.Time{}, false
 	}
-	return q.expiry.First().latest, true
+	return q.expiry.First().latestStart, true
 }
 
-// Drain begins a graceful stop: new requests are refused, those already taken
-// are served, except rollouts that never started, which are refused as not run.
+// Drain begins a graceful stop. New requests are refused and requests in the queue are
+// served, except for rollouts that have never started, which are refused as not run.
 func (q *Queue) Drain(now time.Time) []Action {
-	q.begin()
-	q.leaving = true
+	q.resetActions()
+	q.draining = true
 	var refused []*entry
 	for _, e := range q.entries {
 		if e.item.Rollout && e.state == waiting && !e.started {
@@ -179,7 +178,7 @@
 	}
 	sort.Slice(refused, func(i, j int) bool { return refused[i].order < refused[j].order })
 	for _, e := range refused {
-		q.takeOut(e)
+		q.removeWaiting(e)
 		q.refuse(e, wire.ReasonLeaving, 0)
 	}
 	q.dispatch(now)
@@ -194,61 +193,61 @@
 	return Load{
 		Running:       q.running,
 		Queued:        len(q.entries) - q.running,
-		Rollouts:      len(q.preemptible) + q.rollouts.root.queued,
+		Rollouts:      len(q.preemptible) + q.rolloutTree.root.queued,
 		Slots:         q.slots,
-		QueuedSeconds: q.callers.root.queuedCost / float64(max(q.slots, 1)),
-		Leaving:       q.leaving,
+		QueuedSeconds: q.deadlineTree.root.queuedCost / float64(max(q.slots, 1)),
+		Leaving:       q.draining,
 	}
 }
 
-func (q *Queue) begin() { q.actions = q.actions[:0] }
+func (q *Queue) resetActions() { q.actions = q.actions[:0] }
 
 func (q *Queue) treeOf(item Item) *tree {
 	if item.Rollout {
-		return q.rollouts
+		return q.rolloutTree
 	}
-	return q.callers
+	return q.deadlineTree
 }
 
-// dispatch fills the free slots in fair order and asks rollouts to make room
-// for deadline requests that still wait.
+// dispatch starts requests in free slots in fair order, and preempts rollouts for
+// deadline requests that still wait.
 func (q *Queue) dispatch(now time.Time) {
-	q.expire(now)
-	for q.held == nil && q.alone == nil && q.running < q.slots {
+	q.refuseExpired(now)
+	for q.pendingAlone == nil && q.runningAlone == nil && q.running < q.slots {
 		e := q.next()
 		if e == nil {
 			break
 		}
 		if e.item.Suspect && q.running > 0 {
-			e.state = held
-			q.held = e
+			e.state = pendingAlone
+			q.pendingAlone = e
 			break
 		}
 		q.start(now, e)
 	}
-	if q.held != nil && q.running == 0 && q.slots > 0 {
-		e := q.held
-		q.held = nil
+	if q.pendingAlone != nil && q.running == 0 && q.slots > 0 {
+		e := q.pendingAlone
+		q.pendingAlone = nil
 		q.start(now, e)
 	}
 	q.preempt()
 }
 
 func (q *Queue) next() *entry {
-	if e := q.callers.pop(); e != nil {
+	if e := q.deadlineTree.pop(); e != nil {
 		return e
 	}
-	return q.rollouts.pop()
+	return q.rolloutTree.pop()
 }
 
 func (q *Queue) start(now time.Time, e *entry) {
-	q.unexpire(e)
+	q.removeExpiry(e)
 	e.state = running
 	e.started = true
-	e.since = now
+	e.startedAt = now
 	q.running++
 	if e.item.Suspect {
-		q.alone = e
+		q.runningAlone = e
 	}
 	if e.item.Rollout {
 		q.preemptible = append(q.preemptible, e)
@@ -258,22 +257,22 @@
 	q.actions = append(q.actions, Action{Kind: Start, ID: e.item.ID})
 }
 
-// release frees the slot and corrects the charge from the estimate to the time
-// the slot was held, so understating a cost gains nothing.
+// release frees the slot and corrects the charge from the estimated cost to the time
+// that the slot was held, so that a caller does not gain from stating a low cost.
 func (q *Queue) release(now time.Time, e *entry) {
 	q.running--
 	if e.state == preempting {
 		q.preempting--
 	}
-	if q.alone == e {
-		q.alone = nil
+	if q.runningAlone == e {
+		q.runningAlone = nil
 	}
 	if e.item.Rollout {
 		q.dropPreemptible(e)
 	} else {
 		q.runningCost -= e.cost
 	}
-	held := now.Sub(e.since).Seconds()
+	held := now.Sub(e.startedAt).Seconds()
 	q.treeOf(e.item).charge(e.leaf, held-e.cost)
 }
 
@@ -286,11 +285,11 @@
 	}
 }
 
-// preempt stops as many rollouts, the last started first, as there are deadline
-// requests waiting beyond the slots that are about to be free.
+// preempt asks rollouts to stop, the last started one first, until as many slots are
+// about to be free as deadline requests wait. A pending suspect needs all slots.
 func (q *Queue) preempt() {
-	need := q.callers.root.queued + max(q.running-q.slots, 0) - q.preempting
-	if q.held != nil {
+	need := q.deadlineTree.root.queued + max(q.running-q.slots, 0) - q.preempting
+	if q.pendingAlone != nil {
 		need = q.running
 	}
 	for i := len(q.preemptible) - 1; i >= 0 && need > 0; i-- {
@@ -314,17 +313,17 @@
 	}
 }
 
-func (q *Queue) unexpire(e *entry) {
-	if e.expIndex != indexheap.NotInHeap {
+func (q *Queue) removeExpiry(e *entry) {
+	if e.expiryIndex != indexheap.NotInHeap {
 		q.expiry.Remove(e)
 	}
 }
 
-// takeOut removes a request that waits, in the tree or held.
-func (q *Queue) takeOut(e *entry) {
-	q.unexpire(e)
-	if q.held == e {
-		q.held = nil
+// removeWaiting removes an entry that waits in its tree or as pendingAlone.
+func (q *Queue) removeWaiting(e *entry) {
+	q.removeExpiry(e)
+	if q.pendingAlone == e {
+		q.pendingAlone = nil
 		q.treeOf(e.item).charge(e.leaf, -e.cost)
 	} else {
 		q.treeOf(e.item).remove(e)
--- a/internal/policy/admission/tree.go
+++ b/internal/policy/admission/tree.go
@@ -5,42 +5,42 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// node is a place in the tree of shares: the root, a business, an agency or a
-// caller. A caller holds requests, the others hold the nodes below them.
+// node is a node of the tree of fair shares: the root, a business, an agency or a
+// caller. Callers hold waiting requests, the others hold child nodes.
 type node struct {
 	parent   *node
 	weight   float64
 	children map[string]*node
 
-	// start is the node's start tag in its parent's virtual time: what it was
-	// served so far, divided by its weight. The lowest tag goes first.
-	start float64
-	// vtime is the start tag of the child served last. A child that comes back
-	// from idleness starts there, so idle time gives no credit.
-	vtime float64
+	// startTag is the node's start tag in the virtual time of its parent: the service it
+	// has received divided by its weight. The child with the lowest start tag is next.
+	startTag float64
+	// virtualTime is the start tag of the child that was served last. A child that becomes
+	// active again starts there, so that idle time earns no credit.
+	virtualTime float64
 
-	active       *indexheap.Heap[*node] // children with waiting requests, lowest start first
+	active       *indexheap.Heap[*node] // children with waiting requests, by start tag
 	activeWeight float64                // sum of the weights in active
-	index        int                    // in the parent's active; None while idle
-	order        uint64                 // breaks ties of start in the order of activation
+	index        int                    // in the parent's active; NotInHeap while idle
+	order        uint64                 // of activation; breaks ties between start tags
 
-	queued     int
-	queuedCost float64
-	lanes      []*lane // callers only, highest priority first
+	queued     int     // waiting requests in the subtree
+	queuedCost float64 // their estimated cost in seconds
+	lanes      []*lane // of a caller, highest priority first
 }
 
-// lane holds a caller's waiting requests of one priority, earliest deadline
-// first.
+// lane holds the waiting requests of one caller and priority, earliest deadline first.
 type lane struct {
 	priority int
 	cost     float64
 	entries  *indexheap.Heap[*entry]
 }
 
+// tree orders waiting requests by hierarchical fair queueing.
 type tree struct {
 	root    *node
 	weights map[wire.Principal]float64
-	order   uint64
+	order   uint64 // activations so far
 }
 
 func newTree(weights map[wire.Principal]float64) *tree {
@@ -52,18 +52,19 @@
 		parent: parent,
 		weight: weight,
 		index:  indexheap.NotInHeap,
-		active: indexheap.New(earlier, func(n *node) *int { return &n.index }),
+		active: indexheap.New(lowerStartTag, func(n *node) *int { return &n.index }),
 	}
 }
 
-// earlier orders nodes by start tag.
-func earlier(a, b *node) bool {
-	if a.start != b.start {
-		return a.start < b.start
+// lowerStartTag orders nodes by start tag, then by activation.
+func lowerStartTag(a, b *node) bool {
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
 	return a.order < b.order
 }
 
+// weightOf returns the declared weight, or 1 if there is none.
 func (t *tree) weightOf(p wire.Principal) float64 {
 	if w := t.weights[p]; w > 0 {
 		return w
@@ -71,14 +72,15 @@
 	return 1
 }
 
-// leaf returns the caller's node, created when it is first seen. The callers
-// are the declared ones, which bounds the tree.
+// leaf returns the caller's node and creates it if needed. Only declared callers occur,
+// which bounds the tree.
 func (t *tree) leaf(p wire.Principal) *node {
 	business := t.child(t.root, p.Business, wire.Principal{Business: p.Business})
 	agency := t.child(business, p.Agency, wire.Principal{Business: p.Business, Agency: p.Agency})
 	return t.child(agency, p.Caller, p)
 }
 
+// child returns the named child of the parent and creates it if needed.
 func (t *tree) child(parent *node, name string, p wire.Principal) *node {
 	if n := parent.children[name]; n != nil {
 		return n
@@ -91,8 +93,8 @@
 	return n
 }
 
-// reweigh applies newly declared weights to the nodes there are.
-func (t *tree) reweigh(weights map[wire.Principal]float64) {
+// setWeights applies newly declared weights to the existing nodes.
+func (t *tree) setWeights(weights map[wire.Principal]float64) {
 	t.weights = weights
 	for business, b := range t.root.children {
 		t.setWeight(b, wire.Principal{Business: business})
@@ -113,6 +115,7 @@
 	n.weight = w
 }
 
+// push adds a waiting request.
 func (t *tree) push(e *entry) {
 	leaf := e.leaf
 	lane := leaf.lane(e.item.Priority)
@@ -125,18 +128,19 @@
 	}
 }
 
+// activate makes an idle node compete among its parent's children.
 func (t *tree) activate(n *node) {
 	if n.parent == nil || n.index >= 0 {
 		return
 	}
-	n.start = max(n.start, n.parent.vtime)
+	n.startTag = max(n.startTag, n.parent.virtualTime)
 	n.order = t.order
 	t.order++
 	n.parent.activeWeight += n.weight
 	n.parent.active.Push(n)
 }
 
-// pop takes the request whose turn it is and charges its cost on its way up.
+// pop removes the next request in fair order and charges its cost.
 func (t *tree) pop() *entry {
 	if t.root.queued == 0 {
 		return nil
@@ -144,7 +148,7 @@
 	n := t.root
 	for n.active.Len() > 0 {
 		next := n.active.First()
-		n.vtime = max(n.vtime, next.start)
+		n.virtualTime = max(n.virtualTime, next.startTag)
 		n = next
 	}
 	e := n.lanes[0].entries.First()
@@ -153,7 +157,7 @@
 	return e
 }
 
-// remove takes a waiting request out without charging for it.
+// remove removes a waiting request without charging its cost.
 func (t *tree) remove(e *entry) {
 	leaf := e.leaf
 	lane := leaf.lane(e.item.Priority)
@@ -183,19 +187,19 @@
 	}
 }
 
-// charge moves the tags of a caller, its agency and its business by cost
-// seconds of slot time; a negative cost gives back what was estimated too high.
+// charge advances the start tags of a caller, its agency and its business by cost
+// seconds of slot time. A negative cost returns what was charged too much.
 func (t *tree) charge(leaf *node, cost float64) {
 	for n := leaf; n.parent != nil; n = n.parent {
-		n.start += cost / n.weight
+		n.startTag += cost / n.weight
 		if n.index >= 0 {
 			n.parent.active.Fix(n)
 		}
 	}
 }
 
-// share returns the part of the endpoint that the caller is due while the
-// nodes with waiting requests, and itself, compete.
+// share returns the fair share of the endpoint that the caller gets while it competes
+// with the nodes that have waiting requests.
 func (n *node) share() float64 {
 	share := 1.0
 	for ; n.parent != nil; n = n.parent {
@@ -208,8 +212,8 @@
 	return share
 }
 
-// costAhead returns the cost of the caller's own requests that go before one
-// of the given priority.
+// costAhead returns the cost of the caller's own waiting requests that a new request of
+// the priority has to wait for.
 func (n *node) costAhead(priority int) float64 {
 	ahead := 0.0
 	for _, l := range n.lanes {
@@ -220,9 +224,9 @@
 	return ahead
 }
 
-// heaviest returns the caller that waits with the most work for its weight,
-// looked for from the top: the business first, then the agency in it.
-func (t *tree) heaviest() *node {
+// mostBacklogged returns the caller that waits with the most work for its weight. It
+// descends from the root: first to the business, then to its agency, then to its caller.
+func (t *tree) mostBacklogged() *node {
 	n := t.root
 	for n.active.Len() > 0 {
 		worst := n.active.First()
@@ -236,6 +240,7 @@
 	return n
 }
 
+// lane returns the caller's lane of the priority and creates it if needed.
 func (n *node) lane(priority int) *lane {
 	at := 0
 	for at < len(n.lanes) && n.lanes[at].priority > priority {
@@ -244,7 +249,7 @@
 	if at < len(n.lanes) && n.lanes[at].priority == priority {
 		return n.lanes[at]
 	}
-	l := &lane{priority: priority, entries: indexheap.New(sooner, func(e *entry) *int { return &e.index })}
+	l := &lane{priority: priority, entries: indexheap.New(earlierDeadline, func(e *entry) *int { return &e.index })}
 	n.lanes = append(n.lanes, nil)
 	copy(n.lanes[at+1:], n.lanes[at:])
 	n.lanes[at] = l
