--- a/internal/agentless/batchrun/fakes_test.go
+++ b/internal/agentless/batchrun/fakes_test.go
@@ -49,8 +49,8 @@
 	e.mu.Lock()
 	e.sent[r.ID]++
 	hold, broken := e.hold, false
-	if r.Resume > 0 {
-		e.resumed = append(e.resumed, r.Resume)
+	if r.ResumeAfter > 0 {
+		e.resumed = append(e.resumed, r.ResumeAfter)
 	}
 	if e.breaks > 0 && !strings.HasPrefix(r.Target, "/score/") {
 		e.breaks--
@@ -65,7 +65,7 @@
 	if e.length > 0 {
 		length, early = e.length, e.pause
 	}
-	if r.Resume >= length {
+	if r.ResumeAfter >= length {
 		// Nothing is left to generate, so no weights are named.
 		return &dispatch.Answer{Status: http.StatusOK, Signed: true, Body: io.NopCloser(strings.NewReader(""))}, nil
 	}
@@ -75,7 +75,7 @@
 		return answer, nil
 	}
 	read, write := io.Pipe()
-	go (&text{after: r.Resume, length: length, early: early, hold: hold, broken: broken, cutEnd: cutEnd}).stream(ctx, write)
+	go (&text{after: r.ResumeAfter, length: length, early: early, hold: hold, broken: broken, cutEnd: cutEnd}).stream(ctx, write)
 	answer.Body = read
 	return answer, nil
 }
@@ -139,7 +139,7 @@
 	name     string
 	store    kv.Shared
 	owner    *batchrun.Owner
-	desk     *batchrun.Desk
+	desk     *batchrun.Frontend
 	mover    *batchrun.Mover
 	members  *cluster.Members
 	register *cluster.Registrar
@@ -195,7 +195,7 @@
 		d.Put(deployment.Endpoint{ID: fmt.Sprintf("app%d", i), Service: "app", Address: "x:2", Slots: 8})
 	}
 	p := &process{name: name, store: store, cutOff: cutOff, members: cluster.NewMembers()}
-	p.owner = &batchrun.Owner{Name: name, Store: store, Directory: d, Sender: sender, Log: silent(), Keep: time.Minute, Registry: metrics.NewRegistry()}
+	p.owner = &batchrun.Owner{Name: name, Store: store, Directory: d, Sender: sender, Log: silent(), ResultTTL: time.Minute, Registry: metrics.NewRegistry()}
 	p.owner.Init()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -204,7 +204,7 @@
 	Expect(p.owner.Register(p.server)).To(Succeed())
 	go p.accept(p.server)
 	p.register = cluster.NewRegistrar(store, cluster.Member{Name: name, Address: listener.Addr().String(), Worker: true}, hour, p.members, silent())
-	p.desk = &batchrun.Desk{Store: store, Members: p.members, Peers: rpcpool.New(nil), Local: p.owner, Log: silent(), ValueBytes: 64}
+	p.desk = &batchrun.Frontend{Store: store, Members: p.members, Peers: rpcpool.New(nil), Local: p.owner, Log: silent(), ValueBytes: 64}
 	p.mover = &batchrun.Mover{Self: name, Store: store, Members: p.members, Log: silent(), Unsettled: func() bool { return false }}
 	return p
 }
@@ -253,7 +253,7 @@
 	Expect(p.desk.Register(p.server)).To(Succeed())
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	marks := &cluster.Follower{Store: p.store, Topic: p.owner.Marks(), Wait: batchrun.MarksWait}
+	marks := &cluster.Follower{Store: p.store, Topic: p.owner.Assignments(), Wait: batchrun.AssignmentsWait}
 	members := &cluster.Follower{Store: p.store, Topic: p.register.Topic()}
 	for _, part := range []func(context.Context) error{p.owner.Run, p.register.Run, members.Run, marks.Run} {
 		done.Go(func() {
