--- a/internal/policy/endpoints/delay.go
+++ b/internal/policy/endpoints/delay.go
@@ -8,7 +8,7 @@
 // where it adds the least delay: its own, which grows with the number of requests at
 // the endpoint, and that of the requests there, each by its weight.
 type Placement struct {
-	RemainingWork float64 // expected work in units; 0: placed by load alone
+	RemainingWork float64 // expected remaining units of work; 0: placed by load alone
 	Weight        float64 // how much the time of its end matters, 0 to 1
 	Critical      bool    // others wait for its end
 	// CriticalBatchLimit keeps a request that is not critical off an endpoint with a
--- a/internal/policy/endpoints/reports.go
+++ b/internal/policy/endpoints/reports.go
@@ -6,8 +6,8 @@
 // interval between reports. The requests of a process that died have ended by then.
 const reportTTL = time.Second
 
-// ProcessLoad is the load that one process puts on an endpoint. Processes exchange
-// it, so its fields keep their names.
+// ProcessLoad is the load that one process puts on an endpoint. Processes send it to
+// each other with encoding/gob, which writes the field names, so these must not change.
 type ProcessLoad struct {
 	InFlight int
 	Heavy    int     // number of critical requests, see Placement.Critical
