--- a/internal/agentless/modelrun/modelrun.go
+++ b/internal/agentless/modelrun/modelrun.go
@@ -30,12 +30,12 @@
 
 // Order is a load as it goes to an engine.
 type Order struct {
-	Model    string
-	Version  int64
-	Finish   bool // runs under way finish first instead of going on under the new version
-	Holder   string
-	Term     int64 // fencing token
-	Expected int64 // orders that the engine has accepted so far
+	Model      string
+	Version    int64
+	FinishRuns bool // runs under way finish first instead of going on under the new version
+	Holder     string
+	Term       int64 // fencing token
+	Expected   int64 // orders that the engine has accepted so far
 }
 
 // Verdict is an engine's answer to an order.
@@ -50,8 +50,8 @@
 	Refused          // the order is not possible, or another engine has the address
 )
 
-// Commander speaks to engines.
-type Commander interface {
+// EngineClient speaks to engines.
+type EngineClient interface {
 	// Accepted asks an engine how many orders it has accepted since its start.
 	Accepted(ctx context.Context, e *deployment.Endpoint) (int64, error)
 	// Order gives an order. An error means that it may be carried out yet.
@@ -63,10 +63,10 @@
 	Self      string
 	Directory *directory.Directory
 	Leader    *cluster.Leader
-	Commander Commander
-	// Loading is called when an engine was sent an order that it may carry out; may
+	Engines   EngineClient
+	// OnLoad is called when an engine was sent an order that it may carry out; may
 	// be nil.
-	Loading  func(endpoint, model string, version int64)
+	OnLoad   func(endpoint, model string, version int64)
 	Log      *logrus.Logger
 	Registry metrics.Registry
 	Switches *mechanism.Switches
@@ -85,8 +85,8 @@
 	born int64
 }
 
-// Name notes that a trainer named a version.
-func (r *Runner) Name(model string, version int64) {
+// SetNewestVersion notes that a trainer named a version.
+func (r *Runner) SetNewestVersion(model string, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.named == nil {
@@ -95,8 +95,8 @@
 	r.named[model] = max(r.named[model], version)
 }
 
-// Need notes what a step needs.
-func (r *Runner) Need(step NeedArgs) {
+// RecordStep notes what a step needs.
+func (r *Runner) RecordStep(step NeedArgs) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.needed == nil {
@@ -193,10 +193,10 @@
 	expected, err := r.acceptedSoFar(ctx, e, key)
 	verdict := Refused
 	if err == nil {
-		verdict, err = r.Commander.Order(ctx, e, Order{Model: o.Model, Version: o.Version, Finish: r.wantsOneVersion(service), Holder: r.Self, Term: term, Expected: expected})
+		verdict, err = r.Engines.Order(ctx, e, Order{Model: o.Model, Version: o.Version, FinishRuns: r.wantsOneVersion(service), Holder: r.Self, Term: term, Expected: expected})
 	}
-	if r.Loading != nil && r.Switches.On(mechanism.TellLoads) && (err != nil || verdict == Accepted) {
-		r.Loading(e.ID, o.Model, o.Version)
+	if r.OnLoad != nil && r.Switches.On(mechanism.TellLoads) && (err != nil || verdict == Accepted) {
+		r.OnLoad(e.ID, o.Model, o.Version)
 	}
 	result := r.weigh(key, expected, verdict, err)
 	r.note(e, o, term, expected, verdict, err)
@@ -233,7 +233,7 @@
 	if found {
 		return known, nil
 	}
-	return r.Commander.Accepted(ctx, e)
+	return r.Engines.Accepted(ctx, e)
 }
 
 func (r *Runner) weigh(key engineKey, expected int64, verdict Verdict, err error) modelplan.Result {
--- a/internal/agentless/modelrun/modelrun_test.go
+++ b/internal/agentless/modelrun/modelrun_test.go
@@ -76,7 +76,7 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		l := cluster.NewLeader(store, "live/duty/weights", "a", 0, 0, func() bool { return true }, func(bool, int64) {})
-		r := &modelrun.Runner{Self: "a", Directory: d, Leader: l, Commander: e, Log: log, Registry: metrics.NewRegistry()}
+		r := &modelrun.Runner{Self: "a", Directory: d, Leader: l, Engines: e, Log: log, Registry: metrics.NewRegistry()}
 		ctx, cancel := context.WithCancel(context.Background())
 		var done sync.WaitGroup
 		done.Go(func() { _ = l.Run(ctx) })
@@ -85,7 +85,7 @@
 			cancel()
 			done.Wait()
 		})
-		r.Name("m", 2)
+		r.SetNewestVersion("m", 2)
 		return r
 	}
 
@@ -101,7 +101,7 @@
 		Expect(first.Expected).To(Equal(int64(7)))
 		Expect(first.Term).To(BeNumerically(">", 0))
 		Expect(first.Version).To(Equal(int64(2)))
-		Expect(first.Finish).To(BeFalse())
+		Expect(first.FinishRuns).To(BeFalse())
 	})
 
 	It("ask the engine anew after one without an answer", func() {
@@ -128,7 +128,7 @@
 		single = true
 		lead()
 		Eventually(func() int { return len(e.seen()) }).WithTimeout(patience).Should(BeNumerically(">", 0))
-		Expect(e.seen()[0].Finish).To(BeTrue())
+		Expect(e.seen()[0].FinishRuns).To(BeTrue())
 	})
 
 	It("are not given while the store does not confirm the duty", func() {
--- a/internal/agentless/modelrun/rpc.go
+++ b/internal/agentless/modelrun/rpc.go
@@ -33,7 +33,7 @@
 
 // Need implements the call of that name.
 func (s *Service) Need(args NeedArgs, _ *struct{}) error {
-	s.runner.Need(args)
+	s.runner.RecordStep(args)
 	return nil
 }
 
@@ -42,8 +42,8 @@
 	return errors.Wrap(server.RegisterName(serviceName, &Service{runner: r}), "modelrun")
 }
 
-// Tell tells every worker what a step needs; whichever leads acts on it.
-func Tell(ctx context.Context, members *cluster.Members, peers *rpcpool.Pool, step NeedArgs) {
+// BroadcastStep tells every worker what a step needs; whichever leads acts on it.
+func BroadcastStep(ctx context.Context, members *cluster.Members, peers *rpcpool.Pool, step NeedArgs) {
 	for _, m := range members.Live() {
 		if !m.Worker {
 			continue
--- a/internal/agentless/node/node.go
+++ b/internal/agentless/node/node.go
@@ -74,7 +74,7 @@
 type Adapter struct {
 	Store     kv.Shared
 	Sender    dispatch.Sender
-	Commander modelrun.Commander
+	Commander modelrun.EngineClient
 	Biller    usagerun.Biller // may be nil if usage is not reported
 	Ingress   func(Parts) http.Handler
 	// Forget closes kept connections to an address whose endpoint is gone.
@@ -188,7 +188,7 @@
 	n.store.Urgent = func() bool { return n.isScout() || len(n.owner.Jobs()) > 0 || n.owner.Guard.Waits() }
 	n.owner.Spared = n.spared
 	n.owner.Adopted = func(spec *batch.Spec) {
-		modelrun.Tell(context.Background(), n.members, peers, modelrun.NeedArgs{Model: spec.Model, Version: spec.MinVersion, Items: len(spec.Items)})
+		modelrun.BroadcastStep(context.Background(), n.members, peers, modelrun.NeedArgs{Model: spec.Model, Version: spec.MinVersion, Items: len(spec.Items)})
 	}
 	if s.Worker {
 		n.relay = cluster.NewRelay(self.Boot)
@@ -198,7 +198,7 @@
 			n.desk.TellLoading(batchrun.LoadingArgs{Endpoint: endpoint, Model: model, Version: version})
 		}
 		n.usage.reporter = n.newReporter()
-		n.models = &modelrun.Runner{Loading: loading, Self: s.ID, Directory: n.directory, Leader: n.leader, Commander: a.Commander, Log: log, Registry: registry, Switches: switches}
+		n.models = &modelrun.Runner{OnLoad: loading, Self: s.ID, Directory: n.directory, Leader: n.leader, Engines: a.Commander, Log: log, Registry: registry, Switches: switches}
 	}
 	return n
 }
--- a/internal/agentless/node/views.go
+++ b/internal/agentless/node/views.go
@@ -328,7 +328,7 @@
 		return
 	}
 	events.VersionNamed.Log(n.log, logrus.Fields{"model": model, "version": version, "revision": r.Revision})
-	n.models.Name(model, version)
+	n.models.SetNewestVersion(model, version)
 }
 
 func (n *Node) endpointListed(r kv.Record) {
