--- a/internal/agentless/node/node.go
+++ b/internal/agentless/node/node.go
@@ -41,30 +41,30 @@
 
 // Settings are one process's settings, from the platform's boot file.
 type Settings struct {
-	ID            string
-	IP            string
-	FailureDomain string
-	Worker        bool   // takes on batch jobs and weight orders before others do
-	Callers       string // address for callers; empty: none
-	Ready         string // address of the readiness probe; empty: none
-	Metrics       string // address of metrics; empty: none
-	InnerPort     int    // port for the system's own processes
-	StoreAddress  string
-	ValueBytes    int // largest value the store holds
-	MemoryBytes   int64
-	StopTimeout   time.Duration // from SIGTERM to the end
-	LeaseTTL      time.Duration // must lie between the orders of two holders of a duty
-	MinTTL        time.Duration // shortest lease that the store grants
-	DataDir       string        // folder on the machine's own disk; empty: it has none
-	KeepResults   time.Duration // how long results stay readable after submission
-	FirstStart    bool          // the whole system starts for the first time
+	ID             string
+	IP             string
+	FailureDomain  string
+	Worker         bool   // takes on batch jobs and weight orders before others do
+	CallerAddress  string // address for callers; empty: none
+	ReadyAddress   string // address of the readiness probe; empty: none
+	MetricsAddress string // address of metrics; empty: none
+	InnerPort      int    // port for the system's own processes
+	StoreAddress   string
+	ValueBytes     int // largest value the store holds
+	MemoryBytes    int64
+	StopTimeout    time.Duration // from SIGTERM to the end
+	LeaseTTL       time.Duration // must lie between the orders of two holders of a duty
+	MinTTL         time.Duration // shortest lease that the store grants
+	DataDir        string        // folder on the machine's own disk; empty: it has none
+	ResultTTL      time.Duration // how long results stay readable after submission
+	FirstStart     bool          // the whole system starts for the first time
 	// Usage says how usage is reported at BillingAddress; zero: it is not.
 	Usage          usage.Config
 	BillingAddress string
 }
 
-// Parts are what an adapter needs to serve callers.
-type Parts struct {
+// IngressDeps are what an adapter needs to serve callers.
+type IngressDeps struct {
 	Gate     *gate.Gate
 	Desk     *batchrun.Desk
 	Stopping func() bool
@@ -72,29 +72,29 @@
 
 // Adapter connects the process to one kind of platform.
 type Adapter struct {
-	Store     kv.Shared
-	Sender    dispatch.Sender
-	Commander modelrun.EngineClient
-	Biller    usagerun.Biller // may be nil if usage is not reported
-	Ingress   func(Parts) http.Handler
-	// Forget closes kept connections to an address whose endpoint is gone.
-	Forget func(address string)
-	Meter  *netcount.Meter // counts the bytes of connections; may be nil
-	Keys   Keys
+	Store   kv.Shared
+	Sender  dispatch.Sender
+	Engines modelrun.EngineClient
+	Biller  usagerun.Biller // may be nil if usage is not reported
+	Ingress func(IngressDeps) http.Handler
+	// CloseIdle closes kept connections to an address whose endpoint is gone.
+	CloseIdle func(address string)
+	Meter     *netcount.Meter // counts the bytes of connections; may be nil
+	Schema    StoreSchema
 }
 
-// Keys says where the store holds what others write, and how to read it.
-type Keys struct {
-	Operator     string // prefix of all that the operator and the trainers write
-	Declaration  string
-	Versions     string // prefix of named weight versions
-	Retire       string // prefix of requests to empty a machine
-	Retired      string // prefix of the answers to them
-	Endpoints    string // prefix of the list of endpoints
-	Declare      func([]byte) (*deployment.Declaration, error)
-	Endpoint     func(key string, value []byte) (deployment.Endpoint, error)
-	NamedVersion func([]byte) (model string, version int64, err error)
-	RetireState  func(done bool) []byte
+// StoreSchema says where the store holds what others write, and how to read it.
+type StoreSchema struct {
+	Operator          string // prefix of all that the operator and the trainers write
+	Declaration       string
+	Versions          string // prefix of named weight versions
+	Retire            string // prefix of requests to empty a machine
+	Retired           string // prefix of the answers to them
+	Endpoints         string // prefix of the list of endpoints
+	DecodeDeclaration func([]byte) (*deployment.Declaration, error)
+	DecodeEndpoint    func(key string, value []byte) (deployment.Endpoint, error)
+	DecodeVersion     func([]byte) (model string, version int64, err error)
+	EncodeRetireState func(done bool) []byte
 }
 
 // keyDuty is the key of the duty of giving weight orders and reporting usage. One process
@@ -144,7 +144,7 @@
 // from then on; nil leaves out none.
 func New(s Settings, a Adapter, switches *mechanism.Switches, log *logrus.Logger, registry metrics.Registry) *Node {
 	n := &Node{settings: s, adapter: a, log: log, registry: registry, members: cluster.NewMembers()}
-	n.directory = directory.New(s.ID, s.FailureDomain, a.Forget)
+	n.directory = directory.New(s.ID, s.FailureDomain, a.CloseIdle)
 	n.directory.Switches = switches
 	inner := net.JoinHostPort(s.IP, strconv.Itoa(s.InnerPort))
 	if a.Meter != nil {
@@ -168,7 +168,7 @@
 	}
 	n.registrar = cluster.NewRegistrar(a.Store, self, ttl, n.members, log)
 	n.registrar.Unsettled = n.trouble.recent
-	n.owner = &batchrun.Owner{Name: s.ID, Store: a.Store, Directory: n.directory, Sender: a.Sender, Log: log, Keep: s.KeepResults, Registry: registry, Switches: switches}
+	n.owner = &batchrun.Owner{Name: s.ID, Store: a.Store, Directory: n.directory, Sender: a.Sender, Log: log, Keep: s.ResultTTL, Registry: registry, Switches: switches}
 	if s.DataDir != "" {
 		n.owner.Texts = textlog.New(filepath.Join(s.DataDir, "texts"), log, registry)
 	}
@@ -198,7 +198,7 @@
 			n.desk.TellLoading(batchrun.LoadingArgs{Endpoint: endpoint, Model: model, Version: version})
 		}
 		n.usage.reporter = n.newReporter()
-		n.models = &modelrun.Runner{OnLoad: loading, Self: s.ID, Directory: n.directory, Leader: n.leader, Engines: a.Commander, Log: log, Registry: registry, Switches: switches}
+		n.models = &modelrun.Runner{OnLoad: loading, Self: s.ID, Directory: n.directory, Leader: n.leader, Engines: a.Engines, Log: log, Registry: registry, Switches: switches}
 	}
 	return n
 }
@@ -252,7 +252,7 @@
 	if n.leader != nil {
 		group.Go(func() error { return n.leader.Run(work) })
 		group.Go(func() error { return n.models.Run(work) })
-		sweeper := &batchrun.Sweeper{Store: n.adapter.Store, Keep: n.settings.KeepResults, Log: n.log, May: n.leading}
+		sweeper := &batchrun.Sweeper{Store: n.adapter.Store, Keep: n.settings.ResultTTL, Log: n.log, May: n.leading}
 		group.Go(func() error { return sweeper.Run(work) })
 	}
 	n.usage.run(work, group)
@@ -311,14 +311,14 @@
 		}
 	}
 	group.Go(func() error { return serveCalls(ctx, calls, inner) })
-	if n.settings.Callers != "" {
-		handler := n.adapter.Ingress(Parts{Gate: n.gate, Desk: n.desk, Stopping: n.stopping.Load})
-		if s.callers, err = n.serveHTTP(group, n.settings.Callers, handler); err != nil {
+	if n.settings.CallerAddress != "" {
+		handler := n.adapter.Ingress(IngressDeps{Gate: n.gate, Desk: n.desk, Stopping: n.stopping.Load})
+		if s.callers, err = n.serveHTTP(group, n.settings.CallerAddress, handler); err != nil {
 			return nil, err
 		}
 	}
-	if n.settings.Ready != "" {
-		if s.ready, err = n.serveHTTP(group, n.settings.Ready, http.HandlerFunc(n.answerReady)); err != nil {
+	if n.settings.ReadyAddress != "" {
+		if s.ready, err = n.serveHTTP(group, n.settings.ReadyAddress, http.HandlerFunc(n.answerReady)); err != nil {
 			return nil, err
 		}
 	}
@@ -326,10 +326,10 @@
 }
 
 func (n *Node) serveMetrics(ctx context.Context, group *errgroup.Group) error {
-	if n.settings.Metrics == "" {
+	if n.settings.MetricsAddress == "" {
 		return nil
 	}
-	listener, err := net.Listen("tcp", n.settings.Metrics)
+	listener, err := net.Listen("tcp", n.settings.MetricsAddress)
 	if err != nil {
 		return errors.Wrap(err, "node: metrics address")
 	}
--- a/internal/agentless/node/views.go
+++ b/internal/agentless/node/views.go
@@ -95,7 +95,7 @@
 // follow keeps this process's view of what others write up to date: scouts from
 // the store, and the others from the scouts.
 func (n *Node) follow(ctx context.Context, group *errgroup.Group) {
-	keys := n.adapter.Keys
+	keys := n.adapter.Schema
 	operator := &cluster.Topic{Prefix: keys.Operator, Changed: func(r kv.Record) { n.operatorWrote(ctx, group, r) }, Deleted: func(string, int64) {}}
 	endpoints := &cluster.Topic{Prefix: keys.Endpoints, Changed: n.endpointListed, Deleted: n.endpointGone, Synced: n.endpointsListed}
 	members := n.registrar.Topic()
@@ -120,7 +120,7 @@
 func (n *Node) carry(topics []followed) {
 	for _, f := range topics {
 		var scope func(kv.Record) string
-		if f.topic.Prefix == n.adapter.Keys.Endpoints {
+		if f.topic.Prefix == n.adapter.Schema.Endpoints {
 			scope = n.serviceOf
 		}
 		n.relay.Carry(f.topic.Prefix, f.wait, f.gather, scope)
@@ -131,7 +131,7 @@
 // serviceOf returns the service of a listed endpoint, or nothing if its entry
 // cannot be read: whoever is told of it finds that out.
 func (n *Node) serviceOf(r kv.Record) string {
-	endpoint, err := n.adapter.Keys.Endpoint(r.Key, r.Value)
+	endpoint, err := n.adapter.Schema.DecodeEndpoint(r.Key, r.Value)
 	if err != nil {
 		return ""
 	}
@@ -220,7 +220,7 @@
 
 // heard notes that the store told this scout the news of a topic.
 func (n *Node) heard(t *cluster.Topic, asOf int64) {
-	if t.Prefix == n.adapter.Keys.Operator {
+	if t.Prefix == n.adapter.Schema.Operator {
 		n.news.note()
 	}
 	n.relay.Heard(t.Prefix, asOf)
@@ -278,7 +278,7 @@
 }
 
 func (n *Node) operatorWrote(ctx context.Context, group *errgroup.Group, r kv.Record) {
-	keys := n.adapter.Keys
+	keys := n.adapter.Schema
 	switch {
 	case r.Key == keys.Declaration:
 		n.declared(r)
@@ -290,7 +290,7 @@
 }
 
 func (n *Node) declared(r kv.Record) {
-	declaration, err := n.adapter.Keys.Declare(r.Value)
+	declaration, err := n.adapter.Schema.DecodeDeclaration(r.Value)
 	if err != nil {
 		events.DeclarationBad.Log(n.log, logrus.Fields{"revision": r.Revision, "error": err.Error()})
 		return
@@ -322,7 +322,7 @@
 	if n.models == nil {
 		return // this process gives no orders
 	}
-	model, version, err := n.adapter.Keys.NamedVersion(r.Value)
+	model, version, err := n.adapter.Schema.DecodeVersion(r.Value)
 	if err != nil {
 		events.DeclarationBad.Log(n.log, logrus.Fields{"key": r.Key, "revision": r.Revision, "error": err.Error()})
 		return
@@ -332,10 +332,10 @@
 }
 
 func (n *Node) endpointListed(r kv.Record) {
-	endpoint, err := n.adapter.Keys.Endpoint(r.Key, r.Value)
+	endpoint, err := n.adapter.Schema.DecodeEndpoint(r.Key, r.Value)
 	if err != nil {
 		events.EndpointBad.Log(n.log, logrus.Fields{"key": r.Key, "revision": r.Revision, "error": err.Error()})
-		n.directory.Remove(strings.TrimPrefix(r.Key, n.adapter.Keys.Endpoints))
+		n.directory.Remove(strings.TrimPrefix(r.Key, n.adapter.Schema.Endpoints))
 		return
 	}
 	n.lingering.end(endpoint.ID)
@@ -361,7 +361,7 @@
 }
 
 func (n *Node) endpointGone(key string, revision int64) {
-	id := strings.TrimPrefix(key, n.adapter.Keys.Endpoints)
+	id := strings.TrimPrefix(key, n.adapter.Schema.Endpoints)
 	if !n.needs(n.directory.ServiceOf(id)) {
 		n.directory.Remove(id) // it may live on; nothing is sent there from here
 		return
@@ -431,8 +431,8 @@
 
 func (n *Node) writeRetired(ctx context.Context, done bool) {
 	const retry = 300 * time.Millisecond // the store answers in milliseconds when it is up
-	keys := n.adapter.Keys
-	put := kv.Put{Key: keys.Retired + n.settings.ID, Value: keys.RetireState(done)}
+	keys := n.adapter.Schema
+	put := kv.Put{Key: keys.Retired + n.settings.ID, Value: keys.EncodeRetireState(done)}
 	for ctx.Err() == nil {
 		if _, err := n.adapter.Store.Commit(ctx, kv.Transaction{Puts: []kv.Put{put}}); err == nil {
 			return
