--- a/internal/agentless/gate/gate.go
+++ b/internal/agentless/gate/gate.go
@@ -1,6 +1,5 @@
-// Package gate serves callers' requests: it finds the route, chooses endpoints,
-// repeats what may be repeated and says truthfully of what failed whether it
-// may have run.
+// Package gate serves callers' requests: it picks endpoints, retries and hedges requests
+// where their route allows it, and reports for each failed request whether it may have run.
 package gate
 
 import (
@@ -26,32 +25,34 @@
 )
 
 const (
-	// defaultWait bounds a request whose caller and route name no time.
-	defaultWait = 30 * time.Second
-	// hedgeShare of the objective passes before a second endpoint is asked: later,
-	// the second answer would come too late; earlier, ordinary slow requests
-	// double their load.
-	hedgeShare = 0.4
-	// hedgeAgainShare of the objective passes before one more is asked, where the
-	// second is as slow.
-	hedgeAgainShare = 0.25
-	// shortestHedge keeps hedges off routes with a tiny objective.
-	shortestHedge = 30 * time.Millisecond
-	// retryShare of a route's requests may be sent a second time. More would add
-	// load just when an overloaded service has none to spare.
-	retryShare = 0.2
-	// retriesASecond may be sent besides, so that a process with a request now and
-	// then can repeat one that met a slow endpoint: from the share alone it earns a
-	// retry with every fifth request. Small beside what one endpoint serves.
-	retriesASecond = 0.5
-	// firstReturn and returnSpread give the time after which a refused caller
-	// should come back, spread so that those refused together do not return
-	// together. Another process, or an endpoint that was full, can serve it by then.
-	firstReturn  = 50 * time.Millisecond
-	returnSpread = 100 * time.Millisecond
-	// noDeclarationReturn is for a process that has not heard from the store yet.
-	noDeclarationReturn = 300 * time.Millisecond
-	// maxAnswerBytes bounds an answer that is held in memory.
+	// defaultTimeout applies to a request if its route has no timeout.
+	defaultTimeout = 30 * time.Second
+	// hedgeObjectiveShare is the share of the route's latency objective after which a
+	// second endpoint is asked. With a larger share the second answer comes too late; with
+	// a smaller one, ordinary slow requests double their load.
+	hedgeObjectiveShare = 0.4
+	// nextHedgeObjectiveShare is the share of the objective between further hedged
+	// attempts, if the second endpoint is slow too.
+	nextHedgeObjectiveShare = 0.25
+	// minHedgeDelay is a lower bound of the hedge delays, so that a route with a tiny
+	// objective doesn't hedge every request.
+	minHedgeDelay = 30 * time.Millisecond
+	// retryRatio is the number of retries allowed per request to a service. A higher ratio
+	// would add load just when an overloaded service has no capacity to spare.
+	retryRatio = 0.2
+	// retriesPerSecond is the rate of retries allowed in addition, so that a process with
+	// few requests can retry one that hits a slow endpoint: from the ratio alone it earns
+	// one retry per five requests. The rate is small compared to what one endpoint serves.
+	retriesPerSecond = 0.5
+	// minRetryAfter and retryAfterJitter give the delay after which a refused caller
+	// should retry. The jitter keeps callers that were refused together from retrying
+	// together. By then another process, or an endpoint that was full, can serve it.
+	minRetryAfter    = 50 * time.Millisecond
+	retryAfterJitter = 100 * time.Millisecond
+	// notReadyRetryAfter is the delay while this process has no declaration from the store,
+	// or may lack the newest one.
+	notReadyRetryAfter = 300 * time.Millisecond
+	// maxAnswerBytes is the limit of an answer that is held in memory.
 	maxAnswerBytes = 64 << 20
 )
 
@@ -62,46 +63,47 @@
 	Target      string // path and query
 	Path        string
 	Host        string
-	Header      http.Header // to be passed on
+	Header      http.Header // passed on to the endpoint
 	Body        []byte
 	Arrived     time.Time
-	Timeout     time.Duration // how long the caller waits; 0: not said
-	Model       string        // empty: no model is needed
-	ResumeAfter int64         // a stream goes on after this event
+	Timeout     time.Duration // how long the caller waits; 0: unknown
+	Model       string        // empty: any endpoint of the service may serve it
+	ResumeAfter int64         // ID of the event after which a stream resumes; 0: from its start
 
-	Customer string // on whose behalf; empty: nobody's
+	Customer string // customer on whose behalf it is sent; empty: none
 }
 
-// End is how a request ended.
+// End says how a request ended.
 type End int
 
-// The ends. Each tells whether the request may be repeated safely.
+// The ends of a request. Each implies whether the caller may safely repeat the request.
 const (
-	Answered     End = iota // with an endpoint's answer
-	NoRoute                 // no route allows it
-	NotReady                // this process does not know the declaration in force; it did not run
-	Unauthorized            // it bears no key of a customer
-	Refused                 // it did not run and never will
+	Answered     End = iota // an endpoint answered
+	NoRoute                 // no route matches; it did not run
+	NotReady                // this process doesn't know the declaration in force; it did not run
+	Unauthorized            // it carries no customer's key; it did not run
+	Refused                 // it did not run and will not run later
 	Unknown                 // it may have run
-	TimedOut                // its time is over; it may have run
-	Cancelled               // the caller left
-	Interrupted             // the answer broke off after it began
+	TimedOut                // its timeout passed; it may have run
+	Cancelled               // the caller closed the request
+	Interrupted             // the answer was cut off after its headers were sent
 )
 
-// Outcome is what the caller is told.
+// Outcome is what is sent to the caller.
 type Outcome struct {
 	End        End
-	RetryAfter time.Duration // with Refused and NotReady: when to come back
+	RetryAfter time.Duration // with Refused and NotReady: delay before the caller should retry
 	Status     int           // with Answered
 	Header     http.Header
 	Body       []byte
 }
 
-// Gate is safe for concurrent use.
+// Gate serves requests. It is safe for concurrent use.
 type Gate struct {
 	Switches *mechanism.Switches // set before first use; may be nil
-	Usage    *usagerun.Counter   // counts what endpoints began to run; nil: nothing does
-	// Current tells whether the declaration in force here may be the newest; nil: always.
+	Usage    *usagerun.Counter   // counts the requests that endpoints started to run; nil: not counted
+	// Current returns whether the declaration in force in this process may be the newest one;
+	// nil: always.
 	Current func() bool
 
 	directory *directory.Directory
@@ -112,15 +114,15 @@
 	hedges    metrics.Counter
 	retries   metrics.Counter
 
-	mu     sync.Mutex
-	budget *retry.Budget
-	earned map[string]time.Time // last grant by service
+	mu        sync.Mutex
+	budget    *retry.Budget
+	lastGrant map[string]time.Time // time of the last grant of retries by service
 }
 
-// New returns a gate.
+// New returns a gate that sends requests to the directory's endpoints.
 func New(d *directory.Directory, s dispatch.Sender, log *logrus.Logger, registry metrics.Registry) *Gate {
 	g := &Gate{
-		directory: d, sender: s, log: log, budget: retry.NewBudget(), earned: map[string]time.Time{},
+		directory: d, sender: s, log: log, budget: retry.NewBudget(), lastGrant: map[string]time.Time{},
 		latency: metrics.GetOrRegisterTimer("gate.request", registry),
 		hedges:  metrics.GetOrRegisterCounter("gate.hedges", registry),
 		retries: metrics.GetOrRegisterCounter("gate.retries", registry),
@@ -133,15 +135,15 @@
 
 var endNames = [...]string{"answered", "no-route", "not-ready", "unauthorized", "refused", "unknown", "timed-out", "left", "broken-off"}
 
-// Table returns the declaration in force by which a request is served from its
-// arrival to its end, nil while this process knows none.
+// Table returns the routes of the declaration in force, or nil while this process knows
+// none. A request is served by one table from its arrival to its end.
 func (g *Gate) Table() *routes.Table { return g.directory.Table() }
 
-// left returns how long an answer is still of use.
-func (r *Request) left(route *deployment.Route, now time.Time) time.Duration {
+// remaining returns the time until the deadline of the request.
+func (r *Request) remaining(route *deployment.Route, now time.Time) time.Duration {
 	limit := route.Timeout
 	if limit <= 0 {
-		limit = defaultWait
+		limit = defaultTimeout
 	}
 	if r.Timeout > 0 {
 		limit = min(limit, r.Timeout)
@@ -149,45 +151,49 @@
 	return limit - now.Sub(r.Arrived)
 }
 
-// Serve serves a request whose answer is passed on as a whole.
+// Serve serves a request whose answer is buffered and passed on as a whole.
 func (g *Gate) Serve(ctx context.Context, route *deployment.Route, r *Request) Outcome {
-	counted := g.Usage.Enter(r.Customer)
-	defer counted.Leave()
-	left := r.left(route, time.Now())
-	limited, cancel := context.WithTimeout(ctx, left)
+	usage := g.Usage.Enter(r.Customer)
+	defer usage.Leave()
+	remaining := r.remaining(route, time.Now())
+	limited, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
-	c := &course{gate: g, route: route, request: r, service: routes.SelectService(route, r.ID), ended: make(chan attempt, route.MaxAttempts)}
-	g.earn(c.service)
+	c := &execution{gate: g, route: route, request: r, service: routes.SelectService(route, r.ID), results: make(chan attempt, route.MaxAttempts)}
+	g.earnRetries(c.service)
 	outcome := c.run(limited)
-	if began := c.began(); !began.IsZero() {
-		counted.Began(began)
+	if started := c.startedAt(); !started.IsZero() {
+		usage.Began(started)
 	}
 	if outcome.End == TimedOut && ctx.Err() != nil {
 		outcome = Outcome{End: Cancelled}
 	}
-	g.note(route, r, c, outcome)
+	g.logOutcome(route, r, c, outcome)
 	return outcome
 }
 
-func (g *Gate) earn(service string) {
+// earnRetries adds to the retry budget of a service for one request and for the time since
+// the last one.
+func (g *Gate) earnRetries(service string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.budget.SetRatio(service, retryShare)
+	g.budget.SetRatio(service, retryRatio)
 	g.budget.Earn(service)
 	now := time.Now()
-	if last, found := g.earned[service]; found {
-		g.budget.Grant(service, retriesASecond*now.Sub(last).Seconds())
+	if last, found := g.lastGrant[service]; found {
+		g.budget.Grant(service, retriesPerSecond*now.Sub(last).Seconds())
 	}
-	g.earned[service] = now
+	g.lastGrant[service] = now
 }
 
-func (g *Gate) spend(service string) bool {
+// spendRetry takes a retry from the budget of a service and returns whether there was one.
+func (g *Gate) spendRetry(service string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.budget.Spend(service)
 }
 
-func (g *Gate) note(route *deployment.Route, r *Request, c *course, o Outcome) {
+// logOutcome logs and counts the end of a request.
+func (g *Gate) logOutcome(route *deployment.Route, r *Request, c *execution, o Outcome) {
 	g.ends[o.End].Inc(1)
 	if o.End == Answered {
 		g.latency.UpdateSince(r.Arrived)
@@ -208,16 +214,16 @@
 	})
 }
 
-// LogMalformed logs a request that is answered as malformed, or as larger than the
-// operator allows.
+// LogMalformed logs a request that is answered as malformed, or as larger than the operator
+// allows.
 func (g *Gate) LogMalformed(id string, status int, why string) {
 	events.RequestBad.Log(g.log, logrus.Fields{"request": id, "status": status, "error": why})
 }
 
-// Deny returns the outcome of a request that the declaration in force here does not
-// allow: End is NoRoute or Unauthorized. A process that has not heard from the store
-// lately may lack the newest routes and keys. Its caller would take the denial as final;
-// told to come back, it reaches a process that knows.
+// Deny returns the outcome of a request that the declaration in force in this process
+// doesn't allow: end is NoRoute or Unauthorized. A process without recent contact to the
+// store may lack the newest routes and keys, and the caller would take the denial as final.
+// Such a process answers NotReady instead, and the retry can reach an up-to-date process.
 func (g *Gate) Deny(end End) Outcome {
 	if g.Current != nil && !g.Current() {
 		return NotReadyOutcome()
@@ -225,8 +231,8 @@
 	return Outcome{End: end}
 }
 
-// LogRejected logs a request that ends before it is served: End is NoRoute, NotReady or
-// Unauthorized.
+// LogRejected logs and counts a request that ends before it is served: end is NoRoute, NotReady
+// or Unauthorized.
 func (g *Gate) LogRejected(id, host, path string, end End) {
 	g.ends[end].Inc(1)
 	version := int64(0)
@@ -236,31 +242,35 @@
 	events.RequestRefused.Log(g.log, logrus.Fields{"request": id, "host": host, "path": path, "end": endNames[end], "declaration": version})
 }
 
-// refusal returns the outcome of a request that certainly did not run.
+// refusal returns the outcome of a request that certainly did not run. The caller should
+// retry once an endpoint of the service may be tried again.
 func (g *Gate) refusal(service string) Outcome {
-	wait := firstReturn + rand.N(returnSpread)
+	wait := minRetryAfter + rand.N(retryAfterJitter)
 	if soonest := g.directory.TimeUntilAvailable(service, time.Now()); soonest > wait {
 		wait = soonest
 	}
 	return Outcome{End: Refused, RetryAfter: wait}
 }
 
-// NotReadyOutcome returns the outcome while this process knows no declaration, or not the newest.
-func NotReadyOutcome() Outcome { return Outcome{End: NotReady, RetryAfter: noDeclarationReturn} }
+// NotReadyOutcome returns the outcome while this process knows no declaration, or may lack the
+// newest one.
+func NotReadyOutcome() Outcome { return Outcome{End: NotReady, RetryAfter: notReadyRetryAfter} }
 
-// pickFor chooses an endpoint for the next attempt.
-func (g *Gate) pickFor(service string, r *Request, tried []string) *directory.Pick {
+// pickEndpoint picks an endpoint for the next attempt, or returns nil if none is available.
+func (g *Gate) pickEndpoint(service string, r *Request, tried []string) *directory.Pick {
 	return g.directory.Pick(service, endpoints.Request{Now: time.Now(), Tried: tried, Model: r.Model})
 }
 
-func (r *Request) toEndpoint(left time.Duration) *dispatch.Request {
+// endpointRequest returns the request as it is sent to an endpoint.
+func (r *Request) endpointRequest(remaining time.Duration) *dispatch.Request {
 	return &dispatch.Request{
 		ID: r.ID, Method: r.Method, Target: r.Target, Host: r.Host, Header: r.Header, Body: r.Body,
-		Timeout: left, ResumeAfter: r.ResumeAfter, Urgency: -1, Customer: r.Customer,
+		Timeout: remaining, ResumeAfter: r.ResumeAfter, Urgency: -1, Customer: r.Customer,
 	}
 }
 
-func readWhole(a *dispatch.Answer) ([]byte, error) {
+// readBody reads an answer's body, up to maxAnswerBytes.
+func readBody(a *dispatch.Answer) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, err
--- a/internal/agentless/gate/gate_test.go
+++ b/internal/agentless/gate/gate_test.go
@@ -21,41 +21,41 @@
 	"siskinloom.example/siskinloom/internal/deployment"
 )
 
-// reply is what an endpoint does with one request.
+// reply says how an endpoint answers one request.
 type reply struct {
-	after   time.Duration // before it answers; the caller may leave meanwhile
-	status  int
-	body    string
-	broken  bool // the body breaks off
-	unsaid  bool // no signature
-	notRun  bool
-	sendErr *upstream.SendError
-	forever bool // it never answers
+	delay        time.Duration // before the answer; the caller may cancel meanwhile
+	status       int
+	body         string
+	broken       bool // the body is cut off
+	unsigned     bool // the answer has no signature
+	notRun       bool
+	sendErr      *upstream.SendError
+	neverAnswers bool // the endpoint never answers
 }
 
-// script answers requests in order, whichever endpoint they come to.
-type script struct {
+// scriptedSender gives replies in order, whichever endpoint a request is sent to. The last one repeats.
+type scriptedSender struct {
 	mu      sync.Mutex
 	replies []reply
-	sent    []string // endpoints in the order of requests
+	sentTo  []string // endpoint IDs in the order of requests
 	left    []time.Duration
 	resumes []int64
-	ended   int // requests whose caller ended them
+	ended   int // requests that were cancelled
 }
 
 // Send implements dispatch.Sender.
-func (s *script) Send(ctx context.Context, e *deployment.Endpoint, r *dispatch.Request) (*dispatch.Answer, error) {
+func (s *scriptedSender) Send(ctx context.Context, e *deployment.Endpoint, r *dispatch.Request) (*dispatch.Answer, error) {
 	s.mu.Lock()
-	next := s.replies[min(len(s.sent), len(s.replies)-1)]
-	s.sent = append(s.sent, e.ID)
+	next := s.replies[min(len(s.sentTo), len(s.replies)-1)]
+	s.sentTo = append(s.sentTo, e.ID)
 	s.left = append(s.left, r.Timeout)
 	s.resumes = append(s.resumes, r.ResumeAfter)
 	s.mu.Unlock()
 	if next.sendErr != nil {
 		return nil, next.sendErr
 	}
-	wait := time.After(next.after)
-	if next.forever {
+	wait := time.After(next.delay)
+	if next.neverAnswers {
 		wait = nil
 	}
 	select {
@@ -68,19 +68,19 @@
 	}
 	var body io.Reader = strings.NewReader(next.body)
 	if next.broken {
-		body = io.MultiReader(body, failing{})
+		body = io.MultiReader(body, brokenReader{})
 	}
-	return &dispatch.Answer{Status: next.status, Header: http.Header{"X-From": {e.ID}}, Body: io.NopCloser(body), NotRun: next.notRun, Signed: !next.unsaid}, nil
+	return &dispatch.Answer{Status: next.status, Header: http.Header{"X-From": {e.ID}}, Body: io.NopCloser(body), NotRun: next.notRun, Signed: !next.unsigned}, nil
 }
 
-type failing struct{}
+type brokenReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-func (s *script) endpoints() []string {
+func (s *scriptedSender) endpoints() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.sent...)
+	return append([]string(nil), s.sentTo...)
 }
 
 func newGate(s dispatch.Sender, endpoints int) *gate.Gate {
@@ -102,18 +102,18 @@
 }
 
 var (
-	fine   = reply{status: 200, body: "answer"}
-	broken = reply{status: 200, body: "ans", broken: true}
-	full   = reply{status: 503, notRun: true}
-	unsent = reply{sendErr: &upstream.SendError{Err: errors.New("refused")}}
-	lost   = reply{sendErr: &upstream.SendError{Sent: true, Err: errors.New("reset")}}
-	failed = reply{status: 500, body: "bad"}
+	answered = reply{status: 200, body: "answer"}
+	broken   = reply{status: 200, body: "ans", broken: true}
+	refusing = reply{status: 503, notRun: true}
+	unsent   = reply{sendErr: &upstream.SendError{Err: errors.New("refused")}}
+	lost     = reply{sendErr: &upstream.SendError{Sent: true, Err: errors.New("reset")}}
+	failed   = reply{status: 500, body: "bad"}
 )
 
 var _ = Describe("a request", func() {
-	DescribeTable("ends truthfully",
+	DescribeTable("gets an outcome that says whether it may have run",
 		func(kind deployment.Kind, replies []reply, end gate.End, body string, sends int) {
-			s := &script{replies: replies}
+			s := &scriptedSender{replies: replies}
 			o := newGate(s, 4).Serve(context.Background(), route(kind), request())
 			Expect(o.End).To(Equal(end))
 			Expect(string(o.Body)).To(Equal(body))
@@ -122,21 +122,21 @@
 				Expect(o.RetryAfter).To(BeNumerically(">", 0))
 			}
 		},
-		Entry("answered", deployment.NonIdempotent, []reply{fine}, gate.Answered, "answer", 1),
-		Entry("full endpoints are passed over, whatever the kind", deployment.NonIdempotent, []reply{full, full, fine}, gate.Answered, "answer", 3),
-		Entry("refused by all that it may ask: it did not run", deployment.NonIdempotent, []reply{full}, gate.Refused, "", 3),
+		Entry("answered", deployment.NonIdempotent, []reply{answered}, gate.Answered, "answer", 1),
+		Entry("retried after refusals, whatever the kind", deployment.NonIdempotent, []reply{refusing, refusing, answered}, gate.Answered, "answer", 3),
+		Entry("refused by every endpoint it may be sent to: it did not run", deployment.NonIdempotent, []reply{refusing}, gate.Refused, "", 3),
 		Entry("never sent: it did not run", deployment.NonIdempotent, []reply{unsent}, gate.Refused, "", 3),
-		Entry("lost after it was sent: it may have run, and is not repeated", deployment.NonIdempotent, []reply{lost, fine}, gate.Unknown, "", 1),
-		Entry("a broken answer may have run", deployment.NonIdempotent, []reply{broken, fine}, gate.Unknown, "", 1),
-		Entry("an endpoint's own failure is its answer", deployment.NonIdempotent, []reply{failed, fine}, gate.Answered, "bad", 1),
-		Entry("an idempotent one goes on elsewhere", deployment.Idempotent, []reply{lost, fine}, gate.Answered, "answer", 2),
-		Entry("also after a failure", deployment.Idempotent, []reply{failed, fine}, gate.Answered, "answer", 2),
-		Entry("a spoiled answer is no answer", deployment.Idempotent, []reply{{status: 200, body: "x", unsaid: true}, fine}, gate.Answered, "answer", 2),
-		Entry("a refusal after a loss is no promise", deployment.Idempotent, []reply{lost, full, full}, gate.Unknown, "", 3),
+		Entry("lost after it was sent: it may have run and is not retried", deployment.NonIdempotent, []reply{lost, answered}, gate.Unknown, "", 1),
+		Entry("a broken answer may have run", deployment.NonIdempotent, []reply{broken, answered}, gate.Unknown, "", 1),
+		Entry("an endpoint's 5xx answer is passed on", deployment.NonIdempotent, []reply{failed, answered}, gate.Answered, "bad", 1),
+		Entry("an idempotent request is retried at another endpoint", deployment.Idempotent, []reply{lost, answered}, gate.Answered, "answer", 2),
+		Entry("an idempotent request is retried after a 5xx answer", deployment.Idempotent, []reply{failed, answered}, gate.Answered, "answer", 2),
+		Entry("an unsigned answer is discarded and the request retried", deployment.Idempotent, []reply{{status: 200, body: "x", unsigned: true}, answered}, gate.Answered, "answer", 2),
+		Entry("a refusal after a lost attempt: the request may have run", deployment.Idempotent, []reply{lost, refusing, refusing}, gate.Unknown, "", 3),
 	)
 
-	It("goes to another endpoint each time, never to more than its route allows", func() {
-		s := &script{replies: []reply{full}}
+	It("is sent to another endpoint by each attempt, at most as often as its route allows", func() {
+		s := &scriptedSender{replies: []reply{refusing}}
 		newGate(s, 8).Serve(context.Background(), route(deployment.Idempotent), request())
 		sent := s.endpoints()
 		Expect(sent).To(HaveLen(3))
@@ -144,27 +144,27 @@
 		Expect(sent[2]).NotTo(BeElementOf(sent[0], sent[1]))
 	})
 
-	It("asks a second endpoint when the first one hangs, and ends the first", func() {
-		// The endpoint went silent with the request. The caller has 800 ms; waiting
-		// for a time-out of the connection would use them up.
-		s := &script{replies: []reply{{forever: true}, fine}}
+	It("is hedged when the first endpoint hangs, and the first attempt is cancelled", func() {
+		// The endpoint hangs after it received the request. The caller waits 800 ms, which
+		// a timeout of the connection would use up.
+		s := &scriptedSender{replies: []reply{{neverAnswers: true}, answered}}
 		o := newGate(s, 2).Serve(context.Background(), route(deployment.Idempotent), request())
 		Expect(o.End).To(Equal(gate.Answered))
 		Expect(s.endpoints()).To(HaveLen(2))
 		Eventually(func() int { s.mu.Lock(); defer s.mu.Unlock(); return s.ended }).Should(Equal(1))
 	})
 
-	It("never has two endpoints run one that is not idempotent", func() {
-		s := &script{replies: []reply{{after: 300 * time.Millisecond, status: 200, body: "answer"}, fine}}
+	It("is never sent to two endpoints if it is not idempotent", func() {
+		s := &scriptedSender{replies: []reply{{delay: 300 * time.Millisecond, status: 200, body: "answer"}, answered}}
 		o := newGate(s, 2).Serve(context.Background(), route(deployment.NonIdempotent), request())
 		Expect(o.End).To(Equal(gate.Answered))
 		Expect(s.endpoints()).To(HaveLen(1))
 	})
 
-	It("keeps repeats to a share of the requests", func() {
-		// Every answer is lost. With a repeat for each, a service that is overloaded
-		// would get twice or three times its load just then.
-		s := &script{replies: []reply{lost}}
+	It("is retried only within the retry budget", func() {
+		// Every answer is lost. If each request were retried, an overloaded service would
+		// get two or three times its load.
+		s := &scriptedSender{replies: []reply{lost}}
 		g := newGate(s, 4)
 		for range 100 {
 			g.Serve(context.Background(), route(deployment.Idempotent), request())
@@ -172,8 +172,8 @@
 		Expect(len(s.endpoints())).To(BeNumerically("<=", 100+20+10))
 	})
 
-	It("ends at the time of its route or its caller, whichever is shorter", func() {
-		s := &script{replies: []reply{{forever: true}}}
+	It("times out after the timeout of its route or its caller, whichever is shorter", func() {
+		s := &scriptedSender{replies: []reply{{neverAnswers: true}}}
 		r := request()
 		r.Timeout = 50 * time.Millisecond
 		o := newGate(s, 1).Serve(context.Background(), route(deployment.NonIdempotent), r)
@@ -183,8 +183,8 @@
 		Expect(s.left[0]).To(BeNumerically("<=", 50*time.Millisecond))
 	})
 
-	It("ends at the endpoint when its caller leaves", func() {
-		s := &script{replies: []reply{{forever: true}}}
+	It("is cancelled at the endpoint when its caller cancels it", func() {
+		s := &scriptedSender{replies: []reply{{neverAnswers: true}}}
 		ctx, leave := context.WithCancel(context.Background())
 		time.AfterFunc(20*time.Millisecond, leave)
 		o := newGate(s, 1).Serve(ctx, route(deployment.NonIdempotent), request())
@@ -192,12 +192,12 @@
 		Eventually(func() int { s.mu.Lock(); defer s.mu.Unlock(); return s.ended }).Should(Equal(1))
 	})
 
-	It("comes back at another moment than those that were refused with it", func() {
-		// The load: every endpoint is full and refuses, and two hundred callers come
-		// within a moment. Each is refused after the attempts that its route allows and
-		// told when to return; together again they would find them just as full.
+	It("is told a retry delay that differs from those of requests refused with it", func() {
+		// Every endpoint is full and refuses, and 200 callers send requests at once. Each is
+		// refused after the attempts that its route allows and told a delay; if all retried
+		// together they would find the endpoints just as full.
 		const callers, slots = 200, 10
-		s := &script{replies: []reply{full}}
+		s := &scriptedSender{replies: []reply{refusing}}
 		g := newGate(s, 4)
 		back := map[time.Duration]int{}
 		for range callers {
@@ -213,13 +213,13 @@
 		Expect(len(s.endpoints())).To(BeNumerically("<=", 3*callers))
 	})
 
-	It("is refused at once when no endpoint is there", func() {
-		o := newGate(&script{replies: []reply{fine}}, 0).Serve(context.Background(), route(deployment.Idempotent), request())
+	It("is refused at once when there is no endpoint", func() {
+		o := newGate(&scriptedSender{replies: []reply{answered}}, 0).Serve(context.Background(), route(deployment.Idempotent), request())
 		Expect(o.End).To(Equal(gate.Refused))
 	})
 })
 
-// sink collects a stream.
+// sink records a stream.
 type sink struct {
 	status int
 	events []string
@@ -247,38 +247,38 @@
 	resumable := route(deployment.Streaming)
 	resumable.Resumable = true
 
-	It("is passed on event by event", func() {
+	It("is forwarded event by event", func() {
 		out := &sink{}
-		s := &script{replies: []reply{{status: 200, body: streamed("1", "2")}}}
+		s := &scriptedSender{replies: []reply{{status: 200, body: streamed("1", "2")}}}
 		Expect(newGate(s, 1).Stream(context.Background(), route(deployment.Streaming), request(), out).End).To(Equal(gate.Answered))
 		Expect(out.events).To(HaveLen(2))
 	})
 
-	It("goes on elsewhere after its last whole event where it may be resumed", func() {
+	It("resumes at another endpoint after its last complete event if the route allows it", func() {
 		out := &sink{}
-		s := &script{replies: []reply{{status: 200, body: streamed("1", "2") + "id: 3\nda", broken: true}, {status: 200, body: streamed("3", "4")}}}
+		s := &scriptedSender{replies: []reply{{status: 200, body: streamed("1", "2") + "id: 3\nda", broken: true}, {status: 200, body: streamed("3", "4")}}}
 		Expect(newGate(s, 2).Stream(context.Background(), resumable, request(), out).End).To(Equal(gate.Answered))
 		Expect(strings.Join(out.events, "")).To(Equal(streamed("1", "2", "3", "4")))
 		Expect(s.resumes).To(Equal([]int64{0, 2}))
 	})
 
-	It("is broken off, never joined or ended as whole, where it may not", func() {
+	It("is interrupted if the route is not resumable, neither resumed nor ended as complete", func() {
 		out := &sink{}
-		s := &script{replies: []reply{{status: 200, body: streamed("1"), broken: true}, {status: 200, body: streamed("1", "2")}}}
+		s := &scriptedSender{replies: []reply{{status: 200, body: streamed("1"), broken: true}, {status: 200, body: streamed("1", "2")}}}
 		Expect(newGate(s, 2).Stream(context.Background(), route(deployment.Streaming), request(), out).End).To(Equal(gate.Interrupted))
 		Expect(s.endpoints()).To(HaveLen(1))
 	})
 
-	It("passes no event twice if an endpoint resumes too early", func() {
+	It("forwards no event twice if an endpoint resumes too early", func() {
 		out := &sink{}
-		s := &script{replies: []reply{{status: 200, body: streamed("1", "2"), broken: true}, {status: 200, body: streamed("2", "3")}, {status: 200, body: streamed("3")}}}
+		s := &scriptedSender{replies: []reply{{status: 200, body: streamed("1", "2"), broken: true}, {status: 200, body: streamed("2", "3")}, {status: 200, body: streamed("3")}}}
 		Expect(newGate(s, 3).Stream(context.Background(), resumable, request(), out).End).To(Equal(gate.Answered))
 		Expect(strings.Join(out.events, "")).To(Equal(streamed("1", "2", "3")))
 	})
 
-	It("ends without a word when it was lost before it began and may not be repeated", func() {
+	It("ends without sending anything when it was lost before its headers and may not be retried", func() {
 		out := &sink{}
-		s := &script{replies: []reply{lost, {status: 200, body: streamed("1")}}}
+		s := &scriptedSender{replies: []reply{lost, {status: 200, body: streamed("1")}}}
 		Expect(newGate(s, 2).Stream(context.Background(), route(deployment.Streaming), request(), out).End).To(Equal(gate.Unknown))
 		Expect(out.status).To(BeZero())
 	})
--- a/internal/agentless/gate/stream.go
+++ b/internal/agentless/gate/stream.go
@@ -18,156 +18,164 @@
 	"siskinloom.example/siskinloom/internal/policy/routes"
 )
 
-// silenceLimit is how long a stream may pause before its endpoint is taken to
-// hang and a resumable stream goes on elsewhere. A caller gives up after 2 s.
-const silenceLimit = 1200 * time.Millisecond
+// streamIdleTimeout is how long an endpoint may send no event of a stream before it is
+// considered hung and a resumable stream continues at another endpoint. It lies below the
+// 2 s after which a caller gives up.
+const streamIdleTimeout = 1200 * time.Millisecond
 
-// errSilent marks a stream whose endpoint sends nothing.
-var errSilent = errors.New("gate: endpoint fell silent in its stream")
+// errStalled is the cancellation cause of a stream whose endpoint sent no event for streamIdleTimeout.
+var errStalled = errors.New("gate: endpoint stopped sending events of the stream")
 
-// Sink takes a stream's answer for the caller.
+// Sink receives a stream's answer and sends it to the caller.
 type Sink interface {
-	// Begin sends status and headers.
+	// Begin sends the status and headers.
 	Begin(status int, header http.Header) error
-	// Event sends the bytes of one event at once.
+	// Event sends the bytes of one event without delay.
 	Event(raw []byte) error
 }
 
-// stream is a streamed request on its way.
+// stream is the state of a streamed request over its attempts.
 type stream struct {
-	course
-	sink      Sink
-	began     bool // the caller has the answer's headers
-	lastEvent int64
-	counted   *usagerun.Request
+	execution
+	sink        Sink
+	headersSent bool // the status and headers were sent to the caller
+	lastEvent   int64
+	usage       *usagerun.Request
 }
 
-// Stream serves a request whose answer is passed on event by event. Outcomes
-// other than Answered and BrokenOff leave the sink untouched. After BrokenOff
-// the caller's connection must be cut, so that what it has does not look whole.
+// Stream serves a request whose answer is passed on event by event. Outcomes other than
+// Answered, Interrupted and Cancelled leave the sink untouched. After Interrupted the
+// caller must close the client's connection, so that the client doesn't take the partial
+// answer as complete.
 func (g *Gate) Stream(ctx context.Context, route *deployment.Route, r *Request, sink Sink) Outcome {
-	counted := g.Usage.Enter(r.Customer)
-	defer counted.Leave()
-	limited, cancel := context.WithTimeout(ctx, r.left(route, time.Now()))
+	usage := g.Usage.Enter(r.Customer)
+	defer usage.Leave()
+	limited, cancel := context.WithTimeout(ctx, r.remaining(route, time.Now()))
 	defer cancel()
-	s := &stream{sink: sink, lastEvent: r.ResumeAfter, counted: counted}
-	s.course = course{gate: g, route: route, request: r, service: routes.SelectService(route, r.ID)}
-	outcome := s.attempts(limited)
-	if limited.Err() != nil && outcome.End != Answered && !s.began {
+	s := &stream{sink: sink, lastEvent: r.ResumeAfter, usage: usage}
+	s.execution = execution{gate: g, route: route, request: r, service: routes.SelectService(route, r.ID)}
+	outcome := s.runAttempts(limited)
+	if limited.Err() != nil && outcome.End != Answered && !s.headersSent {
 		outcome = Outcome{End: TimedOut}
 	}
 	if ctx.Err() != nil && outcome.End != Answered {
 		outcome = Outcome{End: Cancelled}
 	}
-	g.note(route, r, &s.course, outcome)
+	g.logOutcome(route, r, &s.execution, outcome)
 	return outcome
 }
 
-func (s *stream) attempts(ctx context.Context) Outcome {
+// runAttempts has endpoints serve the stream, one after another, until it is complete or no
+// attempt remains.
+func (s *stream) runAttempts(ctx context.Context) Outcome {
 	for len(s.tried) < s.route.MaxAttempts && ctx.Err() == nil {
-		pick := s.gate.pickFor(s.service, s.request, s.tried)
+		pick := s.gate.pickEndpoint(s.service, s.request, s.tried)
 		if pick == nil {
 			break
 		}
 		s.tried = append(s.tried, pick.ID)
-		outcome, again := s.attempt(ctx, pick)
-		if !again {
+		outcome, retry := s.attempt(ctx, pick)
+		if !retry {
 			return outcome
 		}
 	}
-	if s.began {
+	if s.headersSent {
 		return Outcome{End: Interrupted}
 	}
-	return s.last()
+	return s.finalOutcome()
 }
 
-// attempt has one endpoint serve the stream from where it stands; again is
-// true if another may go on.
-func (s *stream) attempt(ctx context.Context, pick *directory.Pick) (outcome Outcome, again bool) {
-	began := time.Now()
-	outcome, a, how := s.exchange(ctx, pick)
-	pick.End(time.Now(), how, time.Since(began), 0)
-	if outcome.End == Answered && a.whole {
+// attempt has one endpoint serve the stream, resuming after the last event. retry is true if
+// another endpoint may continue the stream.
+func (s *stream) attempt(ctx context.Context, pick *directory.Pick) (outcome Outcome, retry bool) {
+	start := time.Now()
+	outcome, a, endpointOutcome := s.exchange(ctx, pick)
+	pick.End(time.Now(), endpointOutcome, time.Since(start), 0)
+	if outcome.End == Answered && a.complete {
 		return outcome, false
 	}
-	s.gate.noteFailure(s.request.ID, pick, a.err, a.notRun)
-	s.mayRun = s.mayRun || !a.notRun
+	s.gate.logFailure(s.request.ID, pick, a.err, a.notRun)
+	s.mayHaveRun = s.mayHaveRun || !a.notRun
 	if !a.notRun && !s.route.Repeatable() {
-		if s.began {
+		if s.headersSent {
 			return Outcome{End: Interrupted}, false
 		}
 		return Outcome{End: Unknown}, false
 	}
-	if s.began {
+	if s.headersSent {
 		events.StreamResumed.Log(s.gate.log, logrus.Fields{"request": s.request.ID, "endpoint": pick.ID, "after_event": s.lastEvent})
 	}
 	return Outcome{}, true
 }
 
+// exchange sends the request to the picked endpoint and forwards its events.
 func (s *stream) exchange(ctx context.Context, pick *directory.Pick) (Outcome, attempt, endpoints.Outcome) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	request := s.request.toEndpoint(s.request.left(s.route, time.Now()))
+	request := s.request.endpointRequest(s.request.remaining(s.route, time.Now()))
 	request.ResumeAfter = s.lastEvent
 	answer, err := s.gate.sender.Send(ctx, &pick.Endpoint, request)
 	if err != nil {
-		a, how := failed(ctx, err)
-		return Outcome{}, a, how
+		a, endpointOutcome := classifyError(ctx, err)
+		return Outcome{}, a, endpointOutcome
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.NotRun || answer.Replaced {
-		return Outcome{}, attempt{notRun: true}, refusedHow(answer)
+		return Outcome{}, attempt{notRun: true}, refusalOutcome(answer)
 	}
 	if answer.Status != http.StatusOK {
-		return s.wholeAnswer(answer)
+		return s.plainAnswer(answer)
 	}
 	if !answer.Signed || answer.Encoded {
-		return Outcome{}, attempt{err: errSpoiled}, endpoints.BrokenAnswer
+		return Outcome{}, attempt{err: errUnverified}, endpoints.BrokenAnswer
 	}
-	if err := s.begin(answer); err != nil {
+	if err := s.sendHeaders(answer); err != nil {
 		return Outcome{End: Cancelled}, attempt{err: err}, endpoints.Cancelled
 	}
-	err = s.pass(cancel, dispatch.NewEventReader(answer))
+	err = s.forwardEvents(cancel, dispatch.NewEventReader(answer))
 	if errors.Is(err, io.EOF) {
-		return Outcome{End: Answered, Status: answer.Status}, attempt{whole: true}, endpoints.Answered
+		return Outcome{End: Answered, Status: answer.Status}, attempt{complete: true}, endpoints.Answered
 	}
-	if cause := context.Cause(ctx); errors.Is(cause, errSilent) {
-		return Outcome{}, attempt{err: errSilent}, endpoints.Unreachable
+	if cause := context.Cause(ctx); errors.Is(cause, errStalled) {
+		return Outcome{}, attempt{err: errStalled}, endpoints.Unreachable
 	}
 	return Outcome{}, attempt{err: err}, endpoints.BrokenAnswer
 }
 
-// wholeAnswer takes an endpoint's answer that is no stream.
-func (s *stream) wholeAnswer(answer *dispatch.Answer) (Outcome, attempt, endpoints.Outcome) {
-	body, err := readWhole(answer)
-	if err != nil || s.began {
+// plainAnswer returns an endpoint's answer that is not a stream. Once the headers were sent,
+// such an answer can't be passed on.
+func (s *stream) plainAnswer(answer *dispatch.Answer) (Outcome, attempt, endpoints.Outcome) {
+	body, err := readBody(answer)
+	if err != nil || s.headersSent {
 		return Outcome{}, attempt{err: errors.Errorf("status %d", answer.Status)}, endpoints.BrokenAnswer
 	}
 	outcome := Outcome{End: Answered, Status: answer.Status, Header: answer.Header, Body: body}
-	return outcome, attempt{whole: true, outcome: outcome}, endpoints.Answered
+	return outcome, attempt{complete: true, outcome: outcome}, endpoints.Answered
 }
 
-func (s *stream) begin(answer *dispatch.Answer) error {
-	if s.began {
+// sendHeaders sends the status and headers to the caller, unless that has been done.
+func (s *stream) sendHeaders(answer *dispatch.Answer) error {
+	if s.headersSent {
 		return nil
 	}
-	s.began = true
+	s.headersSent = true
 	return s.sink.Begin(answer.Status, answer.Header)
 }
 
-// pass passes events on until the stream ends.
-func (s *stream) pass(cancel context.CancelCauseFunc, in *dispatch.EventReader) error {
-	silence := time.AfterFunc(silenceLimit, func() { cancel(errSilent) })
-	defer silence.Stop()
+// forwardEvents forwards events to the sink until the stream ends. The error is io.EOF if the
+// stream is complete.
+func (s *stream) forwardEvents(cancel context.CancelCauseFunc, in *dispatch.EventReader) error {
+	idleTimer := time.AfterFunc(streamIdleTimeout, func() { cancel(errStalled) })
+	defer idleTimer.Stop()
 	for {
 		event, err := in.Next()
 		if err != nil {
 			return err
 		}
-		silence.Reset(silenceLimit)
-		s.counted.Began(time.Now()) // a stream begins to run with its first event
+		idleTimer.Reset(streamIdleTimeout)
+		s.usage.Began(time.Now()) // a stream counts as started with its first event
 		if event.ID != 0 && event.ID <= s.lastEvent {
-			return errors.Errorf("event %d came after %d", event.ID, s.lastEvent)
+			return errors.Errorf("event %d received after event %d", event.ID, s.lastEvent)
 		}
 		if err := s.sink.Event(event.Raw); err != nil {
 			return err
--- a/internal/agentless/gate/usage_test.go
+++ b/internal/agentless/gate/usage_test.go
@@ -14,11 +14,11 @@
 )
 
 var _ = Describe("the usage of a request", func() {
-	rules := usage.Config{WindowLength: time.Hour, DueAfter: time.Hour}
+	config := usage.Config{WindowLength: time.Hour, DueAfter: time.Hour}
 
 	serve := func(kind deployment.Kind, customer string, replies ...reply) usage.Counts {
-		g := newGate(&script{replies: replies}, 4)
-		g.Usage = usagerun.NewCounter(rules)
+		g := newGate(&scriptedSender{replies: replies}, 4)
+		g.Usage = usagerun.NewCounter(config)
 		r := request()
 		r.Customer = customer
 		if kind == deployment.Streaming {
@@ -26,9 +26,9 @@
 		} else {
 			g.Serve(context.Background(), route(kind), r)
 		}
-		telling, _ := g.Usage.Telling(0, time.Now())
+		update, _ := g.Usage.Telling(0, time.Now())
 		sum := usage.Counts{}
-		for _, tally := range telling.Tallies {
+		for _, tally := range update.Tallies {
 			for name, n := range tally.Counts {
 				sum[name] += n
 			}
@@ -36,29 +36,29 @@
 		return sum
 	}
 
-	DescribeTable("is counted once if an endpoint began to run it",
+	DescribeTable("is counted once if an endpoint started to run it",
 		func(kind deployment.Kind, replies []reply, want int64) {
 			got := serve(kind, "desk", replies...)
 			Expect(got["desk"]).To(Equal(want))
 		},
-		Entry("answered", deployment.Idempotent, []reply{fine}, int64(1)),
-		Entry("answered by the second after a loss", deployment.Idempotent, []reply{lost, fine}, int64(1)),
-		Entry("answered by two, as the first was slow", deployment.Idempotent, []reply{{after: 200 * time.Millisecond, status: 200, body: "a"}, fine}, int64(1)),
-		Entry("failed by the endpoint", deployment.NonIdempotent, []reply{failed}, int64(1)),
+		Entry("answered", deployment.Idempotent, []reply{answered}, int64(1)),
+		Entry("answered by the second endpoint after a lost attempt", deployment.Idempotent, []reply{lost, answered}, int64(1)),
+		Entry("answered by two endpoints because the first was slow", deployment.Idempotent, []reply{{delay: 200 * time.Millisecond, status: 200, body: "a"}, answered}, int64(1)),
+		Entry("answered with a 5xx status", deployment.NonIdempotent, []reply{failed}, int64(1)),
 		Entry("lost after it was sent", deployment.NonIdempotent, []reply{lost}, int64(1)),
-		Entry("refused by endpoints", deployment.Idempotent, []reply{full}, int64(0)),
+		Entry("refused by endpoints", deployment.Idempotent, []reply{refusing}, int64(0)),
 		Entry("never sent", deployment.Idempotent, []reply{unsent}, int64(0)),
-		Entry("a stream, with its first event", deployment.Streaming, []reply{{status: 200, body: "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"}}, int64(1)),
+		Entry("a stream with events", deployment.Streaming, []reply{{status: 200, body: "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"}}, int64(1)),
 		Entry("a stream without an event", deployment.Streaming, []reply{{status: 200, body: ""}}, int64(0)),
 	)
 
-	It("is nobody's without a customer", func() {
-		Expect(serve(deployment.Idempotent, "", fine)).To(BeEmpty())
+	It("is not counted without a customer", func() {
+		Expect(serve(deployment.Idempotent, "", answered)).To(BeEmpty())
 	})
 
-	It("is not final while a request is under way that may have begun in the window", func() {
+	It("is not final while a request is in flight that may have started in the window", func() {
 		short := usage.Config{WindowLength: 50 * time.Millisecond, DueAfter: time.Hour}
-		s := &script{replies: []reply{{forever: true}}}
+		s := &scriptedSender{replies: []reply{{neverAnswers: true}}}
 		g := newGate(s, 1)
 		g.Usage = usagerun.NewCounter(short)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -69,12 +69,12 @@
 		go func() { done <- g.Serve(ctx, route(deployment.NonIdempotent), r) }()
 		Eventually(s.endpoints).Should(HaveLen(1))
 		time.Sleep(3 * short.WindowLength)
-		telling, _ := g.Usage.Telling(0, time.Now())
-		Expect(telling.Through).To(BeNumerically("<", short.WindowAt(time.Now())-1))
+		update, _ := g.Usage.Telling(0, time.Now())
+		Expect(update.Through).To(BeNumerically("<", short.WindowAt(time.Now())-1))
 		cancel()
 		<-done
-		telling, _ = g.Usage.Telling(0, time.Now())
-		Expect(telling.Through).To(BeNumerically(">=", entered))
-		Expect(telling.Tallies).To(HaveLen(1))
+		update, _ = g.Usage.Telling(0, time.Now())
+		Expect(update.Through).To(BeNumerically(">=", entered))
+		Expect(update.Tallies).To(HaveLen(1))
 	})
 })
