--- a/internal/agentless/upstream/call.go
+++ b/internal/agentless/upstream/call.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	readBuffer = 4096
-	// strayAnswers bounds how many answers to other requests are read past on one
-	// connection before it is given up.
-	strayAnswers = 2
-	maxStrayBody = 1 << 20
+	readBufferBytes = 4096
+	// maxStrayAnswers is how many answers to other requests are skipped on one connection
+	// before it is closed.
+	maxStrayAnswers   = 2
+	maxStrayBodyBytes = 1 << 20
 )
 
-// errStray is returned when the connection holds only answers to others.
-var errStray = errors.New("upstream: answers belong to other requests")
+// errStray is returned when the connection delivers only answers to other requests.
+var errStray = errors.New("upstream: received only answers to other requests")
 
-// Call is one request.
+// Call is one request to an endpoint.
 type Call struct {
 	Method string
-	Target string // path and query, as it goes on the request line
+	Target string // path and query, as written in the request line
 	Host   string
 	Header http.Header
 	Body   []byte
@@ -39,9 +39,9 @@
 	Matches func(http.Header) bool
 }
 
-// SendError is a call without an answer.
+// SendError is the error of a call without an answer.
 type SendError struct {
-	Sent bool // the endpoint may have got the request, and may have run it
+	Sent bool // the endpoint may have received and run the request
 	Err  error
 }
 
@@ -51,15 +51,16 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// Answer is the beginning of an answer. Body must be read to its end or closed;
-// a body that breaks off ends with an error other than io.EOF.
+// Answer is the status and header of an answer, with a reader of its body. Body must be read
+// to its end or closed; a body that is cut off ends with an error other than io.EOF.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	Length int64 // of the body; -1 if the endpoint did not say
+	Length int64 // of the body in bytes; -1 if the endpoint didn't declare it
 }
 
+// conn is a connection to an endpoint.
 type conn struct {
 	raw         net.Conn
 	address     string
@@ -69,17 +70,17 @@
 }
 
 func newConn(raw net.Conn, address string) *conn {
-	return &conn{raw: raw, address: address, in: bufio.NewReaderSize(raw, readBuffer)}
+	return &conn{raw: raw, address: address, in: bufio.NewReaderSize(raw, readBufferBytes)}
 }
 
-// close resets the connection, so that the endpoint notices at once and stops
-// the run even while it is writing.
+// close closes the connection, so that the endpoint notices it at once and stops the run
+// even while it is writing.
 func (c *conn) close() {
 	c.once.Do(func() { _ = c.raw.Close() })
 }
 
-// Do sends the call. When ctx ends the connection is closed, also while the
-// body is being read. The error is a *SendError.
+// Do sends the call and returns the answer once its header was received. When ctx ends the
+// connection is closed, also while the body is being read. The error is a *SendError.
 func (p *Pool) Do(ctx context.Context, address string, call *Call) (*Answer, error) {
 	head, err := call.head()
 	if err != nil {
@@ -109,7 +110,7 @@
 	return &Answer{Status: response.StatusCode, Header: response.Header, Body: body, Length: response.ContentLength}, nil
 }
 
-// head renders the request line and headers.
+// head returns the request line and the headers as sent.
 func (call *Call) head() ([]byte, error) {
 	if strings.ContainsAny(call.Target, " \r\n") || strings.ContainsAny(call.Host, " \r\n") {
 		return nil, errors.New("malformed target or host")
@@ -134,6 +135,7 @@
 	return b.Bytes(), nil
 }
 
+// write sends the head and the body of a request.
 func (c *conn) write(head, body []byte) error {
 	buffers := net.Buffers{head}
 	if len(body) > 0 {
@@ -146,7 +148,7 @@
 // read returns the first answer that belongs to the call.
 func (c *conn) read(call *Call) (*http.Response, error) {
 	request := &http.Request{Method: call.Method, URL: &url.URL{}}
-	for range strayAnswers + 1 {
+	for range maxStrayAnswers + 1 {
 		response, err := http.ReadResponse(c.in, request)
 		if err != nil {
 			return nil, err
@@ -157,14 +159,14 @@
 		if call.Matches == nil || call.Matches(response.Header) {
 			return response, nil
 		}
-		if _, err := io.CopyN(io.Discard, response.Body, maxStrayBody); !errors.Is(err, io.EOF) {
+		if _, err := io.CopyN(io.Discard, response.Body, maxStrayBodyBytes); !errors.Is(err, io.EOF) {
 			return nil, errStray
 		}
 	}
 	return nil, errStray
 }
 
-// body gives the connection back once it was read to its end.
+// body is an answer's body. It returns the connection to the pool once it was read to its end.
 type body struct {
 	pool     *Pool
 	conn     *conn
@@ -186,25 +188,27 @@
 	return n, err
 }
 
+// finish records the end of the body and returns the connection to the pool or closes it.
 func (b *body) finish(err error) {
 	b.done = true
 	b.end = err
-	live := b.stop()
-	if !errors.Is(err, io.EOF) || !live || !b.reusable() {
+	notCancelled := b.stop()
+	if !errors.Is(err, io.EOF) || !notCancelled || !b.connReusable() {
 		b.conn.close()
 		return
 	}
-	b.conn.usableUntil = time.Now().Add(keepFor(b.response.Header.Get("Keep-Alive")))
+	b.conn.usableUntil = time.Now().Add(idleTimeout(b.response.Header.Get("Keep-Alive")))
 	b.pool.put(b.conn)
 }
 
-// reusable tells whether nothing follows the answer on its connection.
-func (b *body) reusable() bool {
+// connReusable returns whether the endpoint keeps the connection open and nothing follows the
+// answer on it.
+func (b *body) connReusable() bool {
 	return !b.response.Close && b.conn.in.Buffered() == 0
 }
 
-// Close implements io.Closer. A body that was not read to its end takes its
-// connection with it, which stops the endpoint's work.
+// Close implements io.Closer. If the body was not read to its end, it closes the connection,
+// which stops the endpoint's work.
 func (b *body) Close() error {
 	if !b.done {
 		b.done = true
@@ -215,14 +219,15 @@
 	return nil
 }
 
-// keepFor reads the timeout of a Keep-Alive header, in whole seconds.
-func keepFor(header string) time.Duration {
+// idleTimeout returns how long a connection is kept idle. header is the answer's Keep-Alive
+// header, whose timeout is in whole seconds.
+func idleTimeout(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(value)
 		if strings.EqualFold(name, "timeout") && err == nil {
-			return max(0, min(time.Duration(seconds)*time.Second-idleMargin, idleLimit))
+			return max(0, min(time.Duration(seconds)*time.Second-idleMargin, defaultIdleTimeout))
 		}
 	}
-	return idleLimit
+	return defaultIdleTimeout
 }
--- a/internal/agentless/upstream/pool.go
+++ b/internal/agentless/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream sends HTTP/1.1 requests to endpoints over kept connections.
-// Unlike a general client it repeats nothing by itself and tells whether any
-// byte of a failed request was sent: only then is "not run" certain.
+// Package upstream sends HTTP/1.1 requests to endpoints over pooled connections. Unlike a
+// general client it never retries by itself, and it reports whether any byte of a failed
+// request may have been sent: only if none was is it certain that the request did not run.
 package upstream
 
 import (
@@ -14,45 +14,46 @@
 )
 
 const (
-	// dialLimit bounds opening a connection. Endpoints of a region are
-	// milliseconds away; a lost opening packet is sent again after a second, by
-	// when another endpoint has answered.
-	dialLimit = 400 * time.Millisecond
-	// idleLimit is how long a connection is kept without a request if its
-	// endpoint names no limit of its own.
-	idleLimit = 10 * time.Second
-	// idleMargin is taken off the endpoint's own limit: a request must not cross
-	// the endpoint's close on the way, after which nobody knows if it ran.
+	// dialTimeout is the timeout for opening a connection. Endpoints of a region are
+	// milliseconds away. A lost SYN packet is retransmitted after a second, by when
+	// another endpoint has answered.
+	dialTimeout = 400 * time.Millisecond
+	// defaultIdleTimeout is how long a connection is kept idle if its endpoint declares no
+	// timeout, and the longest that one is kept.
+	defaultIdleTimeout = 10 * time.Second
+	// idleMargin is subtracted from the timeout that an endpoint declares: if a request
+	// crossed the endpoint's close in transit, it would be unknown whether it ran.
 	idleMargin = 100 * time.Millisecond
-	// idlePerEndpoint bounds kept connections to one endpoint; endpoints accept
-	// some hundred from all callers together.
-	idlePerEndpoint = 16
+	// maxIdlePerAddress is the limit of idle connections to one endpoint. An endpoint
+	// accepts some hundred connections from all callers together.
+	maxIdlePerAddress = 16
 )
 
-// Pool keeps connections by address. It is safe for concurrent use.
+// Pool opens connections to endpoints and keeps idle ones by address. It is safe for
+// concurrent use.
 type Pool struct {
 	dialer *net.Dialer
-	opened func() // called for each new connection, for the metrics; may be nil
+	onDial func() // called for each new connection, for metrics; may be nil
 	meter  *netcount.Meter
 
 	mu   sync.Mutex
-	idle map[string][]*conn // last used last
+	idle map[string][]*conn // by address; the most recently used one last
 }
 
-// NewPool returns an empty pool. opened is called for each new connection, and
-// meter counts their bytes; both may be nil.
-func NewPool(opened func(), meter *netcount.Meter) *Pool {
-	return &Pool{dialer: netdial.Dialer(dialLimit), opened: opened, meter: meter, idle: map[string][]*conn{}}
+// NewPool returns an empty pool. onDial is called for each new connection, and meter counts
+// the bytes of the connections; both may be nil.
+func NewPool(onDial func(), meter *netcount.Meter) *Pool {
+	return &Pool{dialer: netdial.Dialer(dialTimeout), onDial: onDial, meter: meter, idle: map[string][]*conn{}}
 }
 
-// get returns a kept connection that is still open, or a new one.
+// get returns an idle connection that is still open, or a new one.
 func (p *Pool) get(ctx context.Context, address string) (*conn, error) {
 	for {
 		c := p.takeIdle(address)
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.usableUntil) && c.quiet() {
+		if time.Now().Before(c.usableUntil) && c.isIdle() {
 			return c, nil
 		}
 		c.close()
@@ -61,48 +62,52 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.opened != nil {
-		p.opened()
+	if p.onDial != nil {
+		p.onDial()
 	}
 	return newConn(p.meter.Wrap(netcount.Endpoint, raw, address), address), nil
 }
 
+// takeIdle removes the most recently used idle connection to an address from the pool and
+// returns it, or nil if there is none.
 func (p *Pool) takeIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[address]
-	if len(kept) == 0 {
+	idle := p.idle[address]
+	if len(idle) == 0 {
 		return nil
 	}
-	c := kept[len(kept)-1]
-	p.idle[address] = kept[:len(kept)-1]
+	c := idle[len(idle)-1]
+	p.idle[address] = idle[:len(idle)-1]
 	return c
 }
 
+// put adds an idle connection to the pool, or closes it if the address has enough of them.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[c.address]
-	if len(kept) >= idlePerEndpoint {
+	idle := p.idle[c.address]
+	if len(idle) >= maxIdlePerAddress {
 		c.close()
 		return
 	}
-	p.idle[c.address] = append(kept, c)
+	p.idle[c.address] = append(idle, c)
 }
 
-// CloseIdle closes the kept connections to an address, whose endpoint is gone.
+// CloseIdle closes the idle connections to an address whose endpoint is gone.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
-	kept := p.idle[address]
+	idle := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
-	for _, c := range kept {
+	for _, c := range idle {
 		c.close()
 	}
 }
 
-// quiet tells whether the connection may take another request.
-func (c *conn) quiet() bool {
+// isIdle returns whether the connection is open and has no unread bytes, so that it may carry
+// another request.
+func (c *conn) isIdle() bool {
 	if c.in.Buffered() > 0 {
 		return false
 	}
--- a/internal/agentless/upstream/upstream_test.go
+++ b/internal/agentless/upstream/upstream_test.go
@@ -17,19 +17,19 @@
 	"siskinloom.example/siskinloom/internal/agentless/upstream"
 )
 
-// scripted is an endpoint that answers each request of a connection with the
-// next piece of raw text; after the last piece it closes the connection.
-type scripted struct {
+// scriptedEndpoint answers each request of a connection with the next raw answer, and closes
+// the connection after the last one.
+type scriptedEndpoint struct {
 	listener net.Listener
 	accepted atomic.Int64
 	requests chan *http.Request
 	bodies   chan string
 }
 
-func serve(answers ...string) *scripted {
+func startEndpoint(answers ...string) *scriptedEndpoint {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	s := &scripted{listener: listener, requests: make(chan *http.Request, 16), bodies: make(chan string, 16)}
+	s := &scriptedEndpoint{listener: listener, requests: make(chan *http.Request, 16), bodies: make(chan string, 16)}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -37,14 +37,14 @@
 				return
 			}
 			s.accepted.Add(1)
-			go s.answer(conn, answers)
+			go s.serveConn(conn, answers)
 		}
 	}()
 	DeferCleanup(func() { _ = listener.Close() })
 	return s
 }
 
-func (s *scripted) answer(conn net.Conn, answers []string) {
+func (s *scriptedEndpoint) serveConn(conn net.Conn, answers []string) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for _, answer := range answers {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (s *scripted) address() string { return s.listener.Addr().String() }
+func (s *scriptedEndpoint) address() string { return s.listener.Addr().String() }
 
 const ok = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok"
 
@@ -86,8 +86,8 @@
 }
 
 var _ = Describe("a pool of connections", func() {
-	It("sends the request as it is and keeps the connection", func() {
-		s := serve(ok, ok)
+	It("sends the request unchanged and keeps the connection", func() {
+		s := startEndpoint(ok, ok)
 		p := upstream.NewPool(nil, nil)
 		for range 2 {
 			Expect(read(p, s.address(), call())).To(Equal("ok"))
@@ -98,10 +98,10 @@
 		Expect(s.accepted.Load()).To(Equal(int64(1)))
 	})
 
-	It("takes a new connection when the endpoint has closed the kept one, and repeats nothing", func() {
-		// The endpoint closes idle connections. A request that was written to one
-		// would end without a word whether it ran.
-		s := serve(ok)
+	It("opens a new connection when the endpoint has closed the idle one, and retries nothing", func() {
+		// The endpoint closes idle connections. If a request were written to a closed one,
+		// it would be unknown whether it ran.
+		s := startEndpoint(ok)
 		p := upstream.NewPool(nil, nil)
 		Expect(read(p, s.address(), call())).To(Equal("ok"))
 		Eventually(func() error { _, err := read(p, s.address(), call()); return err }).Should(Succeed())
@@ -109,65 +109,65 @@
 	})
 
 	It("does not reuse a connection with bytes after the answer", func() {
-		// A faulty engine sends a second answer nobody asked for. The next caller on
-		// that connection must not get it.
-		s := serve(ok+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", ok)
+		// A faulty engine sends a second answer that belongs to no request. The next call on
+		// that connection must not receive it.
+		s := startEndpoint(ok+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", ok)
 		p := upstream.NewPool(nil, nil)
 		Expect(read(p, s.address(), call())).To(Equal("ok"))
 		Expect(read(p, s.address(), call())).To(Equal("ok"))
 		Expect(s.accepted.Load()).To(Equal(int64(2)))
 	})
 
-	It("reads past a late answer to another request", func() {
-		s := serve("HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nwrong" + ok)
+	It("skips a late answer to another request", func() {
+		s := startEndpoint("HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nwrong" + ok)
 		c := call()
 		c.Matches = func(h http.Header) bool { return h.Get("X-Id") == "1" }
 		Expect(read(upstream.NewPool(nil, nil), s.address(), c)).To(Equal("ok"))
 	})
 
-	It("gives up where only answers to others come", func() {
-		s := serve(strings.Repeat("HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 0\r\n\r\n", 5))
+	It("fails if it receives only answers to other requests", func() {
+		s := startEndpoint(strings.Repeat("HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 0\r\n\r\n", 5))
 		c := call()
 		c.Matches = func(h http.Header) bool { return h.Get("X-Id") == "1" }
 		_, err := read(upstream.NewPool(nil, nil), s.address(), c)
 		Expect(sent(err)).To(BeTrue())
 	})
 
-	DescribeTable("an answer that is not whole is an error, after which the request may have run",
+	DescribeTable("returns an error for an incomplete answer",
 		func(answer string) {
-			s := serve(answer)
+			s := startEndpoint(answer)
 			_, err := read(upstream.NewPool(nil, nil), s.address(), call())
 			Expect(err).To(HaveOccurred())
 		},
 		Entry("no answer", ""),
-		Entry("no HTTP", "garbage\r\n\r\n"),
+		Entry("not HTTP", "garbage\r\n\r\n"),
 		Entry("cut header", "HTTP/1.1 200 OK\r\nContent-Le"),
 		Entry("cut body", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"),
 		Entry("cut chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"),
 	)
 
-	It("takes the end of the connection for the end of a body without length", func() {
-		s := serve("HTTP/1.1 200 OK\r\n\r\nall of it")
+	It("treats the end of the connection as the end of a body without length", func() {
+		s := startEndpoint("HTTP/1.1 200 OK\r\n\r\nall of it")
 		Expect(read(upstream.NewPool(nil, nil), s.address(), call())).To(Equal("all of it"))
 	})
 
-	It("knows that nothing was sent when no connection can be made", func() {
-		s := serve()
+	It("reports that nothing was sent when no connection can be opened", func() {
+		s := startEndpoint()
 		Expect(s.listener.Close()).To(Succeed())
 		_, err := read(upstream.NewPool(nil, nil), s.address(), call())
 		Expect(sent(err)).To(BeFalse())
 	})
 
-	It("refuses a target that would smuggle a second request", func() {
+	It("rejects a target that would smuggle in a second request", func() {
 		c := call()
 		c.Target = "/p HTTP/1.1\r\nHost: x\r\n\r\nGET /q"
 		_, err := read(upstream.NewPool(nil, nil), "127.0.0.1:1", c)
 		Expect(sent(err)).To(BeFalse())
 	})
 
-	It("closes the connection when the caller leaves, so that the endpoint stops", func() {
-		// The caller is gone half a second into a long run. The engine sees the
-		// connection close and gives its slot to somebody else.
+	It("closes the connection when the caller cancels, so that the endpoint stops", func() {
+		// The caller cancels half a second into a long run. The engine sees the connection close and
+		// gives the slot to another request.
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { _ = listener.Close() })
@@ -180,15 +180,15 @@
 			_, _ = io.Copy(io.Discard, conn)
 			close(closed)
 		}()
-		ctx, leave := context.WithCancel(context.Background())
-		time.AfterFunc(20*time.Millisecond, leave)
+		ctx, cancel := context.WithCancel(context.Background())
+		time.AfterFunc(20*time.Millisecond, cancel)
 		_, err = upstream.NewPool(nil, nil).Do(ctx, listener.Addr().String(), call())
 		Expect(sent(err)).To(BeTrue())
 		Eventually(closed).Should(BeClosed())
 	})
 
-	It("keeps a connection no longer than its endpoint says", func() {
-		s := serve("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", ok)
+	It("keeps an idle connection no longer than its endpoint declares", func() {
+		s := startEndpoint("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", ok)
 		p := upstream.NewPool(nil, nil)
 		Expect(read(p, s.address(), call())).To(Equal("ok"))
 		Expect(read(p, s.address(), call())).To(Equal("ok"))
