--- a/internal/agentless/dispatch/dispatch.go
+++ b/internal/agentless/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch defines how a request goes to one endpoint and what comes
-// back. An adapter implements Sender for each kind of platform.
+// Package dispatch defines requests to one endpoint and their answers. Each platform has an
+// adapter that implements Sender.
 package dispatch
 
 import (
@@ -12,7 +12,7 @@
 	"siskinloom.example/siskinloom/internal/deployment"
 )
 
-// Request is a request to an endpoint.
+// Request is a request to one endpoint.
 type Request struct {
 	ID          string
 	Method      string
@@ -20,63 +20,64 @@
 	Host        string
 	Header      http.Header // passed on; not changed
 	Body        []byte
-	Timeout     time.Duration // how long an answer is of use; the endpoint stops then
-	ResumeAfter int64         // go on after this event; 0: from the start
-	Version     int64         // only weights of this version may serve it; 0: any
-	Urgency     int           // 0 is the most urgent, 9 the least; -1: not said
+	Timeout     time.Duration // time within which the answer is of use; the endpoint stops the run after it
+	ResumeAfter int64         // ID of the event after which a stream resumes; 0: from its start
+	Version     int64         // weight version that must serve it; 0: any
+	Urgency     int           // 0 is the most urgent, 9 the least; -1: not declared
 
-	Customer string // on whose behalf; empty: nobody's
+	Customer string // customer on whose behalf it is sent; empty: none
 }
 
-// Answer is the beginning of an endpoint's answer. Body must be closed.
+// Answer is the status and header of an endpoint's answer, with a reader of its body. Body must
+// be closed.
 type Answer struct {
 	Status   int
-	Header   http.Header // without those that concern only the connection
+	Header   http.Header // without hop-by-hop headers
 	Body     io.ReadCloser
-	NotRun   bool // the endpoint says that it did not run the request
-	Replaced bool // another instance has the address, or other weights are loaded
-	Signed   bool // it carries the endpoint's signature
-	Seal     string
-	Version  int64 // weight version at the start of the answer; 0: not said
-	// VersionField is the event field that tells a change of version.
+	NotRun   bool   // the endpoint states that it did not run the request
+	Replaced bool   // another instance has the address now, or other weights are loaded
+	Signed   bool   // the answer carries the endpoint's signature
+	Seal     string // the signature; empty: none
+	Version  int64  // weight version at the start of the answer; 0: not declared
+	// VersionField is the name of the event field that announces a change of the weight version.
 	VersionField string
-	// Encoded: an intermediary changed the body.
+	// Encoded is true if an intermediary changed the body.
 	Encoded bool
 }
 
-// Sender sends a request to an endpoint, which must be the incarnation given.
-// An error is an *upstream.SendError. The request is ended when ctx ends.
+// Sender sends a request to an endpoint. The request must only be run by the given incarnation
+// of the endpoint. An error is an *upstream.SendError. The request is cancelled when ctx ends.
 type Sender interface {
 	Send(ctx context.Context, endpoint *deployment.Endpoint, request *Request) (*Answer, error)
 }
 
-// Event is one whole event of a stream.
+// Event is one complete event of a stream.
 type Event struct {
 	ID      int64
 	Data    []byte
 	Raw     []byte // as received
-	Version int64  // weight version that generated it; 0: not known
+	Version int64  // weight version that generated the event; 0: unknown
 }
 
-// EventReader reads the events of an answer.
+// EventReader reads the events of an answer and assigns each its weight version.
 type EventReader struct {
-	reader  *sse.Reader
-	field   string
-	version int64
+	reader       *sse.Reader
+	versionField string
+	version      int64
 }
 
-// NewEventReader returns a reader of the answer's body.
+// NewEventReader returns a reader of the events in the answer's body.
 func NewEventReader(a *Answer) *EventReader {
-	return &EventReader{reader: sse.NewReader(a.Body), field: a.VersionField, version: a.Version}
+	return &EventReader{reader: sse.NewReader(a.Body), versionField: a.VersionField, version: a.Version}
 }
 
-// Next returns the next event; io.EOF after the last one of a whole stream.
+// Next returns the next event. The error is io.EOF after the last event of a complete stream.
 func (e *EventReader) Next() (Event, error) {
 	event, err := e.reader.Next()
 	if err != nil {
 		return Event{}, err
 	}
-	if version, found := sse.Integer(event.Fields[e.field]); found {
+	if version, found := sse.Integer(event.Fields[e.versionField]); found {
 		e.version = version
 	}
 	return Event{ID: event.ID, Data: event.Data, Raw: event.Raw, Version: e.version}, nil
