--- a/internal/agentless/directory/directory.go
+++ b/internal/agentless/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory holds what one process knows of the deployment: the
-// declaration in force and the endpoints that are up, each service's in a shard
-// under its own lock.
+// Package directory holds what one process knows of the deployment: the declaration in
+// force and the endpoints that are up. The endpoints of each service are in a shard with a
+// lock of its own.
 package directory
 
 import (
@@ -16,50 +16,52 @@
 	"siskinloom.example/siskinloom/internal/policy/routes"
 )
 
-// Directory is safe for concurrent use.
+// Directory holds the routes in force and the listed endpoints. It is safe for concurrent use.
 type Directory struct {
 	Switches *mechanism.Switches // set before first use; may be nil
 
-	self   string
-	domain string
-	table  atomic.Pointer[routes.Table]
-	gone   func(address string) // an endpoint's address is no longer its own
+	self      string
+	domain    string
+	table     atomic.Pointer[routes.Table]
+	onRemoved func(address string) // called with the address of a removed endpoint; may be nil
 
-	mu       sync.RWMutex
-	services map[string]*shard
-	homes    map[string]string // service by endpoint ID
+	mu                sync.RWMutex
+	services          map[string]*shard
+	serviceByEndpoint map[string]string // service name by endpoint ID
 }
 
+// shard holds the endpoints of one service.
 type shard struct {
 	mu  sync.Mutex
 	set *endpoints.Set
 }
 
-// New returns an empty directory of the process self in a failure domain. gone is
-// called with the address of each endpoint that goes; it may be nil.
-func New(self, domain string, gone func(address string)) *Directory {
-	return &Directory{self: self, domain: domain, gone: gone, services: map[string]*shard{}, homes: map[string]string{}}
+// New returns an empty directory of the process self in a failure domain. onRemoved is called
+// with the address of each endpoint that is removed; it may be nil.
+func New(self, domain string, onRemoved func(address string)) *Directory {
+	return &Directory{self: self, domain: domain, onRemoved: onRemoved, services: map[string]*shard{}, serviceByEndpoint: map[string]string{}}
 }
 
 // Table returns the routes in force, or nil while none are known.
 func (d *Directory) Table() *routes.Table { return d.table.Load() }
 
-// Declare puts a declaration in force unless a newer one is, tells whether it did, and
-// returns the one before it, nil for none. Versions never go back.
+// Declare puts a declaration in force unless the current one has the same or a higher version.
+// It returns the routes that were in force before, nil for none, and whether the declaration
+// is now in force. Versions never decrease.
 func (d *Directory) Declare(declaration *deployment.Declaration) (before *routes.Table, inForce bool) {
-	fresh := routes.NewTable(declaration)
+	table := routes.NewTable(declaration)
 	for {
 		old := d.table.Load()
 		if old != nil && old.Declaration.Version >= declaration.Version {
 			return old, false
 		}
-		if d.table.CompareAndSwap(old, fresh) {
+		if d.table.CompareAndSwap(old, table) {
 			return old, true
 		}
 	}
 }
 
-// Models returns the models that declared services serve, sorted.
+// Models returns the models that the declared services serve, sorted.
 func (d *Directory) Models() []string {
 	table := d.table.Load()
 	if table == nil {
@@ -73,14 +75,14 @@
 	return slices.Compact(models)
 }
 
-// Put takes in an endpoint as listed.
+// Put adds or updates a listed endpoint.
 func (d *Directory) Put(e deployment.Endpoint) {
 	d.mu.Lock()
-	home, found := d.homes[e.ID]
-	d.homes[e.ID] = e.Service
+	service, found := d.serviceByEndpoint[e.ID]
+	d.serviceByEndpoint[e.ID] = e.Service
 	d.mu.Unlock()
-	if found && home != e.Service {
-		d.drop(home, e.ID)
+	if found && service != e.Service {
+		d.drop(service, e.ID)
 	}
 	s := d.shard(e.Service)
 	s.mu.Lock()
@@ -88,26 +90,26 @@
 	s.set.Put(e)
 }
 
-// Remove takes out an endpoint.
+// Remove removes an endpoint.
 func (d *Directory) Remove(id string) {
 	d.mu.Lock()
-	home, found := d.homes[id]
-	delete(d.homes, id)
+	service, found := d.serviceByEndpoint[id]
+	delete(d.serviceByEndpoint, id)
 	d.mu.Unlock()
 	if found {
-		d.drop(home, id)
+		d.drop(service, id)
 	}
 }
 
-// MarkLoading notes that an endpoint was ordered to load weights.
+// MarkLoading records that an endpoint was ordered to load weights.
 func (d *Directory) MarkLoading(now time.Time, id, model string, version int64) {
 	d.mu.RLock()
-	home, found := d.homes[id]
+	service, found := d.serviceByEndpoint[id]
 	d.mu.RUnlock()
 	if !found {
 		return
 	}
-	s := d.shard(home)
+	s := d.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.set.Get(id); e != nil {
@@ -115,6 +117,7 @@
 	}
 }
 
+// drop removes an endpoint from a service's shard.
 func (d *Directory) drop(service, id string) {
 	s := d.shard(service)
 	s.mu.Lock()
@@ -124,11 +127,12 @@
 	}
 	s.set.Remove(id)
 	s.mu.Unlock()
-	if address != "" && d.gone != nil {
-		d.gone(address)
+	if address != "" && d.onRemoved != nil {
+		d.onRemoved(address)
 	}
 }
 
+// shard returns the shard of a service, which it creates if there is none.
 func (d *Directory) shard(service string) *shard {
 	d.mu.RLock()
 	s := d.services[service]
@@ -144,6 +148,7 @@
 	return d.services[service]
 }
 
+// options returns the options of a pick, by the mechanisms that are enabled.
 func (d *Directory) options() endpoints.Options {
 	return endpoints.Options{
 		DisableEjection:  !d.Switches.On(mechanism.SetAside),
@@ -152,16 +157,16 @@
 	}
 }
 
-// Pick is an endpoint that was chosen for a request. End must be called once.
+// Pick is an endpoint that was picked for a request. End must be called once.
 type Pick struct {
 	deployment.Endpoint
-	domain string
-	shard  *shard
-	state  *endpoints.State
-	placed endpoints.Placement
+	domain    string
+	shard     *shard
+	state     *endpoints.State
+	placement endpoints.Placement
 }
 
-// Pick chooses an endpoint of the service, or returns nil.
+// Pick picks an endpoint of the service for a request. It returns nil if none is available.
 func (d *Directory) Pick(service string, r endpoints.Request) *Pick {
 	r.Domain = d.domain
 	s := d.shard(service)
@@ -172,26 +177,26 @@
 	if state == nil {
 		return nil
 	}
-	return &Pick{Endpoint: state.Endpoint, domain: d.domain, shard: s, state: state, placed: r.Placement}
+	return &Pick{Endpoint: state.Endpoint, domain: d.domain, shard: s, state: state, placement: r.Placement}
 }
 
-// End tells how the request ended; see endpoints.State.End.
-func (p *Pick) End(now time.Time, outcome endpoints.Outcome, took time.Duration, work float64) {
+// End records how the request ended; see endpoints.State.End.
+func (p *Pick) End(now time.Time, outcome endpoints.Outcome, latency time.Duration, work float64) {
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	p.state.ReleasePlacement(&p.placed)
-	p.state.End(now, outcome, took, work)
+	p.state.ReleasePlacement(&p.placement)
+	p.state.End(now, outcome, latency, work)
 }
 
-// ObservePace notes the seconds that a unit of work took, without the wait before it.
+// ObservePace records the seconds that a unit of work took, without the wait before it.
 func (p *Pick) ObservePace(seconds float64) {
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
 	p.state.ObservePace(seconds)
 }
 
-// HasFaster tells whether another endpoint would serve the request markedly faster
-// than the one that was picked, where it has taken pace seconds per unit of work.
+// HasFaster returns whether another endpoint would serve the request markedly faster than the
+// picked one, which has taken pace seconds per unit of work so far.
 func (p *Pick) HasFaster(r endpoints.Request, pace float64) bool {
 	r.Domain = p.domain
 	p.shard.mu.Lock()
@@ -199,7 +204,7 @@
 	return p.shard.set.HasFaster(r, p.state, pace)
 }
 
-// HasLessLoaded tells whether the request would save at least gain units of work's time
+// HasLessLoaded returns whether the request would save at least the time of gain units of work
 // at another endpoint that runs fewer requests.
 func (p *Pick) HasLessLoaded(r endpoints.Request, gain float64) bool {
 	r.Domain = p.domain
@@ -208,8 +213,8 @@
 	return p.shard.set.HasLessLoaded(r, p.state, gain)
 }
 
-// TypicalPace returns the usual seconds per unit of work at a service's endpoints, 0 if
-// they are not known, and how many endpoints it has.
+// TypicalPace returns the typical seconds per unit of work at a service's endpoints, 0 if
+// they are unknown, and the number of its endpoints.
 func (d *Directory) TypicalPace(service string) (seconds float64, endpoints int) {
 	s := d.shard(service)
 	s.mu.Lock()
@@ -217,15 +222,15 @@
 	return s.set.TypicalPace(), len(s.set.All())
 }
 
-// SetReport takes in what another process has at a service's endpoints.
-func (d *Directory) SetReport(now time.Time, service, from string, shares map[string]endpoints.ProcessLoad) {
+// SetReport replaces the load that another process reports at a service's endpoints.
+func (d *Directory) SetReport(now time.Time, service, from string, loads map[string]endpoints.ProcessLoad) {
 	s := d.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.set.SetReport(now, from, shares)
+	s.set.SetReport(now, from, loads)
 }
 
-// ProcessLoads returns what this process has at a service's endpoints.
+// ProcessLoads returns the load of this process at a service's endpoints, by endpoint ID.
 func (d *Directory) ProcessLoads(service string) map[string]endpoints.ProcessLoad {
 	s := d.shard(service)
 	s.mu.Lock()
@@ -238,14 +243,15 @@
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for _, s := range d.services {
-		if e := s.at(address); e != nil {
+		if e := s.byAddress(address); e != nil {
 			return e.Domain, true
 		}
 	}
 	return "", false
 }
 
-func (s *shard) at(address string) *endpoints.State {
+// byAddress returns the endpoint at an address, or nil.
+func (s *shard) byAddress(address string) *endpoints.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.set.All() {
@@ -256,7 +262,7 @@
 	return nil
 }
 
-// EndpointStatus is an endpoint with its requests in flight.
+// EndpointStatus is an endpoint with the number of this process's requests in flight to it.
 type EndpointStatus struct {
 	deployment.Endpoint
 	InFlight int
@@ -274,14 +280,14 @@
 	return list
 }
 
-// ServiceOf returns the service of an endpoint, empty if it is not listed.
+// ServiceOf returns the service of an endpoint, or an empty string if it is not listed.
 func (d *Directory) ServiceOf(id string) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.homes[id]
+	return d.serviceByEndpoint[id]
 }
 
-// Counts returns how many endpoints each service has.
+// Counts returns the number of endpoints by service.
 func (d *Directory) Counts() map[string]int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -294,21 +300,21 @@
 	return counts
 }
 
-// TimeUntilAvailable returns how long until an endpoint of the service may be tried again;
-// 0 if one may now or none is known.
+// TimeUntilAvailable returns the time until the first endpoint of the service may be tried
+// again, 0 if one may be tried now or none is known.
 func (d *Directory) TimeUntilAvailable(service string, now time.Time) time.Duration {
 	s := d.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	soonest := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, e := range s.set.All() {
-		until, aside := e.UnavailableUntil(now)
-		if !aside {
+		until, unavailable := e.UnavailableUntil(now)
+		if !unavailable {
 			return 0
 		}
-		if wait := until.Sub(now); soonest == 0 || wait < soonest {
-			soonest = wait
+		if wait := until.Sub(now); shortest == 0 || wait < shortest {
+			shortest = wait
 		}
 	}
-	return soonest
+	return shortest
 }
