--- a/internal/agentless/mechanism/mechanism.go
+++ b/internal/agentless/mechanism/mechanism.go
@@ -1,7 +1,7 @@
-// Package mechanism names the mechanisms of the platform path that an operator
-// may take out without a new build, and holds which of them are out. Each
-// improves how well callers are served; none is needed for a promise, so the
-// system stays correct with any of them out.
+// Package mechanism names the mechanisms of the platform path that an operator may disable
+// without a new build, and holds which of them are disabled. Each improves the service's performance or
+// availability; none is needed for a guarantee, so the system stays correct with any of them
+// disabled.
 package mechanism
 
 import (
@@ -13,55 +13,57 @@
 	"github.com/pkg/errors"
 )
 
-// Mechanism is one mechanism's name, as it stands in settings.
+// Mechanism is the name of a mechanism as written in the settings.
 type Mechanism string
 
 // The mechanisms.
 const (
-	// Hedges asks a second and a third endpoint for a request that takes long.
+	// Hedges sends a slow request to a second and a third endpoint as well.
 	Hedges Mechanism = "hedges"
-	// SetAside sends an endpoint nothing for some time after failures in a row.
+	// SetAside ejects an endpoint for a while after failures in a row.
 	SetAside Mechanism = "set-aside"
-	// OwnPreference has each process prefer another endpoint among equals.
+	// OwnPreference gives each process its own order of preference among equal endpoints.
 	OwnPreference Mechanism = "own-preference"
 	// NearFirst prefers endpoints in the process's own failure domain.
 	NearFirst Mechanism = "near-first"
-	// MoveSlow moves runs away from engines that have turned slow.
+	// MoveSlow moves runs away from engines that became slow.
 	MoveSlow Mechanism = "move-slow"
 	// MoveCrowded moves long runs to engines that run fewer requests.
 	MoveCrowded Mechanism = "move-crowded"
-	// LongestFirst starts items by how long their step would take, not as listed.
+	// LongestFirst starts items in the order of their step's expected duration instead of the
+	// order of submission.
 	LongestFirst Mechanism = "longest-first"
-	// SpareLast starts the groups last that the trainer can do without.
+	// SpareLast starts the groups that the trainer doesn't need last.
 	SpareLast Mechanism = "spare-last"
-	// ByDelay places runs by how much they delay what an engine runs.
+	// ByDelay places runs by how much they delay the other runs of an engine.
 	ByDelay Mechanism = "by-delay"
-	// KeepNarrow keeps short runs off engines that run the longest ones.
+	// KeepNarrow keeps non-critical runs off an engine that runs a critical request, beyond a
+	// limit of requests.
 	KeepNarrow Mechanism = "keep-narrow"
-	// ShareLoad has owners of jobs tell each other what they run at which engine.
+	// ShareLoad has the owners of jobs exchange how much load they put on each engine.
 	ShareLoad Mechanism = "share-load"
-	// LearnLengths learns how long texts turn out against their estimates.
+	// LearnLengths corrects the estimates of text lengths by the lengths of finished texts.
 	LearnLengths Mechanism = "learn-lengths"
-	// WholeSteps writes results when their step is whole.
+	// WholeSteps writes results once their step is complete.
 	WholeSteps Mechanism = "whole-steps"
-	// TextJournal keeps texts under way on the machine's disk.
+	// TextJournal writes the texts of running items to the machine's disk.
 	TextJournal Mechanism = "text-journal"
-	// TextCopies keeps texts under way at a second process.
+	// TextCopies replicates the texts of running items to a second process.
 	TextCopies Mechanism = "text-copies"
-	// CacheResults keeps results where they were read.
+	// CacheResults caches results in the process that read them.
 	CacheResults Mechanism = "cache-results"
-	// ReadNear reads results by way of a worker in the same failure domain.
+	// ReadNear reads results through a worker in the same failure domain.
 	ReadNear Mechanism = "read-near"
-	// AlternateLoads has half of a model's engines load each version.
+	// AlternateLoads has each version loaded by half of a model's engines.
 	AlternateLoads Mechanism = "alternate-loads"
-	// TellLoads tells owners of items which engines load weights.
+	// TellLoads notifies owners of items which engines load weights.
 	TellLoads Mechanism = "tell-loads"
-	// TakeOver has a job's standby take it over when its owner answers nobody, before the
-	// owner's registration lapses.
+	// TakeOver has a job's standby take the job over if no process reaches its owner, before
+	// the owner's registration expires.
 	TakeOver Mechanism = "take-over"
-	// StandbyRuns has the standby of a lost owner run the job while the store is away.
+	// StandbyRuns has the standby of a failed owner run the job while the store is unreachable.
 	StandbyRuns Mechanism = "standby-runs"
-	// Relay reaches the store by way of other processes.
+	// Relay reaches the store through other processes.
 	Relay Mechanism = "relay"
 )
 
@@ -75,10 +77,10 @@
 	return all
 }
 
-// ErrUnknown is returned for a name that is no mechanism's.
+// ErrUnknown is returned for a name that no mechanism has.
 var ErrUnknown = errors.New("unknown mechanism")
 
-// Parse returns the mechanism of that name. The error lists the names there are.
+// Parse returns the mechanism with a name. The error lists the valid names.
 func Parse(name string) (Mechanism, error) {
 	all := All()
 	if slices.Contains(all, Mechanism(name)) {
@@ -91,32 +93,32 @@
 	return "", errors.Wrapf(ErrUnknown, "%q is none of %s", name, strings.Join(names, ", "))
 }
 
-// Switches hold which mechanisms are out. The zero value and a nil pointer have
-// none out. They are safe for concurrent use.
+// Switches holds which mechanisms are disabled. The zero value and a nil pointer have none
+// disabled. It is safe for concurrent use.
 type Switches struct {
-	out atomic.Pointer[[]Mechanism]
+	disabled atomic.Pointer[[]Mechanism]
 }
 
-// SetDisabled takes these mechanisms out, and puts all others back in.
-func (s *Switches) SetDisabled(out []Mechanism) {
-	sorted := slices.Clone(out)
+// SetDisabled disables these mechanisms and enables all others.
+func (s *Switches) SetDisabled(disabled []Mechanism) {
+	sorted := slices.Clone(disabled)
 	slices.Sort(sorted)
 	sorted = slices.Compact(sorted)
-	s.out.Store(&sorted)
+	s.disabled.Store(&sorted)
 }
 
-// Disabled returns the mechanisms that are out, sorted.
+// Disabled returns the disabled mechanisms, sorted.
 func (s *Switches) Disabled() []Mechanism {
 	if s == nil {
 		return nil
 	}
-	if out := s.out.Load(); out != nil {
-		return *out
+	if disabled := s.disabled.Load(); disabled != nil {
+		return *disabled
 	}
 	return nil
 }
 
-// On tells whether a mechanism is in.
+// On returns whether a mechanism is enabled.
 func (s *Switches) On(m Mechanism) bool {
 	return !slices.Contains(s.Disabled(), m)
 }
--- a/internal/agentless/mechanism/mechanism_test.go
+++ b/internal/agentless/mechanism/mechanism_test.go
@@ -17,29 +17,29 @@
 		return mechanism.Load(path)
 	}
 
-	It("name what is taken out; none without a list", func() {
-		out, err := load("[mechanisms]\nwithout = hedges, move-slow\n")
+	It("list the disabled mechanisms; an empty list disables none", func() {
+		disabled, err := load("[mechanisms]\nwithout = hedges, move-slow\n")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(out).To(Equal([]mechanism.Mechanism{mechanism.Hedges, mechanism.MoveSlow}))
-		out, err = load("[mechanisms]\nwithout =\n")
+		Expect(disabled).To(Equal([]mechanism.Mechanism{mechanism.Hedges, mechanism.MoveSlow}))
+		disabled, err = load("[mechanisms]\nwithout =\n")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(out).To(BeEmpty())
+		Expect(disabled).To(BeEmpty())
 	})
 
-	It("are refused with the place of each fault and the names there are", func() {
+	It("are rejected with the position of each fault and the valid names", func() {
 		_, err := load("[mechanisms]\nwithout = hedges, fences\nwith = all\n")
 		Expect(err).To(MatchError(And(ContainSubstring("mechanisms.ini:2"), ContainSubstring(`"fences" is none of`), ContainSubstring("move-crowded"))))
 		Expect(err).To(MatchError(ContainSubstring("mechanisms.ini:3: [mechanisms] with: unknown key")))
 	})
 
-	It("are refused if the file is not there", func() {
+	It("are rejected if the file does not exist", func() {
 		_, err := mechanism.Load(filepath.Join(GinkgoT().TempDir(), "none.ini"))
 		Expect(err).To(HaveOccurred())
 	})
 })
 
 var _ = Describe("the switches", func() {
-	It("have everything in at first, and what is taken out is put back by the next list", func() {
+	It("enable every mechanism at first, and each list replaces the one before", func() {
 		var none *mechanism.Switches
 		Expect(none.On(mechanism.Hedges)).To(BeTrue())
 		switches := &mechanism.Switches{}
--- a/internal/agentless/mechanism/settings.go
+++ b/internal/agentless/mechanism/settings.go
@@ -3,34 +3,34 @@
 import "siskinloom.example/siskinloom/internal/inifile"
 
 const (
-	section = "mechanisms"
-	keyOut  = "without"
+	section    = "mechanisms"
+	keyWithout = "without"
 )
 
-// Load reads the settings file at path, which names the mechanisms to be taken
-// out:
+// Load reads the settings file at path, which lists the mechanisms to disable:
 //
 //	[mechanisms]
 //	without = hedges, move-slow
 //
-// The error is an *inifile.Error with the place of every finding.
+// The error is an *inifile.Error with the position of every finding.
 func Load(path string) ([]Mechanism, error) {
 	var findings inifile.Findings
-	out := decode(inifile.Read(path, &findings))
-	return out, findings.Err()
+	disabled := decode(inifile.Read(path, &findings))
+	return disabled, findings.Err()
 }
 
+// decode returns the mechanisms that the file disables and reports invalid entries.
 func decode(file *inifile.File) []Mechanism {
 	s := file.Section(section)
-	var out []Mechanism
-	for _, name := range s.List(keyOut) {
+	var disabled []Mechanism
+	for _, name := range s.List(keyWithout) {
 		m, err := Parse(name)
 		if err != nil {
-			s.Fault(keyOut, "%v", err)
+			s.Fault(keyWithout, "%v", err)
 			continue
 		}
-		out = append(out, m)
+		disabled = append(disabled, m)
 	}
 	file.ReportUnread(section)
-	return out
+	return disabled
 }
--- a/internal/agentless/mechanism/suite_test.go
+++ b/internal/agentless/mechanism/suite_test.go
@@ -9,5 +9,5 @@
 
 func TestSuite(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "batch")
+	RunSpecs(t, "mechanism")
 }
