--- a/internal/agentless/netcount/netcount_test.go
+++ b/internal/agentless/netcount/netcount_test.go
@@ -13,22 +13,22 @@
 
 var _ = Describe("the bytes of connections", func() {
 	exchange := func(m *netcount.Meter, address string) net.Conn {
-		own, theirs := net.Pipe()
-		DeferCleanup(own.Close)
-		counted := m.Wrap(netcount.Inner, own, address)
+		local, remote := net.Pipe()
+		DeferCleanup(local.Close)
+		counted := m.Wrap(netcount.Inner, local, address)
 		go func() {
-			_, _ = io.CopyN(io.Discard, theirs, 3)
-			_, _ = theirs.Write([]byte("12345"))
+			_, _ = io.CopyN(io.Discard, remote, 3)
+			_, _ = remote.Write([]byte("12345"))
 		}()
 		_, err := counted.Write([]byte("abc"))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = io.ReadFull(counted, make([]byte, 5))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(netcount.Unwrap(counted)).To(BeIdenticalTo(own))
+		Expect(netcount.Unwrap(counted)).To(BeIdenticalTo(local))
 		return counted
 	}
 
-	It("are counted by use, direction and where they go", func() {
+	It("are counted by use, direction and locality", func() {
 		registry := metrics.NewRegistry()
 		m := netcount.NewMeter("hall-a", registry)
 		exchange(m, "10.0.0.1:1")
@@ -41,13 +41,13 @@
 		count := func(name string) int64 { return metrics.GetOrRegisterCounter(name, registry).Count() }
 		Expect(count("bytes.inner.out.near")).To(Equal(int64(3)))
 		Expect(count("bytes.inner.in.far")).To(Equal(int64(5)))
-		Expect(count("bytes.inner.in.elsewhere")).To(Equal(int64(10)), "before places are known, and at an unknown one")
+		Expect(count("bytes.inner.in.elsewhere")).To(Equal(int64(10)), "before the lookup is set, and for an unknown address")
 	})
 
 	It("are not counted without a meter", func() {
 		var none *netcount.Meter
-		own, _ := net.Pipe()
-		Expect(none.Wrap(netcount.Inner, own, "x:1")).To(BeIdenticalTo(own))
-		Expect(netcount.Unwrap(own)).To(BeIdenticalTo(own))
+		local, _ := net.Pipe()
+		Expect(none.Wrap(netcount.Inner, local, "x:1")).To(BeIdenticalTo(local))
+		Expect(netcount.Unwrap(local)).To(BeIdenticalTo(local))
 	})
 })
