--- a/internal/agentless/sse/sse.go
+++ b/internal/agentless/sse/sse.go
@@ -1,5 +1,5 @@
-// Package sse reads server-sent events one at a time from a stream that may
-// break off anywhere.
+// Package sse reads server-sent events one at a time from a stream that may be cut off at any
+// byte.
 package sse
 
 import (
@@ -11,14 +11,14 @@
 	"github.com/pkg/errors"
 )
 
-// maxEventBytes bounds one event, so that an endpoint which never ends one
-// cannot fill the memory.
+// maxEventBytes is the limit of one event, so that an endpoint which never ends an event
+// cannot exhaust the memory.
 const maxEventBytes = 4 << 20
 
-// ErrTooLong is returned for an event over maxEventBytes.
+// ErrTooLong is returned for an event of more than maxEventBytes.
 var ErrTooLong = errors.New("sse: event is too long")
 
-// Event is one whole event.
+// Event is one complete event.
 type Event struct {
 	ID     int64 // 0: the event has none
 	Data   []byte
@@ -26,23 +26,23 @@
 	Raw    []byte            // as received, with the blank line that ends it
 }
 
-// Reader reads events. It is not safe for concurrent use.
+// Reader reads events from a stream. It is not safe for concurrent use.
 type Reader struct {
 	in *bufio.Reader
 }
 
-// NewReader returns a reader of in.
+// NewReader returns a reader of the events in a stream.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, 2048)} }
 
-// Next returns the next whole event. io.EOF means that the stream ended
-// between two events; io.ErrUnexpectedEOF that it broke off within one.
+// Next returns the next complete event. The error is io.EOF if the stream ended between two
+// events, and io.ErrUnexpectedEOF if it was cut off within one.
 func (r *Reader) Next() (Event, error) {
 	var e Event
 	for {
 		line, err := r.in.ReadBytes('\n')
 		e.Raw = append(e.Raw, line...)
 		if err != nil {
-			return Event{}, ended(err, e.Raw)
+			return Event{}, endError(err, e.Raw)
 		}
 		if len(e.Raw) > maxEventBytes {
 			return Event{}, ErrTooLong
@@ -55,27 +55,30 @@
 			}
 			return e, nil
 		}
-		e.take(line)
+		e.addLine(line)
 	}
 }
 
-func ended(err error, partial []byte) error {
+// endError returns the error for a stream that ended after the bytes of a partial event.
+func endError(err error, partial []byte) error {
 	if errors.Is(err, io.EOF) && !isBlank(partial) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
+// isBlank returns whether b holds nothing but line ends.
 func isBlank(b []byte) bool { return len(bytes.Trim(b, "\r\n")) == 0 }
 
-func (e *Event) take(line []byte) {
+// addLine adds one line of the stream to the event.
+func (e *Event) addLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
 	case "":
-		// A comment keeps the connection alive and says nothing.
+		// A comment only keeps the connection alive.
 	case "id":
-		e.ID, _ = strconv.ParseInt(string(value), 10, 64) // an id that is no number counts as none
+		e.ID, _ = strconv.ParseInt(string(value), 10, 64) // a malformed ID counts as absent; one out of range becomes the nearest int64
 	case "data":
 		if e.Data != nil {
 			e.Data = append(e.Data, '\n')
@@ -93,7 +96,7 @@
 	}
 }
 
-// Integer reads a field's value as a whole number.
+// Integer parses a field's value as an integer and returns whether it is one.
 func Integer(value string) (int64, bool) {
 	n, err := strconv.ParseInt(value, 10, 64)
 	return n, err == nil
--- a/internal/agentless/sse/sse_test.go
+++ b/internal/agentless/sse/sse_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("reading events", func() {
-	It("returns whole events with their bytes, ids, data and other fields", func() {
+	It("returns complete events with their bytes, IDs, data and other fields", func() {
 		raw := "x-version: 7\nid: 1\ndata: a\ndata: b\n\n: comment\n\r\nid: 2\r\ndata:c\r\n\r\n"
 		r := sse.NewReader(strings.NewReader(raw))
 		e, err := r.Next()
@@ -31,7 +31,7 @@
 		Expect(err).To(Equal(io.EOF))
 	})
 
-	DescribeTable("tells a stream that broke off within an event from one that ended",
+	DescribeTable("distinguishes a stream that was cut off within an event from one that ended",
 		func(raw string, want error) {
 			r := sse.NewReader(strings.NewReader(raw))
 			_, err := r.Next()
@@ -43,12 +43,12 @@
 		Entry("blank lines", "\n\n", io.EOF),
 	)
 
-	It("gives up on an event that never ends", func() {
+	It("fails on an event that never ends", func() {
 		_, err := sse.NewReader(io.LimitReader(endless{}, 16<<20)).Next()
 		Expect(err).To(Equal(sse.ErrTooLong))
 	})
 
-	It("keeps empty data apart from none", func() {
+	It("distinguishes empty data from none", func() {
 		e, err := sse.NewReader(strings.NewReader("data:\n\n")).Next()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(e.Data).NotTo(BeNil())
