--- a/internal/agentless/modelrun/modelrun.go
+++ b/internal/agentless/modelrun/modelrun.go
@@ -1,5 +1,5 @@
-// Package modelrun has engines load the weight versions that trainers name. One
-// process at a time gives the orders, under the fencing token of its term.
+// Package modelrun has engines load the weight versions that trainers announce. One process at
+// a time sends the orders to the engines, with the fencing token of its term.
 package modelrun
 
 import (
@@ -21,97 +21,97 @@
 )
 
 const (
-	// planEvery is how often loads are planned; a load takes about a second, and
-	// each round with orders asks the store whether the term stands.
-	planEvery = 200 * time.Millisecond
-	// orderLimit is how long an engine may take to answer an order.
-	orderLimit = time.Second
+	// planInterval is the interval of planning loads. A load takes about a second, and each
+	// round with orders makes a call to the store to confirm the term.
+	planInterval = 200 * time.Millisecond
+	// orderTimeout is the timeout of sending one order to an engine.
+	orderTimeout = time.Second
 )
 
-// Order is a load as it goes to an engine.
+// Order tells an engine to load a version.
 type Order struct {
 	Model      string
 	Version    int64
-	FinishRuns bool // runs under way finish first instead of going on under the new version
-	Holder     string
-	Term       int64 // fencing token
-	Expected   int64 // orders that the engine has accepted so far
+	FinishRuns bool   // running requests finish first instead of continuing under the new version
+	Holder     string // ID of the process that sends the order
+	Term       int64  // fencing token
+	Expected   int64  // number of orders that the engine has accepted so far
 }
 
 // Verdict is an engine's answer to an order.
 type Verdict int
 
-// The verdicts.
+// The verdicts on an order.
 const (
 	Accepted Verdict = iota
-	Holds            // the engine has that version already
-	Conflict         // another order came first, or Expected differs
+	Holds            // the engine already holds that version
+	Conflict         // another order was accepted first, or Expected differs
 	Outdated         // the engine knows a higher fencing token
-	Refused          // the order is not possible, or another engine has the address
+	Refused          // the order cannot be carried out, or another engine has the address
 )
 
-// EngineClient speaks to engines.
+// EngineClient sends calls to engines.
 type EngineClient interface {
-	// Accepted asks an engine how many orders it has accepted since its start.
+	// Accepted returns how many orders an engine has accepted since its start.
 	Accepted(ctx context.Context, e *deployment.Endpoint) (int64, error)
-	// Order gives an order. An error means that it may be carried out yet.
+	// Order sends an order. After an error the order may still be carried out.
 	Order(ctx context.Context, e *deployment.Endpoint, o Order) (Verdict, error)
 }
 
-// Runner plans and gives orders while this process leads.
+// Runner plans and sends orders while this process holds the duty.
 type Runner struct {
 	Self      string
 	Directory *directory.Directory
 	Leader    *cluster.Leader
 	Engines   EngineClient
-	// OnLoad is called when an engine was sent an order that it may carry out; may
-	// be nil.
+	// OnLoad is called after an order was sent to an engine that may carry it out; may be nil.
 	OnLoad   func(endpoint, model string, version int64)
 	Log      *logrus.Logger
 	Registry metrics.Registry
 	Switches *mechanism.Switches
 
-	mu       sync.Mutex
-	named    map[string]int64
-	needed   map[string]NeedArgs           // newest step by model
-	planners map[string]*modelplan.Planner // by service
-	accepted map[engineKey]int64           // orders accepted, as far as known
-	orders   errgroup.Group
+	mu             sync.Mutex
+	newestVersions map[string]int64              // newest announced version by model
+	newestSteps    map[string]NeedArgs           // newest step by model
+	planners       map[string]*modelplan.Planner // by service
+	accepted       map[engineKey]int64           // number of accepted orders, where it is known
+	orders         errgroup.Group
 }
 
-// engineKey names one start of an engine; its counts begin anew with each.
+// engineKey identifies an incarnation of an engine. Its count of accepted orders starts at 0
+// with each incarnation.
 type engineKey struct {
 	id   string
 	born int64
 }
 
-// SetNewestVersion notes that a trainer named a version.
+// SetNewestVersion records that a trainer announced a version.
 func (r *Runner) SetNewestVersion(model string, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.named == nil {
-		r.named = map[string]int64{}
+	if r.newestVersions == nil {
+		r.newestVersions = map[string]int64{}
 	}
-	r.named[model] = max(r.named[model], version)
+	r.newestVersions[model] = max(r.newestVersions[model], version)
 }
 
-// RecordStep notes what a step needs.
+// RecordStep records the version and the number of items that a step needs.
 func (r *Runner) RecordStep(step NeedArgs) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.needed == nil {
-		r.needed = map[string]NeedArgs{}
+	if r.newestSteps == nil {
+		r.newestSteps = map[string]NeedArgs{}
 	}
-	if step.Version >= r.needed[step.Model].Version {
-		r.needed[step.Model] = step
+	if step.Version >= r.newestSteps[step.Model].Version {
+		r.newestSteps[step.Model] = step
 	}
 }
 
-// Run gives orders until ctx ends.
+// Run plans and sends orders until ctx ends.
 func (r *Runner) Run(ctx context.Context) error {
-	periodic.Run(ctx, planEvery, func(now time.Time) {
+	periodic.Run(ctx, planInterval, func(now time.Time) {
 		if _, leads := r.Leader.Term(now); !leads {
-			r.forget()
+			r.reset()
 			return
 		}
 		r.plan(ctx)
@@ -119,13 +119,15 @@
 	return nil
 }
 
-func (r *Runner) forget() {
+// reset discards the planners and counts, as another process may send orders from now on.
+func (r *Runner) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.planners = nil
 	r.accepted = nil
 }
 
+// plan sends the next orders of every service, after the store has confirmed the term.
 func (r *Runner) plan(ctx context.Context) {
 	table := r.Directory.Table()
 	if table == nil {
@@ -135,26 +137,27 @@
 		if len(service.Models) == 0 {
 			continue
 		}
-		seen := r.Directory.List(name)
-		orders := r.next(name, service.Models, seen)
+		listed := r.Directory.List(name)
+		orders := r.nextOrders(name, service.Models, listed)
 		if len(orders) == 0 {
 			continue
 		}
 		term, confirmed := r.Leader.Confirm(ctx)
 		if !confirmed {
-			r.forget()
+			r.reset()
 			return
 		}
 		for _, o := range orders {
-			endpoint := find(seen, o.Engine)
-			r.orders.Go(func() error { r.give(ctx, name, endpoint, o, term); return nil })
+			endpoint := findEndpoint(listed, o.Engine)
+			r.orders.Go(func() error { r.sendOrder(ctx, name, endpoint, o, term); return nil })
 		}
 	}
 }
 
-func (r *Runner) next(service string, models []string, seen []directory.EndpointStatus) []modelplan.Order {
-	engines := make([]modelplan.Engine, len(seen))
-	for i, e := range seen {
+// nextOrders returns the orders for the engines of a service that should be sent now.
+func (r *Runner) nextOrders(service string, models []string, listed []directory.EndpointStatus) []modelplan.Order {
+	engines := make([]modelplan.Engine, len(listed))
+	for i, e := range listed {
 		engines[i] = modelplan.Engine{ID: e.ID, Born: e.Born, Leaving: e.Leaving, InFlight: e.InFlight, Slots: e.Slots, Versions: e.Versions}
 	}
 	r.mu.Lock()
@@ -170,36 +173,37 @@
 	}
 	planner.LoadEveryVersion = !r.Switches.On(mechanism.AlternateLoads)
 	for _, model := range models {
-		planner.SetNewestVersion(time.Now(), model, r.named[model])
-		planner.RecordStep(model, r.needed[model].Version, r.needed[model].Items)
+		planner.SetNewestVersion(time.Now(), model, r.newestVersions[model])
+		planner.RecordStep(model, r.newestSteps[model].Version, r.newestSteps[model].Items)
 	}
 	return planner.Next(time.Now(), engines)
 }
 
-func find(seen []directory.EndpointStatus, id string) *deployment.Endpoint {
-	for i := range seen {
-		if seen[i].ID == id {
-			return &seen[i].Endpoint
+// findEndpoint returns the listed endpoint with an ID, or nil.
+func findEndpoint(listed []directory.EndpointStatus, id string) *deployment.Endpoint {
+	for i := range listed {
+		if listed[i].ID == id {
+			return &listed[i].Endpoint
 		}
 	}
 	return nil
 }
 
-// give gives one order and takes in what came of it.
-func (r *Runner) give(ctx context.Context, service string, e *deployment.Endpoint, o modelplan.Order, term int64) {
-	ctx, cancel := context.WithTimeout(ctx, orderLimit)
+// sendOrder sends one order and records its result.
+func (r *Runner) sendOrder(ctx context.Context, service string, e *deployment.Endpoint, o modelplan.Order, term int64) {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	key := engineKey{e.ID, e.Born}
-	expected, err := r.acceptedSoFar(ctx, e, key)
+	expected, err := r.acceptedCount(ctx, e, key)
 	verdict := Refused
 	if err == nil {
-		verdict, err = r.Engines.Order(ctx, e, Order{Model: o.Model, Version: o.Version, FinishRuns: r.wantsOneVersion(service), Holder: r.Self, Term: term, Expected: expected})
+		verdict, err = r.Engines.Order(ctx, e, Order{Model: o.Model, Version: o.Version, FinishRuns: r.requiresSingleVersion(service), Holder: r.Self, Term: term, Expected: expected})
 	}
 	if r.OnLoad != nil && r.Switches.On(mechanism.TellLoads) && (err != nil || verdict == Accepted) {
 		r.OnLoad(e.ID, o.Model, o.Version)
 	}
-	result := r.weigh(key, expected, verdict, err)
-	r.note(e, o, term, expected, verdict, err)
+	result := r.recordVerdict(key, expected, verdict, err)
+	r.logOrder(e, o, term, expected, verdict, err)
 	if err == nil && verdict == Outdated {
 		r.Leader.Resign()
 	}
@@ -210,10 +214,10 @@
 	}
 }
 
-// wantsOneVersion tells whether a route to the service wants one version for a
-// text. Runs then finish before new weights are loaded; going on under them
-// would make the text worthless.
-func (r *Runner) wantsOneVersion(service string) bool {
+// requiresSingleVersion returns whether a route to the service requires each text to be
+// generated by one version. Running requests then finish before new weights are loaded;
+// continuing under the new weights would make their texts unusable.
+func (r *Runner) requiresSingleVersion(service string) bool {
 	for _, route := range r.Directory.Table().Declaration.Routes {
 		for _, backend := range route.Backends {
 			if route.SingleVersion && backend.Service == service {
@@ -224,9 +228,9 @@
 	return false
 }
 
-// acceptedSoFar returns how many orders the engine has accepted. With it in an
-// order, one that is carried out late, after a newer one, has no effect.
-func (r *Runner) acceptedSoFar(ctx context.Context, e *deployment.Endpoint, key engineKey) (int64, error) {
+// acceptedCount returns how many orders the engine has accepted. Each order carries this
+// count, so that an order which arrives late, after a newer one, has no effect.
+func (r *Runner) acceptedCount(ctx context.Context, e *deployment.Endpoint, key engineKey) (int64, error) {
 	r.mu.Lock()
 	known, found := r.accepted[key]
 	r.mu.Unlock()
@@ -236,7 +240,9 @@
 	return r.Engines.Accepted(ctx, e)
 }
 
-func (r *Runner) weigh(key engineKey, expected int64, verdict Verdict, err error) modelplan.Result {
+// recordVerdict updates the engine's count of accepted orders and returns the order's result
+// for the planner.
+func (r *Runner) recordVerdict(key engineKey, expected int64, verdict Verdict, err error) modelplan.Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.accepted == nil {
@@ -251,7 +257,7 @@
 		r.accepted[key] = expected + 1
 		return modelplan.Accepted
 	case Holds:
-		delete(r.accepted, key) // whether it counted is not said
+		delete(r.accepted, key) // unknown whether the engine counted the order
 		return modelplan.Holds
 	case Conflict:
 		delete(r.accepted, key)
@@ -262,16 +268,17 @@
 	}
 }
 
-var verdicts = [...]string{"accepted", "holds", "conflict", "outdated", "refused"}
+var verdictNames = [...]string{"accepted", "holds", "conflict", "outdated", "refused"}
 
-func (r *Runner) note(e *deployment.Endpoint, o modelplan.Order, term, expected int64, verdict Verdict, err error) {
+// logOrder logs an order with its verdict or error.
+func (r *Runner) logOrder(e *deployment.Endpoint, o modelplan.Order, term, expected int64, verdict Verdict, err error) {
 	fields := logrus.Fields{"endpoint": e.ID, "model": o.Model, "version": o.Version, "had": e.Versions[o.Model], "term": term, "expected": expected}
 	if err != nil {
 		fields["error"] = err.Error()
 		events.OrderFailed.Log(r.Log, fields)
 		return
 	}
-	fields["verdict"] = verdicts[verdict]
-	metrics.GetOrRegisterCounter("weights.orders."+verdicts[verdict], r.Registry).Inc(1)
+	fields["verdict"] = verdictNames[verdict]
+	metrics.GetOrRegisterCounter("weights.orders."+verdictNames[verdict], r.Registry).Inc(1)
 	events.OrderGiven.Log(r.Log, fields)
 }
