--- a/internal/agentless/batchrun/copies.go
+++ b/internal/agentless/batchrun/copies.go
@@ -23,19 +23,19 @@
 const (
 	// copyEvery is how often new events go to the process that would take a job
 	// over: an owner that is lost for good costs that much of each text.
-	copyEvery = 250 * time.Millisecond
+	copyInterval = 250 * time.Millisecond
 	// leastCopied is how many events a text must have to be copied: shorter ones
 	// are generated anew in a second, and four of five texts never get there.
-	leastCopied = 32
+	minCopiedEvents = 32
 	// copyLimit bounds a copy's call.
-	copyLimit = 500 * time.Millisecond
+	copyTimeout = 500 * time.Millisecond
 	// askLimit bounds how long other processes are asked for a job's texts when it
 	// is taken on; beginning the longest anew would cost seconds.
-	askLimit = 400 * time.Millisecond
+	fetchTextsTimeout = 400 * time.Millisecond
 	// askAgain is the pause while no other process is known yet, after a start.
-	askAgain = 50 * time.Millisecond
+	workersRetryDelay = 50 * time.Millisecond
 	// mostTexts bounds what a packed message may hold once unpacked.
-	mostTexts = 64 << 20
+	maxUnpackedBytes = 64 << 20
 )
 
 // CopyArgs hold new events of an owner's job.
@@ -68,23 +68,23 @@
 	// Send hands a process new events; lacking tells that it needs all of them.
 	Send func(ctx context.Context, to string, args CopyArgs) (lacking bool, err error)
 
-	gather *textlog.Buffer
+	buffer *textlog.Buffer
 	bytes  metrics.Counter
 	wake   chan struct{} // a job was taken on
 
-	mu   sync.Mutex
-	sent map[string]sentTo // by job
+	mu      sync.Mutex
+	targets map[string]copyTarget // by job
 }
 
 // sentTo is where a job's texts were last sent.
-type sentTo struct {
+type copyTarget struct {
 	mark int64
 	name string
 }
 
 func newCopier(registry metrics.Registry) *Copier {
 	return &Copier{
-		gather: textlog.NewBuffer(nil), sent: map[string]sentTo{}, wake: make(chan struct{}, 1),
+		buffer: textlog.NewBuffer(nil), targets: map[string]copyTarget{}, wake: make(chan struct{}, 1),
 		bytes: metrics.GetOrRegisterCounter("texts.copied", registry),
 	}
 }
@@ -93,7 +93,7 @@
 	if c.StandbyFor == nil {
 		return nil
 	}
-	ticker := time.NewTicker(copyEvery)
+	ticker := time.NewTicker(copyInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -108,8 +108,8 @@
 
 func (c *Copier) copyAll(ctx context.Context) {
 	var group errgroup.Group
-	gathered := c.gather.Drain(leastCopied)
-	for _, g := range append(gathered, c.unannounced(gathered)...) {
+	drained := c.buffer.Drain(minCopiedEvents)
+	for _, g := range append(drained, c.unannounced(drained)...) {
 		group.Go(func() error { c.copy(ctx, &g); return nil })
 	}
 	_ = group.Wait() // each notes its own failure
@@ -127,16 +127,16 @@
 
 // unannounced returns the jobs of which nothing was sent yet and nothing is about to be:
 // a standby takes over those without long texts as well.
-func (c *Copier) unannounced(about []textlog.JobParts) []textlog.JobParts {
+func (c *Copier) unannounced(pending []textlog.JobParts) []textlog.JobParts {
 	var jobs []textlog.JobParts
 	for id, mark := range c.Owner.Jobs() {
-		if slices.ContainsFunc(about, func(g textlog.JobParts) bool { return g.Job == id }) {
+		if slices.ContainsFunc(pending, func(g textlog.JobParts) bool { return g.Job == id }) {
 			continue
 		}
 		c.mu.Lock()
-		sent, found := c.sent[id]
+		target, found := c.targets[id]
 		c.mu.Unlock()
-		if !found || sent.mark != mark {
+		if !found || target.mark != mark {
 			jobs = append(jobs, textlog.JobParts{Job: id, Mark: mark})
 		}
 	}
@@ -155,35 +155,35 @@
 		c.forget(g.Job)
 		return
 	}
-	whole := !c.follows(g, to)
-	if whole {
+	complete := !c.upToDate(g, to)
+	if complete {
 		g.Parts = j.longTexts()
 	}
-	ctx, cancel := context.WithTimeout(ctx, copyLimit)
+	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	lacking := false
-	args, err := c.message(j, g, whole)
+	args, err := c.newCopyArgs(j, g, complete)
 	if err == nil {
 		lacking, err = c.Send(ctx, to, args)
 	}
 	if lacking {
-		err = errLacking
+		err = errEventsMissing
 	}
 	if err != nil {
-		c.again(j)
+		c.resendAll(j)
 		events.TextsNotCopied.Log(c.Owner.Log, logrus.Fields{"job": g.Job, "mark": g.Mark, "to": to, "error": err.Error()})
 		return
 	}
 	c.bytes.Inc(int64(len(args.Raw) + len(args.Spec)))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sent[g.Job] = sentTo{g.Mark, to}
+	c.targets[g.Job] = copyTarget{g.Mark, to}
 }
 
 // message returns what is sent of a job; its spec only with all of its texts.
-func (c *Copier) message(j *ownedJob, g *textlog.JobParts, whole bool) (args CopyArgs, err error) {
-	args = CopyArgs{Owner: c.Owner.Name, Job: g.Job, Mark: g.Mark, Whole: whole}
-	if args.Raw, err = pack(g.Parts); err == nil && whole {
+func (c *Copier) newCopyArgs(j *ownedJob, g *textlog.JobParts, complete bool) (args CopyArgs, err error) {
+	args = CopyArgs{Owner: c.Owner.Name, Job: g.Job, Mark: g.Mark, Whole: complete}
+	if args.Raw, err = pack(g.Parts); err == nil && complete {
 		args.Spec, err = pack(j.job.Spec)
 	}
 	return args, err
@@ -191,35 +191,35 @@
 
 // errLacking is the answer of a process that started anew since it was sent what
 // went before.
-var errLacking = errors.New("batchrun: the process has not what went before")
+var errEventsMissing = errors.New("batchrun: the process has not what went before")
 
 // again has all of a job's texts sent with the next events or without: what the
 // failed call held would be missing before those that come.
-func (c *Copier) again(j *ownedJob) {
+func (c *Copier) resendAll(j *ownedJob) {
 	c.forget(j.id)
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.job.Closed() {
-		c.gather.Begin(j.id, j.mark, j.job.Texts())
+		c.buffer.Begin(j.id, j.mark, j.job.Texts())
 	}
 }
 
 // follows tells whether a process has all that went before.
-func (c *Copier) follows(g *textlog.JobParts, to string) bool {
+func (c *Copier) upToDate(g *textlog.JobParts, to string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.sent[g.Job] == sentTo{g.Mark, to}
+	return c.targets[g.Job] == copyTarget{g.Mark, to}
 }
 
 func (c *Copier) forget(job string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.sent, job)
+	delete(c.targets, job)
 }
 
 // drop forgets a job that this process no longer owns.
 func (c *Copier) drop(job string, mark int64) {
-	c.gather.Drop(job, mark)
+	c.buffer.Drop(job, mark)
 	c.forget(job)
 }
 
@@ -229,7 +229,7 @@
 	defer j.mu.Unlock()
 	var long []batch.TextPart
 	for _, part := range j.job.Texts().Parts() {
-		if len(part.Events) >= leastCopied {
+		if len(part.Events) >= minCopiedEvents {
 			long = append(long, part)
 		}
 	}
@@ -247,10 +247,10 @@
 		if err != nil {
 			return err
 		}
-		s.owner.Standby.take(args, spec)
+		s.owner.Standby.add(args, spec)
 	}
 	kept := s.owner.Texts.Put(textlog.JobParts{Job: args.Job, Mark: args.Mark, Parts: parts}, args.Whole)
-	reply.Lacking = !kept || args.Owner != "" && !s.owner.Standby.knows(args.Job, args.Mark)
+	reply.Lacking = !kept || args.Owner != "" && !s.owner.Standby.has(args.Job, args.Mark)
 	return nil
 }
 
@@ -263,7 +263,7 @@
 
 // keptTexts returns the texts that this process or another one kept of a job that
 // is taken on.
-func (o *Owner) keptTexts(ctx context.Context, id string) *batch.Texts {
+func (o *Owner) recoverTexts(ctx context.Context, id string) *batch.Texts {
 	texts := batch.NewTexts()
 	if o.Switches.On(mechanism.TextJournal) {
 		texts = o.Texts.Load(ctx, id)
@@ -271,7 +271,7 @@
 	if !texts.Empty() || o.FetchTexts == nil || !o.Switches.On(mechanism.TextCopies) {
 		return texts
 	}
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, fetchTextsTimeout)
 	defer cancel()
 	for _, raw := range o.FetchTexts(ctx, id) {
 		parts, err := unpack[[]batch.TextPart](raw)
@@ -279,11 +279,11 @@
 			events.TextRecordBad.Log(o.Log, logrus.Fields{"place": "another process's texts of " + id, "error": err.Error()})
 			continue
 		}
-		theirs := batch.NewTexts()
+		fetched := batch.NewTexts()
 		for _, part := range parts {
-			theirs.Add(part)
+			fetched.Add(part)
 		}
-		texts.Merge(theirs)
+		texts.Merge(fetched)
 	}
 	return texts
 }
@@ -294,7 +294,7 @@
 	if err != nil {
 		panic(err) // constant options
 	}
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(mostTexts))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxUnpackedBytes))
 	if err != nil {
 		panic(err)
 	}
--- a/internal/agentless/batchrun/export_test.go
+++ b/internal/agentless/batchrun/export_test.go
@@ -6,10 +6,10 @@
 )
 
 // Distrusted tells whether a process was found silent lately.
-func (d *Frontend) Distrusted(name string) bool {
+func (d *Frontend) MarkedUnresponsive(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, found := d.silent[name]
+	_, found := d.unresponsive[name]
 	return found
 }
 
@@ -26,7 +26,7 @@
 func DecodeRecords(raw []byte) {
 	var record jobRecord
 	_ = decode(raw, &record)
-	var mark todoMark
+	var mark assignmentRecord
 	_ = decode(raw, &mark)
 	_, _ = joinSpec([]kv.Record{{Value: raw}}, 1)
 	_, _ = joinDone([]kv.Record{{Value: raw}})
--- a/internal/agentless/batchrun/desk.go
+++ b/internal/agentless/batchrun/frontend.go
@@ -23,14 +23,14 @@
 	// writeTries bounds how often a submission or an end whose outcome is unknown
 	// is written again; each is idempotent by its condition. A submitter leaves
 	// after little more than a second.
-	writeTries = 10
+	maxUnknownTries = 10
 	// writeAgain is the pause before it is.
-	writeAgain = 50 * time.Millisecond
+	unknownRetryDelay = 50 * time.Millisecond
 	// knownJobs bounds what is remembered of jobs that other processes own.
-	knownJobs = 64
+	maxKnownJobs = 64
 	// storePoll is the pause between two looks into the store for new results
 	// while the owner does not answer.
-	storePoll = 400 * time.Millisecond
+	storePollInterval = 400 * time.Millisecond
 )
 
 // Frontend takes submitters' calls at any process. It is safe for concurrent use.
@@ -53,9 +53,9 @@
 
 	cache resultCache
 
-	mu     sync.Mutex
-	known  map[string]*knownJob
-	silent map[string]time.Time // owners that did not answer, and when
+	mu           sync.Mutex
+	known        map[string]*knownJob
+	unresponsive map[string]time.Time // owners that did not answer, and when
 }
 
 // knownJob is what this process remembers of a job.
@@ -70,7 +70,7 @@
 	if !d.IsHub {
 		return nil
 	}
-	return errors.Wrap(server.RegisterName(hubName, &Hub{desk: d}), "batchrun")
+	return errors.Wrap(server.RegisterName(hubName, &Hub{frontend: d}), "batchrun")
 }
 
 // Submit accepts a job. nil means that it is durable; ErrNotRun that no part of
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	err = d.write(ctx, func() (bool, error) { return d.tryAccept(ctx, spec, parts) })
+	err = d.commitWithRetry(ctx, func() (bool, error) { return d.tryAccept(ctx, spec, parts) })
 	if err == nil {
 		events.JobAccepted.Log(d.Log, logrus.Fields{"job": spec.ID, "items": len(spec.Items), "model": spec.Model, "step": spec.Step})
 		return nil
@@ -93,7 +93,7 @@
 }
 
 // comeBack adds to an error when the caller should come back.
-func comeBack(err error) error {
+func withRetryAfter(err error) error {
 	return &NotRunError{RetryAfter: storepath.RetryAfter(rand.Float64()), Err: err}
 }
 
@@ -109,7 +109,7 @@
 // tryAccept writes the job once; done is true if it stands, by this try or an
 // earlier one.
 func (d *Frontend) tryAccept(ctx context.Context, spec *batch.Spec, parts [][]byte) (done bool, err error) {
-	owner, found := d.ownerFor(ctx, affinity(spec.Model, spec.ID))
+	owner, found := d.ownerFor(ctx, affinityKey(spec.Model, spec.ID))
 	if !found {
 		return false, errors.Wrap(kv.ErrUnavailable, "no process to own it")
 	}
@@ -124,7 +124,7 @@
 	}
 	if committed.Done {
 		d.remember(spec.ID, record)
-		d.tellAccepted(owner, spec.ID, committed.Revision)
+		d.notifyAccepted(owner, spec.ID, committed.Revision)
 	}
 	return true, nil // otherwise the key exists: it was accepted before
 }
@@ -134,13 +134,13 @@
 	if err != nil {
 		return kv.Transaction{}, err
 	}
-	mark, err := encode(todoMark{Fresh: true})
+	assignment, err := encode(assignmentRecord{Fresh: true})
 	if err != nil {
 		return kv.Transaction{}, err
 	}
 	t := kv.Transaction{
 		Expect: []kv.Expectation{{Key: jobKey(id)}},
-		Puts:   []kv.Put{{Key: jobKey(id), Value: raw}, {Key: todoKey(record.Owner, id), Value: mark}},
+		Puts:   []kv.Put{{Key: jobKey(id), Value: raw}, {Key: assignmentKey(record.Owner, id), Value: assignment}},
 	}
 	for i, part := range parts {
 		t.Puts = append(t.Puts, kv.Put{Key: specKey(id, i), Value: part})
@@ -151,37 +151,37 @@
 // write repeats a conditional write until its outcome is known, and for a while if
 // nobody reaches the store. Once a try may have taken effect, a later refusal no
 // longer means "not run".
-func (d *Frontend) write(ctx context.Context, try func() (bool, error)) error {
+func (d *Frontend) commitWithRetry(ctx context.Context, try func() (bool, error)) error {
 	began := time.Now()
-	unknown := 0 // tries since one whose outcome is not known
+	unknownTries := 0 // tries since one whose outcome is not known
 	var last error
-	for unknown < writeTries {
+	for unknownTries < maxUnknownTries {
 		done, err := try()
 		if err == nil && done {
 			return nil
 		}
 		last = err
-		if unknown > 0 || errors.Is(err, kv.ErrUnknown) {
-			unknown++
+		if unknownTries > 0 || errors.Is(err, kv.ErrUnknown) {
+			unknownTries++
 		}
-		wait := writeAgain
-		if unknown == 0 {
-			wait = d.hold(began, err)
+		wait := unknownRetryDelay
+		if unknownTries == 0 {
+			wait = d.retryDelay(began, err)
 		}
 		if wait == 0 || ctx.Err() != nil {
 			break
 		}
 		pause(ctx, wait)
 	}
-	if unknown > 0 {
+	if unknownTries > 0 {
 		return errors.Wrap(ErrOutcomeUnknown, last.Error())
 	}
-	return comeBack(errors.Wrap(ErrNotRun, last.Error()))
+	return withRetryAfter(errors.Wrap(ErrNotRun, last.Error()))
 }
 
 // hold returns the pause until a write that certainly had no effect is tried again;
 // 0 if it is not.
-func (d *Frontend) hold(began time.Time, err error) time.Duration {
+func (d *Frontend) retryDelay(began time.Time, err error) time.Duration {
 	unreachable := d.Unreachable != nil && errors.Is(err, kv.ErrUnavailable) && d.Unreachable()
 	if time.Since(began) < storepath.HoldDuration(unreachable) {
 		return storepath.HoldRetryInterval
@@ -195,7 +195,7 @@
 		return nil
 	}
 	missing, asked := false, false
-	err := d.write(ctx, func() (bool, error) {
+	err := d.commitWithRetry(ctx, func() (bool, error) {
 		if !asked {
 			asked = true
 			if done, err := d.endAtOwner(ctx, id); done || err != nil {
@@ -223,21 +223,21 @@
 	if !found {
 		return false, nil
 	}
-	standing, err := d.askStanding(ctx, owner, id)
+	status, err := d.queryStatus(ctx, owner, id)
 	switch {
 	case err != nil:
 		return false, nil // the store is asked instead
-	case standing.Ended:
+	case status.Ended:
 		return true, nil // not remembered, as the rest of the record is not known
-	case !standing.Owned:
+	case !status.Owned:
 		return false, nil
 	}
-	expect := kv.Expectation{Key: todoKey(owner, id), Revision: standing.Mark}
-	return d.commitEnd(ctx, id, standing.Record, expect)
+	expect := kv.Expectation{Key: assignmentKey(owner, id), Revision: status.Mark}
+	return d.commitEnd(ctx, id, status.Record, expect)
 }
 
-func (d *Frontend) askStanding(ctx context.Context, owner, id string) (StandingReply, error) {
-	return ask(ctx, d, owner, callStands, 0, StandingArgs{Job: id}, func() StandingReply { return d.Local.standing(id) })
+func (d *Frontend) queryStatus(ctx context.Context, owner, id string) (StandingReply, error) {
+	return callOwner(ctx, d, owner, callStanding, 0, StandingArgs{Job: id}, func() StandingReply { return d.Local.jobStatus(id) })
 }
 
 // commitEnd writes a job's end under a condition that says that the record is
@@ -251,25 +251,25 @@
 	committed, err := d.Store.Commit(ctx, kv.Transaction{
 		Expect: []kv.Expectation{expect},
 		Puts:   []kv.Put{{Key: jobKey(id), Value: raw}},
-		Remove: []string{todoKey(record.Owner, id)},
+		Remove: []string{assignmentKey(record.Owner, id)},
 	})
 	if err != nil || !committed.Done {
 		return false, err
 	}
 	d.remember(id, record)
-	d.tellOwner(record.Owner, callEnded, MarkArgs{Job: id, Revision: committed.Revision})
+	d.notifyOwner(record.Owner, callEnded, MarkArgs{Job: id, Revision: committed.Revision})
 	return true, nil
 }
 
 func (d *Frontend) tryEnd(ctx context.Context, id string) (done, found bool, err error) {
-	standing, record, err := d.fetch(ctx, id)
-	if err != nil || standing.Revision == 0 {
+	stored, record, err := d.fetchRecord(ctx, id)
+	if err != nil || stored.Revision == 0 {
 		return false, false, err
 	}
 	if record.Ended {
 		return true, true, nil
 	}
-	done, err = d.commitEnd(ctx, id, record, kv.Expectation{Key: jobKey(id), Revision: standing.Revision})
+	done, err = d.commitEnd(ctx, id, record, kv.Expectation{Key: jobKey(id), Revision: stored.Revision})
 	if err == nil && !done {
 		err = errors.Wrap(kv.ErrUnknown, "the job moved meanwhile") // look again
 	}
@@ -278,7 +278,7 @@
 
 // NotifyMoved tells a job's new owner of its mark.
 func (d *Frontend) NotifyMoved(owner, job string, revision int64) {
-	d.tellOwner(owner, callMarked, MarkArgs{Job: job, Revision: revision, Begun: true})
+	d.notifyOwner(owner, callMarked, MarkArgs{Job: job, Revision: revision, Begun: true})
 }
 
 // NotifyLoading tells the owner of a model's jobs that an endpoint was ordered to
@@ -288,9 +288,9 @@
 	if len(members) == 0 {
 		return
 	}
-	owner := ownersFor(d.Models).of(args.Model, members)
+	owner := newOwnerChooser(d.Models).choose(args.Model, members)
 	go func() {
-		_ = d.tell(owner, callLoading, args, logrus.Fields{"endpoint": args.Endpoint, "model": args.Model}, func() { d.Local.loading(args) })
+		_ = d.notify(owner, callLoading, args, logrus.Fields{"endpoint": args.Endpoint, "model": args.Model}, func() { d.Local.markLoading(args) })
 	}()
 }
 
@@ -307,7 +307,7 @@
 	}
 	var names []string
 	for _, model := range models {
-		if name := ownersFor(d.Models).of(model, members); !slices.Contains(names, name) {
+		if name := newOwnerChooser(d.Models).choose(model, members); !slices.Contains(names, name) {
 			names = append(names, name)
 		}
 	}
@@ -321,11 +321,11 @@
 
 // StandbyFor names the process that would own a job of this one if it were gone.
 func (d *Frontend) StandbyFor(model, job string) (name string, found bool) {
-	others := without(d.trusted(d.Members.Owners()), d.Local.Name)
+	others := without(d.responsive(d.Members.Owners()), d.Local.Name)
 	if len(others) == 0 {
 		return "", false
 	}
-	return ownersFor(d.Models).of(affinity(model, job), others), true
+	return newOwnerChooser(d.Models).choose(affinityKey(model, job), others), true
 }
 
 // SendCopy hands a process new events of a job's texts; lacking tells that it needs
@@ -343,7 +343,7 @@
 func (d *Frontend) FetchTexts(ctx context.Context, job string) [][]byte {
 	others := d.otherWorkers()
 	for len(others) == 0 && ctx.Err() == nil {
-		pause(ctx, askAgain) // this process has just started
+		pause(ctx, workersRetryDelay) // this process has just started
 		others = d.otherWorkers()
 	}
 	answers := make(chan []byte, len(others))
@@ -382,19 +382,19 @@
 }
 
 // tellOwner tells an owner what its watch will tell it as well, only later.
-func (d *Frontend) tellOwner(owner, method string, args MarkArgs) {
-	go func() { _ = d.tellMark(owner, method, args) }()
+func (d *Frontend) notifyOwner(owner, method string, args MarkArgs) {
+	go func() { _ = d.sendMark(owner, method, args) }()
 }
 
-func (d *Frontend) tellMark(owner, method string, args MarkArgs) error {
+func (d *Frontend) sendMark(owner, method string, args MarkArgs) error {
 	fields := logrus.Fields{"job": args.Job, "revision": args.Revision}
-	return d.tell(owner, method, args, fields, func() { d.Local.take(method, args) })
+	return d.notify(owner, method, args, fields, func() { d.Local.handleMark(method, args) })
 }
 
 // tell calls a method of an owner that answers nothing. One that fails is logged
 // with the fields.
-func (d *Frontend) tell(owner, method string, args any, fields logrus.Fields, local func()) error {
-	_, err := ask(context.Background(), d, owner, method, 0, args, func() struct{} {
+func (d *Frontend) notify(owner, method string, args any, fields logrus.Fields, local func()) error {
+	_, err := callOwner(context.Background(), d, owner, method, 0, args, func() struct{} {
 		local()
 		return struct{}{}
 	})
@@ -406,12 +406,12 @@
 }
 
 // fetch reads a job's record from the store and remembers it.
-func (d *Frontend) fetch(ctx context.Context, id string) (kv.Record, jobRecord, error) {
-	standing, record, err := readRecord(ctx, d.Store, id)
-	if err == nil && standing.Revision != 0 {
+func (d *Frontend) fetchRecord(ctx context.Context, id string) (kv.Record, jobRecord, error) {
+	stored, record, err := readRecord(ctx, d.Store, id)
+	if err == nil && stored.Revision != 0 {
 		d.remember(id, record)
 	}
-	return standing, record, err
+	return stored, record, err
 }
 
 func (d *Frontend) remember(id string, record jobRecord) {
@@ -432,7 +432,7 @@
 }
 
 func (d *Frontend) forgetOldest() {
-	for len(d.known) > knownJobs {
+	for len(d.known) > maxKnownJobs {
 		oldest := ""
 		for id, k := range d.known {
 			if oldest == "" || k.record.Submitted.Before(d.known[oldest].record.Submitted) {
--- a/internal/agentless/batchrun/reading.go
+++ b/internal/agentless/batchrun/frontend_read.go
@@ -29,41 +29,41 @@
 // is not sure counts only where the store does not answer either.
 func (d *Frontend) Results(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
 	if d.Local.Switches.On(mechanism.CacheResults) {
-		return d.withCached(ctx, id, from, wait)
+		return d.readCached(ctx, id, from, wait)
 	}
-	return d.readAnew(ctx, id, from, wait)
+	return d.readUncached(ctx, id, from, wait)
 }
 
 // withCached returns the results that were read here before, with what came since.
 // Who can be given some does not wait for more, and gets them though neither owner
 // nor store answers: what is durable does not change.
-func (d *Frontend) withCached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
-	kept, next := d.cache.from(id, from)
-	if len(kept.Results) > 0 {
+func (d *Frontend) readCached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
+	cached, next := d.cache.get(id, from)
+	if len(cached.Results) > 0 {
 		wait = 0
 	}
-	fresh, err := d.readAnew(ctx, id, next, wait)
+	fresh, err := d.readUncached(ctx, id, next, wait)
 	switch {
-	case errors.Is(err, ErrUnavailable) && len(kept.Results) > 0:
-		return kept, nil
+	case errors.Is(err, ErrUnavailable) && len(cached.Results) > 0:
+		return cached, nil
 	case err != nil:
 		return Reading{}, err
 	}
 	d.cache.add(id, next, fresh)
-	fresh.Results = append(kept.Results, fresh.Results...)
+	fresh.Results = append(cached.Results, fresh.Results...)
 	return fresh, nil
 }
 
-func (d *Frontend) readAnew(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
-	if r, settled, err := d.byHub(ctx, id, from, wait); settled {
+func (d *Frontend) readUncached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
+	if r, answered, err := d.readViaHub(ctx, id, from, wait); answered {
 		return r, err
 	}
-	until := time.Now().Add(wait)
-	reply := d.fromOwner(ctx, id, from, wait)
-	if reply.current() {
+	deadline := time.Now().Add(wait)
+	reply := d.readFromOwner(ctx, id, from, wait)
+	if reply.isCurrent() {
 		return reading(reply), nil
 	}
-	stored, err := d.fromStore(ctx, id, from, until)
+	stored, err := d.readFromStore(ctx, id, from, deadline)
 	if errors.Is(err, ErrUnavailable) && reply.Owned {
 		return reading(reply), nil
 	}
@@ -74,7 +74,7 @@
 
 // fromOwner asks the job's owner as far as it is known or can be guessed. The
 // zero answer stands for none.
-func (d *Frontend) fromOwner(ctx context.Context, id string, from int, wait time.Duration) ReadReply {
+func (d *Frontend) readFromOwner(ctx context.Context, id string, from int, wait time.Duration) ReadReply {
 	owner, found := d.likelyOwner(ctx, id)
 	if !found {
 		return ReadReply{}
@@ -94,13 +94,13 @@
 	if known := d.snapshot(id); known != nil {
 		return known.record.Owner, true
 	}
-	return d.locate(ctx, id)
+	return d.locateOwner(ctx, id)
 }
 
 // locate finds a job's owner among those that own the jobs of the models served
 // today, so that the many processes at which a job is read make no call to the
 // store for it.
-func (d *Frontend) locate(ctx context.Context, id string) (owner string, found bool) {
+func (d *Frontend) locateOwner(ctx context.Context, id string) (owner string, found bool) {
 	if d.Models == nil {
 		return "", false
 	}
@@ -120,7 +120,7 @@
 		}()
 	}
 	for range candidates {
-		if a := <-answers; a.reply.current() {
+		if a := <-answers; a.reply.isCurrent() {
 			d.remember(id, jobRecord{Owner: a.owner, Total: a.reply.Total, Ended: a.reply.Ended})
 			return a.owner, true
 		}
@@ -128,12 +128,12 @@
 	return "", false
 }
 
-func (d *Frontend) cannotTell(id string, err error) error {
+func (d *Frontend) unavailable(id string, err error) error {
 	if errors.Is(err, ErrNoJob) {
 		return err
 	}
 	events.ReadFailed.Log(d.Log, logrus.Fields{"job": id, "error": err.Error()})
-	return comeBack(errors.Wrap(ErrUnavailable, err.Error()))
+	return withRetryAfter(errors.Wrap(ErrUnavailable, err.Error()))
 }
 
 // snapshot returns a copy of what is remembered of a job, or nil.
@@ -150,12 +150,12 @@
 
 func (d *Frontend) askOwner(ctx context.Context, owner, id string, from int, wait time.Duration) (ReadReply, error) {
 	args := ReadArgs{Job: id, From: from, Wait: wait}
-	return ask(ctx, d, owner, callRead, wait, args, func() ReadReply { return d.Local.read(ctx, args) })
+	return callOwner(ctx, d, owner, callRead, wait, args, func() ReadReply { return d.Local.read(ctx, args) })
 }
 
 // ask calls a method of an owner, or does locally what it would do if the owner
 // is this process.
-func ask[R any](ctx context.Context, d *Frontend, owner, method string, wait time.Duration, args any, local func() R) (R, error) {
+func callOwner[R any](ctx context.Context, d *Frontend, owner, method string, wait time.Duration, args any, local func() R) (R, error) {
 	if owner == d.Local.Name {
 		return local(), nil
 	}
@@ -178,36 +178,36 @@
 
 // fromStore reads results from the store: the job has ended, or its owner does
 // not answer or has changed.
-func (d *Frontend) fromStore(ctx context.Context, id string, from int, until time.Time) (Reading, error) {
+func (d *Frontend) readFromStore(ctx context.Context, id string, from int, deadline time.Time) (Reading, error) {
 	for {
-		standing, record, err := d.fresh(ctx, id)
+		found, record, err := d.currentRecord(ctx, id)
 		if err != nil {
-			return Reading{}, d.cannotTell(id, err)
+			return Reading{}, d.unavailable(id, err)
 		}
-		if !standing {
+		if !found {
 			return Reading{}, ErrNoJob
 		}
 		results, err := d.storedResults(ctx, id, from)
 		if err != nil {
-			return Reading{}, d.cannotTell(id, err)
+			return Reading{}, d.unavailable(id, err)
 		}
-		if len(results) > 0 || record.Ended || from >= record.Total || time.Until(until) < storePoll || ctx.Err() != nil {
+		if len(results) > 0 || record.Ended || from >= record.Total || time.Until(deadline) < storePollInterval || ctx.Err() != nil {
 			return Reading{Total: record.Total, Results: results}, nil
 		}
-		pause(ctx, storePoll)
-		if reply, err := d.askOwner(ctx, record.Owner, id, from, max(0, time.Until(until))); err == nil && reply.current() {
+		pause(ctx, storePollInterval)
+		if reply, err := d.askOwner(ctx, record.Owner, id, from, max(0, time.Until(deadline))); err == nil && reply.isCurrent() {
 			return reading(reply), nil
 		}
 	}
 }
 
 // fresh returns the record as the store has it; an ended one cannot change.
-func (d *Frontend) fresh(ctx context.Context, id string) (found bool, record jobRecord, err error) {
+func (d *Frontend) currentRecord(ctx context.Context, id string) (found bool, record jobRecord, err error) {
 	if known := d.snapshot(id); known != nil && known.record.Ended {
 		return true, known.record, nil
 	}
-	standing, record, err := d.fetch(ctx, id)
-	return standing.Revision != 0, record, err
+	stored, record, err := d.fetchRecord(ctx, id)
+	return stored.Revision != 0, record, err
 }
 
 // storedResults returns the durable results from a position on, reading only
@@ -275,28 +275,28 @@
 
 func (d *Frontend) askBody(ctx context.Context, owner, id, item string) (BodyReply, error) {
 	args := BodyArgs{Job: id, Item: item}
-	return ask(ctx, d, owner, callBody, 0, args, func() BodyReply { return d.Local.body(args) })
+	return callOwner(ctx, d, owner, callBody, 0, args, func() BodyReply { return d.Local.body(args) })
 }
 
 func (d *Frontend) storedBody(ctx context.Context, id, item string) ([]byte, error) {
-	found, record, err := d.fresh(ctx, id)
+	found, record, err := d.currentRecord(ctx, id)
 	if err != nil {
-		return nil, d.cannotTell(id, err)
+		return nil, d.unavailable(id, err)
 	}
 	if !found || record.Ended {
 		return nil, ErrNoJob
 	}
 	parts, err := kv.ReadAll(ctx, d.Store, specPrefix(id))
 	if err != nil {
-		return nil, d.cannotTell(id, err)
+		return nil, d.unavailable(id, err)
 	}
 	spec, err := joinSpec(parts.Records, record.Parts)
 	if err != nil {
-		return nil, d.cannotTell(id, err)
+		return nil, d.unavailable(id, err)
 	}
 	listed, err := d.storedResults(ctx, id, 0)
 	if err != nil {
-		return nil, d.cannotTell(id, err)
+		return nil, d.unavailable(id, err)
 	}
 	job := batch.NewJob(spec, listed)
 	body, known := job.Body(item)
--- a/internal/agentless/batchrun/hub.go
+++ b/internal/agentless/batchrun/hub.go
@@ -31,11 +31,11 @@
 }
 
 // Hub answers reads of other processes in its failure domain.
-type Hub struct{ desk *Frontend }
+type Hub struct{ frontend *Frontend }
 
 // Results implements the call of that name.
 func (h *Hub) Results(args ResultsArgs, reply *ResultsReply) error {
-	reading, err := h.desk.Results(context.Background(), args.Job, args.From, args.Wait)
+	reading, err := h.frontend.Results(context.Background(), args.Job, args.From, args.Wait)
 	reply.NoJob = errors.Is(err, ErrNoJob)
 	reply.Unknown = err != nil && !reply.NoJob
 	reply.Reading = reading
@@ -46,20 +46,20 @@
 // are read: the same one for all processes of the domain. Otherwise every entry takes
 // each result over the domain's border by itself, or from the store once the job's
 // owner has forgotten it, as after a kill of all processes.
-func (d *Frontend) hub(job string) (name string, found bool) {
+func (d *Frontend) hubFor(job string) (name string, found bool) {
 	if d.IsHub || !d.Local.Switches.On(mechanism.ReadNear) {
 		return "", false
 	}
 	near := inDomain(d.Members.Owners(), d.Domain)
-	trusted := d.trusted(near)
-	if len(near) == 0 || !near[0].Worker || len(trusted) == 0 {
+	responsive := d.responsive(near)
+	if len(near) == 0 || !near[0].Worker || len(responsive) == 0 {
 		return "", false
 	}
-	keys := make([]uint64, len(trusted))
-	for i, m := range trusted {
+	keys := make([]uint64, len(responsive))
+	for i, m := range responsive {
 		keys[i] = rendezvous.Key(m.Name)
 	}
-	return trusted[rendezvous.Ranked(rendezvous.Key(job), keys, 1)[0]].Name, true
+	return responsive[rendezvous.Ranked(rendezvous.Key(job), keys, 1)[0]].Name, true
 }
 
 func inDomain(members []cluster.Member, domain string) []cluster.Member {
@@ -72,9 +72,9 @@
 	return near
 }
 
-// byHub reads by way of the domain's hub; settled is false if it could not tell.
-func (d *Frontend) byHub(ctx context.Context, id string, from int, wait time.Duration) (r Reading, settled bool, err error) {
-	name, found := d.hub(id)
+// byHub reads by way of the domain's hub; answered is false if it could not tell.
+func (d *Frontend) readViaHub(ctx context.Context, id string, from int, wait time.Duration) (r Reading, answered bool, err error) {
+	name, found := d.hubFor(id)
 	if !found {
 		return Reading{}, false, nil
 	}
@@ -83,8 +83,8 @@
 	var reply ResultsReply
 	member, _ := d.Members.Get(name)
 	if err := d.Peers.Call(limited, member.Address, callResults, ResultsArgs{Job: id, From: from, Wait: wait}, &reply); err != nil {
-		if ctx.Err() == nil && isSilence(err) {
-			d.distrust(name)
+		if ctx.Err() == nil && isUnanswered(err) {
+			d.markUnresponsive(name)
 		}
 		return Reading{}, false, nil
 	}
@@ -99,7 +99,7 @@
 
 // isSilence tells whether a call failed as the other side did not answer. One of
 // an older release answers that it has no such call.
-func isSilence(err error) bool {
-	var answered rpc.ServerError
-	return !errors.As(err, &answered)
+func isUnanswered(err error) bool {
+	var serverError rpc.ServerError
+	return !errors.As(err, &serverError)
 }
--- a/internal/agentless/batchrun/hub_test.go
+++ b/internal/agentless/batchrun/hub_test.go
@@ -71,7 +71,7 @@
 		defer leave()
 		_, _ = entry.desk.Results(ctx, "h", 0, time.Second)
 		Expect(ctx.Err()).To(HaveOccurred(), "nothing was there to be read")
-		Expect(entry.desk.Distrusted("near")).To(BeFalse())
+		Expect(entry.desk.MarkedUnresponsive("near")).To(BeFalse())
 		close(llm.hold)
 	})
 
--- a/internal/agentless/batchrun/itemrun.go
+++ b/internal/agentless/batchrun/item_run.go
@@ -18,62 +18,62 @@
 )
 
 const (
-	// paceEvents is how many events of a run show its pace.
-	paceEvents = 8
-	// lookEvents is every how many events a run looks for a faster engine.
-	lookEvents = 4
+	// minPaceEvents is how many events of a run show its pace.
+	minPaceEvents = 8
+	// slowCheckEvents is every how many events a run looks for a faster engine.
+	slowCheckEvents = 4
 )
 
 var (
-	errFellSilent = errors.New("batchrun: engine fell silent")
-	errCrowded    = errors.New("batchrun: engine is crowded and others are not")
-	errTooSlow    = errors.New("batchrun: engine is slow and others are free")
+	errEngineTimeout = errors.New("batchrun: engine fell silent")
+	errCrowded       = errors.New("batchrun: engine is crowded and others are not")
+	errTooSlow       = errors.New("batchrun: engine is slow and others are free")
 )
 
 // itemRun is one run of an item at one engine.
 type itemRun struct {
-	owner *Owner
-	job   *ownedJob
-	start batch.RunStart
-	pick  *directory.Pick
-	began time.Time
-	made  int // events
-	pace  pace
+	owner     *Owner
+	job       *ownedJob
+	start     batch.RunStart
+	pick      *directory.Pick
+	began     time.Time
+	generated int // events
+	pace      pace
 }
 
 // engineFor returns what an item asks of its engine.
-func engineFor(spec *batch.Spec, start batch.RunStart, now time.Time) endpoints.Request {
+func engineRequest(spec *batch.Spec, start batch.RunStart, now time.Time) endpoints.Request {
 	return endpoints.Request{Now: now, Model: spec.Model, MinVersion: spec.MinVersion, Version: start.RequiredVersion, RequireFreeSlot: true}
 }
 
 func (r *itemRun) generate() (batch.RunOutcome, endpoints.Outcome, error) {
 	ctx, cancel := context.WithCancelCause(r.job.ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(firstEventLimit, func() { cancel(errFellSilent) })
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(firstEventTimeout, func() { cancel(errEngineTimeout) })
+	defer idleTimer.Stop()
 	answer, err := r.owner.Sender.Send(ctx, &r.pick.Endpoint, itemRequest(r.job.job.Spec, r.start))
 	if err != nil {
-		return brokenRun(ctx, err)
+		return classifyRunError(ctx, err)
 	}
 	defer func() { _ = answer.Body.Close() }()
-	if how, outcome, done := refusedRun(answer, r.start); done {
+	if how, outcome, done := classifyAnswer(answer, r.start); done {
 		return how, outcome, errors.Errorf("status %d", answer.Status)
 	}
-	return r.read(ctx, dispatch.NewEvents(answer), silence)
+	return r.read(ctx, dispatch.NewEvents(answer), idleTimer)
 }
 
 // read takes in events until the stream ends or the run is better ended.
-func (r *itemRun) read(ctx context.Context, in *dispatch.Events, silence *time.Timer) (batch.RunOutcome, endpoints.Outcome, error) {
+func (r *itemRun) read(ctx context.Context, in *dispatch.Events, idleTimer *time.Timer) (batch.RunOutcome, endpoints.Outcome, error) {
 	for {
 		event, err := in.Next()
 		if errors.Is(err, io.EOF) {
 			return batch.RunComplete, endpoints.Answered, nil
 		}
 		if err != nil {
-			return brokenRun(ctx, &upstream.SendError{Sent: true, Err: err})
+			return classifyRunError(ctx, &upstream.SendError{Sent: true, Err: err})
 		}
-		silence.Reset(gapLimit)
-		if !r.take(event) {
+		idleTimer.Reset(eventGapTimeout)
+		if !r.addEvent(event) {
 			return batch.RunVersionMismatch, endpoints.Cancelled, errors.Errorf("event %d of version %d does not continue the text", event.ID, event.Version)
 		}
 		if r.tooSlow() {
@@ -87,12 +87,12 @@
 
 // take takes in an event. One without a weight version cannot be labelled; only
 // a stream with nothing left to generate names none.
-func (r *itemRun) take(event dispatch.Event) bool {
+func (r *itemRun) addEvent(event dispatch.Event) bool {
 	if event.Version <= 0 {
 		return false
 	}
-	r.made++
-	r.pace.event(time.Now())
+	r.generated++
+	r.pace.observe(time.Now())
 	r.job.mu.Lock()
 	defer r.job.mu.Unlock()
 	if !r.job.job.AddEvent(r.start.Index, event.ID, event.Data, event.Version) {
@@ -102,43 +102,43 @@
 	return true
 }
 
-// moveGain is how many events' time a run must save by going on elsewhere: a move
+// minMoveGain is how many events' time a run must save by going on elsewhere: a move
 // takes less than one, but also a new connection, and what runs where changes.
-const moveGain = 8.0
+const minMoveGain = 8.0
 
-// crowdedEvents is every how many events a run looks for a roomier engine.
-const crowdedEvents = 8
+// crowdedCheckEvents is every how many events a run looks for a roomier engine.
+const crowdedCheckEvents = 8
 
 // crowded tells whether an item that its step waits for would be done sooner at
 // an engine that runs fewer requests. The last runs of a step go on at full batches
 // otherwise, as the next step's items come while other engines are nearly idle.
 func (r *itemRun) crowded() bool {
-	if r.made%crowdedEvents != 0 || !r.owner.Switches.On(mechanism.MoveCrowded) {
+	if r.generated%crowdedCheckEvents != 0 || !r.owner.Switches.On(mechanism.MoveCrowded) {
 		return false
 	}
-	request := engineFor(r.job.job.Spec, r.start, time.Now())
+	request := engineRequest(r.job.job.Spec, r.start, time.Now())
 	r.job.mu.Lock()
 	request.RemainingWork = r.job.job.RemainingWork(r.start.Index)
 	spare := r.job.job.Spare(r.start.Index)
 	r.job.mu.Unlock()
-	return r.awaited(request.RemainingWork, spare) && r.pick.HasLessLoaded(request, moveGain)
+	return r.isCritical(request.RemainingWork, spare) && r.pick.HasLessLoaded(request, minMoveGain)
 }
 
 // awaited tells whether a step waits for the run, as of the last look at all jobs.
-func (r *itemRun) awaited(rest float64, spare bool) bool {
-	load := r.owner.surveyed.Load()
-	view := schedule.Job{Age: time.Since(r.job.job.Spec.Submitted).Seconds(), EventSeconds: r.pace.recent()}
-	return load != nil && load.IsCritical(&view, rest, spare)
+func (r *itemRun) isCritical(remaining float64, spare bool) bool {
+	load := r.owner.lastLoad.Load()
+	view := schedule.Job{Age: time.Since(r.job.job.Spec.Submitted).Seconds(), EventSeconds: r.pace.eventSeconds()}
+	return load != nil && load.IsCritical(&view, remaining, spare)
 }
 
 // tooSlow tells whether the item would be done sooner elsewhere. An engine that
 // turned slow holds up the whole group of an item, though reading the text in
 // at another one takes some 10 ms.
 func (r *itemRun) tooSlow() bool {
-	if r.made < paceEvents || r.made%lookEvents != 0 || !r.owner.Switches.On(mechanism.MoveSlow) {
+	if r.generated < minPaceEvents || r.generated%slowCheckEvents != 0 || !r.owner.Switches.On(mechanism.MoveSlow) {
 		return false
 	}
-	return r.pick.HasFaster(engineFor(r.job.job.Spec, r.start, time.Now()), r.pace.recent())
+	return r.pick.HasFaster(engineRequest(r.job.job.Spec, r.start, time.Now()), r.pace.eventSeconds())
 }
 
 // pace is how fast events come, from the first one on.
@@ -151,7 +151,7 @@
 // paceWeight is the share of a new gap in the running mean.
 const paceWeight = 0.2
 
-func (p *pace) event(now time.Time) {
+func (p *pace) observe(now time.Time) {
 	if p.first.IsZero() {
 		p.first, p.last = now, now
 		return
@@ -167,11 +167,11 @@
 }
 
 // recent returns the seconds that an event takes by now.
-func (p *pace) recent() float64 { return p.mean }
+func (p *pace) eventSeconds() float64 { return p.mean }
 
 // observed returns the seconds that an event takes, if enough have come to show
 // the engine's speed.
-func (p *pace) observed() (float64, bool) { return p.mean, p.gaps >= paceEvents }
+func (p *pace) measured() (float64, bool) { return p.mean, p.gaps >= minPaceEvents }
 
 func itemRequest(spec *batch.Spec, start batch.RunStart) *dispatch.Request {
 	item := &spec.Items[start.Index]
@@ -179,20 +179,20 @@
 	for _, pair := range item.Header {
 		header.Add(pair[0], pair[1])
 	}
-	left := boundlessLeft
+	timeout := defaultRunTimeout
 	if !spec.Expires.IsZero() {
-		left = max(time.Second, time.Until(spec.Expires))
+		timeout = max(time.Second, time.Until(spec.Expires))
 	}
 	// No urgency: an engine preempts less urgent runs and reads them in again, and
 	// the preempted model's steps were the ones that came late.
 	return &dispatch.Request{
 		ID: item.ID, Method: http.MethodPost, Target: item.Path, Host: spec.Host, Header: header, Body: item.Body,
-		Left: left, Resume: start.ResumeAfter, Version: start.RequiredVersion, Urgency: -1, Customer: spec.Customer,
+		Left: timeout, Resume: start.ResumeAfter, Version: start.RequiredVersion, Urgency: -1, Customer: spec.Customer,
 	}
 }
 
 // refusedRun weighs an answer that is no stream of events.
-func refusedRun(a *dispatch.Answer, start batch.RunStart) (batch.RunOutcome, endpoints.Outcome, bool) {
+func classifyAnswer(a *dispatch.Answer, start batch.RunStart) (batch.RunOutcome, endpoints.Outcome, bool) {
 	switch {
 	case a.Replaced && start.RequiredVersion != 0:
 		return batch.RunVersionMismatch, endpoints.Refused, true
@@ -210,11 +210,11 @@
 	return 0, 0, false
 }
 
-func brokenRun(ctx context.Context, err error) (batch.RunOutcome, endpoints.Outcome, error) {
+func classifyRunError(ctx context.Context, err error) (batch.RunOutcome, endpoints.Outcome, error) {
 	var send *upstream.SendError
 	switch {
-	case errors.Is(context.Cause(ctx), errFellSilent):
-		return batch.RunInterrupted, endpoints.Unreachable, errFellSilent
+	case errors.Is(context.Cause(ctx), errEngineTimeout):
+		return batch.RunInterrupted, endpoints.Unreachable, errEngineTimeout
 	case ctx.Err() != nil:
 		return batch.RunInterrupted, endpoints.Cancelled, err
 	case errors.As(err, &send) && !send.Sent:
--- a/internal/agentless/batchrun/moving.go
+++ b/internal/agentless/batchrun/mover.go
@@ -24,7 +24,7 @@
 	// waits for those before it.
 	rankDelay = 700 * time.Millisecond
 	// moveTries bounds the tries for one job; each failed one costs a call.
-	moveTries = 5
+	maxMoveTries = 5
 )
 
 // Mover moves the jobs of a process that is gone, or of this one when it stops.
@@ -46,12 +46,12 @@
 // MemberGone moves a process's jobs unless it comes back. It returns when that
 // is done or ctx ends.
 func (m *Mover) MemberGone(ctx context.Context, name string) {
-	rest := time.Duration(m.rank(name)) * rankDelay
+	extra := time.Duration(m.rank(name)) * rankDelay
 	began := time.Now()
-	if m.Unsettled() && m.mayLive(ctx, name) {
-		rest += outageGrace - moveGrace
+	if m.Unsettled() && m.mayReturn(ctx, name) {
+		extra += outageGrace - moveGrace
 	}
-	pause(ctx, moveGrace-time.Since(began)+rest)
+	pause(ctx, moveGrace-time.Since(began)+extra)
 	if m.Members.Registered(name) || ctx.Err() != nil || name == m.Self {
 		return
 	}
@@ -62,7 +62,7 @@
 
 // mayLive tells whether a process whose registration lapsed in an outage of the
 // store may be back soon: one that answers no call within moveGrace will not.
-func (m *Mover) mayLive(ctx context.Context, name string) bool {
+func (m *Mover) mayReturn(ctx context.Context, name string) bool {
 	ctx, cancel := context.WithTimeout(ctx, moveGrace)
 	defer cancel()
 	return m.Answers == nil || m.Answers(ctx, name)
@@ -85,55 +85,55 @@
 
 // MoveAll moves every job marked for an owner to others.
 func (m *Mover) MoveAll(ctx context.Context, owner string) error {
-	page, err := m.listMarks(ctx, owner)
+	page, err := m.listAssignments(ctx, owner)
 	if err != nil {
 		return err
 	}
-	for _, mark := range page.Records {
-		if err := m.move(ctx, owner, mark); err != nil {
+	for _, assignment := range page.Records {
+		if err := m.move(ctx, owner, assignment); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (m *Mover) listMarks(ctx context.Context, owner string) (page kv.Page, err error) {
-	for range moveTries {
-		if page, err = kv.ReadAll(ctx, m.Store, todoPrefix(owner)); err == nil || ctx.Err() != nil {
+func (m *Mover) listAssignments(ctx context.Context, owner string) (page kv.Page, err error) {
+	for range maxMoveTries {
+		if page, err = kv.ReadAll(ctx, m.Store, assignmentPrefix(owner)); err == nil || ctx.Err() != nil {
 			break
 		}
-		pause(ctx, retryWrite)
+		pause(ctx, writeRetryDelay)
 	}
 	return page, err
 }
 
-func (m *Mover) move(ctx context.Context, from string, mark kv.Record) (err error) {
-	for range moveTries {
+func (m *Mover) move(ctx context.Context, from string, assignment kv.Record) (err error) {
+	for range maxMoveTries {
 		var done bool
-		if done, err = m.tryMove(ctx, from, mark); done || ctx.Err() != nil {
+		if done, err = m.tryMove(ctx, from, assignment); done || ctx.Err() != nil {
 			return err
 		}
-		pause(ctx, retryWrite)
+		pause(ctx, writeRetryDelay)
 	}
 	return err
 }
 
 // tryMove moves one job; done is true if nothing is left to do.
-func (m *Mover) tryMove(ctx context.Context, from string, mark kv.Record) (done bool, err error) {
-	id := jobOfTodo(mark.Key)
-	standing, record, err := readRecord(ctx, m.Store, id)
+func (m *Mover) tryMove(ctx context.Context, from string, assignment kv.Record) (done bool, err error) {
+	id := assignedJob(assignment.Key)
+	stored, record, err := readRecord(ctx, m.Store, id)
 	if err != nil {
 		return !errors.Is(err, kv.ErrUnavailable), err
 	}
-	if standing.Revision == 0 {
+	if stored.Revision == 0 {
 		return true, nil // swept; its mark goes with it
 	}
-	to, found := m.successor(affinity(record.Model, id), from)
+	to, found := m.successor(affinityKey(record.Model, id), from)
 	if !found {
 		return true, nil // nobody is left; the owner goes on when it is back
 	}
 	record.Owner = to
-	t, err := handover(id, from, to, mark.Revision, standing.Revision, record, false)
+	t, err := handoverTransaction(id, from, to, assignment.Revision, stored.Revision, record, false)
 	if err != nil {
 		return true, err
 	}
@@ -145,7 +145,7 @@
 		if m.NotifyOwner != nil {
 			m.NotifyOwner(to, id, committed.Revision)
 		}
-		events.JobHandedOn.Log(m.Log, logrus.Fields{"job": id, "from": from, "to": to, "mark": mark.Revision})
+		events.JobHandedOn.Log(m.Log, logrus.Fields{"job": id, "from": from, "to": to, "mark": assignment.Revision})
 	}
 	return true, nil // otherwise it moved or ended meanwhile
 }
@@ -155,23 +155,23 @@
 	if len(owners) == 0 {
 		return "", false
 	}
-	return ownersFor(m.Models).of(key, owners), true
+	return newOwnerChooser(m.Models).choose(key, owners), true
 }
 
 // handover returns the transaction that gives a job to another owner, under the
 // revisions of its mark and its record. fresh says that nothing is listed.
-func handover(id, from, to string, mark, standing int64, record jobRecord, fresh bool) (kv.Transaction, error) {
+func handoverTransaction(id, from, to string, mark, recordRevision int64, record jobRecord, fresh bool) (kv.Transaction, error) {
 	raw, err := encode(record)
 	if err != nil {
 		return kv.Transaction{}, err
 	}
-	state, err := encode(todoMark{Fresh: fresh})
+	state, err := encode(assignmentRecord{Fresh: fresh})
 	if err != nil {
 		return kv.Transaction{}, err
 	}
 	return kv.Transaction{
-		Expect: []kv.Expectation{{Key: todoKey(from, id), Revision: mark}, {Key: jobKey(id), Revision: standing}},
-		Puts:   []kv.Put{{Key: jobKey(id), Value: raw}, {Key: todoKey(to, id), Value: state}},
-		Remove: []string{todoKey(from, id)},
+		Expect: []kv.Expectation{{Key: assignmentKey(from, id), Revision: mark}, {Key: jobKey(id), Revision: recordRevision}},
+		Puts:   []kv.Put{{Key: jobKey(id), Value: raw}, {Key: assignmentKey(to, id), Value: state}},
+		Remove: []string{assignmentKey(from, id)},
 	}, nil
 }
--- a/internal/agentless/batchrun/owner.go
+++ b/internal/agentless/batchrun/owner.go
@@ -26,11 +26,11 @@
 
 const (
 	// lookEvery is how often items that wait are looked at without a cause.
-	lookEvery = 25 * time.Millisecond
+	dispatchInterval = 25 * time.Millisecond
 	// gatherResults passes at least between two writes of a job's results. One that
 	// makes its group whole, as a straggler's does, is written at once; readers poll
 	// twice a second, and at this pace a job costs at most four writes a second.
-	gatherResults = 250 * time.Millisecond
+	minWriteInterval = 250 * time.Millisecond
 	// AssignmentsWait is how long a watch of the marks waits. Who accepts, ends or moves
 	// a job tells its owner by a call; the watch is for calls that did not come
 	// through, as from an entry that is cut off from every worker. Its changes come
@@ -38,7 +38,7 @@
 	// a job whose end was acknowledged have three seconds to stop.
 	AssignmentsWait = 2 * time.Second
 	// retryWrite is the pause after a write that failed.
-	retryWrite = 200 * time.Millisecond
+	writeRetryDelay = 200 * time.Millisecond
 )
 
 // Owner runs the jobs whose mark names this process. It is safe for concurrent
@@ -75,33 +75,33 @@
 	OnAdopt  func(*batch.Spec)
 	lifetime context.Context // of Run
 
-	mu     sync.Mutex
-	jobs   map[string]*ownedJob
-	claims map[string]int64 // revision of the mark being loaded, by job
-	ended  *endedJobs
-	seen   map[string]*sharedLengths // by model
-	loads  loads
-	wake   chan struct{}
-	back   chan struct{} // closed and replaced when the store answers again
-	runs   errgroup.Group
-	stats  stats
+	mu             sync.Mutex
+	jobs           map[string]*ownedJob
+	loadingMarks   map[string]int64 // revision of the mark being loaded, by job
+	ended          *endedJobs
+	lengths        map[string]*sharedLengths // by model
+	loads          reportedLoads
+	wake           chan struct{}
+	storeRecovered chan struct{} // closed and replaced when the store answers again
+	runs           errgroup.Group
+	stats          stats
 
 	running chan struct{} // closed once Run has begun
 
 	scoreTimes scoreTimes
 
-	surveyed atomic.Pointer[schedule.Load] // of all open jobs when they were last looked at; nil: never
+	lastLoad atomic.Pointer[schedule.Load] // of all open jobs when they were last looked at; nil: never
 }
 
 type stats struct {
-	listed  metrics.Counter
-	aborted metrics.Counter
-	broken  metrics.Counter
-	moved   metrics.Counter
-	kept    metrics.Counter // items that went on from kept texts
-	events  metrics.Counter // of those texts
-	sample  metrics.Timer   // from submission to listing
-	step    metrics.Timer   // from submission until a step is whole
+	listed        metrics.Counter
+	aborted       metrics.Counter
+	broken        metrics.Counter
+	moved         metrics.Counter
+	resumedItems  metrics.Counter // items that went on from kept texts
+	resumedEvents metrics.Counter // of those texts
+	sample        metrics.Timer   // from submission to listing
+	step          metrics.Timer   // from submission until a step is whole
 }
 
 // ownedJob is one job with its lock.
@@ -112,39 +112,39 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	job     *batch.Job
-	readers chan struct{} // closed and replaced when results become durable
-	writing bool
-	sent    bool         // a write is under way at the store, or its outcome is not known
-	written time.Time    // of the last write; only its writer uses it
-	failing failedWrites // only its writer uses them
+	mu             sync.Mutex
+	job            *batch.Job
+	resultsChanged chan struct{} // closed and replaced when results become durable
+	writerActive   bool
+	writePending   bool         // a write is under way at the store, or its outcome is not known
+	lastWrite      time.Time    // of the last write; only its writer uses it
+	failedWrites   failedWrites // only its writer uses them
 }
 
 // Init prepares the owner; it must be called before anything else.
 func (o *Owner) Init() {
 	o.jobs = map[string]*ownedJob{}
-	o.claims = map[string]int64{}
+	o.loadingMarks = map[string]int64{}
 	o.ended = newEndedJobs(o.ResultTTL)
-	o.seen = map[string]*sharedLengths{}
+	o.lengths = map[string]*sharedLengths{}
 	o.wake = make(chan struct{}, 1)
-	o.back = make(chan struct{})
+	o.storeRecovered = make(chan struct{})
 	o.running = make(chan struct{})
 	o.Copier = newCopier(o.Registry)
 	o.Copier.Owner = o
-	o.Standby = newGuard(o)
+	o.Standby = newStandby(o)
 	if o.RetryDelay == 0 {
-		o.RetryDelay = retryWrite
+		o.RetryDelay = writeRetryDelay
 	}
 	o.stats = stats{
-		listed:  metrics.GetOrRegisterCounter("batch.items.listed", o.Registry),
-		aborted: metrics.GetOrRegisterCounter("batch.items.aborted", o.Registry),
-		moved:   metrics.GetOrRegisterCounter("batch.runs.moved", o.Registry),
-		kept:    metrics.GetOrRegisterCounter("texts.items", o.Registry),
-		events:  metrics.GetOrRegisterCounter("texts.events", o.Registry),
-		broken:  metrics.GetOrRegisterCounter("batch.runs.broken", o.Registry),
-		sample:  metrics.GetOrRegisterTimer("batch.item", o.Registry),
-		step:    metrics.GetOrRegisterTimer("batch.step", o.Registry),
+		listed:        metrics.GetOrRegisterCounter("batch.items.listed", o.Registry),
+		aborted:       metrics.GetOrRegisterCounter("batch.items.aborted", o.Registry),
+		moved:         metrics.GetOrRegisterCounter("batch.runs.moved", o.Registry),
+		resumedItems:  metrics.GetOrRegisterCounter("texts.items", o.Registry),
+		resumedEvents: metrics.GetOrRegisterCounter("texts.events", o.Registry),
+		broken:        metrics.GetOrRegisterCounter("batch.runs.broken", o.Registry),
+		sample:        metrics.GetOrRegisterTimer("batch.item", o.Registry),
+		step:          metrics.GetOrRegisterTimer("batch.step", o.Registry),
 	}
 }
 
@@ -161,7 +161,7 @@
 	group.Go(func() error { return o.dispatch(ctx) })
 	group.Go(func() error { return o.Texts.Run(ctx) })
 	group.Go(func() error { return o.Copier.run(ctx) })
-	group.Go(func() error { return o.tellLoads(ctx) })
+	group.Go(func() error { return o.sendLoads(ctx) })
 	group.Go(func() error { return o.Standby.run(ctx) })
 	return group.Wait()
 }
@@ -171,16 +171,16 @@
 func (o *Owner) Assignments() *cluster.Topic {
 	listed := false
 	return &cluster.Topic{
-		Prefix: todoPrefix(o.Name), Carrier: AssignmentsPrefix, Idle: o.idle,
+		Prefix: assignmentPrefix(o.Name), Carrier: AssignmentsPrefix, Idle: o.idle,
 		Changed: func(r kv.Record) {
 			afterStart := listed // of the record, not of the goroutine that takes it in
 			o.runs.Go(func() error {
 				<-o.running
-				o.marked(o.lifetime, r, afterStart)
+				o.assignmentChanged(o.lifetime, r, afterStart)
 				return nil
 			})
 		},
-		Deleted: func(key string, revision int64) { o.drop(jobOfTodo(key), revision) },
+		Deleted: func(key string, revision int64) { o.drop(assignedJob(key), revision) },
 		Synced:  func() { listed = true },
 	}
 }
@@ -194,7 +194,7 @@
 // kept for readers.
 func (o *Owner) drop(id string, revision int64) {
 	o.mu.Lock()
-	o.ended.note(id, revision)
+	o.ended.recordRemoved(id, revision)
 	owned := o.jobs[id]
 	if owned == nil || owned.mark > revision {
 		o.mu.Unlock()
@@ -214,24 +214,24 @@
 	defer j.mu.Unlock()
 	j.job.Close()
 	j.cancel()
-	close(j.readers)
-	j.readers = make(chan struct{})
+	close(j.resultsChanged)
+	j.resultsChanged = make(chan struct{})
 	o.Texts.Drop(j.id, j.mark)
 	o.Copier.drop(j.id, j.mark)
-	if !j.sent {
-		o.ended.keep(now, *j.kept())
+	if !j.writePending {
+		o.ended.retain(now, *j.retained())
 	}
 }
 
 // kept returns the durable results of a job that has ended; mu is held.
-func (j *ownedJob) kept() *keptResults {
-	return &keptResults{id: j.id, submitted: j.job.Spec.Submitted, total: j.job.Total(), results: slices.Clone(j.job.DurableResults(0))}
+func (j *ownedJob) retained() *retainedResults {
+	return &retainedResults{id: j.id, submitted: j.job.Spec.Submitted, total: j.job.Total(), results: slices.Clone(j.job.DurableResults(0))}
 }
 
-func (o *Owner) keep(results *keptResults) {
+func (o *Owner) retain(results *retainedResults) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.ended.keep(time.Now(), *results)
+	o.ended.retain(time.Now(), *results)
 }
 
 func (o *Owner) find(id string) *ownedJob {
@@ -257,24 +257,24 @@
 func (o *Owner) StoreRecovered() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	close(o.back)
-	o.back = make(chan struct{})
+	close(o.storeRecovered)
+	o.storeRecovered = make(chan struct{})
 }
 
 // pauseForStore waits before a write is tried again.
-func (o *Owner) pauseForStore(ctx context.Context) {
+func (o *Owner) waitForStore(ctx context.Context) {
 	o.mu.Lock()
-	back := o.back
+	recovered := o.storeRecovered
 	o.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, o.RetryDelay)
 	defer cancel()
 	select {
 	case <-ctx.Done():
-	case <-back:
+	case <-recovered:
 	}
 }
 
-func (o *Owner) kick() {
+func (o *Owner) wakeDispatch() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
@@ -283,7 +283,7 @@
 
 // dispatch starts what can be started, whenever something changed.
 func (o *Owner) dispatch(ctx context.Context) error {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(dispatchInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -292,7 +292,7 @@
 		case <-o.wake:
 		case <-ticker.C:
 		}
-		jobs := append(o.open(), o.Standby.running()...)
+		jobs := append(o.openJobs(), o.Standby.running()...)
 		o.startRuns(jobs)
 		for _, j := range jobs {
 			o.startScores(j)
@@ -302,7 +302,7 @@
 }
 
 // open returns the jobs sorted by ID.
-func (o *Owner) open() []*ownedJob {
+func (o *Owner) openJobs() []*ownedJob {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	jobs := make([]*ownedJob, 0, len(o.jobs))
--- a/internal/agentless/batchrun/answer.go
+++ b/internal/agentless/batchrun/owner_read.go
@@ -15,17 +15,17 @@
 	defer timer.Stop()
 	for {
 		j.mu.Lock()
-		results, news, closed := j.job.DurableResults(args.From), j.readers, j.job.Closed()
+		results, changed, closed := j.job.DurableResults(args.From), j.resultsChanged, j.job.Closed()
 		total := j.job.Total()
 		j.mu.Unlock()
 		if closed {
 			return o.readEnded(args)
 		}
 		if len(results) > 0 || args.From >= total || args.Wait <= 0 {
-			return ReadReply{Owned: true, Sure: o.sure(), Total: total, Results: results}
+			return ReadReply{Owned: true, Sure: o.ownershipCertain(), Total: total, Results: results}
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
 			args.Wait = 0
 		case <-ctx.Done():
@@ -34,17 +34,17 @@
 	}
 }
 
-func (o *Owner) sure() bool { return o.OwnershipCertain == nil || o.OwnershipCertain() }
+func (o *Owner) ownershipCertain() bool { return o.OwnershipCertain == nil || o.OwnershipCertain() }
 
-// readEnded answers from what is kept of jobs that ended here.
+// readEnded answers from what is retained of jobs that ended here.
 func (o *Owner) readEnded(args ReadArgs) ReadReply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	kept, found := o.ended.results(args.Job)
+	retained, found := o.ended.results(args.Job)
 	if !found {
 		return ReadReply{}
 	}
-	return ReadReply{Owned: true, Gone: true, Ended: o.ended.done[args.Job], Total: kept.total, Results: kept.from(args.From)}
+	return ReadReply{Owned: true, Gone: true, Ended: o.ended.ended[args.Job], Total: retained.total, Results: retained.fromPosition(args.From)}
 }
 
 func (o *Owner) body(args BodyArgs) BodyReply {
@@ -65,11 +65,11 @@
 func (o *Owner) hasEnded(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ended.done[id]
+	return o.ended.ended[id]
 }
 
 // standing tells under which mark this process has a job.
-func (o *Owner) standing(id string) StandingReply {
+func (o *Owner) jobStatus(id string) StandingReply {
 	j := o.find(id)
 	if j == nil {
 		return StandingReply{Ended: o.hasEnded(id)}
--- a/internal/agentless/batchrun/owners.go
+++ b/internal/agentless/batchrun/owners.go
@@ -10,7 +10,7 @@
 // affinity names what shares an owner: the jobs of one model compete for the
 // same engines, and one owner knows which of their slots are free. With an owner
 // for each job, engines turned away a third of the runs sent to them.
-func affinity(model, id string) string {
+func affinityKey(model, id string) string {
 	if model != "" {
 		return model
 	}
@@ -18,33 +18,33 @@
 }
 
 // owners chooses owners of jobs.
-type owners struct {
+type ownerChooser struct {
 	models []string // sorted; their jobs are spread over the owners
 }
 
 // ownersFor returns the choice among the jobs of models; nil: none are known.
-func ownersFor(models func() []string) owners {
+func newOwnerChooser(models func() []string) ownerChooser {
 	if models == nil {
-		return owners{}
+		return ownerChooser{}
 	}
-	return owners{models: models()}
+	return ownerChooser{models: models()}
 }
 
 // of returns the owner of what has a key; members must not be empty. Processes
 // that know the same models and members choose the same; where they do not, the
 // job's record says who has it.
-func (o owners) of(key string, members []cluster.Member) string {
-	nodes := make([]uint64, len(members))
+func (c ownerChooser) choose(key string, members []cluster.Member) string {
+	memberKeys := make([]uint64, len(members))
 	for i, m := range members {
-		nodes[i] = rendezvous.Key(m.Name)
+		memberKeys[i] = rendezvous.Key(m.Name)
 	}
-	at, found := slices.BinarySearch(o.models, key)
+	at, found := slices.BinarySearch(c.models, key)
 	if !found {
-		return members[rendezvous.Ranked(rendezvous.Key(key), nodes, 1)[0]].Name
+		return members[rendezvous.Ranked(rendezvous.Key(key), memberKeys, 1)[0]].Name
 	}
-	things := make([]uint64, len(o.models))
-	for i, model := range o.models {
-		things[i] = rendezvous.Key(model)
+	modelKeys := make([]uint64, len(c.models))
+	for i, model := range c.models {
+		modelKeys[i] = rendezvous.Key(model)
 	}
-	return members[rendezvous.Spread(things, nodes)[at]].Name
+	return members[rendezvous.Spread(modelKeys, memberKeys)[at]].Name
 }
--- a/internal/agentless/batchrun/rehome.go
+++ b/internal/agentless/batchrun/reassign.go
@@ -16,38 +16,38 @@
 	// distrustFor is how long an owner that did not answer gets no new jobs while
 	// there are others. A dead process stays registered for its lease's time, and
 	// for longer when the store was away.
-	distrustFor = 5 * time.Second
+	unresponsiveTTL = 5 * time.Second
 	// pingLimit is how long an owner may take to answer before a job is accepted for
 	// it; owners are milliseconds away.
-	pingLimit = 250 * time.Millisecond
+	pingTimeout = 250 * time.Millisecond
 	// rehomeLimit bounds the move of a job whose owner does not answer.
-	rehomeLimit = 3 * time.Second
+	reassignTimeout = 3 * time.Second
 )
 
 // trusted returns the owners without those that did not answer lately, or all if
 // none is left.
-func (d *Frontend) trusted(owners []cluster.Member) []cluster.Member {
+func (d *Frontend) responsive(owners []cluster.Member) []cluster.Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var trusted []cluster.Member
+	var responsive []cluster.Member
 	for _, o := range owners {
-		if at, found := d.silent[o.Name]; !found || time.Since(at) > distrustFor {
-			trusted = append(trusted, o)
+		if at, found := d.unresponsive[o.Name]; !found || time.Since(at) > unresponsiveTTL {
+			responsive = append(responsive, o)
 		}
 	}
-	if len(trusted) == 0 {
+	if len(responsive) == 0 {
 		return owners
 	}
-	return trusted
+	return responsive
 }
 
-func (d *Frontend) distrust(owner string) {
+func (d *Frontend) markUnresponsive(owner string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.silent == nil {
-		d.silent = map[string]time.Time{}
+	if d.unresponsive == nil {
+		d.unresponsive = map[string]time.Time{}
 	}
-	d.silent[owner] = time.Now()
+	d.unresponsive[owner] = time.Now()
 }
 
 // ownerFor returns who owns a job that is accepted now: the owner that the key
@@ -55,17 +55,17 @@
 // dead process is listed for some seconds more, and a step that was accepted for it
 // began half a second late.
 func (d *Frontend) ownerFor(ctx context.Context, key string) (string, bool) {
-	owners := d.trusted(d.Members.Owners())
+	owners := d.responsive(d.Members.Owners())
 	if len(owners) == 0 {
 		return "", false
 	}
-	first := ownersFor(d.Models).of(key, owners)
+	first := newOwnerChooser(d.Models).choose(key, owners)
 	others := without(owners, first)
 	if len(others) == 0 || d.reaches(ctx, first) {
 		return first, true
 	}
-	if next := ownersFor(d.Models).of(key, others); d.reaches(ctx, next) {
-		d.distrust(first)
+	if next := newOwnerChooser(d.Models).choose(key, others); d.reaches(ctx, next) {
+		d.markUnresponsive(first)
 		return next, true
 	}
 	return first, true // it is this process that reaches nobody
@@ -74,7 +74,7 @@
 // reaches tells whether an owner answers soon. One that started anew is asked a
 // second time, as the connection was to the one before.
 func (d *Frontend) reaches(ctx context.Context, name string) bool {
-	ctx, cancel := context.WithTimeout(ctx, pingLimit)
+	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	return d.Answers(ctx, name) || ctx.Err() == nil && d.Answers(ctx, name)
 }
@@ -83,20 +83,20 @@
 // does not answer, the job goes to another one: its mark alone would wait for
 // the owner's registration to lapse, which took four seconds after an outage of
 // the store in which the owner had died, half of the time that a step has.
-func (d *Frontend) tellAccepted(owner, job string, revision int64) {
+func (d *Frontend) notifyAccepted(owner, job string, revision int64) {
 	args := MarkArgs{Job: job, Revision: revision}
 	go func() {
-		err := d.tellMark(owner, callMarked, args)
+		err := d.sendMark(owner, callMarked, args)
 		if err != nil && !errors.Is(err, context.DeadlineExceeded) {
-			err = d.tellMark(owner, callMarked, args) // the owner started anew, and the connection was to the one before
+			err = d.sendMark(owner, callMarked, args) // the owner started anew, and the connection was to the one before
 		}
 		if err == nil {
 			return
 		}
-		d.distrust(owner)
-		ctx, cancel := context.WithTimeout(context.Background(), rehomeLimit)
+		d.markUnresponsive(owner)
+		ctx, cancel := context.WithTimeout(context.Background(), reassignTimeout)
 		defer cancel()
-		if err := d.rehome(ctx, owner, job, revision); err != nil {
+		if err := d.reassign(ctx, owner, job, revision); err != nil {
 			events.JobStays.Log(d.Log, logrus.Fields{"job": job, "owner": owner, "error": err.Error()})
 		}
 	}()
@@ -106,17 +106,17 @@
 // entry that is cut off finds none, and the job stays. The transaction's
 // conditions are the mark that the old owner would write under, and that it has
 // listed nothing; afterwards it can list nothing.
-func (d *Frontend) rehome(ctx context.Context, from, job string, revision int64) error {
-	standing, record, err := readRecord(ctx, d.Store, job)
+func (d *Frontend) reassign(ctx context.Context, from, job string, revision int64) error {
+	stored, record, err := readRecord(ctx, d.Store, job)
 	if err != nil || record.Owner != from || record.Ended {
 		return err
 	}
-	to, found := d.answering(ctx, affinity(record.Model, job))
+	to, found := d.firstResponsive(ctx, affinityKey(record.Model, job))
 	if !found || to == from {
-		return errNobodyAnswers
+		return errNoOwnerAnswers
 	}
 	record.Owner = to
-	t, err := handover(job, from, to, revision, standing.Revision, record, true)
+	t, err := handoverTransaction(job, from, to, revision, stored.Revision, record, true)
 	if err != nil {
 		return err
 	}
@@ -126,20 +126,20 @@
 		return err // one that is not done moved, ended or got results meanwhile
 	}
 	d.remember(job, record)
-	d.tellOwner(to, callMarked, MarkArgs{Job: job, Revision: committed.Revision})
+	d.notifyOwner(to, callMarked, MarkArgs{Job: job, Revision: committed.Revision})
 	events.JobHandedOn.Log(d.Log, logrus.Fields{"job": job, "from": from, "to": to, "mark": revision})
 	return nil
 }
 
 // answering returns the first owner for a key that answers.
-func (d *Frontend) answering(ctx context.Context, key string) (string, bool) {
-	owners := d.trusted(d.Members.Owners())
+func (d *Frontend) firstResponsive(ctx context.Context, key string) (string, bool) {
+	owners := d.responsive(d.Members.Owners())
 	for range owners {
-		name := ownersFor(d.Models).of(key, owners)
+		name := newOwnerChooser(d.Models).choose(key, owners)
 		if d.Answers(ctx, name) {
 			return name, true
 		}
-		d.distrust(name)
+		d.markUnresponsive(name)
 		owners = without(owners, name)
 	}
 	return "", false
--- a/internal/agentless/batchrun/records.go
+++ b/internal/agentless/batchrun/records.go
@@ -41,8 +41,8 @@
 	// taken effect.
 	ErrOutcomeUnknown = errors.New("batchrun: outcome is unknown")
 	// ErrTooLarge is returned for a job that the store cannot hold.
-	ErrTooLarge      = errors.New("batchrun: batch job is too large")
-	errNobodyAnswers = errors.New("batchrun: no other owner answers")
+	ErrTooLarge       = errors.New("batchrun: batch job is too large")
+	errNoOwnerAnswers = errors.New("batchrun: no other owner answers")
 	// ErrUnavailable is returned when neither the job's owner nor the store answers.
 	ErrUnavailable = errors.New("batchrun: neither owner nor store answers")
 )
@@ -71,29 +71,29 @@
 }
 
 // todoMark is the value of todo/OWNER/ID.
-type todoMark struct {
+type assignmentRecord struct {
 	Fresh bool // nothing is listed yet
 }
 
 func jobKey(id string) string                { return prefixJobs + id }
 func specPrefix(id string) string            { return prefixSpec + id + "/" }
 func specKey(id string, part int) string     { return fmt.Sprintf("%s%02d", specPrefix(id), part) }
-func todoPrefix(owner string) string         { return AssignmentsPrefix + owner + "/" }
-func todoKey(owner, id string) string        { return todoPrefix(owner) + id }
+func assignmentPrefix(owner string) string   { return AssignmentsPrefix + owner + "/" }
+func assignmentKey(owner, id string) string  { return assignmentPrefix(owner) + id }
 func donePrefix(id string) string            { return prefixDone + id + "/" }
 func doneKey(id string, position int) string { return fmt.Sprintf("%s%06d", donePrefix(id), position) }
 
-func jobOfTodo(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
+func assignedJob(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
 // readRecord reads a job's record from the store; the store's record has
 // revision 0 if there is no such job.
 func readRecord(ctx context.Context, store kv.Shared, id string) (kv.Record, jobRecord, error) {
 	var record jobRecord
-	standing, err := store.Read(ctx, jobKey(id))
-	if err != nil || standing.Revision == 0 {
-		return standing, record, err
+	stored, err := store.Read(ctx, jobKey(id))
+	if err != nil || stored.Revision == 0 {
+		return stored, record, err
 	}
-	return standing, record, errors.Wrapf(decode(standing.Value, &record), "job %s", id)
+	return stored, record, errors.Wrapf(decode(stored.Value, &record), "job %s", id)
 }
 
 func encode(v any) ([]byte, error) {
--- a/internal/agentless/batchrun/resultcache.go
+++ b/internal/agentless/batchrun/resultcache.go
@@ -7,9 +7,9 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// mostCached bounds the results that one process keeps: the open steps of a few
+// maxCachedBytes bounds the results that one process keeps: the open steps of a few
 // trainers, and their last ones, at half a megabyte to a megabyte each.
-const mostCached = 8 << 20
+const maxCachedBytes = 8 << 20
 
 // resultCache keeps the results that were read at this process, which never
 // change once they are durable. A job is read at every entry, again and again from
@@ -30,7 +30,7 @@
 
 // from returns the results that are kept from a position on, and the position
 // after the last.
-func (c *resultCache) from(id string, position int) (kept Reading, next int) {
+func (c *resultCache) get(id string, position int) (cached Reading, next int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
@@ -65,7 +65,7 @@
 		c.bytes += size
 	}
 	c.touch(id)
-	c.trim()
+	c.evict()
 }
 
 func (c *resultCache) touch(id string) {
@@ -75,8 +75,8 @@
 	c.order = append(c.order, id)
 }
 
-func (c *resultCache) trim() {
-	for c.bytes > mostCached && len(c.order) > 0 {
+func (c *resultCache) evict() {
+	for c.bytes > maxCachedBytes && len(c.order) > 0 {
 		oldest := c.order[0]
 		c.order = c.order[1:]
 		c.bytes -= c.jobs[oldest].bytes
--- a/internal/agentless/batchrun/resultcache_test.go
+++ b/internal/agentless/batchrun/resultcache_test.go
@@ -24,26 +24,26 @@
 		c := &resultCache{}
 		for range 2000 {
 			from := random.IntN(len(all))
-			kept, next := c.from("j", from)
-			for i, r := range kept.Results {
+			cached, next := c.get("j", from)
+			for i, r := range cached.Results {
 				Expect(r.Item).To(Equal(all[from+i].Item))
 			}
-			Expect(next).To(Equal(from + len(kept.Results)))
+			Expect(next).To(Equal(from + len(cached.Results)))
 			until := min(len(all), next+random.IntN(4))
 			c.add("j", next, Reading{Total: len(all), Results: all[next:until]})
 		}
-		kept, _ := c.from("j", 0)
-		Expect(kept.Results).To(HaveLen(len(all)))
-		Expect(kept.Total).To(Equal(len(all)))
+		cached, _ := c.get("j", 0)
+		Expect(cached.Results).To(HaveLen(len(all)))
+		Expect(cached.Total).To(Equal(len(all)))
 	})
 
 	It("cannot be changed by who adds to what it was given", func() {
 		c := &resultCache{}
 		c.add("j", 0, Reading{Results: all[:10]})
-		kept, _ := c.from("j", 0)
-		_ = append(kept.Results, batch.Result{Item: "other"})
+		cached, _ := c.get("j", 0)
+		_ = append(cached.Results, batch.Result{Item: "other"})
 		c.add("j", 10, Reading{Results: all[10:11]})
-		again, _ := c.from("j", 10)
+		again, _ := c.get("j", 10)
 		Expect(again.Results[0].Item).To(Equal("i10"))
 	})
 
@@ -52,12 +52,12 @@
 		big := []batch.Result{{Item: "i", Output: make([]byte, 1<<20)}}
 		for i := range 12 {
 			c.add(fmt.Sprintf("j%d", i), 0, Reading{Results: big})
-			_, _ = c.from("j0", 0)
+			_, _ = c.get("j0", 0)
 		}
-		Expect(c.bytes).To(BeNumerically("<=", mostCached))
-		kept, _ := c.from("j0", 0)
-		Expect(kept.Results).To(HaveLen(1), "it is read all the time")
-		kept, _ = c.from("j1", 0)
-		Expect(kept.Results).To(BeEmpty())
+		Expect(c.bytes).To(BeNumerically("<=", maxCachedBytes))
+		cached, _ := c.get("j0", 0)
+		Expect(cached.Results).To(HaveLen(1), "it is read all the time")
+		cached, _ = c.get("j1", 0)
+		Expect(cached.Results).To(BeEmpty())
 	})
 })
--- a/internal/agentless/batchrun/rpc.go
+++ b/internal/agentless/batchrun/rpc.go
@@ -9,21 +9,21 @@
 
 // Names of the calls between processes.
 const (
-	serviceName = "Batch"
-	hubName     = "BatchHub"
-	callResults = hubName + ".Results"
-	callRead    = serviceName + ".Read"
-	callBody    = serviceName + ".Body"
-	callMarked  = serviceName + ".Marked"
-	callEnded   = serviceName + ".Ended"
-	callPing    = serviceName + ".Ping"
-	callStands  = serviceName + ".Standing"
-	callLoading = serviceName + ".Loading"
-	callCopy    = serviceName + ".Copy"
-	callTexts   = serviceName + ".Texts"
-	callLoad    = serviceName + ".Load"
-	callGuarded = serviceName + ".Guarded"
-	callReaches = serviceName + ".Reaches"
+	serviceName  = "Batch"
+	hubName      = "BatchHub"
+	callResults  = hubName + ".Results"
+	callRead     = serviceName + ".Read"
+	callBody     = serviceName + ".Body"
+	callMarked   = serviceName + ".Marked"
+	callEnded    = serviceName + ".Ended"
+	callPing     = serviceName + ".Ping"
+	callStanding = serviceName + ".Standing"
+	callLoading  = serviceName + ".Loading"
+	callCopy     = serviceName + ".Copy"
+	callTexts    = serviceName + ".Texts"
+	callLoad     = serviceName + ".Load"
+	callGuarded  = serviceName + ".Guarded"
+	callReaches  = serviceName + ".Reaches"
 )
 
 // callSlack is how much longer than its own wait a call to an owner may take.
@@ -49,7 +49,7 @@
 }
 
 // current tells whether the answer holds all that any reader may have seen.
-func (r *ReadReply) current() bool { return r.Owned && (r.Ended || r.Sure && !r.Gone) }
+func (r *ReadReply) isCurrent() bool { return r.Owned && (r.Ended || r.Sure && !r.Gone) }
 
 // BodyArgs asks an owner for an item's body.
 type BodyArgs struct {
@@ -93,7 +93,7 @@
 
 // Standing implements the call of that name.
 func (s *Service) Standing(args StandingArgs, reply *StandingReply) error {
-	*reply = s.owner.standing(args.Job)
+	*reply = s.owner.jobStatus(args.Job)
 	return nil
 }
 
@@ -106,11 +106,11 @@
 
 // Loading implements the call of that name.
 func (s *Service) Loading(args LoadingArgs, _ *struct{}) error {
-	s.owner.loading(args)
+	s.owner.markLoading(args)
 	return nil
 }
 
-func (o *Owner) loading(args LoadingArgs) {
+func (o *Owner) markLoading(args LoadingArgs) {
 	o.Directory.MarkLoading(time.Now(), args.Endpoint, args.Model, args.Version)
 }
 
@@ -126,24 +126,24 @@
 
 // Marked implements the call of that name: the job is this process's.
 func (s *Service) Marked(args MarkArgs, _ *struct{}) error {
-	s.owner.told(args)
+	s.owner.handleAssigned(args)
 	return nil
 }
 
 // Ended implements the call of that name: the job was ended.
 func (s *Service) Ended(args MarkArgs, _ *struct{}) error {
-	s.owner.take(callEnded, args)
+	s.owner.handleMark(callEnded, args)
 	return nil
 }
 
 // take carries out a word to this process's own owner.
-func (o *Owner) take(method string, args MarkArgs) {
+func (o *Owner) handleMark(method string, args MarkArgs) {
 	if method == callMarked {
-		o.told(args)
+		o.handleAssigned(args)
 		return
 	}
 	o.drop(args.Job, args.Revision)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.ended.end(args.Job)
+	o.ended.recordEnded(args.Job)
 }
--- a/internal/agentless/batchrun/runs.go
+++ b/internal/agentless/batchrun/runs.go
@@ -20,19 +20,19 @@
 
 const (
 	// noEnginePause is the wait when no engine may have an item now.
-	noEnginePause = 25 * time.Millisecond
+	noEngineDelay = 25 * time.Millisecond
 	// noRoutePause is the wait when no route allows an item.
-	noRoutePause = 500 * time.Millisecond
+	noRouteDelay = 500 * time.Millisecond
 	// firstEventLimit is how long an engine may take to the first event. A batch
 	// that loads new weights stands still for one to two seconds.
-	firstEventLimit = 3 * time.Second
+	firstEventTimeout = 3 * time.Second
 	// gapLimit is how long it may take between events.
-	gapLimit = 2 * time.Second
+	eventGapTimeout = 2 * time.Second
 	// scoreLimit is how long a scoring call may take. Calls take a fifth of a
 	// second; one that hangs is better asked again elsewhere.
-	scoreLimit = 1500 * time.Millisecond
+	scoreTimeout = 1500 * time.Millisecond
 	// boundlessLeft is the time given to a run whose job names none.
-	boundlessLeft = time.Minute
+	defaultRunTimeout = time.Minute
 )
 
 // run has one engine generate an item's text from where it stands.
@@ -40,23 +40,23 @@
 	r := &itemRun{owner: o, job: j, start: start, pick: pick, began: time.Now()}
 	how, outcome, err := r.generate()
 	now := time.Now()
-	if seconds, known := r.pace.observed(); known {
+	if seconds, known := r.pace.measured(); known {
 		pick.ObservePace(seconds)
 	}
-	pick.End(now, outcome, now.Sub(r.began), float64(r.made))
+	pick.End(now, outcome, now.Sub(r.began), float64(r.generated))
 	j.mu.Lock()
 	j.job.RunEnded(now, start.Index, how, pick.ID)
 	o.sinksOf(j).ended(j, start.Index, how)
 	j.mu.Unlock()
 	if j.ctx.Err() == nil {
-		o.noteRun(r, how, now.Sub(r.began), err)
+		o.recordRun(r, how, now.Sub(r.began), err)
 	}
-	o.kick()
+	o.wakeDispatch()
 }
 
-var runEnds = [...]string{"complete", "broke", "refused", "failed", "impossible", "off-version", "moved"}
+var runOutcomeNames = [...]string{"complete", "broke", "refused", "failed", "impossible", "off-version", "moved"}
 
-func (o *Owner) noteRun(r *itemRun, how batch.RunOutcome, took time.Duration, err error) {
+func (o *Owner) recordRun(r *itemRun, how batch.RunOutcome, took time.Duration, err error) {
 	switch how {
 	case batch.RunInterrupted:
 		o.stats.broken.Inc(1)
@@ -65,7 +65,7 @@
 	}
 	spec := r.job.job.Spec
 	fields := logrus.Fields{
-		"job": r.job.id, "request": spec.Items[r.start.Index].ID, "endpoint": r.pick.ID, "end": runEnds[how], "events": r.made,
+		"job": r.job.id, "request": spec.Items[r.start.Index].ID, "endpoint": r.pick.ID, "end": runOutcomeNames[how], "events": r.generated,
 		"after_event": r.start.ResumeAfter, "version": r.pick.Versions[spec.Model], "ms": took.Milliseconds(),
 	}
 	if err != nil {
@@ -83,7 +83,7 @@
 	for {
 		now := time.Now()
 		j.mu.Lock()
-		i, last, found := j.job.NextScore(now, o.scoreTimes.patience())
+		i, last, found := j.job.NextScore(now, o.scoreTimes.hedgeDelay())
 		j.mu.Unlock()
 		if !found {
 			return
@@ -136,16 +136,16 @@
 		}
 		events.ItemScoreLost.Log(o.Log, fields)
 	}
-	o.kick()
+	o.wakeDispatch()
 }
 
 func (o *Owner) askScorer(j *ownedJob, scorer *batch.Scorer, pick *directory.Pick) (batch.ScoreOutcome, endpoints.Outcome, string, error) {
-	ctx, cancel := context.WithTimeout(j.ctx, scoreLimit)
+	ctx, cancel := context.WithTimeout(j.ctx, scoreTimeout)
 	defer cancel()
-	request := &dispatch.Request{ID: scorer.ID, Method: http.MethodPost, Target: scorer.Path, Host: scorer.Host, Header: http.Header{}, Body: scorer.Body, Left: scoreLimit, Urgency: -1}
+	request := &dispatch.Request{ID: scorer.ID, Method: http.MethodPost, Target: scorer.Path, Host: scorer.Host, Header: http.Header{}, Body: scorer.Body, Left: scoreTimeout, Urgency: -1}
 	answer, err := o.Sender.Send(ctx, &pick.Endpoint, request)
 	if err != nil {
-		return batch.ScoreRetryable, unreachedOrBroke(j.ctx, err), "", err
+		return batch.ScoreRetryable, classifyScoreError(j.ctx, err), "", err
 	}
 	defer func() { _ = answer.Body.Close() }()
 	_, err = io.Copy(io.Discard, answer.Body)
@@ -164,7 +164,7 @@
 	return batch.ScoreGiven, endpoints.Answered, answer.Seal, nil
 }
 
-func unreachedOrBroke(job context.Context, err error) endpoints.Outcome {
+func classifyScoreError(job context.Context, err error) endpoints.Outcome {
 	var send *upstream.SendError
 	switch {
 	case job.Err() != nil:
--- a/internal/agentless/batchrun/starts.go
+++ b/internal/agentless/batchrun/scheduling.go
@@ -35,8 +35,8 @@
 	if table == nil {
 		return
 	}
-	r := o.survey(table, jobs, time.Now())
-	o.surveyed.Store(&r.load)
+	r := o.newRound(table, jobs, time.Now())
+	o.lastLoad.Store(&r.load)
 	for {
 		job, item, found := r.next()
 		if !found {
@@ -47,7 +47,7 @@
 }
 
 // survey sums up the open jobs.
-func (o *Owner) survey(table *routes.Table, jobs []*ownedJob, now time.Time) *round {
+func (o *Owner) newRound(table *routes.Table, jobs []*ownedJob, now time.Time) *round {
 	r := &round{owner: o, table: table, now: now}
 	views := make([]schedule.Job, 0, len(jobs))
 	for _, j := range jobs {
@@ -58,7 +58,7 @@
 	r.own = schedule.TotalLoad(views)
 	r.load = r.own
 	if o.Switches.On(mechanism.ShareLoad) {
-		r.load.Merge(o.loads.others(now))
+		r.load.Merge(o.loads.total(now))
 	}
 	return r
 }
@@ -118,15 +118,15 @@
 	item := &j.job.Spec.Items[c.Index]
 	route := r.table.Match(j.job.Spec.Host, item.Path)
 	if route == nil {
-		j.postpone(c.Index, r.now.Add(noRoutePause))
+		j.postpone(c.Index, r.now.Add(noRouteDelay))
 		return
 	}
 	service := routes.Service(route, item.ID)
-	request := engineFor(j.job.Spec, start, r.now)
+	request := engineRequest(j.job.Spec, start, r.now)
 	request.Placement = r.placement(j, c, service)
 	pick := r.owner.pickEngine(service, start, request)
 	if pick == nil {
-		j.postpone(c.Index, r.now.Add(noEnginePause))
+		j.postpone(c.Index, r.now.Add(noEngineDelay))
 		j.blocked = true
 		return
 	}
--- a/internal/agentless/batchrun/scoretimes.go
+++ b/internal/agentless/batchrun/scoretimes.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// scorePatience times the usual time of a scoring call passes before a second one is
+	// hedgeDelayFactor times the usual time of a scoring call passes before a second one is
 	// made beside it.
-	scorePatience = 2.5
-	// leastScorePatience keeps second calls off scorers that answer at once.
-	leastScorePatience = 100 * time.Millisecond
+	hedgeDelayFactor = 2.5
+	// minHedgeDelay keeps second calls off scorers that answer at once.
+	minHedgeDelay = 100 * time.Millisecond
 	// scoreTimeWeight is the share of a new call in the running mean.
 	scoreTimeWeight = 0.05
 )
@@ -31,13 +31,13 @@
 	t.mean += time.Duration(scoreTimeWeight * float64(took-t.mean))
 }
 
-// patience returns how long a call may take before it is joined by a second one; 0: no
+// hedgeDelay returns how long a call may take before it is joined by a second one; 0: no
 // call has shown yet what is usual.
-func (t *scoreTimes) patience() time.Duration {
+func (t *scoreTimes) hedgeDelay() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.mean == 0 {
 		return 0
 	}
-	return max(leastScorePatience, time.Duration(scorePatience*float64(t.mean)))
+	return max(minHedgeDelay, time.Duration(hedgeDelayFactor*float64(t.mean)))
 }
--- /dev/null
+++ b/internal/agentless/batchrun/standby.go
@@ -0,0 +1,402 @@
+package batchrun
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"siskinloom.example/siskinloom/internal/agentless/mechanism"
+	"siskinloom.example/siskinloom/internal/events"
+	"siskinloom.example/siskinloom/internal/periodic"
+	"siskinloom.example/siskinloom/internal/policy/batch"
+	"siskinloom.example/siskinloom/internal/policy/standby"
+)
+
+const (
+	// guardEvery is how often a standby looks after the owners of its jobs.
+	standbyInterval = 100 * time.Millisecond
+	// rescueAgain is the pause before a take-over that failed is tried again.
+	takeOverRetryDelay = 200 * time.Millisecond
+	// witnessLimit bounds the question to other processes; one of them is asked at a time.
+	indirectPingTimeout = 4 * pingTimeout
+	// defaultRunFor is the longest that a standby runs a job that it does not own: where the
+	// store answers others, the job may have ended meanwhile.
+	defaultMaxRunTime = 15 * time.Second
+)
+
+// GuardedArgs ask an owner how the jobs stand for which the caller stands by.
+type GuardedArgs struct {
+	Listed map[string]int // positions that the caller knows of, by job
+}
+
+// GuardedReply is the answer.
+type GuardedReply struct {
+	Jobs map[string]GuardedState // those asked for that the owner still has
+}
+
+// GuardedState is how a job stands.
+type GuardedState struct {
+	Mark   int64
+	Listed []string // items from the position on that the caller asked from
+}
+
+// ReachesArgs ask whether another process answers.
+type ReachesArgs struct{ Name string }
+
+// ReachesReply is the answer.
+type ReachesReply struct{ Answers bool }
+
+// Guarded implements the call of that name.
+func (s *Service) Guarded(args GuardedArgs, reply *GuardedReply) error {
+	reply.Jobs = map[string]GuardedState{}
+	for id, from := range args.Listed {
+		if j := s.owner.find(id); j != nil {
+			j.mu.Lock()
+			reply.Jobs[id] = GuardedState{Mark: j.mark, Listed: j.job.ListedItems(from)}
+			j.mu.Unlock()
+		}
+	}
+	return nil
+}
+
+// Reaches implements the call of that name.
+func (s *Service) Reaches(args ReachesArgs, reply *ReachesReply) error {
+	if s.owner.Standby.Peers == nil {
+		return nil
+	}
+	// A machine without power does not refuse a connection: the call hangs.
+	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout)
+	defer cancel()
+	reply.Answers = s.owner.Standby.Peers.Answers(ctx, args.Name)
+	return nil
+}
+
+// StandbyPeers are the calls that a standby makes.
+type StandbyPeers interface {
+	// QueryJobs asks an owner how jobs stand.
+	QueryJobs(ctx context.Context, owner string, args GuardedArgs) (GuardedReply, error)
+	// Answers tells whether a process answers calls.
+	Answers(ctx context.Context, name string) bool
+	// IndirectPing asks another process, not the one named, whether that one answers it; known
+	// is false if none could be asked.
+	IndirectPing(ctx context.Context, name string) (answers, known bool)
+}
+
+// Standby stands by for the jobs of other owners, whose texts are copied to this process.
+// When an owner is lost it takes its jobs over, and while the store is away it runs them.
+// It is safe for concurrent use.
+type Standby struct {
+	Peers      StandbyPeers  // nil: this process stands by for nobody
+	MaxRunTime time.Duration // the longest that it runs a job that it does not own
+
+	owner *Owner
+
+	mu       sync.Mutex
+	detector *standby.FailureDetector
+	jobs     map[string]*standbyJob
+}
+
+// guardedJob is a job of another owner.
+type standbyJob struct {
+	id     string
+	owner  string
+	mark   int64
+	spec   *batch.Spec
+	listed []string // items with durable results, in the order of their positions
+
+	takingOver bool
+	takenOver  bool      // the store says that this process owns it, which takes it on now
+	retryAt    time.Time // of the next try to take it over
+	run        *ownedJob // what this process runs of it; nil: nothing
+	runSince   time.Time // when that began
+}
+
+func newStandby(o *Owner) *Standby {
+	return &Standby{MaxRunTime: defaultMaxRunTime, owner: o, detector: standby.NewFailureDetector(), jobs: map[string]*standbyJob{}}
+}
+
+// take takes in that this process stands by for a job.
+func (s *Standby) add(args CopyArgs, spec *batch.Spec) {
+	if s.Peers == nil {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	old := s.jobs[args.Job]
+	if old != nil && old.mark >= args.Mark {
+		return
+	}
+	if old != nil {
+		old.stopRun()
+	}
+	s.jobs[args.Job] = &standbyJob{id: args.Job, owner: args.Owner, mark: args.Mark, spec: spec}
+}
+
+// knows tells whether this process stands by for a job under a mark.
+func (s *Standby) has(job string, mark int64) bool {
+	if s.Peers == nil {
+		return true
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	known := s.jobs[job]
+	return known != nil && known.mark >= mark
+}
+
+func (j *standbyJob) stopRun() {
+	if j.run != nil {
+		j.run.cancel()
+		j.run = nil
+	}
+}
+
+// running returns the jobs that this process runs without owning them, but for those
+// that it has run for long enough.
+func (s *Standby) running() []*ownedJob {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var jobs []*ownedJob
+	for _, j := range s.jobs {
+		if j.run != nil && j.run.ctx.Err() == nil {
+			jobs = append(jobs, j.run)
+		}
+	}
+	slices.SortFunc(jobs, func(a, b *ownedJob) int { return a.job.Spec.Submitted.Compare(b.job.Spec.Submitted) })
+	return jobs
+}
+
+// HasOrphanedJobs tells whether a job of a lost owner waits for the store.
+func (s *Standby) HasOrphanedJobs() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := time.Now()
+	for _, j := range s.jobs {
+		if s.detector.Lost(now, j.owner) {
+			return true
+		}
+	}
+	return false
+}
+
+// end forgets a job that this process owns from now on, and returns what it ran of it;
+// nil: nothing.
+func (s *Standby) release(job string) *ownedJob {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	j := s.jobs[job]
+	if j == nil {
+		return nil
+	}
+	run := j.run
+	j.stopRun()
+	delete(s.jobs, job)
+	return run
+}
+
+func (s *Standby) run(ctx context.Context) error {
+	if s.Peers == nil {
+		return nil
+	}
+	periodic.Run(ctx, standbyInterval, func(now time.Time) { s.check(ctx, now) })
+	return nil
+}
+
+func (s *Standby) check(ctx context.Context, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire(now)
+	s.detector.Retain(now, s.owners())
+	for _, name := range s.detector.DuePings(now) {
+		args := s.queryArgs(name)
+		s.owner.runs.Go(func() error { s.ping(ctx, name, args); return nil })
+	}
+	for _, name := range s.detector.DueIndirectPings(now) {
+		s.owner.runs.Go(func() error { s.pingIndirectly(ctx, name); return nil })
+	}
+	if !s.owner.Switches.On(mechanism.TakeOver) {
+		return
+	}
+	for _, j := range s.jobs {
+		if s.detector.Lost(now, j.owner) && !j.takingOver && !j.takenOver && !now.Before(j.retryAt) {
+			j.takingOver = true
+			s.owner.runs.Go(func() error { s.takeOverOrRun(ctx, j); return nil })
+		}
+	}
+}
+
+// expire forgets jobs that nobody can want any more, and ends runs of those that this
+// process has run for long enough; the lock is held.
+func (s *Standby) expire(now time.Time) {
+	for id, j := range s.jobs {
+		if now.Sub(j.spec.Submitted) > s.owner.ResultTTL {
+			j.stopRun()
+			delete(s.jobs, id)
+		}
+		if j.run != nil && now.Sub(j.runSince) > s.MaxRunTime {
+			j.run.cancel() // what it made is kept for the job's next owner
+		}
+	}
+}
+
+// owners returns the owners of the jobs; the lock is held.
+func (s *Standby) owners() []string {
+	var names []string
+	for _, j := range s.jobs {
+		if !slices.Contains(names, j.owner) {
+			names = append(names, j.owner)
+		}
+	}
+	return names
+}
+
+// asked returns what an owner is asked for; the lock is held.
+func (s *Standby) queryArgs(owner string) GuardedArgs {
+	args := GuardedArgs{Listed: map[string]int{}}
+	for _, j := range s.jobs {
+		if j.owner == owner {
+			args.Listed[j.id] = len(j.listed)
+		}
+	}
+	return args
+}
+
+func (s *Standby) ping(ctx context.Context, name string, args GuardedArgs) {
+	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
+	defer cancel()
+	reply, err := s.Peers.QueryJobs(ctx, name, args)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err != nil {
+		s.detector.RecordFailure(name)
+		return
+	}
+	s.detector.RecordContact(time.Now(), name)
+	for id, from := range args.Listed {
+		if j := s.jobs[id]; j != nil && j.owner == name {
+			s.applyState(j, from, reply.Jobs[id])
+		}
+	}
+}
+
+// takeState takes in how an owner says that a job stands; the zero state says that it has
+// the job no more. The lock is held.
+func (s *Standby) applyState(j *standbyJob, from int, state GuardedState) {
+	switch {
+	case state.Mark == 0:
+		j.stopRun()
+		delete(s.jobs, j.id)
+	case state.Mark != j.mark:
+		j.mark, j.listed = state.Mark, nil // it was taken on anew
+	case from == len(j.listed):
+		j.listed = append(j.listed, state.Listed...)
+	}
+	if j.run != nil {
+		events.StandbyEnded.Log(s.owner.Log, logrus.Fields{"job": j.id, "owner": j.owner, "why": "its owner answers"})
+		j.stopRun()
+	}
+}
+
+// ask asks another process whether it reaches an owner that does not answer this one.
+func (s *Standby) pingIndirectly(ctx context.Context, name string) {
+	ctx, cancel := context.WithTimeout(ctx, indirectPingTimeout)
+	defer cancel()
+	answers, known := s.Peers.IndirectPing(ctx, name)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch {
+	case known && answers:
+		s.detector.RecordContact(time.Now(), name)
+	case known:
+		s.detector.RecordIndirectFailure(time.Now(), name)
+	}
+}
+
+// rescue takes a job over, or runs it until that is possible.
+func (s *Standby) takeOverOrRun(ctx context.Context, j *standbyJob) {
+	result := s.takeOver(ctx, j)
+	if result == storeUnreachable {
+		s.startRun(ctx, j)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	j.takingOver = false
+	j.retryAt = time.Now().Add(takeOverRetryDelay)
+	switch {
+	case s.jobs[j.id] != j:
+	case result == jobTaken:
+		j.takenOver = true
+	case result == ownerChanged:
+		j.stopRun()
+		delete(s.jobs, j.id)
+	}
+}
+
+// takeOverResult is what the store says of a job that is to be taken over.
+type takeOverResult int
+
+const (
+	takeOverUnknown  takeOverResult = iota // whether it was taken over
+	storeUnreachable                       // neither this process nor those that it asks reach the store
+	jobTaken                               // it is this process's
+	ownerChanged                           // it ended, or has another owner
+)
+
+// standIn runs a job whose owner is lost while the store is away. What it generates is
+// listed once the job can be taken over; without it a step begins anew then and is late.
+func (s *Standby) startRun(ctx context.Context, j *standbyJob) {
+	if !s.owner.Switches.On(mechanism.StandbyRuns) {
+		return
+	}
+	s.mu.Lock()
+	runs, listed := j.run != nil, slices.Clone(j.listed)
+	s.mu.Unlock()
+	if runs {
+		return
+	}
+	job := batch.NewStandbyJob(j.spec, listed)
+	s.owner.mu.Lock()
+	s.owner.configure(job)
+	s.owner.mu.Unlock()
+	items, made := job.ResumeTexts(s.owner.Texts.Load(ctx, j.id))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.jobs[j.id] != j {
+		return
+	}
+	j.run, j.runSince = &ownedJob{id: j.id, job: job, resultsChanged: make(chan struct{})}, time.Now()
+	j.run.ctx, j.run.cancel = context.WithCancel(s.owner.lifetime)
+	events.StandbyRuns.Log(s.owner.Log, logrus.Fields{"job": j.id, "owner": j.owner, "mark": j.mark, "listed": len(listed), "resumed": items, "events": made})
+	s.owner.wakeDispatch()
+}
+
+// takeOver moves a job to this process.
+func (s *Standby) takeOver(ctx context.Context, j *standbyJob) takeOverResult {
+	stored, record, err := readRecord(ctx, s.owner.Store, j.id)
+	switch {
+	case err != nil:
+		return storeUnreachable
+	case record.Owner == s.owner.Name && !record.Ended:
+		return jobTaken // by an earlier try; the news of its mark tell it
+	case stored.Revision == 0 || record.Ended || record.Owner != j.owner:
+		return ownerChanged
+	}
+	record.Owner = s.owner.Name
+	t, err := handoverTransaction(j.id, j.owner, s.owner.Name, j.mark, stored.Revision, record, false)
+	if err != nil {
+		events.JobUnreadable.Log(s.owner.Log, logrus.Fields{"job": j.id, "error": err.Error()})
+		return ownerChanged
+	}
+	committed, err := s.owner.Store.Commit(ctx, t)
+	switch {
+	case err != nil:
+		return takeOverUnknown // the record tells at the next try
+	case !committed.Done:
+		return ownerChanged
+	}
+	events.JobHandedOn.Log(s.owner.Log, logrus.Fields{"job": j.id, "from": j.owner, "to": s.owner.Name, "mark": j.mark})
+	s.owner.handleAssigned(MarkArgs{Job: j.id, Revision: committed.Revision, Begun: true})
+	return jobTaken
+}
--- a/internal/agentless/batchrun/witness.go
+++ b/internal/agentless/batchrun/standby_peers.go
@@ -23,7 +23,7 @@
 
 // askReaches asks a process whether another answers it.
 func (d *Frontend) askReaches(ctx context.Context, witness, name string) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*pingLimit)
+	ctx, cancel := context.WithTimeout(ctx, 2*pingTimeout)
 	defer cancel()
 	var reply ReachesReply
 	if err := d.call(ctx, witness, callReaches, 0, ReachesArgs{Name: name}, &reply); err != nil {
--- a/internal/agentless/batchrun/sweep.go
+++ b/internal/agentless/batchrun/sweep.go
@@ -64,7 +64,7 @@
 // remove removes a job's mark and parts, and last its record: if this process
 // stops in between, the next sweep finds the rest.
 func (s *Sweeper) remove(ctx context.Context, id string, record jobRecord, revision int64) error {
-	keys := []string{todoKey(record.Owner, id)}
+	keys := []string{assignmentKey(record.Owner, id)}
 	for _, prefix := range []string{donePrefix(id), specPrefix(id)} {
 		page, err := kv.ReadAll(ctx, s.Store, prefix)
 		if err != nil {
--- a/internal/agentless/batchrun/sinks.go
+++ b/internal/agentless/batchrun/text_sinks.go
@@ -20,40 +20,40 @@
 		s = append(s, o.Texts.Buffer)
 	}
 	if o.Copier.StandbyFor != nil && o.Switches.On(mechanism.TextCopies) {
-		s = append(s, o.Copier.gather)
+		s = append(s, o.Copier.buffer)
 	}
 	return s
 }
 
 func (s sinks) begin(j *ownedJob) {
 	texts := j.job.Texts()
-	for _, g := range s {
-		g.Begin(j.id, j.mark, texts)
+	for _, buffer := range s {
+		buffer.Begin(j.id, j.mark, texts)
 	}
 }
 
 func (s sinks) event(j *ownedJob, item string, id int64, data []byte, version int64) {
-	for _, g := range s {
-		g.Event(j.id, j.mark, item, id, data, version)
+	for _, buffer := range s {
+		buffer.Event(j.id, j.mark, item, id, data, version)
 	}
 }
 
 // ended notes what the end of a run made of an item's text.
 func (s sinks) ended(j *ownedJob, i int, how batch.RunOutcome) {
 	item, made := j.job.Spec.Items[i].ID, j.job.EventCount(i)
-	for _, g := range s {
+	for _, buffer := range s {
 		switch {
 		case how == batch.RunComplete && made > 0:
-			g.Complete(j.id, j.mark, item, made)
+			buffer.Complete(j.id, j.mark, item, made)
 		case how == batch.RunFailed, how == batch.RunVersionMismatch:
-			g.Restart(j.id, j.mark, item)
+			buffer.Restart(j.id, j.mark, item)
 		}
 	}
 }
 
 // scored notes the score of an item's text; made is how many events it has.
 func (s sinks) scored(j *ownedJob, item string, made int64, score string) {
-	for _, g := range s {
-		g.Add(j.id, j.mark, batch.TextPart{Item: item, First: made + 1, Complete: true, Score: score})
+	for _, buffer := range s {
+		buffer.Add(j.id, j.mark, batch.TextPart{Item: item, First: made + 1, Complete: true, Score: score})
 	}
 }
--- a/internal/agentless/batchrun/commit.go
+++ b/internal/agentless/batchrun/write_results.go
@@ -23,80 +23,80 @@
 		return // only its owner lists results
 	}
 	j.mu.Lock()
-	begin := !j.writing && !j.job.Closed() && j.job.WriteDue(time.Now())
-	j.writing = j.writing || begin
+	begin := !j.writerActive && !j.job.Closed() && j.job.WriteDue(time.Now())
+	j.writerActive = j.writerActive || begin
 	j.mu.Unlock()
 	if begin {
-		o.runs.Go(func() error { o.write(j); return nil })
+		o.runs.Go(func() error { o.writeResults(j); return nil })
 	}
 }
 
-func (o *Owner) write(j *ownedJob) {
+func (o *Owner) writeResults(j *ownedJob) {
 	defer func() {
 		j.mu.Lock()
-		j.writing = false
+		j.writerActive = false
 		j.mu.Unlock()
-		o.kick()
+		o.wakeDispatch()
 	}()
 	for j.ctx.Err() == nil {
-		pause(j.ctx, time.Until(j.written.Add(gatherResults)))
+		pause(j.ctx, time.Until(j.lastWrite.Add(minWriteInterval)))
 		c, due := j.nextChunk(time.Now())
 		if !due {
 			return
 		}
-		j.written = time.Now()
+		j.lastWrite = time.Now()
 		written, err := o.writeChunk(j, c.position, c.results)
-		o.noteWrite(j, c, err)
+		o.recordWrite(j, c, err)
 		if err == nil {
-			o.durable(j, c.position, c.results[:written])
+			o.markDurable(j, c.position, c.results[:written])
 			continue
 		}
-		if errors.Is(err, kv.ErrUnavailable) && !c.unsettled {
-			j.settle()
+		if errors.Is(err, kv.ErrUnavailable) && !c.earlierUnknown {
+			j.clearWritePending()
 		}
 		if errors.Is(err, errNotOwner) {
 			o.drop(j.id, j.mark)
-			o.runs.Go(func() error { o.remark(o.lifetime, j.id, j.mark); return nil })
+			o.runs.Go(func() error { o.rewriteAssignment(o.lifetime, j.id, j.mark); return nil })
 			return
 		}
-		o.pauseForStore(j.ctx)
+		o.waitForStore(j.ctx)
 	}
 }
 
 // failedWrites are a job's writes that failed in a row.
 type failedWrites struct {
-	n     int
-	since time.Time
-	why   string // of the last line
+	count  int
+	since  time.Time
+	reason string // of the last line
 }
 
 // noteWrite writes a line when writes of a job begin to fail, fail for another
 // reason, and succeed again; an outage of the store would otherwise give four lines
 // a second for each job.
-func (o *Owner) noteWrite(j *ownedJob, c chunk, err error) {
-	f := &j.failing
+func (o *Owner) recordWrite(j *ownedJob, c chunk, err error) {
+	f := &j.failedWrites
 	if err == nil {
-		if f.n > 0 {
-			events.ResultsBack.Log(o.Log, logrus.Fields{"job": j.id, "position": c.position, "failed": f.n, "ms": time.Since(f.since).Milliseconds()})
+		if f.count > 0 {
+			events.ResultsBack.Log(o.Log, logrus.Fields{"job": j.id, "position": c.position, "failed": f.count, "ms": time.Since(f.since).Milliseconds()})
 		}
 		*f = failedWrites{}
 		return
 	}
-	if f.n == 0 {
+	if f.count == 0 {
 		f.since = time.Now()
 	}
-	f.n++
-	if why := err.Error(); why != f.why {
-		f.why = why
-		events.ResultsDelayed.Log(o.Log, logrus.Fields{"job": j.id, "position": c.position, "results": len(c.results), "error": why})
+	f.count++
+	if reason := err.Error(); reason != f.reason {
+		f.reason = reason
+		events.ResultsDelayed.Log(o.Log, logrus.Fields{"job": j.id, "position": c.position, "results": len(c.results), "error": reason})
 	}
 }
 
 // chunk is what one write holds.
 type chunk struct {
-	position  int
-	results   []batch.Result
-	unsettled bool // the outcome of an earlier write is not known
+	position       int
+	results        []batch.Result
+	earlierUnknown bool // the outcome of an earlier write is not known
 }
 
 // nextChunk returns the results to write now, and counts them as sent.
@@ -108,18 +108,18 @@
 	}
 	c.position, c.results = j.job.PendingResults()
 	c.results = firstChunk(c.results)
-	c.unsettled, j.sent = j.sent, true
+	c.earlierUnknown, j.writePending = j.writePending, true
 	return c, true
 }
 
-// settle notes that a write certainly had no effect, and that none is out whose
+// clearWritePending notes that a write certainly had no effect, and that none is out whose
 // outcome is unknown: such a one may yet become durable, and the job is then read
 // from the store if it ends.
-func (j *ownedJob) settle() {
+func (j *ownedJob) clearWritePending() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.job.Closed() {
-		j.sent = false
+		j.writePending = false
 	}
 }
 
@@ -145,9 +145,9 @@
 	if err != nil {
 		return 0, err
 	}
-	mark, key := todoKey(o.Name, j.id), doneKey(j.id, position)
+	assignment, key := assignmentKey(o.Name, j.id), doneKey(j.id, position)
 	committed, err := o.Store.Commit(j.ctx, kv.Transaction{
-		Expect: []kv.Expectation{{Key: mark, Revision: j.mark}, {Key: key}},
+		Expect: []kv.Expectation{{Key: assignment, Revision: j.mark}, {Key: key}},
 		Puts:   []kv.Put{{Key: key, Value: raw}},
 	})
 	if err != nil {
@@ -160,50 +160,50 @@
 }
 
 func (o *Owner) compareChunk(j *ownedJob, key string, results []batch.Result) (int, error) {
-	standing, err := o.Store.Read(j.ctx, key)
+	existing, err := o.Store.Read(j.ctx, key)
 	if err != nil {
 		return 0, err
 	}
-	if standing.Revision == 0 {
+	if existing.Revision == 0 {
 		return 0, errNotOwner // the other condition failed: the mark
 	}
-	var there []batch.Result
-	if err := decode(standing.Value, &there); err != nil {
+	var listed []batch.Result
+	if err := decode(existing.Value, &listed); err != nil {
 		return 0, err
 	}
-	if len(there) == 0 || len(there) > len(results) {
+	if len(listed) == 0 || len(listed) > len(results) {
 		return 0, errNotOwner
 	}
-	for i := range there {
-		if there[i].Item != results[i].Item || !bytes.Equal(there[i].Output, results[i].Output) || there[i].Score != results[i].Score {
+	for i := range listed {
+		if listed[i].Item != results[i].Item || !bytes.Equal(listed[i].Output, results[i].Output) || listed[i].Score != results[i].Score {
 			return 0, errNotOwner
 		}
 	}
-	return len(there), nil
+	return len(listed), nil
 }
 
-func (o *Owner) durable(j *ownedJob, position int, results []batch.Result) {
+func (o *Owner) markDurable(j *ownedJob, position int, results []batch.Result) {
 	j.mu.Lock()
 	now := time.Now()
 	j.job.MarkDurable(now, position+len(results))
-	step, whole := j.job.StepCompleted(now)
-	close(j.readers)
-	j.readers = make(chan struct{})
+	step, complete := j.job.StepCompleted(now)
+	close(j.resultsChanged)
+	j.resultsChanged = make(chan struct{})
 	finished := j.job.Finished()
-	j.sent = false
-	var kept *keptResults
+	j.writePending = false
+	var retained *retainedResults
 	if j.job.Closed() { // it ended while they were written
-		kept = j.kept()
+		retained = j.retained()
 	}
 	j.mu.Unlock()
-	if kept != nil {
-		o.keep(kept)
+	if retained != nil {
+		o.retain(retained)
 	}
 	for i := range results {
-		o.noteListed(j, position+i, &results[i])
+		o.recordListed(j, position+i, &results[i])
 	}
-	if whole {
-		o.noteStep(j, &step)
+	if complete {
+		o.recordStep(j, &step)
 	}
 	if finished {
 		events.JobFinished.Log(o.Log, logrus.Fields{"job": j.id, "items": j.job.Total(), "ms": time.Since(j.job.Spec.Submitted).Milliseconds()})
@@ -211,7 +211,7 @@
 }
 
 // noteStep says what a whole step's time consisted of.
-func (o *Owner) noteStep(j *ownedJob, t *batch.Timeline) {
+func (o *Owner) recordStep(j *ownedJob, t *batch.Timeline) {
 	o.stats.step.Update(t.Elapsed)
 	spec := j.job.Spec
 	events.StepWhole.Log(o.Log, logrus.Fields{
@@ -221,7 +221,7 @@
 	})
 }
 
-func (o *Owner) noteListed(j *ownedJob, position int, r *batch.Result) {
+func (o *Owner) recordListed(j *ownedJob, position int, r *batch.Result) {
 	o.stats.listed.Inc(1)
 	o.stats.sample.UpdateSince(j.job.Spec.Submitted)
 	state := "completed"
