--- a/internal/agentless/batchrun/adopt.go
+++ b/internal/agentless/batchrun/adopt.go
@@ -12,9 +12,9 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// marked takes in a mark that names this process. One that stood before this
-// process started may belong to its predecessor, whose last write may still
-// take effect; writing the mark anew makes that write's condition fail.
+// assignmentChanged handles an assignment of a job to this process. An assignment that existed
+// before this process started may belong to its predecessor, whose last write may still take
+// effect; writing the assignment anew makes that write's condition fail.
 func (o *Owner) assignmentChanged(ctx context.Context, assignment kv.Record, afterStart bool) {
 	if afterStart {
 		o.adopt(ctx, assignment)
@@ -23,8 +23,9 @@
 	o.rewriteAssignment(ctx, assignedJob(assignment.Key), assignment.Revision)
 }
 
-// told takes on a job that was just accepted for this process or moved to it, ahead of the
-// watch of its marks. The watch repeats the same revision, which changes nothing.
+// handleAssigned adopts a job that was just accepted for this process or moved to it, before
+// the watch of the assignments reports it. The watch reports the same revision later, which
+// changes nothing.
 func (o *Owner) handleAssigned(args MarkArgs) {
 	raw, err := encode(assignmentRecord{Fresh: !args.Begun})
 	if err != nil {
@@ -33,16 +34,17 @@
 	select {
 	case <-o.running:
 	default:
-		return // the marks are listed once it runs
+		return // the assignments are listed once it runs
 	}
 	assignment := kv.Record{Key: assignmentKey(o.Name, args.Job), Value: raw, Revision: args.Revision}
 	go o.adopt(o.lifetime, assignment)
 }
 
-// remark writes the mark anew if it still has the revision, and takes the job on
-// under the new one, with all results that are durable. When all processes have been
-// killed nobody follows the marks for this one yet, and to wait for news of the mark
-// costs its step half a second. If the write's answer is lost the news will tell it.
+// rewriteAssignment writes the assignment anew if it still has the given revision, and adopts
+// the job under the new one, with all durable results. It does not wait for the watch: after
+// all processes have been killed, nobody follows the assignments for this process yet, and
+// waiting for the change would delay the job's step by half a second. If the answer to the
+// write is lost, the watch reports the new revision.
 func (o *Owner) rewriteAssignment(ctx context.Context, id string, revision int64) {
 	raw, err := encode(assignmentRecord{})
 	if err != nil {
@@ -57,14 +59,14 @@
 			o.adopt(ctx, kv.Record{Key: key, Value: raw, Revision: committed.Revision})
 			return
 		case err == nil:
-			return // written by a try whose answer was lost, or not ours any more
+			return // written by a try whose answer was lost, or no longer assigned to this process
 		}
 		pause(ctx, writeRetryDelay)
 	}
 }
 
-// adopt takes a job on. It tries until the store has answered, as nobody else
-// may run the job meanwhile.
+// adopt loads a job and takes ownership of it. It retries until the store has answered, because
+// no other process may run the job meanwhile.
 func (o *Owner) adopt(ctx context.Context, assignment kv.Record) {
 	id := assignedJob(assignment.Key)
 	if !o.beginLoad(id, assignment.Revision) {
@@ -87,8 +89,8 @@
 	}
 }
 
-// claim tells whether a mark is still to be taken in, and keeps a second word of
-// it from loading the job twice.
+// beginLoad reports whether the job must be loaded under the given mark, and keeps a second
+// notification of the same mark from loading it twice.
 func (o *Owner) beginLoad(id string, mark int64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -107,11 +109,11 @@
 	}
 }
 
-// loadedJob is a job as the store has it.
+// loadedJob is a job as read from the store.
 type loadedJob struct {
 	job   *batch.Job
-	parts int          // values that hold the spec
-	texts *batch.Texts // that an earlier run of this process kept
+	parts int          // number of values that hold the spec
+	texts *batch.Texts // partial texts that this or another process kept
 }
 
 func (o *Owner) load(ctx context.Context, id string, assignment kv.Record) (loadedJob, error) {
@@ -145,8 +147,8 @@
 	return loadedJob{batch.NewJob(spec, durable), parts, o.recoverTexts(ctx, id)}, nil
 }
 
-// configure has a job run as the switches say, and estimate its texts by those
-// of its model; the owner's lock is held.
+// configure sets a job's options by the mechanism switches, and has it estimate its texts by
+// those of its model's jobs. The owner's lock must be held.
 func (o *Owner) configure(job *batch.Job) {
 	job.Configure(batch.Options{
 		SubmissionOrder: !o.Switches.On(mechanism.LongestFirst),
@@ -164,8 +166,8 @@
 	job.SetEstimator(lengths)
 }
 
-// resume has a job that is taken on go on from the texts that there are of its
-// items; the owner's lock is held.
+// resumeTexts lets an adopted job continue the partial texts that are known of its items. The
+// owner's lock must be held.
 func (o *Owner) resumeTexts(owned *ownedJob, texts *batch.Texts) (items int) {
 	items, made := owned.job.ResumeTexts(texts)
 	if items > 0 {
@@ -177,8 +179,8 @@
 	return items
 }
 
-// inherit takes over what this process made of a job while it stood by; the owner's lock
-// is held.
+// mergeStandby adds to a job what this process generated for it as its standby. The owner's
+// lock must be held.
 func (o *Owner) mergeStandby(owned *ownedJob) (items int) {
 	run := o.Standby.release(owned.id)
 	if run == nil {
@@ -190,6 +192,8 @@
 	return owned.job.MergeStandby(run.job)
 }
 
+// takeOwnership starts to run a loaded job, unless its assignment was deleted or the job was
+// adopted under a newer mark meanwhile.
 func (o *Owner) takeOwnership(ctx context.Context, id string, mark int64, loaded loadedJob) {
 	job := loaded.job
 	o.mu.Lock()
--- a/internal/agentless/batchrun/copies.go
+++ b/internal/agentless/batchrun/copies.go
@@ -21,62 +21,64 @@
 )
 
 const (
-	// copyEvery is how often new events go to the process that would take a job
-	// over: an owner that is lost for good costs that much of each text.
+	// copyInterval is how often new events are copied to the process that would take a job
+	// over. If the owner is lost for good, up to that much of each text is lost.
 	copyInterval = 250 * time.Millisecond
-	// leastCopied is how many events a text must have to be copied: shorter ones
-	// are generated anew in a second, and four of five texts never get there.
+	// minCopiedEvents is how many events a text must have to be copied. Shorter texts are
+	// regenerated within a second, and four of five texts never reach this length.
 	minCopiedEvents = 32
-	// copyLimit bounds a copy's call.
+	// copyTimeout is the timeout of a copy call.
 	copyTimeout = 500 * time.Millisecond
-	// askLimit bounds how long other processes are asked for a job's texts when it
-	// is taken on; beginning the longest anew would cost seconds.
+	// fetchTextsTimeout is the timeout for fetching an adopted job's texts from other
+	// processes. Regenerating the longest text would take seconds.
 	fetchTextsTimeout = 400 * time.Millisecond
-	// askAgain is the pause while no other process is known yet, after a start.
+	// workersRetryDelay is the delay before the list of workers is read again if it has no
+	// other worker yet, as just after a start.
 	workersRetryDelay = 50 * time.Millisecond
-	// mostTexts bounds what a packed message may hold once unpacked.
+	// maxUnpackedBytes limits the size of a decompressed message.
 	maxUnpackedBytes = 64 << 20
 )
 
-// CopyArgs hold new events of an owner's job.
+// CopyArgs holds new events of an owner's job.
 type CopyArgs struct {
 	Owner string
 	Job   string
 	Mark  int64
-	Whole bool   // Raw holds all that there is
-	Raw   []byte // packed parts
-	Spec  []byte // packed, if Whole
+	Whole bool   // Raw holds all texts of the job that are long enough
+	Raw   []byte // compressed parts of texts
+	Spec  []byte // compressed spec, if Whole
 }
 
-// CopyReply is the answer.
+// CopyReply is the reply to Service.Copy.
 type CopyReply struct {
-	Lacking bool // what went before is not there, and nothing was taken in
+	Lacking bool // earlier events are missing here, and these were not stored
 }
 
-// TextsArgs ask for what is kept of a job's texts.
+// TextsArgs asks for the stored texts of a job.
 type TextsArgs struct{ Job string }
 
-// TextsReply is the answer.
-type TextsReply struct{ Raw []byte } // packed parts
+// TextsReply is the reply to Service.Texts.
+type TextsReply struct{ Raw []byte } // compressed parts of texts
 
-// Copier sends the texts under way of this process's jobs to the process that
-// would take each job over. It is safe for concurrent use.
+// Copier replicates the partial texts of this process's jobs to the process that would take
+// each job over. It is safe for concurrent use.
 type Copier struct {
 	Owner *Owner
-	// StandbyFor names the process that would own a model's job if this one were gone.
+	// StandbyFor returns the process that would own a job if this one were gone.
 	StandbyFor func(model, job string) (name string, found bool)
-	// Send hands a process new events; lacking tells that it needs all of them.
+	// Send sends new events to a process. lacking is true if the receiver needs all events.
 	Send func(ctx context.Context, to string, args CopyArgs) (lacking bool, err error)
 
 	buffer *textlog.Buffer
 	bytes  metrics.Counter
-	wake   chan struct{} // a job was taken on
+	wake   chan struct{} // receives when a job was adopted
 
 	mu      sync.Mutex
 	targets map[string]copyTarget // by job
 }
 
-// sentTo is where a job's texts were last sent.
+// copyTarget is the process that a job's texts were last sent to, and the mark under which they
+// were.
 type copyTarget struct {
 	mark int64
 	name string
@@ -112,12 +114,12 @@
 	for _, g := range append(drained, c.unannounced(drained)...) {
 		group.Go(func() error { c.copy(ctx, &g); return nil })
 	}
-	_ = group.Wait() // each notes its own failure
+	_ = group.Wait() // each goroutine logs its own error
 }
 
-// announce has a job's standby told of it at once: an owner that dies in the first
-// moments of a step has sent no texts yet. The copier's own loop sends, as what is sent
-// of a job must arrive in order.
+// announce wakes the copier, so that a new job's standby learns of the job at once: an owner
+// that dies in the first moments of a step has sent no texts yet. Only the copier's loop sends,
+// because the messages of a job must arrive in order.
 func (c *Copier) announce() {
 	select {
 	case c.wake <- struct{}{}:
@@ -125,8 +127,8 @@
 	}
 }
 
-// unannounced returns the jobs of which nothing was sent yet and nothing is about to be:
-// a standby takes over those without long texts as well.
+// unannounced returns the jobs of which nothing was sent yet and nothing is pending. A standby
+// also takes over jobs without long texts.
 func (c *Copier) unannounced(pending []textlog.JobParts) []textlog.JobParts {
 	var jobs []textlog.JobParts
 	for id, mark := range c.Owner.Jobs() {
@@ -143,8 +145,7 @@
 	return jobs
 }
 
-// copy sends what is new of a job, or all of it to a process that may lack
-// something.
+// copy sends the new events of a job, or all of its events if the receiver may lack some.
 func (c *Copier) copy(ctx context.Context, g *textlog.JobParts) {
 	j := c.Owner.find(g.Job)
 	if j == nil || j.mark != g.Mark {
@@ -180,7 +181,8 @@
 	c.targets[g.Job] = copyTarget{g.Mark, to}
 }
 
-// message returns what is sent of a job; its spec only with all of its texts.
+// newCopyArgs returns the arguments of a copy call. They hold the spec only if they hold all
+// texts.
 func (c *Copier) newCopyArgs(j *ownedJob, g *textlog.JobParts, complete bool) (args CopyArgs, err error) {
 	args = CopyArgs{Owner: c.Owner.Name, Job: g.Job, Mark: g.Mark, Whole: complete}
 	if args.Raw, err = pack(g.Parts); err == nil && complete {
@@ -189,12 +191,13 @@
 	return args, err
 }
 
-// errLacking is the answer of a process that started anew since it was sent what
-// went before.
-var errEventsMissing = errors.New("batchrun: the process has not what went before")
+// errEventsMissing is logged if the receiver was restarted since earlier events were sent to
+// it.
+var errEventsMissing = errors.New("batchrun: the receiver lacks earlier events")
 
-// again has all of a job's texts sent with the next events or without: what the
-// failed call held would be missing before those that come.
+// resendAll makes the next message of a job hold all of its texts, even without new events: the
+// receiver misses the events of the failed call, so later events alone would be of no use to
+// it.
 func (c *Copier) resendAll(j *ownedJob) {
 	c.forget(j.id)
 	j.mu.Lock()
@@ -204,7 +207,7 @@
 	}
 }
 
-// follows tells whether a process has all that went before.
+// upToDate reports whether a process has all earlier events.
 func (c *Copier) upToDate(g *textlog.JobParts, to string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -217,13 +220,13 @@
 	delete(c.targets, job)
 }
 
-// drop forgets a job that this process no longer owns.
+// drop removes a job that this process no longer owns.
 func (c *Copier) drop(job string, mark int64) {
 	c.buffer.Drop(job, mark)
 	c.forget(job)
 }
 
-// longTexts returns the texts that are worth a copy.
+// longTexts returns the texts that are long enough to be copied.
 func (j *ownedJob) longTexts() []batch.TextPart {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -236,7 +239,7 @@
 	return long
 }
 
-// Copy implements the call of that name: this process keeps another's texts.
+// Copy stores another process's texts. It is called by net/rpc.
 func (s *Service) Copy(args CopyArgs, reply *CopyReply) error {
 	parts, err := unpack[[]batch.TextPart](args.Raw)
 	if err != nil {
@@ -254,15 +257,15 @@
 	return nil
 }
 
-// Texts implements the call of that name.
+// Texts returns the stored texts of a job. It is called by net/rpc.
 func (s *Service) Texts(args TextsArgs, reply *TextsReply) error {
 	raw, err := pack(s.owner.Texts.Load(context.Background(), args.Job).Parts())
 	reply.Raw = raw
 	return err
 }
 
-// keptTexts returns the texts that this process or another one kept of a job that
-// is taken on.
+// recoverTexts returns the partial texts of an adopted job that this process, or else another
+// one, has stored.
 func (o *Owner) recoverTexts(ctx context.Context, id string) *batch.Texts {
 	texts := batch.NewTexts()
 	if o.Switches.On(mechanism.TextJournal) {
@@ -288,7 +291,7 @@
 	return texts
 }
 
-// codec packs texts, as bytes between failure domains are paid for.
+// codec compresses texts, because traffic between failure domains is paid for.
 var codec = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -304,7 +307,7 @@
 func pack(v any) ([]byte, error) {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(v); err != nil {
-		return nil, errors.Wrap(err, "batchrun: texts")
+		return nil, errors.Wrap(err, "batchrun: encode texts")
 	}
 	encoder, _ := codec()
 	return encoder.EncodeAll(b.Bytes(), nil), nil
@@ -314,8 +317,8 @@
 	_, decoder := codec()
 	plain, err := decoder.DecodeAll(raw, nil)
 	if err != nil {
-		return v, errors.Wrap(err, "batchrun: copy")
+		return v, errors.Wrap(err, "batchrun: decode texts")
 	}
 	err = gob.NewDecoder(bytes.NewReader(plain)).Decode(&v)
-	return v, errors.Wrap(err, "batchrun: copy")
+	return v, errors.Wrap(err, "batchrun: decode texts")
 }
--- a/internal/agentless/batchrun/ended.go
+++ b/internal/agentless/batchrun/ended.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// mostEnded bounds the marks remembered as removedAt; one is of use for the second
-	// that loading a job takes.
+	// maxEndedJobs limits the deleted assignments that are remembered. Each is needed only for
+	// the second that loading a job takes.
 	maxEndedJobs = 256
-	// mostKept bounds the ended jobs whose results are retained, at half a megabyte
-	// each; older ones are read from the store.
+	// maxRetainedJobs limits the jobs whose results are retained, at half a megabyte each.
+	// Results of older jobs are read from the store.
 	maxRetainedJobs = 16
 )
 
-// endedJobs is what an owner remembers of jobs it no longer has. It is guarded
-// by the owner's lock.
+// endedJobs holds what an owner remembers of jobs that it no longer owns. It is protected by
+// the owner's lock.
 type endedJobs struct {
 	ttl       time.Duration
-	removedAt map[string]int64  // revision at which the mark went, by job
+	removedAt map[string]int64  // revision at which the assignment was deleted, by job
 	ended     map[string]bool   // jobs that are known to have ended, not moved
 	retained  []retainedResults // oldest first
 }
@@ -29,8 +29,8 @@
 	return &endedJobs{ttl: ttl, removedAt: map[string]int64{}, ended: map[string]bool{}}
 }
 
-// note remembers that a mark went: a job that is still being loaded then must
-// not begin after it.
+// recordRemoved records that an assignment was deleted, so that a job that is still being
+// loaded does not start afterwards.
 func (e *endedJobs) recordRemoved(id string, revision int64) {
 	if len(e.removedAt) >= maxEndedJobs {
 		e.removedAt = map[string]int64{}
@@ -39,12 +39,13 @@
 	e.removedAt[id] = max(e.removedAt[id], revision)
 }
 
-// end notes that a job was ended.
+// recordEnded records that a job was ended.
 func (e *endedJobs) recordEnded(id string) { e.ended[id] = true }
 
+// removedSince reports whether a job's assignment was deleted at or after the given mark.
 func (e *endedJobs) removedSince(id string, mark int64) bool { return e.removedAt[id] >= mark }
 
-// keptResults are an ended job's durable results.
+// retainedResults holds the durable results of a job that this process no longer owns.
 type retainedResults struct {
 	id        string
 	submitted time.Time
@@ -52,8 +53,7 @@
 	results   []batch.Result
 }
 
-// keep keeps the results of a job that was ended, so that readers of it make no
-// calls to the store.
+// retain stores the results of a job, so that its readers cause no calls to the store.
 func (e *endedJobs) retain(now time.Time, k retainedResults) {
 	e.forget(k.id)
 	for len(e.retained) > 0 && (len(e.retained) >= maxRetainedJobs || now.Sub(e.retained[0].submitted) > e.ttl) {
@@ -62,13 +62,13 @@
 	e.retained = append(e.retained, k)
 }
 
-// forget drops what is retained of a job that this process takes on again: it is what it
-// had when it lost the job before, and less than what readers will have seen.
+// forget drops the retained results of a job that this process adopts again. They are those
+// from when it lost the job before, and fewer than readers may have seen since.
 func (e *endedJobs) forget(id string) {
 	e.retained = slices.DeleteFunc(e.retained, func(old retainedResults) bool { return old.id == id })
 }
 
-// results returns what is retained of a job.
+// results returns the retained results of a job.
 func (e *endedJobs) results(id string) (retainedResults, bool) {
 	for _, k := range e.retained {
 		if k.id == id {
@@ -78,7 +78,7 @@
 	return retainedResults{}, false
 }
 
-// from returns the results from a position on.
+// fromPosition returns the results from a position on.
 func (k *retainedResults) fromPosition(position int) []batch.Result {
 	if position >= len(k.results) {
 		return nil
--- a/internal/agentless/batchrun/frontend.go
+++ b/internal/agentless/batchrun/frontend.go
@@ -20,20 +20,21 @@
 )
 
 const (
-	// writeTries bounds how often a submission or an end whose outcome is unknown
-	// is written again; each is idempotent by its condition. A submitter leaves
-	// after little more than a second.
+	// maxUnknownTries limits the retries of a submission or an end whose outcome is unknown.
+	// Retries are idempotent because of their conditions. Submitters give up after little more
+	// than a second.
 	maxUnknownTries = 10
-	// writeAgain is the pause before it is.
+	// unknownRetryDelay is the delay before such a retry.
 	unknownRetryDelay = 50 * time.Millisecond
-	// knownJobs bounds what is remembered of jobs that other processes own.
+	// maxKnownJobs limits the jobs of other processes whose records are cached.
 	maxKnownJobs = 64
-	// storePoll is the pause between two looks into the store for new results
-	// while the owner does not answer.
+	// storePollInterval is the interval at which the store is polled for new results while the
+	// owner does not answer.
 	storePollInterval = 400 * time.Millisecond
 )
 
-// Frontend takes submitters' calls at any process. It is safe for concurrent use.
+// Frontend handles calls on batch jobs at any process: it forwards them to the job's owner or
+// answers them from the store. It is safe for concurrent use.
 type Frontend struct {
 	Store      kv.Shared
 	Members    *cluster.Members
@@ -41,13 +42,14 @@
 	Local      *Owner
 	Log        *logrus.Logger
 	ValueBytes int
-	// Models returns the models whose jobs there are; may be nil.
+	// Models returns the models that jobs exist for; it may be nil.
 	Models func() []string
-	// Unreachable tells whether nobody seems to reach the store; nil: somebody does.
+	// Unreachable reports whether no process seems to reach the store; nil means that some
+	// process does.
 	Unreachable func() bool
 
-	// Domain is this process's failure domain. A hub reads results for the others
-	// in it.
+	// Domain is this process's failure domain. If IsHub is set, this process reads results for
+	// the other processes of the domain.
 	Domain string
 	IsHub  bool
 
@@ -55,17 +57,17 @@
 
 	mu           sync.Mutex
 	known        map[string]*knownJob
-	unresponsive map[string]time.Time // owners that did not answer, and when
+	unresponsive map[string]time.Time // owners that did not answer, with the time of the failed call
 }
 
-// knownJob is what this process remembers of a job.
+// knownJob is what this process has cached of a job.
 type knownJob struct {
 	record  jobRecord
-	results []batch.Result // read from the store; a prefix of all
-	lastKey string         // of the last chunk in results
+	results []batch.Result // read from the store; a prefix of all results
+	lastKey string         // key of the last chunk in results
 }
 
-// Register has a hub read results for other processes.
+// Register registers the calls that a hub serves for other processes.
 func (d *Frontend) Register(server *rpc.Server) error {
 	if !d.IsHub {
 		return nil
@@ -73,8 +75,8 @@
 	return errors.Wrap(server.RegisterName(hubName, &Hub{frontend: d}), "batchrun")
 }
 
-// Submit accepts a job. nil means that it is durable; ErrNotRun that no part of
-// it runs; ErrOutcomeUnknown that nobody can tell.
+// Submit accepts a job. It returns nil if the job is durable, ErrNotRun if no part of it will
+// run, and ErrOutcomeUnknown if the outcome cannot be determined.
 func (d *Frontend) Submit(ctx context.Context, spec *batch.Spec) error {
 	if d.snapshot(spec.ID) != nil {
 		return nil
@@ -92,12 +94,12 @@
 	return err
 }
 
-// comeBack adds to an error when the caller should come back.
+// withRetryAfter wraps an error with the delay after which the caller should retry.
 func withRetryAfter(err error) error {
 	return &NotRunError{RetryAfter: storepath.RetryAfter(rand.Float64()), Err: err}
 }
 
-// RetryAfter returns when the caller that gets an error should come back.
+// RetryAfter returns the delay after which the caller that gets this error should retry.
 func RetryAfter(err error) time.Duration {
 	var refused *NotRunError
 	if errors.As(err, &refused) {
@@ -106,12 +108,12 @@
 	return storepath.RetryAfter(rand.Float64())
 }
 
-// tryAccept writes the job once; done is true if it stands, by this try or an
-// earlier one.
+// tryAccept writes the job once. done is true if the job is in the store, written by this try
+// or an earlier one.
 func (d *Frontend) tryAccept(ctx context.Context, spec *batch.Spec, parts [][]byte) (done bool, err error) {
 	owner, found := d.ownerFor(ctx, affinityKey(spec.Model, spec.ID))
 	if !found {
-		return false, errors.Wrap(kv.ErrUnavailable, "no process to own it")
+		return false, errors.Wrap(kv.ErrUnavailable, "no process can own the job")
 	}
 	record := jobRecord{Owner: owner, Model: spec.Model, Submitted: spec.Submitted, Total: len(spec.Items), Parts: len(parts)}
 	t, err := acceptance(spec.ID, record, parts)
@@ -126,9 +128,10 @@
 		d.remember(spec.ID, record)
 		d.notifyAccepted(owner, spec.ID, committed.Revision)
 	}
-	return true, nil // otherwise the key exists: it was accepted before
+	return true, nil // otherwise the key exists: the job was accepted before
 }
 
+// acceptance returns the transaction that stores a new job with its assignment.
 func acceptance(id string, record jobRecord, parts [][]byte) (kv.Transaction, error) {
 	raw, err := encode(record)
 	if err != nil {
@@ -148,12 +151,12 @@
 	return t, nil
 }
 
-// write repeats a conditional write until its outcome is known, and for a while if
-// nobody reaches the store. Once a try may have taken effect, a later refusal no
-// longer means "not run".
+// commitWithRetry retries a conditional write until its outcome is known, or for a while if no
+// process reaches the store. Once a try may have taken effect, a later refusal no longer means
+// that the write had no effect.
 func (d *Frontend) commitWithRetry(ctx context.Context, try func() (bool, error)) error {
 	began := time.Now()
-	unknownTries := 0 // tries since one whose outcome is not known
+	unknownTries := 0 // tries from the first one whose outcome is unknown
 	var last error
 	for unknownTries < maxUnknownTries {
 		done, err := try()
@@ -179,8 +182,8 @@
 	return withRetryAfter(errors.Wrap(ErrNotRun, last.Error()))
 }
 
-// hold returns the pause until a write that certainly had no effect is tried again;
-// 0 if it is not.
+// retryDelay returns the delay before a write that certainly had no effect is retried, or 0 if
+// it must not be retried.
 func (d *Frontend) retryDelay(began time.Time, err error) time.Duration {
 	unreachable := d.Unreachable != nil && errors.Is(err, kv.ErrUnavailable) && d.Unreachable()
 	if time.Since(began) < storepath.HoldDuration(unreachable) {
@@ -189,7 +192,7 @@
 	return 0
 }
 
-// End ends a job. nil means that the end is durable.
+// End ends a job. It returns nil if the end is durable.
 func (d *Frontend) End(ctx context.Context, id string) error {
 	if known := d.snapshot(id); known != nil && known.record.Ended {
 		return nil
@@ -215,9 +218,9 @@
 	return err
 }
 
-// endAtOwner ends a job under the mark that its owner names, which spares
-// reading the record: whoever changes the record changes the mark as well. done
-// is false if no owner knows the job, or it moved meanwhile.
+// endAtOwner ends a job under the mark that its owner reports, which avoids reading the record:
+// every change of the record also changes the assignment. done is false if no owner knows the
+// job, or if it was moved meanwhile.
 func (d *Frontend) endAtOwner(ctx context.Context, id string) (done bool, err error) {
 	owner, found := d.likelyOwner(ctx, id)
 	if !found {
@@ -226,9 +229,9 @@
 	status, err := d.queryStatus(ctx, owner, id)
 	switch {
 	case err != nil:
-		return false, nil // the store is asked instead
+		return false, nil // fall back to the store
 	case status.Ended:
-		return true, nil // not remembered, as the rest of the record is not known
+		return true, nil // not cached, because the rest of the record is unknown
 	case !status.Owned:
 		return false, nil
 	}
@@ -240,8 +243,8 @@
 	return callOwner(ctx, d, owner, callStanding, 0, StandingArgs{Job: id}, func() StandingReply { return d.Local.jobStatus(id) })
 }
 
-// commitEnd writes a job's end under a condition that says that the record is
-// as given.
+// commitEnd writes a job's end under an expectation that holds only while the record is as
+// given.
 func (d *Frontend) commitEnd(ctx context.Context, id string, record jobRecord, expect kv.Expectation) (done bool, err error) {
 	record.Ended = true
 	raw, err := encode(record)
@@ -271,18 +274,18 @@
 	}
 	done, err = d.commitEnd(ctx, id, record, kv.Expectation{Key: jobKey(id), Revision: stored.Revision})
 	if err == nil && !done {
-		err = errors.Wrap(kv.ErrUnknown, "the job moved meanwhile") // look again
+		err = errors.Wrap(kv.ErrUnknown, "the job changed concurrently") // read it again
 	}
 	return done, true, err
 }
 
-// NotifyMoved tells a job's new owner of its mark.
+// NotifyMoved notifies a job's new owner of its assignment.
 func (d *Frontend) NotifyMoved(owner, job string, revision int64) {
 	d.notifyOwner(owner, callMarked, MarkArgs{Job: job, Revision: revision, Begun: true})
 }
 
-// NotifyLoading tells the owner of a model's jobs that an endpoint was ordered to
-// load weights of it. A word that is lost costs a few refusals.
+// NotifyLoading notifies the owner of a model's jobs that an endpoint was ordered to load
+// weights of the model. A lost notification costs a few refused requests.
 func (d *Frontend) NotifyLoading(args LoadingArgs) {
 	members := d.Members.Owners()
 	if len(members) == 0 {
@@ -294,12 +297,12 @@
 	}()
 }
 
-// OtherOwners names the other processes that own jobs of these models.
+// OtherOwners returns the other processes that own jobs of these models.
 func (d *Frontend) OtherOwners(models []string) []string {
 	return slices.DeleteFunc(d.ownersOf(models), func(name string) bool { return name == d.Local.Name })
 }
 
-// ownersOf names the processes that own jobs of these models, each once.
+// ownersOf returns the processes that own jobs of these models, each once.
 func (d *Frontend) ownersOf(models []string) []string {
 	members := d.Members.Owners()
 	if len(members) == 0 {
@@ -314,12 +317,12 @@
 	return names
 }
 
-// SendLoad tells a process of this one's load.
+// SendLoad sends this process's load to another process.
 func (d *Frontend) SendLoad(ctx context.Context, to string, args LoadArgs) error {
 	return d.call(ctx, to, callLoad, 0, args, &struct{}{})
 }
 
-// StandbyFor names the process that would own a job of this one if it were gone.
+// StandbyFor returns the process that would own a job of this process if this one were gone.
 func (d *Frontend) StandbyFor(model, job string) (name string, found bool) {
 	others := without(d.responsive(d.Members.Owners()), d.Local.Name)
 	if len(others) == 0 {
@@ -328,18 +331,18 @@
 	return newOwnerChooser(d.Models).choose(affinityKey(model, job), others), true
 }
 
-// SendCopy hands a process new events of a job's texts; lacking tells that it needs
-// all of them.
+// SendCopy sends new events of a job's texts to a process. lacking is true if the receiver
+// needs all events.
 func (d *Frontend) SendCopy(ctx context.Context, to string, args CopyArgs) (lacking bool, err error) {
 	var reply CopyReply
 	if err := d.call(ctx, to, callCopy, 0, args, &reply); err != nil {
-		return false, err // the reply may still be written to
+		return false, err // a late answer may still write to the reply
 	}
 	return reply.Lacking, nil
 }
 
-// FetchTexts asks the other workers for a job's texts, and returns what came until
-// ctx ends. One that is leaving is asked too: it may be who had the job.
+// FetchTexts asks the other workers for a job's texts and returns the answers that arrive
+// before ctx ends. Workers that are leaving are asked too: one of them may have had the job.
 func (d *Frontend) FetchTexts(ctx context.Context, job string) [][]byte {
 	others := d.otherWorkers()
 	for len(others) == 0 && ctx.Err() == nil {
@@ -381,18 +384,20 @@
 	return workers
 }
 
-// tellOwner tells an owner what its watch will tell it as well, only later.
+// notifyOwner notifies an owner, without blocking, of a change that its watch would report
+// later.
 func (d *Frontend) notifyOwner(owner, method string, args MarkArgs) {
 	go func() { _ = d.sendMark(owner, method, args) }()
 }
 
+// sendMark notifies an owner and returns the error of the call.
 func (d *Frontend) sendMark(owner, method string, args MarkArgs) error {
 	fields := logrus.Fields{"job": args.Job, "revision": args.Revision}
 	return d.notify(owner, method, args, fields, func() { d.Local.handleMark(method, args) })
 }
 
-// tell calls a method of an owner that answers nothing. One that fails is logged
-// with the fields.
+// notify calls a method of an owner that has no result, or local if the owner is this process.
+// It logs a failed call with the given fields.
 func (d *Frontend) notify(owner, method string, args any, fields logrus.Fields, local func()) error {
 	_, err := callOwner(context.Background(), d, owner, method, 0, args, func() struct{} {
 		local()
@@ -405,7 +410,7 @@
 	return err
 }
 
-// fetch reads a job's record from the store and remembers it.
+// fetchRecord reads a job's record from the store and caches it.
 func (d *Frontend) fetchRecord(ctx context.Context, id string) (kv.Record, jobRecord, error) {
 	stored, record, err := readRecord(ctx, d.Store, id)
 	if err == nil && stored.Revision != 0 {
--- a/internal/agentless/batchrun/frontend_read.go
+++ b/internal/agentless/batchrun/frontend_read.go
@@ -14,19 +14,19 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// Reading is the answer to a read of results.
+// Reading is the result of a read of results.
 type Reading struct {
 	Total   int
-	Results []batch.Result // from the position asked, all durable
+	Results []batch.Result // from the requested position on, all durable
 }
 
-// Results returns a job's results from a position on, waiting for some if none
-// are there. ErrNoJob only if the store says so; ErrUnavailable if neither the
-// owner nor the store answers.
+// Results returns a job's results from a position on. If there are none, it waits for some. It
+// returns ErrNoJob only if the store has no such job, and ErrUnavailable if neither the owner
+// nor the store answers.
 //
-// An owner that lost the store may have lost the job without knowing: asked
-// alone, it would go on showing less than others have read. So an answer that
-// is not sure counts only where the store does not answer either.
+// An owner that lost its connection to the store may have lost the job without knowing, and its
+// answer could then lack results that other readers have seen. So an answer that is not certain
+// is used only if the store does not answer either.
 func (d *Frontend) Results(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
 	if d.Local.Switches.On(mechanism.CacheResults) {
 		return d.readCached(ctx, id, from, wait)
@@ -34,9 +34,9 @@
 	return d.readUncached(ctx, id, from, wait)
 }
 
-// withCached returns the results that were read here before, with what came since.
-// Who can be given some does not wait for more, and gets them though neither owner
-// nor store answers: what is durable does not change.
+// readCached returns the cached results followed by newer ones. If any are cached, it does not
+// wait for more, and returns the cached ones even if neither the owner nor the store answers:
+// durable results do not change.
 func (d *Frontend) readCached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
 	cached, next := d.cache.get(id, from)
 	if len(cached.Results) > 0 {
@@ -54,6 +54,7 @@
 	return fresh, nil
 }
 
+// readUncached reads results via the hub, from the owner or from the store, in this order.
 func (d *Frontend) readUncached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
 	if r, answered, err := d.readViaHub(ctx, id, from, wait); answered {
 		return r, err
@@ -72,8 +73,8 @@
 
 func reading(reply ReadReply) Reading { return Reading{Total: reply.Total, Results: reply.Results} }
 
-// fromOwner asks the job's owner as far as it is known or can be guessed. The
-// zero answer stands for none.
+// readFromOwner reads results from the job's owner if that is known or can be guessed. It
+// returns the zero reply if there is no answer.
 func (d *Frontend) readFromOwner(ctx context.Context, id string, from int, wait time.Duration) ReadReply {
 	owner, found := d.likelyOwner(ctx, id)
 	if !found {
@@ -88,8 +89,8 @@
 	return reply
 }
 
-// likelyOwner names the job's owner as far as it is remembered, or as the owners
-// of today's models say.
+// likelyOwner returns the job's owner from the cached record, or else asks the owners of the
+// models that are served now.
 func (d *Frontend) likelyOwner(ctx context.Context, id string) (owner string, found bool) {
 	if known := d.snapshot(id); known != nil {
 		return known.record.Owner, true
@@ -97,9 +98,8 @@
 	return d.locateOwner(ctx, id)
 }
 
-// locate finds a job's owner among those that own the jobs of the models served
-// today, so that the many processes at which a job is read make no call to the
-// store for it.
+// locateOwner finds a job's owner among the processes that own the jobs of the models served
+// now, so that the many processes at which a job is read need no call to the store.
 func (d *Frontend) locateOwner(ctx context.Context, id string) (owner string, found bool) {
 	if d.Models == nil {
 		return "", false
@@ -128,6 +128,7 @@
 	return "", false
 }
 
+// unavailable logs the error and wraps it as ErrUnavailable. ErrNoJob is returned as it is.
 func (d *Frontend) unavailable(id string, err error) error {
 	if errors.Is(err, ErrNoJob) {
 		return err
@@ -136,7 +137,7 @@
 	return withRetryAfter(errors.Wrap(ErrUnavailable, err.Error()))
 }
 
-// snapshot returns a copy of what is remembered of a job, or nil.
+// snapshot returns a copy of what is cached of a job, or nil.
 func (d *Frontend) snapshot(id string) *knownJob {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -153,15 +154,14 @@
 	return callOwner(ctx, d, owner, callRead, wait, args, func() ReadReply { return d.Local.read(ctx, args) })
 }
 
-// ask calls a method of an owner, or does locally what it would do if the owner
-// is this process.
+// callOwner calls a method of an owner, or runs local if the owner is this process.
 func callOwner[R any](ctx context.Context, d *Frontend, owner, method string, wait time.Duration, args any, local func() R) (R, error) {
 	if owner == d.Local.Name {
 		return local(), nil
 	}
 	var reply, none R
 	if err := d.call(ctx, owner, method, wait, args, &reply); err != nil {
-		return none, err // the reply may still be written to
+		return none, err // a late answer may still write to the reply
 	}
 	return reply, nil
 }
@@ -169,15 +169,15 @@
 func (d *Frontend) call(ctx context.Context, owner, method string, wait time.Duration, args, reply any) error {
 	member, found := d.Members.Get(owner)
 	if !found {
-		return errors.Errorf("batchrun: %s is not listed", owner)
+		return errors.Errorf("batchrun: process %s is not a known member", owner)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+callSlack)
 	defer cancel()
 	return d.Peers.Call(ctx, member.Address, method, args, reply)
 }
 
-// fromStore reads results from the store: the job has ended, or its owner does
-// not answer or has changed.
+// readFromStore reads results from the store. It is used if the job has ended, or if its owner
+// does not answer or has changed.
 func (d *Frontend) readFromStore(ctx context.Context, id string, from int, deadline time.Time) (Reading, error) {
 	for {
 		found, record, err := d.currentRecord(ctx, id)
@@ -201,7 +201,8 @@
 	}
 }
 
-// fresh returns the record as the store has it; an ended one cannot change.
+// currentRecord returns the record from the store, or the cached one if the job has ended,
+// because that one can no longer change.
 func (d *Frontend) currentRecord(ctx context.Context, id string) (found bool, record jobRecord, err error) {
 	if known := d.snapshot(id); known != nil && known.record.Ended {
 		return true, known.record, nil
@@ -210,8 +211,8 @@
 	return stored.Revision != 0, record, err
 }
 
-// storedResults returns the durable results from a position on, reading only
-// the chunks that were not read before.
+// storedResults returns the durable results from a position on. It reads only chunks that are
+// not cached.
 func (d *Frontend) storedResults(ctx context.Context, id string, from int) ([]batch.Result, error) {
 	known := d.snapshot(id)
 	if known == nil {
@@ -257,8 +258,8 @@
 	return nil
 }
 
-// Body returns the body of an item that is not listed yet. ErrNoJob: the job
-// does not exist, has ended, or has no such item that is not listed.
+// Body returns the body of an item that has no durable result yet. It returns ErrNoJob if the
+// job does not exist, has ended, or has no such item without a durable result.
 func (d *Frontend) Body(ctx context.Context, id, item string) ([]byte, error) {
 	if owner, found := d.likelyOwner(ctx, id); found {
 		reply, err := d.askBody(ctx, owner, id, item)
@@ -266,7 +267,7 @@
 		case err != nil:
 		case reply.Found:
 			return reply.Body, nil
-		case reply.Ended, reply.Owned: // listed, or no item of the job
+		case reply.Ended, reply.Owned: // it has a durable result, or is no item of the job
 			return nil, ErrNoJob
 		}
 	}
--- a/internal/agentless/batchrun/hub.go
+++ b/internal/agentless/batchrun/hub.go
@@ -12,28 +12,28 @@
 	"siskinloom.example/siskinloom/internal/policy/rendezvous"
 )
 
-// hubSlack is how much longer than its own wait a read by way of a hub may take:
-// the hub may find the owner silent and ask the store.
+// hubSlack is added to the wait of a read via a hub to get its timeout: the hub may find the
+// owner unresponsive and read the store instead.
 const hubSlack = 900 * time.Millisecond
 
-// ResultsArgs ask a process to read a job's results for another one.
+// ResultsArgs asks a hub to read a job's results for the caller.
 type ResultsArgs struct {
 	Job  string
 	From int
 	Wait time.Duration
 }
 
-// ResultsReply is the answer.
+// ResultsReply is the reply to Hub.Results.
 type ResultsReply struct {
-	NoJob   bool // the store says that there is no such job
-	Unknown bool // neither owner nor store answered
+	NoJob   bool // the store has no such job
+	Unknown bool // neither the owner nor the store answered
 	Reading Reading
 }
 
-// Hub answers reads of other processes in its failure domain.
+// Hub serves reads of results to the other processes in its failure domain.
 type Hub struct{ frontend *Frontend }
 
-// Results implements the call of that name.
+// Results reads results for another process. It is called by net/rpc.
 func (h *Hub) Results(args ResultsArgs, reply *ResultsReply) error {
 	reading, err := h.frontend.Results(context.Background(), args.Job, args.From, args.Wait)
 	reply.NoJob = errors.Is(err, ErrNoJob)
@@ -42,10 +42,10 @@
 	return nil
 }
 
-// hub names the worker in this process's failure domain by which a job's results
-// are read: the same one for all processes of the domain. Otherwise every entry takes
-// each result over the domain's border by itself, or from the store once the job's
-// owner has forgotten it, as after a kill of all processes.
+// hubFor returns the worker in this process's failure domain through which a job's results are
+// read. It is the same for all processes of the domain. Without it every entry would transfer
+// each result across the domain's border, or read it from the store once the job's owner no
+// longer retains it, as after all processes were killed.
 func (d *Frontend) hubFor(job string) (name string, found bool) {
 	if d.IsHub || !d.Local.Switches.On(mechanism.ReadNear) {
 		return "", false
@@ -72,7 +72,8 @@
 	return near
 }
 
-// byHub reads by way of the domain's hub; answered is false if it could not tell.
+// readViaHub reads results via the domain's hub. answered is false if there is no hub or it
+// could not answer.
 func (d *Frontend) readViaHub(ctx context.Context, id string, from int, wait time.Duration) (r Reading, answered bool, err error) {
 	name, found := d.hubFor(id)
 	if !found {
@@ -97,8 +98,8 @@
 	return reply.Reading, true, nil
 }
 
-// isSilence tells whether a call failed as the other side did not answer. One of
-// an older release answers that it has no such call.
+// isUnanswered reports whether a call failed because the other side did not answer. A process
+// of an older release does answer, with the error that it has no such method.
 func isUnanswered(err error) bool {
 	var serverError rpc.ServerError
 	return !errors.As(err, &serverError)
--- a/internal/agentless/batchrun/item_run.go
+++ b/internal/agentless/batchrun/item_run.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// minPaceEvents is how many events of a run show its pace.
+	// minPaceEvents is how many events of a run are needed to measure its pace.
 	minPaceEvents = 8
-	// slowCheckEvents is every how many events a run looks for a faster engine.
+	// slowCheckEvents is the number of events after which a run checks for a faster engine.
 	slowCheckEvents = 4
 )
 
 var (
-	errEngineTimeout = errors.New("batchrun: engine fell silent")
-	errCrowded       = errors.New("batchrun: engine is crowded and others are not")
-	errTooSlow       = errors.New("batchrun: engine is slow and others are free")
+	errEngineTimeout = errors.New("batchrun: engine sent no event before the timeout")
+	errCrowded       = errors.New("batchrun: another engine has fewer requests")
+	errTooSlow       = errors.New("batchrun: another engine is faster")
 )
 
 // itemRun is one run of an item at one engine.
@@ -37,11 +37,11 @@
 	start     batch.RunStart
 	pick      *directory.Pick
 	began     time.Time
-	generated int // events
+	generated int // number of events
 	pace      pace
 }
 
-// engineFor returns what an item asks of its engine.
+// engineRequest returns the requirements of an item on its engine.
 func engineRequest(spec *batch.Spec, start batch.RunStart, now time.Time) endpoints.Request {
 	return endpoints.Request{Now: now, Model: spec.Model, MinVersion: spec.MinVersion, Version: start.RequiredVersion, RequireFreeSlot: true}
 }
@@ -62,7 +62,7 @@
 	return r.read(ctx, dispatch.NewEvents(answer), idleTimer)
 }
 
-// read takes in events until the stream ends or the run is better ended.
+// read processes events until the stream ends, or the run should be cancelled to move the item.
 func (r *itemRun) read(ctx context.Context, in *dispatch.Events, idleTimer *time.Timer) (batch.RunOutcome, endpoints.Outcome, error) {
 	for {
 		event, err := in.Next()
@@ -85,8 +85,8 @@
 	}
 }
 
-// take takes in an event. One without a weight version cannot be labelled; only
-// a stream with nothing left to generate names none.
+// addEvent adds an event to the text and reports whether it continues it. An event without a
+// weight version cannot be labelled; only a stream with nothing left to generate has none.
 func (r *itemRun) addEvent(event dispatch.Event) bool {
 	if event.Version <= 0 {
 		return false
@@ -102,16 +102,17 @@
 	return true
 }
 
-// minMoveGain is how many events' time a run must save by going on elsewhere: a move
-// takes less than one, but also a new connection, and what runs where changes.
+// minMoveGain is the least gain, in events, for which a run is moved to another engine. A move
+// takes less than the time of one event, but also a new connection, and it changes what runs
+// where.
 const minMoveGain = 8.0
 
-// crowdedCheckEvents is every how many events a run looks for a roomier engine.
+// crowdedCheckEvents is the number of events after which a run checks for a less loaded engine.
 const crowdedCheckEvents = 8
 
-// crowded tells whether an item that its step waits for would be done sooner at
-// an engine that runs fewer requests. The last runs of a step go on at full batches
-// otherwise, as the next step's items come while other engines are nearly idle.
+// crowded reports whether a critical item would be done sooner at an engine with fewer
+// requests. Otherwise the last runs of a step continue in full batches while other engines are
+// nearly idle, because the next step's items fill the batches.
 func (r *itemRun) crowded() bool {
 	if r.generated%crowdedCheckEvents != 0 || !r.owner.Switches.On(mechanism.MoveCrowded) {
 		return false
@@ -124,16 +125,17 @@
 	return r.isCritical(request.RemainingWork, spare) && r.pick.HasLessLoaded(request, minMoveGain)
 }
 
-// awaited tells whether a step waits for the run, as of the last look at all jobs.
+// isCritical reports whether a step waits for the run, by the load of all jobs at the last
+// dispatch.
 func (r *itemRun) isCritical(remaining float64, spare bool) bool {
 	load := r.owner.lastLoad.Load()
 	view := schedule.Job{Age: time.Since(r.job.job.Spec.Submitted).Seconds(), EventSeconds: r.pace.eventSeconds()}
 	return load != nil && load.IsCritical(&view, remaining, spare)
 }
 
-// tooSlow tells whether the item would be done sooner elsewhere. An engine that
-// turned slow holds up the whole group of an item, though reading the text in
-// at another one takes some 10 ms.
+// tooSlow reports whether the item would be done sooner elsewhere. An engine that became slow
+// delays the whole group of an item, whereas the prefill of the text at another engine takes
+// some 10 ms.
 func (r *itemRun) tooSlow() bool {
 	if r.generated < minPaceEvents || r.generated%slowCheckEvents != 0 || !r.owner.Switches.On(mechanism.MoveSlow) {
 		return false
@@ -141,14 +143,14 @@
 	return r.pick.HasFaster(engineRequest(r.job.job.Spec, r.start, time.Now()), r.pace.eventSeconds())
 }
 
-// pace is how fast events come, from the first one on.
+// pace measures the time between events, starting with the first one.
 type pace struct {
 	first, last time.Time
 	gaps        int
 	mean        float64 // running mean of the seconds between events
 }
 
-// paceWeight is the share of a new gap in the running mean.
+// paceWeight is the weight of a new interval in the running mean.
 const paceWeight = 0.2
 
 func (p *pace) observe(now time.Time) {
@@ -166,11 +168,11 @@
 	p.mean += (gap - p.mean) * paceWeight
 }
 
-// recent returns the seconds that an event takes by now.
+// eventSeconds returns the running mean of the seconds per event.
 func (p *pace) eventSeconds() float64 { return p.mean }
 
-// observed returns the seconds that an event takes, if enough have come to show
-// the engine's speed.
+// measured returns the seconds per event, and whether there were enough events to show the
+// engine's speed.
 func (p *pace) measured() (float64, bool) { return p.mean, p.gaps >= minPaceEvents }
 
 func itemRequest(spec *batch.Spec, start batch.RunStart) *dispatch.Request {
@@ -183,7 +185,7 @@
 	if !spec.Expires.IsZero() {
 		timeout = max(time.Second, time.Until(spec.Expires))
 	}
-	// No urgency: an engine preempts less urgent runs and reads them in again, and
+	// No urgency is set: an engine preempts less urgent runs and must prefill them again, and
 	// the preempted model's steps were the ones that came late.
 	return &dispatch.Request{
 		ID: item.ID, Method: http.MethodPost, Target: item.Path, Host: spec.Host, Header: header, Body: item.Body,
@@ -191,7 +193,8 @@
 	}
 }
 
-// refusedRun weighs an answer that is no stream of events.
+// classifyAnswer returns the outcome of an answer that is not a stream of events; done is false
+// for a stream.
 func classifyAnswer(a *dispatch.Answer, start batch.RunStart) (batch.RunOutcome, endpoints.Outcome, bool) {
 	switch {
 	case a.Replaced && start.RequiredVersion != 0:
@@ -210,6 +213,8 @@
 	return 0, 0, false
 }
 
+// classifyRunError returns the outcome of a run that failed to send its request or to read its
+// events.
 func classifyRunError(ctx context.Context, err error) (batch.RunOutcome, endpoints.Outcome, error) {
 	var send *upstream.SendError
 	switch {
--- a/internal/agentless/batchrun/lengths.go
+++ b/internal/agentless/batchrun/lengths.go
@@ -6,8 +6,8 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// sharedLengths are what is known of a model's texts. The jobs of a model, each
-// under its own lock, learn from each other.
+// sharedLengths is the length estimator shared by a model's jobs, each of which has its own
+// lock.
 type sharedLengths struct {
 	mu      sync.Mutex
 	lengths *batch.LengthEstimator
--- a/internal/agentless/batchrun/loads.go
+++ b/internal/agentless/batchrun/loads.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// loadInterval is how often owners tell each other what they run: three events'
-	// time, in which few runs start or end but when a step arrives.
+	// loadInterval is how often owners send each other their load: the time of three events, in
+	// which few runs start or end, except when a step arrives.
 	loadInterval = 100 * time.Millisecond
-	// maxLoadRate bounds the bytes a second that a process sends its others so; where
-	// there are many engines or others it tells them less often.
+	// maxLoadRate limits the bytes per second that a process sends to other owners for this.
+	// With many engines or owners the messages are sent less often.
 	maxLoadRate = 10_000
-	// loadMessageBytes and endpointLoadBytes are about the bytes of a message and of each endpoint
-	// in it.
+	// loadMessageBytes and endpointLoadBytes are the approximate sizes of a message and of each
+	// endpoint in it.
 	loadMessageBytes, endpointLoadBytes = 120, 24
-	// maxRoundBytes bounds what one round of messages holds. Beyond it rounds would be
-	// further apart than what was reported counts, and nothing is reported.
+	// maxRoundBytes limits the size of one round of messages. Larger rounds would be further
+	// apart than loadTTL, and are not sent.
 	maxRoundBytes = maxLoadRate * int(loadTTL/time.Second)
-	// loadTTL is how long a other's load counts.
+	// loadTTL is how long another owner's load stays valid.
 	loadTTL = time.Second
-	// loadTimeout bounds a call; the next one tells all anew.
+	// loadTimeout is the timeout of a call; the next one sends everything again.
 	loadTimeout = 300 * time.Millisecond
 )
 
-// LoadArgs tell an owner what another one runs at the engines of a service.
+// LoadArgs holds what an owner runs at the engines of a service.
 type LoadArgs struct {
 	From    string
 	Service string
@@ -39,7 +39,7 @@
 	Shares  map[string]endpoints.ProcessLoad // by endpoint ID
 }
 
-// loads are what others reported of their jobs. They are safe for concurrent use.
+// reportedLoads holds the loads that other owners sent. It is safe for concurrent use.
 type reportedLoads struct {
 	mu      sync.Mutex
 	byOwner map[string]reportedLoad
@@ -59,7 +59,7 @@
 	l.byOwner[from] = reportedLoad{now, load}
 }
 
-// others sums up what others reported lately.
+// total returns the sum of the loads that are still valid.
 func (l *reportedLoads) total(now time.Time) schedule.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,7 +74,7 @@
 	return sum
 }
 
-// Load implements the call of that name: another owner tells its load.
+// Load records another owner's load. It is called by net/rpc.
 func (s *Service) Load(args LoadArgs, _ *struct{}) error {
 	now := time.Now()
 	s.owner.loads.record(now, args.From, args.Load)
@@ -84,12 +84,12 @@
 	return nil
 }
 
-// tellLoads tells others of this process's load until ctx ends.
+// sendLoads sends this process's load to the other owners until ctx ends.
 func (o *Owner) sendLoads(ctx context.Context) error {
 	if o.OtherOwners == nil {
 		return nil
 	}
-	reported := map[string]bool{} // services of which something was reported last
+	reported := map[string]bool{} // services with a load in the last round
 	for ctx.Err() == nil {
 		bytes := 0
 		if o.Switches.On(mechanism.ShareLoad) {
@@ -100,9 +100,9 @@
 	return nil
 }
 
-// tellLoad tells the load once and returns about how many bytes it sent. A service
-// of which there is nothing to tell is reported of once more, so that what was reported
-// before does not go on counting.
+// sendLoad sends the load once and returns the approximate number of bytes. A service whose
+// load has dropped to nothing is reported once more, so that its earlier load does not stay
+// valid.
 func (o *Owner) sendLoad(ctx context.Context, reported map[string]bool) (bytes int) {
 	table := o.Directory.Table()
 	if table == nil {
@@ -131,7 +131,7 @@
 			group.Go(func() error {
 				ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 				defer cancel()
-				_ = o.SendLoad(ctx, other, args) // one that is not reported counts what it knows for a second
+				_ = o.SendLoad(ctx, other, args) // a receiver that is not reached uses the last load until loadTTL is over
 				return nil
 			})
 		}
--- a/internal/agentless/batchrun/mover.go
+++ b/internal/agentless/batchrun/mover.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	// moveGrace is how long a process may be unlisted before its jobs move. One
-	// that was killed is back within a second or so and goes on by itself.
+	// moveGrace is how long a process may be unregistered before its jobs are moved. A process
+	// that was killed is back within about a second and then continues its jobs itself.
 	moveGrace = 300 * time.Millisecond
-	// outageGrace replaces it when the store was away: registrations that lapsed
+	// outageGrace replaces moveGrace if the store was unreachable: registrations that expired
 	// meanwhile are back within two seconds.
 	outageGrace = 2200 * time.Millisecond
-	// rankDelay keeps processes that saw the same from moving the same jobs: each
-	// waits for those before it.
+	// rankDelay keeps processes that detect the same loss from moving the same jobs: each
+	// process waits this long for every process of a lower rank.
 	rankDelay = 700 * time.Millisecond
-	// moveTries bounds the tries for one job; each failed one costs a call.
+	// maxMoveTries limits the tries for one job; each failed one costs a call.
 	maxMoveTries = 5
 )
 
-// Mover moves the jobs of a process that is gone, or of this one when it stops.
+// Mover moves the jobs of a process that is gone, or those of this process when it stops.
 type Mover struct {
 	Self    string
 	Store   kv.Shared
 	Members *cluster.Members
 	Log     *logrus.Logger
-	// Unsettled tells whether the store was away until a moment ago.
+	// Unsettled reports whether the store was unreachable until a moment ago.
 	Unsettled func() bool
-	// Models returns the models whose jobs there are; may be nil.
+	// Models returns the models that jobs exist for; it may be nil.
 	Models func() []string
-	// Answers tells whether a process answers calls; nil: not known.
+	// Answers reports whether a process answers calls; nil means that this is unknown.
 	Answers func(ctx context.Context, name string) bool
-	// NotifyOwner tells the new owner of its mark; may be nil.
+	// NotifyOwner notifies a job's new owner of its assignment; it may be nil.
 	NotifyOwner func(owner, job string, revision int64)
 }
 
-// MemberGone moves a process's jobs unless it comes back. It returns when that
-// is done or ctx ends.
+// MemberGone moves the jobs of a process that is no longer registered, unless it comes back in
+// time. It blocks until that is done or ctx ends.
 func (m *Mover) MemberGone(ctx context.Context, name string) {
 	extra := time.Duration(m.rank(name)) * rankDelay
 	began := time.Now()
@@ -60,15 +60,16 @@
 	}
 }
 
-// mayLive tells whether a process whose registration lapsed in an outage of the
-// store may be back soon: one that answers no call within moveGrace will not.
+// mayReturn reports whether a process whose registration expired in an outage of the store may
+// be back soon. A process that answers no call within moveGrace is taken for dead.
 func (m *Mover) mayReturn(ctx context.Context, name string) bool {
 	ctx, cancel := context.WithTimeout(ctx, moveGrace)
 	defer cancel()
 	return m.Answers == nil || m.Answers(ctx, name)
 }
 
-// rank is this process's place among those that could move the jobs.
+// rank returns this process's position among those that could move the jobs of the named
+// process.
 func (m *Mover) rank(name string) int {
 	owners := m.Members.Owners()
 	keys := make([]uint64, len(owners))
@@ -83,7 +84,7 @@
 	return len(owners)
 }
 
-// MoveAll moves every job marked for an owner to others.
+// MoveAll moves every job assigned to an owner to other owners.
 func (m *Mover) MoveAll(ctx context.Context, owner string) error {
 	page, err := m.listAssignments(ctx, owner)
 	if err != nil {
@@ -118,7 +119,7 @@
 	return err
 }
 
-// tryMove moves one job; done is true if nothing is left to do.
+// tryMove tries to move one job. done is true if no retry is needed.
 func (m *Mover) tryMove(ctx context.Context, from string, assignment kv.Record) (done bool, err error) {
 	id := assignedJob(assignment.Key)
 	stored, record, err := readRecord(ctx, m.Store, id)
@@ -126,11 +127,11 @@
 		return !errors.Is(err, kv.ErrUnavailable), err
 	}
 	if stored.Revision == 0 {
-		return true, nil // swept; its mark goes with it
+		return true, nil // swept; its assignment is deleted with it
 	}
 	to, found := m.successor(affinityKey(record.Model, id), from)
 	if !found {
-		return true, nil // nobody is left; the owner goes on when it is back
+		return true, nil // no other owner exists; this one continues when it is back
 	}
 	record.Owner = to
 	t, err := handoverTransaction(id, from, to, assignment.Revision, stored.Revision, record, false)
@@ -147,9 +148,10 @@
 		}
 		events.JobHandedOn.Log(m.Log, logrus.Fields{"job": id, "from": from, "to": to, "mark": assignment.Revision})
 	}
-	return true, nil // otherwise it moved or ended meanwhile
+	return true, nil // if not done, the job was moved or ended meanwhile
 }
 
+// successor returns the process that should own a job instead of the given owner.
 func (m *Mover) successor(key, from string) (string, bool) {
 	owners := without(m.Members.Owners(), from)
 	if len(owners) == 0 {
@@ -158,8 +160,9 @@
 	return newOwnerChooser(m.Models).choose(key, owners), true
 }
 
-// handover returns the transaction that gives a job to another owner, under the
-// revisions of its mark and its record. fresh says that nothing is listed.
+// handoverTransaction returns the transaction that assigns a job to another owner, on condition
+// that its assignment and its record have the given revisions. fresh means that no result is
+// durable.
 func handoverTransaction(id, from, to string, mark, recordRevision int64, record jobRecord, fresh bool) (kv.Transaction, error) {
 	raw, err := encode(record)
 	if err != nil {
--- a/internal/agentless/batchrun/owner.go
+++ b/internal/agentless/batchrun/owner.go
@@ -25,24 +25,24 @@
 )
 
 const (
-	// lookEvery is how often items that wait are looked at without a cause.
+	// dispatchInterval is how often waiting items are examined without a change that wakes the
+	// dispatcher.
 	dispatchInterval = 25 * time.Millisecond
-	// gatherResults passes at least between two writes of a job's results. One that
-	// makes its group whole, as a straggler's does, is written at once; readers poll
-	// twice a second, and at this pace a job costs at most four writes a second.
+	// minWriteInterval is the least time between two writes of a job's results. A result that
+	// completes its group, as a straggler's does, is written at once. Readers poll twice a
+	// second, and at this interval a job costs at most four writes a second.
 	minWriteInterval = 250 * time.Millisecond
-	// AssignmentsWait is how long a watch of the marks waits. Who accepts, ends or moves
-	// a job tells its owner by a call; the watch is for calls that did not come
-	// through, as from an entry that is cut off from every worker. Its changes come
-	// at once, but what a deaf store kept from it is found when it asks anew: items of
-	// a job whose end was acknowledged have three seconds to stop.
+	// AssignmentsWait is the long-poll timeout of a watch of the assignments. Processes that
+	// accept, end or move a job notify its owner by a call; the watch covers calls that failed,
+	// as those from an entry that is partitioned from all workers. The watch reports changes at
+	// once, but those that a store withheld from it are found only by its next call: items of a
+	// job whose end was acknowledged have three seconds to stop.
 	AssignmentsWait = 2 * time.Second
-	// retryWrite is the pause after a write that failed.
+	// writeRetryDelay is the delay before a failed write is retried.
 	writeRetryDelay = 200 * time.Millisecond
 )
 
-// Owner runs the jobs whose mark names this process. It is safe for concurrent
-// use.
+// Owner runs the jobs that are assigned to this process. It is safe for concurrent use.
 type Owner struct {
 	Name       string // of this process
 	Store      kv.Shared
@@ -50,34 +50,34 @@
 	Sender     dispatch.Sender
 	Log        *logrus.Logger
 	ResultTTL  time.Duration // how long results stay readable after submission
-	RetryDelay time.Duration // pause before results are written again; 0: retryWrite
+	RetryDelay time.Duration // delay before a failed write of results is retried; 0: writeRetryDelay
 	Registry   metrics.Registry
 
 	Switches *mechanism.Switches
-	Texts    *textlog.Log // keeps texts under way; nil: nothing does
-	Copier   *Copier      // keeps them at a second process; its calls may be nil
-	Standby  *Standby     // stands by for the jobs of other owners
-	// OtherOwners names the processes that own jobs of models which the service has
-	// too; nil: none.
+	Texts    *textlog.Log // stores partial texts on disk; nil: they are not stored
+	Copier   *Copier      // replicates partial texts to a standby; its functions may be nil
+	Standby  *Standby     // takes over jobs of other owners that are lost
+	// OtherOwners returns the other processes that own jobs of these models; nil means that
+	// there are none.
 	OtherOwners func(models []string) []string
-	// SendLoad tells a process of this one's load.
+	// SendLoad sends this process's load to another process.
 	SendLoad func(ctx context.Context, to string, args LoadArgs) error
-	// FetchTexts asks other processes for a job's texts; may be nil.
+	// FetchTexts asks other processes for a job's texts; it may be nil.
 	FetchTexts func(ctx context.Context, job string) [][]byte
 
-	// OwnershipCertain tells whether nobody can have moved this process's jobs unnoticed;
-	// nil: always.
+	// OwnershipCertain reports whether no process can have moved this process's jobs without
+	// its knowledge; nil means always.
 	OwnershipCertain func() bool
-	// Ineligible tells that no job will be marked for this process, as others are
-	// there to own them; nil: never.
+	// Ineligible reports whether no job will be assigned to this process because there are
+	// others to own them; nil means never.
 	Ineligible func() bool
-	// OnAdopt is called with each job taken on; may be nil.
+	// OnAdopt is called with the spec of each adopted job; it may be nil.
 	OnAdopt  func(*batch.Spec)
-	lifetime context.Context // of Run
+	lifetime context.Context // the context of Run
 
 	mu             sync.Mutex
 	jobs           map[string]*ownedJob
-	loadingMarks   map[string]int64 // revision of the mark being loaded, by job
+	loadingMarks   map[string]int64 // mark under which a job is being loaded, by job
 	ended          *endedJobs
 	lengths        map[string]*sharedLengths // by model
 	loads          reportedLoads
@@ -86,11 +86,11 @@
 	runs           errgroup.Group
 	stats          stats
 
-	running chan struct{} // closed once Run has begun
+	running chan struct{} // closed when Run has started
 
 	scoreTimes scoreTimes
 
-	lastLoad atomic.Pointer[schedule.Load] // of all open jobs when they were last looked at; nil: never
+	lastLoad atomic.Pointer[schedule.Load] // of all open jobs at the last dispatch; nil: none yet
 }
 
 type stats struct {
@@ -98,17 +98,17 @@
 	aborted       metrics.Counter
 	broken        metrics.Counter
 	moved         metrics.Counter
-	resumedItems  metrics.Counter // items that went on from kept texts
-	resumedEvents metrics.Counter // of those texts
-	sample        metrics.Timer   // from submission to listing
-	step          metrics.Timer   // from submission until a step is whole
+	resumedItems  metrics.Counter // items that continued a partial text
+	resumedEvents metrics.Counter // events of those texts
+	sample        metrics.Timer   // time from a job's submission until an item's result is durable
+	step          metrics.Timer   // time from submission until a step is complete
 }
 
-// ownedJob is one job with its lock.
+// ownedJob is a job that this process runs, with its lock.
 type ownedJob struct {
 	id     string
-	mark   int64 // revision of the owner's mark; 0: another process owns it, and this one only runs it
-	parts  int   // values that hold the spec
+	mark   int64 // revision of the assignment; 0: another process owns the job, and this one runs it as its standby
+	parts  int   // number of values that hold the spec
 	ctx    context.Context
 	cancel context.CancelFunc
 
@@ -116,12 +116,12 @@
 	job            *batch.Job
 	resultsChanged chan struct{} // closed and replaced when results become durable
 	writerActive   bool
-	writePending   bool         // a write is under way at the store, or its outcome is not known
-	lastWrite      time.Time    // of the last write; only its writer uses it
-	failedWrites   failedWrites // only its writer uses them
+	writePending   bool         // a write is in progress, or its outcome is unknown
+	lastWrite      time.Time    // start of the last write; used only by the writer
+	failedWrites   failedWrites // used only by the writer
 }
 
-// Init prepares the owner; it must be called before anything else.
+// Init initializes the owner. It must be called before any other method.
 func (o *Owner) Init() {
 	o.jobs = map[string]*ownedJob{}
 	o.loadingMarks = map[string]int64{}
@@ -148,12 +148,12 @@
 	}
 }
 
-// Register offers the owner's calls to other processes.
+// Register registers the calls that the owner serves for other processes.
 func (o *Owner) Register(server *rpc.Server) error {
 	return server.RegisterName(serviceName, &Service{owner: o})
 }
 
-// Run owns jobs until ctx ends.
+// Run runs the assigned jobs until ctx ends.
 func (o *Owner) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	o.lifetime = ctx
@@ -166,14 +166,14 @@
 	return group.Wait()
 }
 
-// Assignments returns the topic of the marks that name this process. Whoever follows it
-// need not wait for Run.
+// Assignments returns the topic of the assignments to this process. It may be followed before
+// Run is called.
 func (o *Owner) Assignments() *cluster.Topic {
 	listed := false
 	return &cluster.Topic{
 		Prefix: assignmentPrefix(o.Name), Carrier: AssignmentsPrefix, Idle: o.idle,
 		Changed: func(r kv.Record) {
-			afterStart := listed // of the record, not of the goroutine that takes it in
+			afterStart := listed // read when the record arrives, not when the goroutine runs
 			o.runs.Go(func() error {
 				<-o.running
 				o.assignmentChanged(o.lifetime, r, afterStart)
@@ -185,13 +185,13 @@
 	}
 }
 
-// idle tells whether the marks need not be watched.
+// idle reports whether the assignments need not be watched.
 func (o *Owner) idle() bool {
 	return o.Ineligible != nil && o.Ineligible() && len(o.Jobs()) == 0
 }
 
-// drop gives a job up whose mark went at a revision. What is durable of it is
-// kept for readers.
+// drop gives up a job whose assignment was deleted at the given revision. Its durable results
+// are retained for readers.
 func (o *Owner) drop(id string, revision int64) {
 	o.mu.Lock()
 	o.ended.recordRemoved(id, revision)
@@ -206,8 +206,8 @@
 	events.JobDropped.Log(o.Log, logrus.Fields{"job": id, "mark": owned.mark, "revision": revision})
 }
 
-// retire stops a job's runs and keeps its results for readers unless a write was under way. Then only
-// the store knows which results will ever be durable. The owner's lock is held.
+// retire stops a job's runs and retains its results for readers, unless a write is pending:
+// then only the store knows which results will be durable. The owner's lock must be held.
 func (o *Owner) retire(j *ownedJob) {
 	now := time.Now()
 	j.mu.Lock()
@@ -223,7 +223,7 @@
 	}
 }
 
-// kept returns the durable results of a job that has ended; mu is held.
+// retained returns the durable results of a job that has ended; j.mu must be held.
 func (j *ownedJob) retained() *retainedResults {
 	return &retainedResults{id: j.id, submitted: j.job.Spec.Submitted, total: j.job.Total(), results: slices.Clone(j.job.DurableResults(0))}
 }
@@ -240,7 +240,7 @@
 	return o.jobs[id]
 }
 
-// Jobs returns the IDs of the jobs owned, with the revision of their marks.
+// Jobs returns the marks of the owned jobs by job ID.
 func (o *Owner) Jobs() map[string]int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -251,9 +251,9 @@
 	return owned
 }
 
-// StoreRecovered tells that the store answers again: what waits to be written goes out
-// at once, as all processes may be killed a moment later, and what is not durable
-// then is lost.
+// StoreRecovered notifies the owner that the store answers again. Results that wait are written
+// at once: all processes may be killed a moment later, and results that are not durable by then
+// are lost.
 func (o *Owner) StoreRecovered() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -261,7 +261,7 @@
 	o.storeRecovered = make(chan struct{})
 }
 
-// pauseForStore waits before a write is tried again.
+// waitForStore blocks until the store answers again, RetryDelay has passed or ctx ends.
 func (o *Owner) waitForStore(ctx context.Context) {
 	o.mu.Lock()
 	recovered := o.storeRecovered
@@ -281,7 +281,7 @@
 	}
 }
 
-// dispatch starts what can be started, whenever something changed.
+// dispatch starts runs, scoring calls and writes that are due, whenever something changed.
 func (o *Owner) dispatch(ctx context.Context) error {
 	ticker := time.NewTicker(dispatchInterval)
 	defer ticker.Stop()
@@ -301,7 +301,7 @@
 	}
 }
 
-// open returns the jobs sorted by ID.
+// openJobs returns the jobs sorted by ID.
 func (o *Owner) openJobs() []*ownedJob {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/agentless/batchrun/owner_read.go
+++ b/internal/agentless/batchrun/owner_read.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// read answers a call for results, waiting for some if none are there.
+// read answers a call for results. If there are none yet, it blocks until some are durable or
+// the call's wait is over.
 func (o *Owner) read(ctx context.Context, args ReadArgs) ReadReply {
 	j := o.find(args.Job)
 	if j == nil {
@@ -36,7 +37,8 @@
 
 func (o *Owner) ownershipCertain() bool { return o.OwnershipCertain == nil || o.OwnershipCertain() }
 
-// readEnded answers from what is retained of jobs that ended here.
+// readEnded answers from the results that are retained of jobs that this process no longer
+// owns.
 func (o *Owner) readEnded(args ReadArgs) ReadReply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -61,14 +63,14 @@
 	return BodyReply{Owned: true, Found: true, Body: body}
 }
 
-// hasEnded tells whether a job is known to have ended.
+// hasEnded reports whether a job is known to have ended.
 func (o *Owner) hasEnded(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.ended.ended[id]
 }
 
-// standing tells under which mark this process has a job.
+// jobStatus returns the mark and the record of a job if this process owns it.
 func (o *Owner) jobStatus(id string) StandingReply {
 	j := o.find(id)
 	if j == nil {
--- a/internal/agentless/batchrun/owners.go
+++ b/internal/agentless/batchrun/owners.go
@@ -7,9 +7,9 @@
 	"siskinloom.example/siskinloom/internal/policy/rendezvous"
 )
 
-// affinity names what shares an owner: the jobs of one model compete for the
-// same engines, and one owner knows which of their slots are free. With an owner
-// for each job, engines turned away a third of the runs sent to them.
+// affinityKey returns the key by which a job's owner is chosen. The jobs of a model share an
+// owner, because they compete for the same engines and one owner knows which of their slots are
+// free. With an owner per job, engines refused a third of the runs sent to them.
 func affinityKey(model, id string) string {
 	if model != "" {
 		return model
@@ -17,12 +17,12 @@
 	return id
 }
 
-// owners chooses owners of jobs.
+// ownerChooser chooses the owners of jobs.
 type ownerChooser struct {
-	models []string // sorted; their jobs are spread over the owners
+	models []string // sorted; distributed over the owners
 }
 
-// ownersFor returns the choice among the jobs of models; nil: none are known.
+// newOwnerChooser returns a chooser that knows the given models; models may be nil.
 func newOwnerChooser(models func() []string) ownerChooser {
 	if models == nil {
 		return ownerChooser{}
@@ -30,9 +30,8 @@
 	return ownerChooser{models: models()}
 }
 
-// of returns the owner of what has a key; members must not be empty. Processes
-// that know the same models and members choose the same; where they do not, the
-// job's record says who has it.
+// choose returns the owner for a key; members must not be empty. Processes that know the same
+// models and members choose the same owner; otherwise the job's record decides who owns it.
 func (c ownerChooser) choose(key string, members []cluster.Member) string {
 	memberKeys := make([]uint64, len(members))
 	for i, m := range members {
--- a/internal/agentless/batchrun/reassign.go
+++ b/internal/agentless/batchrun/reassign.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// distrustFor is how long an owner that did not answer gets no new jobs while
-	// there are others. A dead process stays registered for its lease's time, and
-	// for longer when the store was away.
+	// unresponsiveTTL is how long an owner that did not answer gets no new jobs while there are
+	// others. A dead process stays registered until its lease expires, and longer if the store
+	// was unreachable.
 	unresponsiveTTL = 5 * time.Second
-	// pingLimit is how long an owner may take to answer before a job is accepted for
-	// it; owners are milliseconds away.
+	// pingTimeout is how long an owner may take to answer before a job is accepted for it.
+	// Owners are milliseconds away.
 	pingTimeout = 250 * time.Millisecond
-	// rehomeLimit bounds the move of a job whose owner does not answer.
+	// reassignTimeout is the timeout for moving a job whose owner does not answer.
 	reassignTimeout = 3 * time.Second
 )
 
-// trusted returns the owners without those that did not answer lately, or all if
-// none is left.
+// responsive returns the owners except those that did not answer lately, or all owners if none
+// would be left.
 func (d *Frontend) responsive(owners []cluster.Member) []cluster.Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -50,10 +50,9 @@
 	d.unresponsive[owner] = time.Now()
 }
 
-// ownerFor returns who owns a job that is accepted now: the owner that the key
-// chooses, or the next one if that does not answer. After an outage of the store a
-// dead process is listed for some seconds more, and a step that was accepted for it
-// began half a second late.
+// ownerFor returns the owner for a job that is accepted now: the owner chosen for the key, or
+// the next one if that does not answer. After an outage of the store a dead process stays
+// listed for some seconds, and a step that was accepted for it began half a second late.
 func (d *Frontend) ownerFor(ctx context.Context, key string) (string, bool) {
 	owners := d.responsive(d.Members.Owners())
 	if len(owners) == 0 {
@@ -68,27 +67,27 @@
 		d.markUnresponsive(first)
 		return next, true
 	}
-	return first, true // it is this process that reaches nobody
+	return first, true // this process reaches neither of them
 }
 
-// reaches tells whether an owner answers soon. One that started anew is asked a
-// second time, as the connection was to the one before.
+// reaches reports whether an owner answers before pingTimeout. A failed call is retried once,
+// because a restarted owner does not answer on the connection to its predecessor.
 func (d *Frontend) reaches(ctx context.Context, name string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	return d.Answers(ctx, name) || ctx.Err() == nil && d.Answers(ctx, name)
 }
 
-// tellAccepted tells the owner of a job that was just accepted for it. If it
-// does not answer, the job goes to another one: its mark alone would wait for
-// the owner's registration to lapse, which took four seconds after an outage of
-// the store in which the owner had died, half of the time that a step has.
+// notifyAccepted notifies the owner of a job that was just accepted for it. If the owner does
+// not answer, the job is reassigned. Otherwise the job would wait for the owner's registration
+// to expire, which took four seconds after an outage of the store in which the owner had died:
+// half of the time that a step has.
 func (d *Frontend) notifyAccepted(owner, job string, revision int64) {
 	args := MarkArgs{Job: job, Revision: revision}
 	go func() {
 		err := d.sendMark(owner, callMarked, args)
 		if err != nil && !errors.Is(err, context.DeadlineExceeded) {
-			err = d.sendMark(owner, callMarked, args) // the owner started anew, and the connection was to the one before
+			err = d.sendMark(owner, callMarked, args) // a restarted owner does not answer on the connection to its predecessor
 		}
 		if err == nil {
 			return
@@ -102,10 +101,10 @@
 	}()
 }
 
-// rehome gives a job of which nothing is listed to an owner that answers. An
-// entry that is cut off finds none, and the job stays. The transaction's
-// conditions are the mark that the old owner would write under, and that it has
-// listed nothing; afterwards it can list nothing.
+// reassign moves a job without durable results to an owner that answers. An entry that is
+// partitioned from all workers finds none, and the job stays where it is. The transaction
+// expects that the assignment has the old owner's mark and that no result is durable; after it
+// the old owner can write none.
 func (d *Frontend) reassign(ctx context.Context, from, job string, revision int64) error {
 	stored, record, err := readRecord(ctx, d.Store, job)
 	if err != nil || record.Owner != from || record.Ended {
@@ -123,7 +122,7 @@
 	t.Expect = append(t.Expect, kv.Expectation{Key: doneKey(job, 0)})
 	committed, err := d.Store.Commit(ctx, t)
 	if err != nil || !committed.Done {
-		return err // one that is not done moved, ended or got results meanwhile
+		return err // if not done, the job was moved, ended or got results meanwhile
 	}
 	d.remember(job, record)
 	d.notifyOwner(to, callMarked, MarkArgs{Job: job, Revision: committed.Revision})
@@ -131,7 +130,7 @@
 	return nil
 }
 
-// answering returns the first owner for a key that answers.
+// firstResponsive returns the first owner for a key that answers.
 func (d *Frontend) firstResponsive(ctx context.Context, key string) (string, bool) {
 	owners := d.responsive(d.Members.Owners())
 	for range owners {
@@ -145,7 +144,7 @@
 	return "", false
 }
 
-// Answers tells whether a process answers calls.
+// Answers reports whether a process answers calls.
 func (d *Frontend) Answers(ctx context.Context, name string) bool {
 	if name == d.Local.Name {
 		return true
--- a/internal/agentless/batchrun/records.go
+++ b/internal/agentless/batchrun/records.go
@@ -1,11 +1,12 @@
-// Package batchrun carries out batch jobs: it accepts them into the platform's
-// store, runs them at one owner, makes their results durable before anybody
-// sees them, and moves them when an owner goes.
+// Package batchrun runs batch jobs: it stores accepted jobs in the platform's key-value store,
+// runs each job at one owner, makes results durable before any reader sees them, and moves jobs
+// to another process when their owner leaves.
 //
-// Keys: jobs/ID is a job's record, spec/ID/NN its parts, todo/OWNER/ID the
-// mark of its owner, done/ID/NNNNNN its results from that position on. Every
-// result is written under the condition that the owner's mark has the revision
-// that the owner saw, so one that lost its job can list nothing more.
+// Keys: jobs/ID holds a job's record, spec/ID/NN the parts of its spec, todo/OWNER/ID its
+// assignment to an owner, done/ID/NNNNNN its results from that position on. The revision of an
+// assignment is called its mark and serves as a fencing token: every result is written under
+// the condition that the assignment still has the mark that the owner knows, so an owner that
+// lost a job can't list any more of its results.
 package batchrun
 
 import (
@@ -22,7 +23,7 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// AssignmentsPrefix is the prefix of the marks of all owners.
+// AssignmentsPrefix is the key prefix of the assignments of all owners.
 const AssignmentsPrefix = "todo/"
 
 const (
@@ -33,34 +34,34 @@
 
 // Errors of calls on batch jobs.
 var (
-	// ErrNoJob is returned when the store says that there is no such job.
+	// ErrNoJob is returned if the store has no such job.
 	ErrNoJob = errors.New("batchrun: no such batch job")
-	// ErrNotRun is returned for a submission that certainly was not accepted.
+	// ErrNotRun is returned for a submission that was certainly not accepted, or an end that
+	// certainly had no effect.
 	ErrNotRun = errors.New("batchrun: batch job was not accepted")
-	// ErrOutcomeUnknown is returned for a submission or an end that may have
-	// taken effect.
+	// ErrOutcomeUnknown is returned for a submission or an end that may have taken effect.
 	ErrOutcomeUnknown = errors.New("batchrun: outcome is unknown")
-	// ErrTooLarge is returned for a job that the store cannot hold.
+	// ErrTooLarge is returned for a job that exceeds the store's limits.
 	ErrTooLarge       = errors.New("batchrun: batch job is too large")
 	errNoOwnerAnswers = errors.New("batchrun: no other owner answers")
-	// ErrUnavailable is returned when neither the job's owner nor the store answers.
+	// ErrUnavailable is returned if neither the job's owner nor the store answers.
 	ErrUnavailable = errors.New("batchrun: neither owner nor store answers")
 )
 
-// NotRunError tells the caller of a call that certainly had no effect, or could not be
-// answered, when to come back.
+// NotRunError wraps the error of a call that certainly had no effect, or that could not be
+// answered, and says when the caller should retry.
 type NotRunError struct {
 	RetryAfter time.Duration
 	Err        error
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *NotRunError) Error() string { return e.Err.Error() }
 
-// Unwrap returns ErrNotRun or ErrUnavailable with its cause.
+// Unwrap returns the wrapped error: ErrNotRun or ErrUnavailable with its cause.
 func (e *NotRunError) Unwrap() error { return e.Err }
 
-// jobRecord is the value of jobs/ID.
+// jobRecord is the value of the key jobs/ID.
 type jobRecord struct {
 	Owner     string
 	Model     string
@@ -70,9 +71,9 @@
 	Ended     bool
 }
 
-// todoMark is the value of todo/OWNER/ID.
+// assignmentRecord is the value of the key todo/OWNER/ID.
 type assignmentRecord struct {
-	Fresh bool // nothing is listed yet
+	Fresh bool // no result is durable yet
 }
 
 func jobKey(id string) string                { return prefixJobs + id }
@@ -83,10 +84,11 @@
 func donePrefix(id string) string            { return prefixDone + id + "/" }
 func doneKey(id string, position int) string { return fmt.Sprintf("%s%06d", donePrefix(id), position) }
 
+// assignedJob returns the job ID in an assignment's key.
 func assignedJob(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// readRecord reads a job's record from the store; the store's record has
-// revision 0 if there is no such job.
+// readRecord reads a job's record from the store. The returned kv.Record has revision 0 if
+// there is no such job.
 func readRecord(ctx context.Context, store kv.Shared, id string) (kv.Record, jobRecord, error) {
 	var record jobRecord
 	stored, err := store.Read(ctx, jobKey(id))
@@ -106,7 +108,7 @@
 	return errors.Wrap(gob.NewDecoder(bytes.NewReader(raw)).Decode(v), "batchrun: decode")
 }
 
-// specParts encodes a job into values that the store holds.
+// specParts encodes a spec and splits it into values that fit into the store.
 func specParts(spec *batch.Spec, valueBytes int) ([][]byte, error) {
 	raw, err := encode(spec)
 	if err != nil {
@@ -118,7 +120,7 @@
 		parts = append(parts, raw[:n])
 		raw = raw[n:]
 	}
-	const others = 3 // the condition, the record and the owner's mark
+	const others = 3 // the expectation, the record and the assignment
 	if len(parts) > kv.MaxTransactionEntries-others {
 		return nil, ErrTooLarge
 	}
@@ -127,7 +129,7 @@
 
 func joinSpec(records []kv.Record, want int) (*batch.Spec, error) {
 	if len(records) != want {
-		return nil, errors.Errorf("batchrun: %d of %d parts", len(records), want)
+		return nil, errors.Errorf("batchrun: spec has %d of %d parts", len(records), want)
 	}
 	var raw []byte
 	for _, r := range records {
--- a/internal/agentless/batchrun/resultcache.go
+++ b/internal/agentless/batchrun/resultcache.go
@@ -7,14 +7,14 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// maxCachedBytes bounds the results that one process keeps: the open steps of a few
-// trainers, and their last ones, at half a megabyte to a megabyte each.
+// maxCachedBytes limits the results that one process caches: the open steps of a few trainers
+// and their last ones, at half a megabyte to a megabyte each.
 const maxCachedBytes = 8 << 20
 
-// resultCache keeps the results that were read at this process, which never
-// change once they are durable. A job is read at every entry, again and again from
-// its start by some; asked for whole each time, results are most of the bytes
-// between failure domains. It is safe for concurrent use; the zero value is empty.
+// resultCache caches the results that were read at this process; durable results never change.
+// A job is read at every entry, by some readers repeatedly from its start. Without a cache
+// these results were most of the bytes between failure domains. It is safe for concurrent use;
+// the zero value is empty.
 type resultCache struct {
 	mu    sync.Mutex
 	jobs  map[string]*cachedJob
@@ -28,8 +28,7 @@
 	bytes   int
 }
 
-// from returns the results that are kept from a position on, and the position
-// after the last.
+// get returns the cached results from a position on, and the position after the last.
 func (c *resultCache) get(id string, position int) (cached Reading, next int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,7 +40,7 @@
 	return Reading{Total: j.total, Results: slices.Clip(j.results[position:])}, len(j.results)
 }
 
-// add keeps results that follow those kept; others cannot be used.
+// add caches results that continue the cached ones; results after a gap are ignored.
 func (c *resultCache) add(id string, position int, r Reading) {
 	results := r.Results
 	c.mu.Lock()
--- a/internal/agentless/batchrun/rpc.go
+++ b/internal/agentless/batchrun/rpc.go
@@ -26,9 +26,8 @@
 	callReaches  = serviceName + ".Reaches"
 )
 
-// callSlack is how much longer than its own wait a call to an owner may take.
-// Owners are milliseconds away; a reader that finds one silent has time left to
-// ask the store.
+// callSlack is added to the wait of a call to an owner to get its timeout. Owners are
+// milliseconds away; a reader whose owner does not answer has time left to read the store.
 const callSlack = 500 * time.Millisecond
 
 // ReadArgs asks an owner for results.
@@ -38,17 +37,17 @@
 	Wait time.Duration
 }
 
-// ReadReply is an owner's answer.
+// ReadReply is the reply to Service.Read.
 type ReadReply struct {
-	Owned   bool // this process has the job, or its results
-	Gone    bool // the job's mark went: it has ended, or it has moved
-	Ended   bool // it is known to have ended
-	Sure    bool // nobody can have moved the job unnoticed
+	Owned   bool // this process owns the job, or retains its results
+	Gone    bool // the assignment was deleted: the job has ended or moved
+	Ended   bool // the job is known to have ended
+	Sure    bool // no process can have moved the job without the knowledge of this one
 	Total   int
-	Results []batch.Result // from the position asked
+	Results []batch.Result // from the requested position on
 }
 
-// current tells whether the answer holds all that any reader may have seen.
+// isCurrent reports whether the reply holds all results that any reader may have seen.
 func (r *ReadReply) isCurrent() bool { return r.Owned && (r.Ended || r.Sure && !r.Gone) }
 
 // BodyArgs asks an owner for an item's body.
@@ -57,54 +56,54 @@
 	Item string
 }
 
-// BodyReply is an owner's answer.
+// BodyReply is the reply to Service.Body.
 type BodyReply struct {
 	Owned bool
 	Ended bool // the job is known to have ended
-	Found bool // the item is not listed yet
+	Found bool // the item has no durable result yet
 	Body  []byte
 }
 
-// Service answers other processes' calls with an owner's jobs.
+// Service serves other processes' calls to an owner.
 type Service struct{ owner *Owner }
 
-// Read implements the call of that name.
+// Read returns results. It is called by net/rpc.
 func (s *Service) Read(args ReadArgs, reply *ReadReply) error {
 	*reply = s.owner.read(context.Background(), args)
 	return nil
 }
 
-// Body implements the call of that name.
+// Body returns an item's body. It is called by net/rpc.
 func (s *Service) Body(args BodyArgs, reply *BodyReply) error {
 	*reply = s.owner.body(args)
 	return nil
 }
 
-// StandingArgs asks an owner how a job stands.
+// StandingArgs asks an owner for the status of a job.
 type StandingArgs struct{ Job string }
 
-// StandingReply is an owner's answer.
+// StandingReply is the reply to Service.Standing.
 type StandingReply struct {
 	Owned  bool
 	Ended  bool      // the job is known to have ended
-	Mark   int64     // revision of the owner's mark
-	Record jobRecord // as the store has it while that mark stands
+	Mark   int64     // revision of the assignment
+	Record jobRecord // as in the store while the assignment has this revision
 }
 
-// Standing implements the call of that name.
+// Standing returns the status of a job. It is called by net/rpc.
 func (s *Service) Standing(args StandingArgs, reply *StandingReply) error {
 	*reply = s.owner.jobStatus(args.Job)
 	return nil
 }
 
-// LoadingArgs tells an owner that an endpoint was ordered to load weights.
+// LoadingArgs notifies an owner that an endpoint was ordered to load weights.
 type LoadingArgs struct {
 	Endpoint string
 	Model    string
 	Version  int64
 }
 
-// Loading implements the call of that name.
+// Loading records that an endpoint was ordered to load weights. It is called by net/rpc.
 func (s *Service) Loading(args LoadingArgs, _ *struct{}) error {
 	s.owner.markLoading(args)
 	return nil
@@ -114,29 +113,30 @@
 	o.Directory.MarkLoading(time.Now(), args.Endpoint, args.Model, args.Version)
 }
 
-// Ping implements the call of that name: this process answers.
+// Ping answers that this process is reachable. It is called by net/rpc.
 func (s *Service) Ping(struct{}, *struct{}) error { return nil }
 
-// MarkArgs tells an owner of a change of its mark for a job.
+// MarkArgs notifies an owner of a change of its assignment for a job.
 type MarkArgs struct {
 	Job      string
 	Revision int64
-	Begun    bool // another process owned it before
+	Begun    bool // the job may have durable results, because another process owned it before
 }
 
-// Marked implements the call of that name: the job is this process's.
+// Marked notifies this process that a job was assigned to it. It is called by net/rpc.
 func (s *Service) Marked(args MarkArgs, _ *struct{}) error {
 	s.owner.handleAssigned(args)
 	return nil
 }
 
-// Ended implements the call of that name: the job was ended.
+// Ended notifies this process that a job was ended. It is called by net/rpc.
 func (s *Service) Ended(args MarkArgs, _ *struct{}) error {
 	s.owner.handleMark(callEnded, args)
 	return nil
 }
 
-// take carries out a word to this process's own owner.
+// handleMark handles a notification for this process's owner; method is callMarked or
+// callEnded.
 func (o *Owner) handleMark(method string, args MarkArgs) {
 	if method == callMarked {
 		o.handleAssigned(args)
--- a/internal/agentless/batchrun/runs.go
+++ b/internal/agentless/batchrun/runs.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	// noEnginePause is the wait when no engine may have an item now.
+	// noEngineDelay is the delay of an item for which no engine is available.
 	noEngineDelay = 25 * time.Millisecond
-	// noRoutePause is the wait when no route allows an item.
+	// noRouteDelay is the delay of an item that no route allows.
 	noRouteDelay = 500 * time.Millisecond
-	// firstEventLimit is how long an engine may take to the first event. A batch
-	// that loads new weights stands still for one to two seconds.
+	// firstEventTimeout is the timeout for the first event of a run. A batch that loads new
+	// weights pauses for one to two seconds.
 	firstEventTimeout = 3 * time.Second
-	// gapLimit is how long it may take between events.
+	// eventGapTimeout is the timeout between two events.
 	eventGapTimeout = 2 * time.Second
-	// scoreLimit is how long a scoring call may take. Calls take a fifth of a
-	// second; one that hangs is better asked again elsewhere.
+	// scoreTimeout is the timeout of a scoring call. Calls take a fifth of a second; one that
+	// hangs is better retried at another scorer.
 	scoreTimeout = 1500 * time.Millisecond
-	// boundlessLeft is the time given to a run whose job names none.
+	// defaultRunTimeout is the timeout of a run whose job has no expiry time.
 	defaultRunTimeout = time.Minute
 )
 
-// run has one engine generate an item's text from where it stands.
+// run lets one engine continue an item's text.
 func (o *Owner) run(j *ownedJob, start batch.RunStart, pick *directory.Pick) {
 	r := &itemRun{owner: o, job: j, start: start, pick: pick, began: time.Now()}
 	how, outcome, err := r.generate()
@@ -74,7 +74,7 @@
 	events.ItemRunEnded.Log(o.Log, fields)
 }
 
-// startScores starts scoring calls for finished texts.
+// startScores starts scoring calls for complete texts.
 func (o *Owner) startScores(j *ownedJob) {
 	table := o.Directory.Table()
 	if table == nil {
--- a/internal/agentless/batchrun/scheduling.go
+++ b/internal/agentless/batchrun/scheduling.go
@@ -11,25 +11,25 @@
 	"siskinloom.example/siskinloom/internal/policy/schedule"
 )
 
-// round is one look at all open jobs for items that can be started.
+// round is one pass over all open jobs that starts the items that can be started.
 type round struct {
 	owner *Owner
 	table *routes.Table
 	now   time.Time
 	jobs  []openJob
 	own   schedule.Load // of this process's jobs
-	load  schedule.Load // with what fellows told
+	load  schedule.Load // including the loads that other owners reported
 }
 
-// openJob is a job as a round sees it.
+// openJob is the state of a job in a round.
 type openJob struct {
 	*ownedJob
 	view    schedule.Job
-	blocked bool // nothing more of it can be started in this round
+	blocked bool // no more items of the job can be started in this round
 }
 
-// startRuns starts items for as long as engines have room, those first whose
-// step would be whole last.
+// startRuns starts items while engines have free slots. Items of the step that would be
+// complete last are started first.
 func (o *Owner) startRuns(jobs []*ownedJob) {
 	table := o.Directory.Table()
 	if table == nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// survey sums up the open jobs.
+// newRound starts a round and sums up the load of the open jobs.
 func (o *Owner) newRound(table *routes.Table, jobs []*ownedJob, now time.Time) *round {
 	r := &round{owner: o, table: table, now: now}
 	views := make([]schedule.Job, 0, len(jobs))
@@ -79,7 +79,7 @@
 	return view
 }
 
-// next returns the item that starts next, of whichever job.
+// next returns the item to start next, of any job.
 func (r *round) next() (*openJob, batch.Candidate, bool) {
 	var jobs []*openJob
 	var items []batch.Candidate
@@ -109,8 +109,8 @@
 	return candidate, found
 }
 
-// start starts an item, or puts it off if no engine may have it. Then the rest
-// of its job waits too, as it has more time.
+// start starts an item, or postpones it if no engine is available. In that case the rest of its
+// job waits too, because its other items are less urgent.
 func (r *round) start(j *openJob, c batch.Candidate) {
 	j.mu.Lock()
 	start := j.job.StartRun(c.Index)
@@ -136,7 +136,7 @@
 	r.owner.runs.Go(func() error { r.owner.run(j.ownedJob, start, pick); return nil })
 }
 
-// placement says how a run is placed among the others.
+// placement returns the data by which the run is placed among other requests.
 func (r *round) placement(j *openJob, c batch.Candidate, service string) endpoints.Placement {
 	if !r.owner.Switches.On(mechanism.ByDelay) {
 		return endpoints.Placement{}
--- a/internal/agentless/batchrun/scoretimes.go
+++ b/internal/agentless/batchrun/scoretimes.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// hedgeDelayFactor times the usual time of a scoring call passes before a second one is
-	// made beside it.
+	// hedgeDelayFactor times the mean latency of scoring calls is the delay before a second
+	// call is sent.
 	hedgeDelayFactor = 2.5
 	// minHedgeDelay keeps second calls off scorers that answer at once.
 	minHedgeDelay = 100 * time.Millisecond
-	// scoreTimeWeight is the share of a new call in the running mean.
+	// scoreTimeWeight is the weight of a new call in the running mean.
 	scoreTimeWeight = 0.05
 )
 
-// scoreTimes is how long scoring calls take. It is safe for concurrent use.
+// scoreTimes tracks the latency of scoring calls. It is safe for concurrent use.
 type scoreTimes struct {
 	mu   sync.Mutex
-	mean time.Duration // running mean; 0: none was made
+	mean time.Duration // running mean; 0: no call yet
 }
 
 func (t *scoreTimes) observe(took time.Duration) {
@@ -31,8 +31,8 @@
 	t.mean += time.Duration(scoreTimeWeight * float64(took-t.mean))
 }
 
-// hedgeDelay returns how long a call may take before it is joined by a second one; 0: no
-// call has shown yet what is usual.
+// hedgeDelay returns how long a call may take before a second one is sent, or 0 if no latency
+// is known yet.
 func (t *scoreTimes) hedgeDelay() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/agentless/batchrun/standby.go
+++ b/internal/agentless/batchrun/standby.go
@@ -16,40 +16,41 @@
 )
 
 const (
-	// guardEvery is how often a standby looks after the owners of its jobs.
+	// standbyInterval is how often a standby checks the owners of its jobs.
 	standbyInterval = 100 * time.Millisecond
-	// rescueAgain is the pause before a take-over that failed is tried again.
+	// takeOverRetryDelay is the delay before a failed take-over is retried.
 	takeOverRetryDelay = 200 * time.Millisecond
-	// witnessLimit bounds the question to other processes; one of them is asked at a time.
+	// indirectPingTimeout is the timeout of an indirect ping, which asks other processes one
+	// after another.
 	indirectPingTimeout = 4 * pingTimeout
-	// defaultRunFor is the longest that a standby runs a job that it does not own: where the
-	// store answers others, the job may have ended meanwhile.
+	// defaultMaxRunTime is how long a standby runs a job that it does not own: if the store
+	// answers other processes, the job may have ended meanwhile.
 	defaultMaxRunTime = 15 * time.Second
 )
 
-// GuardedArgs ask an owner how the jobs stand for which the caller stands by.
+// GuardedArgs asks an owner for the state of the jobs for which the caller is the standby.
 type GuardedArgs struct {
-	Listed map[string]int // positions that the caller knows of, by job
+	Listed map[string]int // number of durable results that the caller knows of, by job
 }
 
-// GuardedReply is the answer.
+// GuardedReply is the reply to Service.Guarded.
 type GuardedReply struct {
-	Jobs map[string]GuardedState // those asked for that the owner still has
+	Jobs map[string]GuardedState // the requested jobs that the owner still has
 }
 
-// GuardedState is how a job stands.
+// GuardedState is the state of a job at its owner.
 type GuardedState struct {
 	Mark   int64
-	Listed []string // items from the position on that the caller asked from
+	Listed []string // items with durable results, from the requested position on
 }
 
-// ReachesArgs ask whether another process answers.
+// ReachesArgs asks whether the named process answers.
 type ReachesArgs struct{ Name string }
 
-// ReachesReply is the answer.
+// ReachesReply is the reply to Service.Reaches.
 type ReachesReply struct{ Answers bool }
 
-// Guarded implements the call of that name.
+// Guarded returns the state of jobs to their standby. It is called by net/rpc.
 func (s *Service) Guarded(args GuardedArgs, reply *GuardedReply) error {
 	reply.Jobs = map[string]GuardedState{}
 	for id, from := range args.Listed {
@@ -62,35 +63,35 @@
 	return nil
 }
 
-// Reaches implements the call of that name.
+// Reaches reports whether another process answers this one. It is called by net/rpc.
 func (s *Service) Reaches(args ReachesArgs, reply *ReachesReply) error {
 	if s.owner.Standby.Peers == nil {
 		return nil
 	}
-	// A machine without power does not refuse a connection: the call hangs.
+	// A machine without power does not refuse a connection: the call hangs until its timeout.
 	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout)
 	defer cancel()
 	reply.Answers = s.owner.Standby.Peers.Answers(ctx, args.Name)
 	return nil
 }
 
-// StandbyPeers are the calls that a standby makes.
+// StandbyPeers makes the calls of a standby to other processes.
 type StandbyPeers interface {
-	// QueryJobs asks an owner how jobs stand.
+	// QueryJobs asks an owner for the state of jobs.
 	QueryJobs(ctx context.Context, owner string, args GuardedArgs) (GuardedReply, error)
-	// Answers tells whether a process answers calls.
+	// Answers reports whether a process answers calls.
 	Answers(ctx context.Context, name string) bool
-	// IndirectPing asks another process, not the one named, whether that one answers it; known
-	// is false if none could be asked.
+	// IndirectPing asks a third process whether the named one answers it. known is false if no
+	// process could be asked.
 	IndirectPing(ctx context.Context, name string) (answers, known bool)
 }
 
-// Standby stands by for the jobs of other owners, whose texts are copied to this process.
-// When an owner is lost it takes its jobs over, and while the store is away it runs them.
-// It is safe for concurrent use.
+// Standby is the standby for jobs of other owners, whose texts are replicated to this process.
+// If an owner is lost, it takes its jobs over; while the store is unreachable, it runs them
+// without owning them. It is safe for concurrent use.
 type Standby struct {
-	Peers      StandbyPeers  // nil: this process stands by for nobody
-	MaxRunTime time.Duration // the longest that it runs a job that it does not own
+	Peers      StandbyPeers  // nil: this process is no standby
+	MaxRunTime time.Duration // how long it runs a job that it does not own
 
 	owner *Owner
 
@@ -99,26 +100,26 @@
 	jobs     map[string]*standbyJob
 }
 
-// guardedJob is a job of another owner.
+// standbyJob is a job of another owner.
 type standbyJob struct {
 	id     string
 	owner  string
 	mark   int64
 	spec   *batch.Spec
-	listed []string // items with durable results, in the order of their positions
+	listed []string // items with durable results, in order of position
 
 	takingOver bool
-	takenOver  bool      // the store says that this process owns it, which takes it on now
-	retryAt    time.Time // of the next try to take it over
-	run        *ownedJob // what this process runs of it; nil: nothing
-	runSince   time.Time // when that began
+	takenOver  bool      // the store has assigned the job to this process, which is adopting it
+	retryAt    time.Time // earliest time of the next try to take the job over
+	run        *ownedJob // the run of the job at this process; nil: none
+	runSince   time.Time // when the run started
 }
 
 func newStandby(o *Owner) *Standby {
 	return &Standby{MaxRunTime: defaultMaxRunTime, owner: o, detector: standby.NewFailureDetector(), jobs: map[string]*standbyJob{}}
 }
 
-// take takes in that this process stands by for a job.
+// add makes this process the standby for a job.
 func (s *Standby) add(args CopyArgs, spec *batch.Spec) {
 	if s.Peers == nil {
 		return
@@ -135,7 +136,7 @@
 	s.jobs[args.Job] = &standbyJob{id: args.Job, owner: args.Owner, mark: args.Mark, spec: spec}
 }
 
-// knows tells whether this process stands by for a job under a mark.
+// has reports whether this process is the standby for a job under at least the given mark.
 func (s *Standby) has(job string, mark int64) bool {
 	if s.Peers == nil {
 		return true
@@ -153,8 +154,8 @@
 	}
 }
 
-// running returns the jobs that this process runs without owning them, but for those
-// that it has run for long enough.
+// running returns the jobs that this process runs without owning them, except those whose
+// MaxRunTime is over.
 func (s *Standby) running() []*ownedJob {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +169,8 @@
 	return jobs
 }
 
-// HasOrphanedJobs tells whether a job of a lost owner waits for the store.
+// HasOrphanedJobs reports whether the owner of a job is lost, so that this process needs the
+// store to take the job over.
 func (s *Standby) HasOrphanedJobs() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,8 +183,8 @@
 	return false
 }
 
-// end forgets a job that this process owns from now on, and returns what it ran of it;
-// nil: nothing.
+// release removes a job that this process owns from now on. It returns its run as the standby,
+// or nil if there was none.
 func (s *Standby) release(job string) *ownedJob {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,8 +229,8 @@
 	}
 }
 
-// expire forgets jobs that nobody can want any more, and ends runs of those that this
-// process has run for long enough; the lock is held.
+// expire removes jobs whose results need no longer be readable, and stops runs that exceed
+// MaxRunTime. The lock must be held.
 func (s *Standby) expire(now time.Time) {
 	for id, j := range s.jobs {
 		if now.Sub(j.spec.Submitted) > s.owner.ResultTTL {
@@ -236,12 +238,12 @@
 			delete(s.jobs, id)
 		}
 		if j.run != nil && now.Sub(j.runSince) > s.MaxRunTime {
-			j.run.cancel() // what it made is kept for the job's next owner
+			j.run.cancel() // the generated events are kept for the job's next owner
 		}
 	}
 }
 
-// owners returns the owners of the jobs; the lock is held.
+// owners returns the owners of the jobs. The lock must be held.
 func (s *Standby) owners() []string {
 	var names []string
 	for _, j := range s.jobs {
@@ -252,7 +254,7 @@
 	return names
 }
 
-// asked returns what an owner is asked for; the lock is held.
+// queryArgs returns the arguments of a query to an owner. The lock must be held.
 func (s *Standby) queryArgs(owner string) GuardedArgs {
 	args := GuardedArgs{Listed: map[string]int{}}
 	for _, j := range s.jobs {
@@ -281,15 +283,15 @@
 	}
 }
 
-// takeState takes in how an owner says that a job stands; the zero state says that it has
-// the job no more. The lock is held.
+// applyState applies the state of a job that its owner reported. The zero state means that the
+// owner no longer has the job. The lock must be held.
 func (s *Standby) applyState(j *standbyJob, from int, state GuardedState) {
 	switch {
 	case state.Mark == 0:
 		j.stopRun()
 		delete(s.jobs, j.id)
 	case state.Mark != j.mark:
-		j.mark, j.listed = state.Mark, nil // it was taken on anew
+		j.mark, j.listed = state.Mark, nil // the owner adopted it anew
 	case from == len(j.listed):
 		j.listed = append(j.listed, state.Listed...)
 	}
@@ -299,7 +301,8 @@
 	}
 }
 
-// ask asks another process whether it reaches an owner that does not answer this one.
+// pingIndirectly asks another process whether it reaches an owner that does not answer this
+// one.
 func (s *Standby) pingIndirectly(ctx context.Context, name string) {
 	ctx, cancel := context.WithTimeout(ctx, indirectPingTimeout)
 	defer cancel()
@@ -314,7 +317,7 @@
 	}
 }
 
-// rescue takes a job over, or runs it until that is possible.
+// takeOverOrRun takes a job over, or starts to run it if the store is unreachable.
 func (s *Standby) takeOverOrRun(ctx context.Context, j *standbyJob) {
 	result := s.takeOver(ctx, j)
 	if result == storeUnreachable {
@@ -334,18 +337,19 @@
 	}
 }
 
-// takeOverResult is what the store says of a job that is to be taken over.
+// takeOverResult is the result of a try to take a job over.
 type takeOverResult int
 
 const (
-	takeOverUnknown  takeOverResult = iota // whether it was taken over
+	takeOverUnknown  takeOverResult = iota // the outcome of the write is unknown
 	storeUnreachable                       // neither this process nor those that it asks reach the store
-	jobTaken                               // it is this process's
-	ownerChanged                           // it ended, or has another owner
+	jobTaken                               // the job is assigned to this process
+	ownerChanged                           // the job has ended or has another owner
 )
 
-// standIn runs a job whose owner is lost while the store is away. What it generates is
-// listed once the job can be taken over; without it a step begins anew then and is late.
+// startRun runs a job of a lost owner while the store is unreachable. Its results become
+// durable once the job can be taken over; without the run, the step would start anew then and
+// be late.
 func (s *Standby) startRun(ctx context.Context, j *standbyJob) {
 	if !s.owner.Switches.On(mechanism.StandbyRuns) {
 		return
@@ -379,7 +383,7 @@
 	case err != nil:
 		return storeUnreachable
 	case record.Owner == s.owner.Name && !record.Ended:
-		return jobTaken // by an earlier try; the news of its mark tell it
+		return jobTaken // by an earlier try; the watch reports the assignment
 	case stored.Revision == 0 || record.Ended || record.Owner != j.owner:
 		return ownerChanged
 	}
@@ -392,7 +396,7 @@
 	committed, err := s.owner.Store.Commit(ctx, t)
 	switch {
 	case err != nil:
-		return takeOverUnknown // the record tells at the next try
+		return takeOverUnknown // the next try reads the record
 	case !committed.Done:
 		return ownerChanged
 	}
--- a/internal/agentless/batchrun/sweep.go
+++ b/internal/agentless/batchrun/sweep.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// sweepEvery is how often old jobs are looked for; one listing each time.
-	sweepEvery = time.Minute
-	// sweepSlack passes after results need no longer be readable before they are
-	// removed: machines' clocks differ by seconds.
+	// sweepInterval is the interval between sweeps. Each lists the jobs once.
+	sweepInterval = time.Minute
+	// sweepSlack is added to ResultTTL before a job is removed: the machines' clocks differ by
+	// seconds.
 	sweepSlack = 30 * time.Second
 )
 
-// Sweeper removes jobs from the store once nobody may ask for them any more.
-// Without it the store would fill with every job there ever was.
+// Sweeper removes jobs from the store when their results need no longer be readable. Otherwise
+// the store would grow with every job.
 type Sweeper struct {
 	Store     kv.Shared
 	ResultTTL time.Duration // how long results stay readable after submission
 	Log       *logrus.Logger
-	// ShouldSweep tells whether this process is the one that sweeps.
+	// ShouldSweep reports whether this process is the one that sweeps.
 	ShouldSweep func() bool
 }
 
 // Run sweeps until ctx ends.
 func (s *Sweeper) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause(ctx, sweepEvery)
+		pause(ctx, sweepInterval)
 		if ctx.Err() == nil && s.ShouldSweep() {
 			s.sweep(ctx, time.Now())
 		}
@@ -42,7 +42,7 @@
 func (s *Sweeper) sweep(ctx context.Context, now time.Time) {
 	page, err := kv.ReadAll(ctx, s.Store, prefixJobs)
 	if err != nil {
-		return // the next sweep finds the same
+		return // the next sweep retries
 	}
 	for _, r := range page.Records {
 		var record jobRecord
@@ -61,8 +61,8 @@
 	}
 }
 
-// remove removes a job's mark and parts, and last its record: if this process
-// stops in between, the next sweep finds the rest.
+// remove deletes a job's assignment, results and spec, and its record last: if this process
+// stops in between, the next sweep removes the rest.
 func (s *Sweeper) remove(ctx context.Context, id string, record jobRecord, revision int64) error {
 	keys := []string{assignmentKey(record.Owner, id)}
 	for _, prefix := range []string{donePrefix(id), specPrefix(id)} {
--- a/internal/agentless/batchrun/text_sinks.go
+++ b/internal/agentless/batchrun/text_sinks.go
@@ -6,15 +6,15 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// sinks are where the events of texts under way go besides the job itself. All
-// are told under the job's lock, so that events come in order.
+// sinks are the buffers that receive the events of partial texts besides the job itself. They
+// are called under the lock of the job, so that events arrive in order.
 type sinks []*textlog.Buffer
 
-// sinksOf returns where the events of a job's texts go.
+// sinksOf returns the buffers that receive the events of a job's texts.
 func (o *Owner) sinksOf(j *ownedJob) sinks {
 	var s sinks
 	if j.mark == 0 {
-		return s // its owner's texts are kept here
+		return s // this process stores its owner's texts
 	}
 	if o.Texts != nil && o.Switches.On(mechanism.TextJournal) {
 		s = append(s, o.Texts.Buffer)
@@ -38,7 +38,7 @@
 	}
 }
 
-// ended notes what the end of a run made of an item's text.
+// ended records the effect of a finished run on an item's text.
 func (s sinks) ended(j *ownedJob, i int, how batch.RunOutcome) {
 	item, made := j.job.Spec.Items[i].ID, j.job.EventCount(i)
 	for _, buffer := range s {
@@ -51,7 +51,7 @@
 	}
 }
 
-// scored notes the score of an item's text; made is how many events it has.
+// scored records the score of an item's text; made is its number of events.
 func (s sinks) scored(j *ownedJob, item string, made int64, score string) {
 	for _, buffer := range s {
 		buffer.Add(j.id, j.mark, batch.TextPart{Item: item, First: made + 1, Complete: true, Score: score})
--- a/internal/agentless/batchrun/write_results.go
+++ b/internal/agentless/batchrun/write_results.go
@@ -12,15 +12,15 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// maxChunkBytes bounds the results written by one transaction, well under what
-// the store takes as one value.
+// maxChunkBytes limits the results written by one transaction. It lies well below the largest
+// value that the store accepts.
 const maxChunkBytes = 512 << 10
 
-// startWriting writes decided results if there are any and no write is under
-// way. Positions are given out by one writer at a time.
+// startWriting starts to write a job's results if any are due and no writer is active. Only one
+// writer at a time assigns positions.
 func (o *Owner) startWriting(j *ownedJob) {
 	if j.mark == 0 {
-		return // only its owner lists results
+		return // only the owner writes results
 	}
 	j.mu.Lock()
 	begin := !j.writerActive && !j.job.Closed() && j.job.WriteDue(time.Now())
@@ -63,16 +63,16 @@
 	}
 }
 
-// failedWrites are a job's writes that failed in a row.
+// failedWrites counts a job's consecutive failed writes.
 type failedWrites struct {
 	count  int
 	since  time.Time
-	reason string // of the last line
+	reason string // of the last failure that was logged
 }
 
-// noteWrite writes a line when writes of a job begin to fail, fail for another
-// reason, and succeed again; an outage of the store would otherwise give four lines
-// a second for each job.
+// recordWrite logs when writes of a job begin to fail, fail for another reason, and succeed
+// again. Logging each failure would give four lines a second for each job during an outage of
+// the store.
 func (o *Owner) recordWrite(j *ownedJob, c chunk, err error) {
 	f := &j.failedWrites
 	if err == nil {
@@ -92,14 +92,14 @@
 	}
 }
 
-// chunk is what one write holds.
+// chunk holds the results of one write.
 type chunk struct {
 	position       int
 	results        []batch.Result
-	earlierUnknown bool // the outcome of an earlier write is not known
+	earlierUnknown bool // the outcome of an earlier write is unknown
 }
 
-// nextChunk returns the results to write now, and counts them as sent.
+// nextChunk returns the results to write now, and marks a write as pending.
 func (j *ownedJob) nextChunk(now time.Time) (c chunk, due bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -112,9 +112,9 @@
 	return c, true
 }
 
-// clearWritePending notes that a write certainly had no effect, and that none is out whose
-// outcome is unknown: such a one may yet become durable, and the job is then read
-// from the store if it ends.
+// clearWritePending notes that a write certainly had no effect. It must only be called if no
+// earlier write has an unknown outcome: that one may still become durable, and if the job ends,
+// its results are then read from the store.
 func (j *ownedJob) clearWritePending() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -134,12 +134,11 @@
 	return results
 }
 
-// errNotOwner is returned when another process owns the job, or nobody does.
-var errNotOwner = errors.New("batchrun: the job's mark has changed")
+// errNotOwner is returned if the job belongs to another process or to none.
+var errNotOwner = errors.New("batchrun: the job's assignment has changed")
 
-// writeChunk makes results durable from a position on and returns how many
-// are. A write whose answer was lost is repeated: if it took effect, the chunk
-// stands there and is compared.
+// writeChunk writes results from a position on and returns how many are durable. A write whose
+// answer was lost is retried: if it took effect, the key exists and its results are compared.
 func (o *Owner) writeChunk(j *ownedJob, position int, results []batch.Result) (int, error) {
 	raw, err := encode(results)
 	if err != nil {
@@ -165,7 +164,7 @@
 		return 0, err
 	}
 	if existing.Revision == 0 {
-		return 0, errNotOwner // the other condition failed: the mark
+		return 0, errNotOwner // the other expectation failed: the assignment changed
 	}
 	var listed []batch.Result
 	if err := decode(existing.Value, &listed); err != nil {
@@ -182,6 +181,7 @@
 	return len(listed), nil
 }
 
+// markDurable marks results as durable and wakes the readers that wait for them.
 func (o *Owner) markDurable(j *ownedJob, position int, results []batch.Result) {
 	j.mu.Lock()
 	now := time.Now()
@@ -192,7 +192,7 @@
 	finished := j.job.Finished()
 	j.writePending = false
 	var retained *retainedResults
-	if j.job.Closed() { // it ended while they were written
+	if j.job.Closed() { // it ended during the write
 		retained = j.retained()
 	}
 	j.mu.Unlock()
@@ -210,7 +210,7 @@
 	}
 }
 
-// noteStep says what a whole step's time consisted of.
+// recordStep logs the timeline of a complete step and updates the step's metric.
 func (o *Owner) recordStep(j *ownedJob, t *batch.Timeline) {
 	o.stats.step.Update(t.Elapsed)
 	spec := j.job.Spec
