--- a/internal/agentless/batchrun/itemrun.go
+++ b/internal/agentless/batchrun/itemrun.go
@@ -59,11 +59,11 @@
 	if how, outcome, done := classifyAnswer(answer, r.start); done {
 		return how, outcome, errors.Errorf("status %d", answer.Status)
 	}
-	return r.read(ctx, dispatch.NewEvents(answer), idleTimer)
+	return r.read(ctx, dispatch.NewEventReader(answer), idleTimer)
 }
 
 // read processes events until the stream ends, or the run should be cancelled to move the item.
-func (r *itemRun) read(ctx context.Context, in *dispatch.Events, idleTimer *time.Timer) (batch.RunOutcome, endpoints.Outcome, error) {
+func (r *itemRun) read(ctx context.Context, in *dispatch.EventReader, idleTimer *time.Timer) (batch.RunOutcome, endpoints.Outcome, error) {
 	for {
 		event, err := in.Next()
 		if errors.Is(err, io.EOF) {
@@ -189,7 +189,7 @@
 	// the preempted model's steps were the ones that came late.
 	return &dispatch.Request{
 		ID: item.ID, Method: http.MethodPost, Target: item.Path, Host: spec.Host, Header: header, Body: item.Body,
-		Left: timeout, Resume: start.ResumeAfter, Version: start.RequiredVersion, Urgency: -1, Customer: spec.Customer,
+		Timeout: timeout, ResumeAfter: start.ResumeAfter, Version: start.RequiredVersion, Urgency: -1, Customer: spec.Customer,
 	}
 }
 
