--- a/internal/agentless/batchrun/hub.go
+++ b/internal/agentless/batchrun/hub.go
@@ -12,54 +12,54 @@
 	"siskinloom.example/siskinloom/internal/policy/rendezvous"
 )
 
-// hubSlack is how much longer than its own wait a read by way of a hub may take:
-// the hub may find the owner silent and ask the store.
+// hubSlack is added to the wait of a read via a hub to get its timeout: the hub may find the
+// owner unresponsive and read the store instead.
 const hubSlack = 900 * time.Millisecond
 
-// ResultsArgs ask a process to read a job's results for another one.
+// ResultsArgs asks a hub to read a job's results for the caller.
 type ResultsArgs struct {
 	Job  string
 	From int
 	Wait time.Duration
 }
 
-// ResultsReply is the answer.
+// ResultsReply is the reply to Hub.Results.
 type ResultsReply struct {
-	NoJob   bool // the store says that there is no such job
-	Unknown bool // neither owner nor store answered
+	NoJob   bool // the store has no such job
+	Unknown bool // neither the owner nor the store answered
 	Reading Reading
 }
 
-// Hub answers reads of other processes in its failure domain.
-type Hub struct{ desk *Frontend }
+// Hub serves reads of results to the other processes in its failure domain.
+type Hub struct{ frontend *Frontend }
 
-// Results implements the call of that name.
+// Results reads results for another process. It is called by net/rpc.
 func (h *Hub) Results(args ResultsArgs, reply *ResultsReply) error {
-	reading, err := h.desk.Results(context.Background(), args.Job, args.From, args.Wait)
+	reading, err := h.frontend.Results(context.Background(), args.Job, args.From, args.Wait)
 	reply.NoJob = errors.Is(err, ErrNoJob)
 	reply.Unknown = err != nil && !reply.NoJob
 	reply.Reading = reading
 	return nil
 }
 
-// hub names the worker in this process's failure domain by which a job's results
-// are read: the same one for all processes of the domain. Otherwise every entry takes
-// each result over the domain's border by itself, or from the store once the job's
-// owner has forgotten it, as after a kill of all processes.
-func (d *Frontend) hub(job string) (name string, found bool) {
+// hubFor returns the worker in this process's failure domain through which a job's results are
+// read. It is the same for all processes of the domain. Without it every entry would transfer
+// each result across the domain's border, or read it from the store once the job's owner no
+// longer retains it, as after all processes were killed.
+func (d *Frontend) hubFor(job string) (name string, found bool) {
 	if d.IsHub || !d.Local.Switches.On(mechanism.ReadNear) {
 		return "", false
 	}
 	near := inDomain(d.Members.Owners(), d.Domain)
-	trusted := d.trusted(near)
-	if len(near) == 0 || !near[0].Worker || len(trusted) == 0 {
+	responsive := d.responsive(near)
+	if len(near) == 0 || !near[0].Worker || len(responsive) == 0 {
 		return "", false
 	}
-	keys := make([]uint64, len(trusted))
-	for i, m := range trusted {
+	keys := make([]uint64, len(responsive))
+	for i, m := range responsive {
 		keys[i] = rendezvous.Key(m.Name)
 	}
-	return trusted[rendezvous.Ranked(rendezvous.Key(job), keys, 1)[0]].Name, true
+	return responsive[rendezvous.Ranked(rendezvous.Key(job), keys, 1)[0]].Name, true
 }
 
 func inDomain(members []cluster.Member, domain string) []cluster.Member {
@@ -72,9 +72,10 @@
 	return near
 }
 
-// byHub reads by way of the domain's hub; settled is false if it could not tell.
-func (d *Frontend) byHub(ctx context.Context, id string, from int, wait time.Duration) (r Reading, settled bool, err error) {
-	name, found := d.hub(id)
+// readViaHub reads results via the domain's hub. answered is false if there is no hub or it
+// could not answer.
+func (d *Frontend) readViaHub(ctx context.Context, id string, from int, wait time.Duration) (r Reading, answered bool, err error) {
+	name, found := d.hubFor(id)
 	if !found {
 		return Reading{}, false, nil
 	}
@@ -83,8 +84,8 @@
 	var reply ResultsReply
 	member, _ := d.Members.Get(name)
 	if err := d.Peers.Call(limited, member.Address, callResults, ResultsArgs{Job: id, From: from, Wait: wait}, &reply); err != nil {
-		if ctx.Err() == nil && isSilence(err) {
-			d.distrust(name)
+		if ctx.Err() == nil && isUnanswered(err) {
+			d.markUnresponsive(name)
 		}
 		return Reading{}, false, nil
 	}
@@ -97,9 +98,9 @@
 	return reply.Reading, true, nil
 }
 
-// isSilence tells whether a call failed as the other side did not answer. One of
-// an older release answers that it has no such call.
-func isSilence(err error) bool {
-	var answered rpc.ServerError
-	return !errors.As(err, &answered)
+// isUnanswered reports whether a call failed because the other side did not answer. A process
+// of an older release does answer, with the error that it has no such method.
+func isUnanswered(err error) bool {
+	var serverError rpc.ServerError
+	return !errors.As(err, &serverError)
 }
