--- a/internal/agentless/gate/usage_test.go
+++ b/internal/agentless/gate/usage_test.go
@@ -26,7 +26,7 @@
 		} else {
 			g.Serve(context.Background(), route(kind), r)
 		}
-		update, _ := g.Usage.Telling(0, time.Now())
+		update, _ := g.Usage.Update(0, time.Now())
 		sum := usage.Counts{}
 		for _, tally := range update.Tallies {
 			for name, n := range tally.Counts {
@@ -69,11 +69,11 @@
 		go func() { done <- g.Serve(ctx, route(deployment.NonIdempotent), r) }()
 		Eventually(s.endpoints).Should(HaveLen(1))
 		time.Sleep(3 * short.WindowLength)
-		update, _ := g.Usage.Telling(0, time.Now())
+		update, _ := g.Usage.Update(0, time.Now())
 		Expect(update.Through).To(BeNumerically("<", short.WindowAt(time.Now())-1))
 		cancel()
 		<-done
-		update, _ = g.Usage.Telling(0, time.Now())
+		update, _ = g.Usage.Update(0, time.Now())
 		Expect(update.Through).To(BeNumerically(">=", entered))
 		Expect(update.Tallies).To(HaveLen(1))
 	})
