--- a/internal/agentless/batchrun/reading.go
+++ b/internal/agentless/batchrun/frontend_read.go
@@ -14,56 +14,57 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// Reading is the answer to a read of results.
+// Reading is the result of a read of results.
 type Reading struct {
 	Total   int
-	Results []batch.Result // from the position asked, all durable
+	Results []batch.Result // from the requested position on, all durable
 }
 
-// Results returns a job's results from a position on, waiting for some if none
-// are there. ErrNoJob only if the store says so; ErrUnavailable if neither the
-// owner nor the store answers.
+// Results returns a job's results from a position on. If there are none, it waits for some. It
+// returns ErrNoJob only if the store has no such job, and ErrUnavailable if neither the owner
+// nor the store answers.
 //
-// An owner that lost the store may have lost the job without knowing: asked
-// alone, it would go on showing less than others have read. So an answer that
-// is not sure counts only where the store does not answer either.
+// An owner that lost its connection to the store may have lost the job without knowing, and its
+// answer could then lack results that other readers have seen. So an answer that is not certain
+// is used only if the store does not answer either.
 func (d *Frontend) Results(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
 	if d.Local.Switches.On(mechanism.CacheResults) {
-		return d.withCached(ctx, id, from, wait)
+		return d.readCached(ctx, id, from, wait)
 	}
-	return d.readAnew(ctx, id, from, wait)
+	return d.readUncached(ctx, id, from, wait)
 }
 
-// withCached returns the results that were read here before, with what came since.
-// Who can be given some does not wait for more, and gets them though neither owner
-// nor store answers: what is durable does not change.
-func (d *Frontend) withCached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
-	kept, next := d.cache.from(id, from)
-	if len(kept.Results) > 0 {
+// readCached returns the cached results followed by newer ones. If any are cached, it does not
+// wait for more, and returns the cached ones even if neither the owner nor the store answers:
+// durable results do not change.
+func (d *Frontend) readCached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
+	cached, next := d.cache.get(id, from)
+	if len(cached.Results) > 0 {
 		wait = 0
 	}
-	fresh, err := d.readAnew(ctx, id, next, wait)
+	fresh, err := d.readUncached(ctx, id, next, wait)
 	switch {
-	case errors.Is(err, ErrUnavailable) && len(kept.Results) > 0:
-		return kept, nil
+	case errors.Is(err, ErrUnavailable) && len(cached.Results) > 0:
+		return cached, nil
 	case err != nil:
 		return Reading{}, err
 	}
 	d.cache.add(id, next, fresh)
-	fresh.Results = append(kept.Results, fresh.Results...)
+	fresh.Results = append(cached.Results, fresh.Results...)
 	return fresh, nil
 }
 
-func (d *Frontend) readAnew(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
-	if r, settled, err := d.byHub(ctx, id, from, wait); settled {
+// readUncached reads results via the hub, from the owner or from the store, in this order.
+func (d *Frontend) readUncached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
+	if r, answered, err := d.readViaHub(ctx, id, from, wait); answered {
 		return r, err
 	}
-	until := time.Now().Add(wait)
-	reply := d.fromOwner(ctx, id, from, wait)
-	if reply.current() {
+	deadline := time.Now().Add(wait)
+	reply := d.readFromOwner(ctx, id, from, wait)
+	if reply.isCurrent() {
 		return reading(reply), nil
 	}
-	stored, err := d.fromStore(ctx, id, from, until)
+	stored, err := d.readFromStore(ctx, id, from, deadline)
 	if errors.Is(err, ErrUnavailable) && reply.Owned {
 		return reading(reply), nil
 	}
@@ -72,9 +73,9 @@
 
 func reading(reply ReadReply) Reading { return Reading{Total: reply.Total, Results: reply.Results} }
 
-// fromOwner asks the job's owner as far as it is known or can be guessed. The
-// zero answer stands for none.
-func (d *Frontend) fromOwner(ctx context.Context, id string, from int, wait time.Duration) ReadReply {
+// readFromOwner reads results from the job's owner if that is known or can be guessed. It
+// returns the zero reply if there is no answer.
+func (d *Frontend) readFromOwner(ctx context.Context, id string, from int, wait time.Duration) ReadReply {
 	owner, found := d.likelyOwner(ctx, id)
 	if !found {
 		return ReadReply{}
@@ -88,19 +89,18 @@
 	return reply
 }
 
-// likelyOwner names the job's owner as far as it is remembered, or as the owners
-// of today's models say.
+// likelyOwner returns the job's owner from the cached record, or else asks the owners of the
+// models that are served now.
 func (d *Frontend) likelyOwner(ctx context.Context, id string) (owner string, found bool) {
 	if known := d.snapshot(id); known != nil {
 		return known.record.Owner, true
 	}
-	return d.locate(ctx, id)
+	return d.locateOwner(ctx, id)
 }
 
-// locate finds a job's owner among those that own the jobs of the models served
-// today, so that the many processes at which a job is read make no call to the
-// store for it.
-func (d *Frontend) locate(ctx context.Context, id string) (owner string, found bool) {
+// locateOwner finds a job's owner among the processes that own the jobs of the models served
+// now, so that the many processes at which a job is read need no call to the store.
+func (d *Frontend) locateOwner(ctx context.Context, id string) (owner string, found bool) {
 	if d.Models == nil {
 		return "", false
 	}
@@ -120,7 +120,7 @@
 		}()
 	}
 	for range candidates {
-		if a := <-answers; a.reply.current() {
+		if a := <-answers; a.reply.isCurrent() {
 			d.remember(id, jobRecord{Owner: a.owner, Total: a.reply.Total, Ended: a.reply.Ended})
 			return a.owner, true
 		}
@@ -128,15 +128,16 @@
 	return "", false
 }
 
-func (d *Frontend) cannotTell(id string, err error) error {
+// unavailable logs the error and wraps it as ErrUnavailable. ErrNoJob is returned as it is.
+func (d *Frontend) unavailable(id string, err error) error {
 	if errors.Is(err, ErrNoJob) {
 		return err
 	}
 	events.ReadFailed.Log(d.Log, logrus.Fields{"job": id, "error": err.Error()})
-	return comeBack(errors.Wrap(ErrUnavailable, err.Error()))
+	return withRetryAfter(errors.Wrap(ErrUnavailable, err.Error()))
 }
 
-// snapshot returns a copy of what is remembered of a job, or nil.
+// snapshot returns a copy of what is cached of a job, or nil.
 func (d *Frontend) snapshot(id string) *knownJob {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -150,18 +151,17 @@
 
 func (d *Frontend) askOwner(ctx context.Context, owner, id string, from int, wait time.Duration) (ReadReply, error) {
 	args := ReadArgs{Job: id, From: from, Wait: wait}
-	return ask(ctx, d, owner, callRead, wait, args, func() ReadReply { return d.Local.read(ctx, args) })
+	return callOwner(ctx, d, owner, callRead, wait, args, func() ReadReply { return d.Local.read(ctx, args) })
 }
 
-// ask calls a method of an owner, or does locally what it would do if the owner
-// is this process.
-func ask[R any](ctx context.Context, d *Frontend, owner, method string, wait time.Duration, args any, local func() R) (R, error) {
+// callOwner calls a method of an owner, or runs local if the owner is this process.
+func callOwner[R any](ctx context.Context, d *Frontend, owner, method string, wait time.Duration, args any, local func() R) (R, error) {
 	if owner == d.Local.Name {
 		return local(), nil
 	}
 	var reply, none R
 	if err := d.call(ctx, owner, method, wait, args, &reply); err != nil {
-		return none, err // the reply may still be written to
+		return none, err // a late answer may still write to the reply
 	}
 	return reply, nil
 }
@@ -169,49 +169,50 @@
 func (d *Frontend) call(ctx context.Context, owner, method string, wait time.Duration, args, reply any) error {
 	member, found := d.Members.Get(owner)
 	if !found {
-		return errors.Errorf("batchrun: %s is not listed", owner)
+		return errors.Errorf("batchrun: process %s is not a known member", owner)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+callSlack)
 	defer cancel()
 	return d.Peers.Call(ctx, member.Address, method, args, reply)
 }
 
-// fromStore reads results from the store: the job has ended, or its owner does
-// not answer or has changed.
-func (d *Frontend) fromStore(ctx context.Context, id string, from int, until time.Time) (Reading, error) {
+// readFromStore reads results from the store. It is used if the job has ended, or if its owner
+// does not answer or has changed.
+func (d *Frontend) readFromStore(ctx context.Context, id string, from int, deadline time.Time) (Reading, error) {
 	for {
-		standing, record, err := d.fresh(ctx, id)
+		found, record, err := d.currentRecord(ctx, id)
 		if err != nil {
-			return Reading{}, d.cannotTell(id, err)
+			return Reading{}, d.unavailable(id, err)
 		}
-		if !standing {
+		if !found {
 			return Reading{}, ErrNoJob
 		}
 		results, err := d.storedResults(ctx, id, from)
 		if err != nil {
-			return Reading{}, d.cannotTell(id, err)
+			return Reading{}, d.unavailable(id, err)
 		}
-		if len(results) > 0 || record.Ended || from >= record.Total || time.Until(until) < storePoll || ctx.Err() != nil {
+		if len(results) > 0 || record.Ended || from >= record.Total || time.Until(deadline) < storePollInterval || ctx.Err() != nil {
 			return Reading{Total: record.Total, Results: results}, nil
 		}
-		pause(ctx, storePoll)
-		if reply, err := d.askOwner(ctx, record.Owner, id, from, max(0, time.Until(until))); err == nil && reply.current() {
+		pause(ctx, storePollInterval)
+		if reply, err := d.askOwner(ctx, record.Owner, id, from, max(0, time.Until(deadline))); err == nil && reply.isCurrent() {
 			return reading(reply), nil
 		}
 	}
 }
 
-// fresh returns the record as the store has it; an ended one cannot change.
-func (d *Frontend) fresh(ctx context.Context, id string) (found bool, record jobRecord, err error) {
+// currentRecord returns the record from the store, or the cached one if the job has ended,
+// because that one can no longer change.
+func (d *Frontend) currentRecord(ctx context.Context, id string) (found bool, record jobRecord, err error) {
 	if known := d.snapshot(id); known != nil && known.record.Ended {
 		return true, known.record, nil
 	}
-	standing, record, err := d.fetch(ctx, id)
-	return standing.Revision != 0, record, err
+	stored, record, err := d.fetchRecord(ctx, id)
+	return stored.Revision != 0, record, err
 }
 
-// storedResults returns the durable results from a position on, reading only
-// the chunks that were not read before.
+// storedResults returns the durable results from a position on. It reads only chunks that are
+// not cached.
 func (d *Frontend) storedResults(ctx context.Context, id string, from int) ([]batch.Result, error) {
 	known := d.snapshot(id)
 	if known == nil {
@@ -257,8 +258,8 @@
 	return nil
 }
 
-// Body returns the body of an item that is not listed yet. ErrNoJob: the job
-// does not exist, has ended, or has no such item that is not listed.
+// Body returns the body of an item that has no durable result yet. It returns ErrNoJob if the
+// job does not exist, has ended, or has no such item without a durable result.
 func (d *Frontend) Body(ctx context.Context, id, item string) ([]byte, error) {
 	if owner, found := d.likelyOwner(ctx, id); found {
 		reply, err := d.askBody(ctx, owner, id, item)
@@ -266,7 +267,7 @@
 		case err != nil:
 		case reply.Found:
 			return reply.Body, nil
-		case reply.Ended, reply.Owned: // listed, or no item of the job
+		case reply.Ended, reply.Owned: // it has a durable result, or is no item of the job
 			return nil, ErrNoJob
 		}
 	}
@@ -275,28 +276,28 @@
 
 func (d *Frontend) askBody(ctx context.Context, owner, id, item string) (BodyReply, error) {
 	args := BodyArgs{Job: id, Item: item}
-	return ask(ctx, d, owner, callBody, 0, args, func() BodyReply { return d.Local.body(args) })
+	return callOwner(ctx, d, owner, callBody, 0, args, func() BodyReply { return d.Local.body(args) })
 }
 
 func (d *Frontend) storedBody(ctx context.Context, id, item string) ([]byte, error) {
-	found, record, err := d.fresh(ctx, id)
+	found, record, err := d.currentRecord(ctx, id)
 	if err != nil {
-		return nil, d.cannotTell(id, err)
+		return nil, d.unavailable(id, err)
 	}
 	if !found || record.Ended {
 		return nil, ErrNoJob
 	}
 	parts, err := kv.ReadAll(ctx, d.Store, specPrefix(id))
 	if err != nil {
-		return nil, d.cannotTell(id, err)
+		return nil, d.unavailable(id, err)
 	}
 	spec, err := joinSpec(parts.Records, record.Parts)
 	if err != nil {
-		return nil, d.cannotTell(id, err)
+		return nil, d.unavailable(id, err)
 	}
 	listed, err := d.storedResults(ctx, id, 0)
 	if err != nil {
-		return nil, d.cannotTell(id, err)
+		return nil, d.unavailable(id, err)
 	}
 	job := batch.NewJob(spec, listed)
 	body, known := job.Body(item)
--- a/internal/agentless/usagerun/sender.go
+++ b/internal/agentless/usagerun/sender.go
@@ -27,7 +27,7 @@
 // Sender tells a process's counts to those who may have to report them. What began and
 // was not told yet is lost if this process dies, so that counts are told at once.
 type Sender struct {
-	Config   usage.Config
+	Config  usage.Config
 	Counter *Counter
 	Self    cluster.Member
 	Members *cluster.Members
