--- a/internal/agentless/usagerun/reporter.go
+++ b/internal/agentless/usagerun/reporter.go
@@ -22,44 +22,47 @@
 )
 
 const (
-	// prefixReports is the prefix of the reports that were fixed, each under its window.
+	// prefixReports is the prefix of the keys of stored reports. Each key ends with the
+	// number of the report's window.
 	prefixReports = "usage/"
-	// lookEvery is how often the holder looks for windows to close.
-	lookEvery = 100 * time.Millisecond
-	// againAfter and againSpread give the pause before a report is sent again.
-	againAfter  = 250 * time.Millisecond
-	againSpread = 250 * time.Millisecond
-	// mostLogged is the most customers whose counts one log line names.
-	mostLogged = 200
-	// mostRemoved bounds the old reports that one transaction removes.
-	mostRemoved = 16
+	// checkInterval is how often the holder of the duty checks for windows to close and
+	// calls to make.
+	checkInterval = 100 * time.Millisecond
+	// retryDelay and retryJitter determine the delay before a failed call is repeated.
+	retryDelay  = 250 * time.Millisecond
+	retryJitter = 250 * time.Millisecond
+	// maxLoggedCustomers is the largest number of customers whose counts one log line
+	// contains.
+	maxLoggedCustomers = 200
+	// maxRemovals limits the old reports that one transaction removes.
+	maxRemovals = 16
 )
 
 // Verdict is the platform's answer to a report.
 type Verdict int
 
-// The verdicts.
+// Possible answers to a report.
 const (
 	Accepted Verdict = iota
 	Outdated         // the platform knows a higher fencing token
-	Busy             // the call was not looked at
+	Busy             // the platform did not process the call
 )
 
-// Report is a window's report as it goes to the platform.
+// Report is a window's report as it is sent to the platform.
 type Report struct {
 	usage.Report
 	Holder string
 	Term   int64 // fencing token
 }
 
-// Biller takes reports, and bounds how long that may take. An error means that the report may have been accepted, or may be
-// accepted later.
+// Biller sends reports to the platform with a timeout. An error means that the report
+// may have been accepted or may still be accepted.
 type Biller interface {
 	Report(ctx context.Context, r Report) (Verdict, error)
 }
 
-// Reporter reports usage while this process holds the duty. It carries out what
-// usage.Holder decides.
+// Reporter reports usage while this process holds the duty. It executes the commands of
+// a usage.Planner.
 type Reporter struct {
 	Config   usage.Config
 	Self     string
@@ -71,49 +74,50 @@
 	Log      *logrus.Logger
 	Registry metrics.Registry
 
-	holder *usage.Planner
-	proved time.Time // when the call began that last proved the term
-	stale  []string  // keys of reports in the store, the oldest first
+	planner     *usage.Planner
+	confirmedAt time.Time // start of the last call that confirmed the term
+	storedKeys  []string  // keys of the stored reports, oldest first
 }
 
-// Run reports until ctx ends.
+// Run reports usage until ctx is done.
 func (r *Reporter) Run(ctx context.Context) error {
-	r.holder = usage.NewPlanner(r.Config)
-	periodic.Run(ctx, lookEvery, func(now time.Time) { r.look(ctx, now) })
+	r.planner = usage.NewPlanner(r.Config)
+	periodic.Run(ctx, checkInterval, func(now time.Time) { r.check(ctx, now) })
 	return nil
 }
 
-func (r *Reporter) look(ctx context.Context, now time.Time) {
+// check closes windows and executes the planner's commands until none is due.
+func (r *Reporter) check(ctx context.Context, now time.Time) {
 	expected := r.expected()
-	r.Ledger.with(func(l *usage.Ledger) { l.Prune(r.Config.WindowAt(now)-r.Config.RetainedWindows(), expected) })
+	r.Ledger.withLock(func(l *usage.Ledger) { l.Prune(r.Config.WindowAt(now)-r.Config.RetainedWindows(), expected) })
 	term, leads := r.Leader.Term(now)
 	if !leads {
 		term = 0
 	}
-	r.holder.SetTerm(term)
+	r.planner.SetTerm(term)
 	var closed []usage.ClosedWindow
-	r.Ledger.with(func(l *usage.Ledger) { closed = r.holder.CloseWindows(now, l, expected) })
+	r.Ledger.withLock(func(l *usage.Ledger) { closed = r.planner.CloseWindows(now, l, expected) })
 	for _, c := range closed {
-		r.noteClosed(c, now)
+		r.logClosed(c, now)
 	}
 	for ctx.Err() == nil {
-		command := r.holder.Next(time.Now())
+		command := r.planner.Next(time.Now())
 		if command == nil {
 			break
 		}
-		answer := r.carryOut(ctx, command)
-		answer.RetryAt = time.Now().Add(againAfter + rand.N(againSpread))
-		r.holder.HandleResult(time.Now(), answer)
+		result := r.execute(ctx, command)
+		result.RetryAt = time.Now().Add(retryDelay + rand.N(retryJitter))
+		r.planner.HandleResult(time.Now(), result)
 	}
-	for _, w := range r.holder.TakeLost() {
-		r.noteLost(w, "too late")
+	for _, w := range r.planner.TakeLost() {
+		r.logLost(w, "too late")
 	}
-	if r.holder.ShouldResign() {
+	if r.planner.ShouldResign() {
 		r.Leader.Resign()
 	}
 }
 
-// expected returns the processes that count: those that serve callers.
+// expected returns the processes whose counts a window needs: those that serve callers.
 func (r *Reporter) expected() []usage.Source {
 	var sources []usage.Source
 	for _, m := range r.Members.Live() {
@@ -124,43 +128,47 @@
 	return sources
 }
 
-func (r *Reporter) carryOut(ctx context.Context, command usage.Command) usage.Result {
+// execute executes one command of the planner.
+func (r *Reporter) execute(ctx context.Context, command usage.Command) usage.Result {
 	switch c := command.(type) {
 	case usage.LoadReports:
-		return r.load(ctx)
+		return r.loadReports(ctx)
 	case usage.StoreReport:
-		return r.fix(ctx, c)
+		return r.storeReport(ctx, c)
 	case usage.ReadReport:
-		return r.read(ctx, c.Window)
+		return r.readReport(ctx, c.Window)
 	case usage.ConfirmTerm:
-		return r.confirm(ctx)
+		return r.confirmTerm(ctx)
 	case usage.SendReport:
-		return r.send(ctx, c)
+		return r.sendReport(ctx, c)
 	default:
 		return usage.Result{}
 	}
 }
 
-func (r *Reporter) load(ctx context.Context) usage.Result {
+// loadReports reads the stored reports.
+func (r *Reporter) loadReports(ctx context.Context) usage.Result {
 	page, err := kv.ReadAll(ctx, r.Store, prefixReports)
 	if err != nil {
 		return usage.Result{}
 	}
-	r.stale = nil
-	answer := usage.Result{Outcome: usage.Done}
+	r.storedKeys = nil
+	result := usage.Result{Outcome: usage.Done}
 	for _, record := range page.Records {
 		report, err := decodeReport(record)
 		if err != nil {
 			events.UsageUnreadable.Log(r.Log, logrus.Fields{"key": record.Key, "error": err.Error()})
 			continue
 		}
-		r.stale = append(r.stale, record.Key)
-		answer.Reports = append(answer.Reports, report)
+		r.storedKeys = append(r.storedKeys, record.Key)
+		result.Reports = append(result.Reports, report)
 	}
-	return answer
+	return result
 }
 
-func (r *Reporter) fix(ctx context.Context, c usage.StoreReport) usage.Result {
+// storeReport writes a report to the store, unless there is one for the window or this
+// process lost the duty. It also removes old reports.
+func (r *Reporter) storeReport(ctx context.Context, c usage.StoreReport) usage.Result {
 	raw, err := encodeCounts(c.Counts)
 	if err != nil {
 		events.UsageUnreadable.Log(r.Log, logrus.Fields{"window": c.Window, "error": err.Error()})
@@ -179,22 +187,24 @@
 	case !committed.Done:
 		return usage.Result{Outcome: usage.NotDone}
 	}
-	r.proved = began
-	r.stale = append(r.stale[len(removed):], key)
+	r.confirmedAt = began
+	r.storedKeys = append(r.storedKeys[len(removed):], key)
 	return usage.Result{Outcome: usage.Done}
 }
 
-// removable returns the oldest keys that nobody needs once a window is fixed.
+// removable returns the oldest keys that no process needs once the report of a window
+// is stored, at most maxRemovals.
 func (r *Reporter) removable(w usage.Window) []string {
 	oldest := reportKey(w - r.Config.RetainedWindows())
 	n := 0
-	for n < min(len(r.stale), mostRemoved) && r.stale[n] < oldest {
+	for n < min(len(r.storedKeys), maxRemovals) && r.storedKeys[n] < oldest {
 		n++
 	}
-	return r.stale[:n:n]
+	return r.storedKeys[:n:n]
 }
 
-func (r *Reporter) read(ctx context.Context, w usage.Window) usage.Result {
+// readReport reads the stored report of a window.
+func (r *Reporter) readReport(ctx context.Context, w usage.Window) usage.Result {
 	record, err := r.Store.Read(ctx, reportKey(w))
 	switch {
 	case err != nil:
@@ -210,13 +220,14 @@
 	return usage.Result{Outcome: usage.Done, Reports: []usage.Report{report}}
 }
 
-func (r *Reporter) confirm(ctx context.Context) usage.Result {
+// confirmTerm asks the store whether this process still holds the duty.
+func (r *Reporter) confirmTerm(ctx context.Context) usage.Result {
 	began := time.Now()
 	_, confirmed := r.Leader.Confirm(ctx)
 	_, holds := r.Leader.Term(time.Now())
 	switch {
 	case confirmed:
-		r.proved = began
+		r.confirmedAt = began
 		return usage.Result{Outcome: usage.Done}
 	case holds:
 		return usage.Result{} // the store did not answer, or too late
@@ -225,59 +236,66 @@
 	}
 }
 
-func (r *Reporter) send(ctx context.Context, c usage.SendReport) usage.Result {
-	if !cluster.ConfirmationValid(r.proved) {
+// sendReport sends a report to the platform, unless the last confirmation of the term
+// is too old.
+func (r *Reporter) sendReport(ctx context.Context, c usage.SendReport) usage.Result {
+	if !cluster.ConfirmationValid(r.confirmedAt) {
 		return usage.Result{}
 	}
 	verdict, err := r.Biller.Report(ctx, Report{Report: c.Report, Holder: r.Self, Term: c.Term})
 	switch {
 	case err != nil:
-		r.failed(c, err.Error())
+		r.logFailed(c, err.Error())
 	case verdict == Accepted:
 		r.count("accepted")
 		events.UsageReported.Log(r.Log, logrus.Fields{"window": c.Window, "requests": c.Counts.Sum(), "customers": len(c.Counts), "term": c.Term})
 		return usage.Result{Outcome: usage.Done}
 	case verdict == Outdated:
-		r.failed(c, "a higher fencing token was seen")
+		r.logFailed(c, "a higher fencing token was seen")
 		return usage.Result{Outcome: usage.Outdated}
 	default:
-		r.failed(c, "the platform is busy")
+		r.logFailed(c, "the platform is busy")
 	}
 	return usage.Result{}
 }
 
-func (r *Reporter) failed(c usage.SendReport, why string) {
+// logFailed logs and counts a report that was not accepted.
+func (r *Reporter) logFailed(c usage.SendReport, why string) {
 	r.count("failed")
 	events.UsageNotReported.Log(r.Log, logrus.Fields{"window": c.Window, "term": c.Term, "error": why})
 }
 
-func (r *Reporter) noteLost(w usage.Window, why string) {
+// logLost logs and counts a window that is not reported any more.
+func (r *Reporter) logLost(w usage.Window, why string) {
 	r.count("lost")
 	events.UsageLost.Log(r.Log, logrus.Fields{"window": w, "error": why})
 }
 
-// noteClosed says what a window's counts consist of.
-func (r *Reporter) noteClosed(c usage.ClosedWindow, now time.Time) {
+// logClosed logs the counts of a closed window.
+func (r *Reporter) logClosed(c usage.ClosedWindow, now time.Time) {
 	if c.Lost {
-		r.noteLost(c.Window, "closed too late")
+		r.logLost(c.Window, "closed too late")
 		return
 	}
 	fields := logrus.Fields{
 		"window": c.Window, "requests": c.Counts.Sum(), "customers": len(c.Counts),
 		"age_ms": now.Sub(r.Config.WindowEnd(c.Window)).Milliseconds(), "missing": c.Missing,
 	}
-	if len(c.Counts) <= mostLogged {
+	if len(c.Counts) <= maxLoggedCustomers {
 		fields["counts"] = c.Counts
 	}
 	events.UsageClosed.Log(r.Log, fields)
 }
 
+// count increments the counter of an outcome of reports.
 func (r *Reporter) count(what string) {
 	metrics.GetOrRegisterCounter("usage.reports."+what, r.Registry).Inc(1)
 }
 
+// reportKey returns the key under which a window's report is stored.
 func reportKey(w usage.Window) string { return fmt.Sprintf("%s%016d", prefixReports, int64(w)) }
 
+// decodeReport decodes a stored report.
 func decodeReport(record kv.Record) (usage.Report, error) {
 	number, err := strconv.ParseInt(strings.TrimPrefix(record.Key, prefixReports), 10, 64)
 	if err != nil {
@@ -290,6 +308,7 @@
 	return usage.Report{Window: usage.Window(number), Counts: counts}, nil
 }
 
+// encodeCounts encodes the counts of a report for the store.
 func encodeCounts(c usage.Counts) ([]byte, error) {
 	var b bytes.Buffer
 	err := gob.NewEncoder(&b).Encode(c)
--- a/internal/agentless/usagerun/sender.go
+++ b/internal/agentless/usagerun/sender.go
@@ -13,19 +13,22 @@
 )
 
 const (
-	// tellLimit bounds a call; processes are milliseconds away.
-	tellLimit = 500 * time.Millisecond
-	// tellAgain is the pause after a call that failed.
-	tellAgain = 200 * time.Millisecond
-	// tellShare times as many processes as there are is the least pause between two
-	// calls to one of those told, so that they are called as often in any fleet.
-	tellShare = 2 * time.Millisecond
-	// windowSlack passes after a window's end before its counts are told as final.
-	windowSlack = 10 * time.Millisecond
+	// callTimeout bounds a call. Processes are milliseconds away from each other.
+	callTimeout = 500 * time.Millisecond
+	// sendRetryDelay is the delay after a failed call.
+	sendRetryDelay = 200 * time.Millisecond
+	// sendIntervalPerMember times the number of members is the least time between two
+	// calls to the same receiver, so that the rate of calls that a receiver gets does
+	// not depend on the size of the fleet.
+	sendIntervalPerMember = 2 * time.Millisecond
+	// windowMargin is how long after the end of a window its counts may be sent as
+	// final.
+	windowMargin = 10 * time.Millisecond
 )
 
-// Sender tells a process's counts to those who may have to report them. What began and
-// was not told yet is lost if this process dies, so that counts are told at once.
+// Sender sends a process's counts to the processes that may have to report them.
+// Requests that were counted but not sent are lost if this process dies, so counts are
+// sent as soon as possible.
 type Sender struct {
 	Config  usage.Config
 	Counter *Counter
@@ -35,125 +38,130 @@
 	Peers   *rpcpool.Pool
 	Log     *logrus.Logger
 
-	listeners map[string]*listener
-	ended     chan string // listeners whose call is over
+	receivers map[string]*receiver
+	ended     chan string // names of receivers whose call has ended
 }
 
-// listener is a process that is told.
-type listener struct {
-	boot     int64 // start of the process that was told, Unix nanoseconds; 0: none was
-	version  int64 // told up to here
-	calling  bool
-	earliest time.Time // of the next call
-	failing  bool
+// receiver is the state of sending to one process.
+type receiver struct {
+	boot       int64 // start of the receiving process in Unix nanoseconds; 0: not known yet
+	version    int64 // version of the counts that the process has
+	calling    bool
+	nextCallAt time.Time // earliest time of the next call
+	failing    bool
 }
 
-// Run tells counts until ctx ends.
-func (t *Sender) Run(ctx context.Context) error {
-	t.listeners = map[string]*listener{}
-	t.ended = make(chan string)
+// Run sends counts until ctx is done.
+func (s *Sender) Run(ctx context.Context) error {
+	s.receivers = map[string]*receiver{}
+	s.ended = make(chan string)
 	for ctx.Err() == nil {
 		now := time.Now()
-		wait := t.untilFinal(now)
-		for _, member := range t.targets() {
-			wait = min(wait, t.tell(ctx, member, now))
+		wait := s.untilWindowFinal(now)
+		for _, member := range s.destinations() {
+			wait = min(wait, s.send(ctx, member, now))
 		}
-		t.await(ctx, wait)
+		s.await(ctx, wait)
 	}
 	return nil
 }
 
-// untilFinal returns how long it is until a window's counts may be final.
-func (t *Sender) untilFinal(now time.Time) time.Duration {
-	return t.Config.WindowEnd(t.Config.WindowAt(now)).Add(windowSlack).Sub(now)
+// untilWindowFinal returns the time until the counts of the current window may be
+// final.
+func (s *Sender) untilWindowFinal(now time.Time) time.Duration {
+	return s.Config.WindowEnd(s.Config.WindowAt(now)).Add(windowMargin).Sub(now)
 }
 
-func (t *Sender) await(ctx context.Context, wait time.Duration) {
+// await waits until counts change, a call ends or the given time has passed.
+func (s *Sender) await(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(max(wait, time.Millisecond))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-t.Counter.wake:
-	case name := <-t.ended:
-		t.listeners[name].calling = false
+	case <-s.Counter.wake:
+	case name := <-s.ended:
+		s.receivers[name].calling = false
 	}
 }
 
-// targets returns the holder of the duty and the scouts, one of which is the next.
-func (t *Sender) targets() []cluster.Member {
-	targets := cluster.Relays(t.Members)
-	holder, found := t.Members.Get(t.Members.Holder(t.Duty))
+// destinations returns the relays, one of which will be the next holder of the duty,
+// and the current holder.
+func (s *Sender) destinations() []cluster.Member {
+	destinations := cluster.Relays(s.Members)
+	holder, found := s.Members.Get(s.Members.Holder(s.Duty))
 	if !found {
-		return targets
+		return destinations
 	}
-	for _, m := range targets {
+	for _, m := range destinations {
 		if m.Name == holder.Name {
-			return targets
+			return destinations
 		}
 	}
-	return append(targets, holder)
+	return append(destinations, holder)
 }
 
-// tell begins a call if there is something to tell, and returns when to look again.
-func (t *Sender) tell(ctx context.Context, to cluster.Member, now time.Time) time.Duration {
-	l := t.listeners[to.Name]
-	if l == nil {
-		l = &listener{}
-		t.listeners[to.Name] = l
+// send starts a call if the receiver lacks counts, and returns the time after which to
+// check again.
+func (s *Sender) send(ctx context.Context, to cluster.Member, now time.Time) time.Duration {
+	r := s.receivers[to.Name]
+	if r == nil {
+		r = &receiver{}
+		s.receivers[to.Name] = r
 	}
-	if l.calling {
-		return tellLimit
+	if r.calling {
+		return callTimeout
 	}
-	if wait := l.earliest.Sub(now); wait > 0 {
+	if wait := r.nextCallAt.Sub(now); wait > 0 {
 		return wait
 	}
-	telling, version := t.Counter.Update(l.version, now)
-	if version == l.version {
-		return tellLimit
+	update, version := s.Counter.Update(r.version, now)
+	if version == r.version {
+		return callTimeout
 	}
-	telling.Process, telling.Boot = t.Self.Name, t.Self.Boot
-	l.calling = true
+	update.Process, update.Boot = s.Self.Name, s.Self.Boot
+	r.calling = true
 	go func() {
-		t.call(ctx, to, l, telling, version)
+		s.call(ctx, to, r, update, version)
 		select {
-		case t.ended <- to.Name:
+		case s.ended <- to.Name:
 		case <-ctx.Done():
 		}
 	}()
-	return tellLimit
+	return callTimeout
 }
 
-// call tells one process. The listener is this call's until it is over.
-func (t *Sender) call(ctx context.Context, to cluster.Member, l *listener, telling usage.Update, version int64) {
-	ctx, cancel := context.WithTimeout(ctx, tellLimit)
+// call sends an update to one process. Until it returns, only it accesses the
+// receiver's state, apart from calling.
+func (s *Sender) call(ctx context.Context, to cluster.Member, r *receiver, update usage.Update, version int64) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply TellReply
-	err := t.Peers.Call(ctx, to.Address, callTell, telling, &reply)
+	err := s.Peers.Call(ctx, to.Address, callTell, update, &reply)
 	now := time.Now()
 	switch {
 	case err != nil:
-		l.earliest = now.Add(tellAgain)
-		if !l.failing {
-			events.UsageNotTold.Log(t.Log, logrus.Fields{"to": to.Name, "error": err.Error()})
+		r.nextCallAt = now.Add(sendRetryDelay)
+		if !r.failing {
+			events.UsageNotTold.Log(s.Log, logrus.Fields{"to": to.Name, "error": err.Error()})
 		}
-	case l.boot != 0 && reply.Boot != l.boot:
-		l.boot, l.version = reply.Boot, 0 // it began anew and lacks what it was told before
+	case r.boot != 0 && reply.Boot != r.boot:
+		r.boot, r.version = reply.Boot, 0 // the process has restarted and lacks all earlier updates
 	default:
-		l.boot, l.version = reply.Boot, version
-		l.earliest = now.Add(time.Duration(t.Members.Count()) * tellShare)
+		r.boot, r.version = reply.Boot, version
+		r.nextCallAt = now.Add(time.Duration(s.Members.Count()) * sendIntervalPerMember)
 	}
-	l.failing = err != nil
+	r.failing = err != nil
 }
 
-// Flush tells everything once more before this process ends.
-func (t *Sender) Flush(ctx context.Context) {
-	telling, _ := t.Counter.Update(0, time.Now())
-	telling.Process, telling.Boot = t.Self.Name, t.Self.Boot
-	for _, to := range t.targets() {
-		limited, cancel := context.WithTimeout(ctx, tellLimit)
-		if err := t.Peers.Call(limited, to.Address, callTell, telling, &TellReply{}); err != nil {
-			events.UsageNotTold.Log(t.Log, logrus.Fields{"to": to.Name, "error": err.Error()})
+// Flush sends all counts once more before this process ends.
+func (s *Sender) Flush(ctx context.Context) {
+	update, _ := s.Counter.Update(0, time.Now())
+	update.Process, update.Boot = s.Self.Name, s.Self.Boot
+	for _, to := range s.destinations() {
+		limited, cancel := context.WithTimeout(ctx, callTimeout)
+		if err := s.Peers.Call(limited, to.Address, callTell, update, &TellReply{}); err != nil {
+			events.UsageNotTold.Log(s.Log, logrus.Fields{"to": to.Name, "error": err.Error()})
 		}
 		cancel()
 	}
--- a/internal/agentless/usagerun/service.go
+++ b/internal/agentless/usagerun/service.go
@@ -9,18 +9,19 @@
 	"siskinloom.example/siskinloom/internal/policy/usage"
 )
 
-// Names of the calls between processes.
+// Names of the net/rpc service and its method.
 const (
 	serviceName = "Usage"
 	callTell    = serviceName + ".Tell"
 )
 
-// TellReply is the answer to counts that were told.
+// TellReply is the answer to an update.
 type TellReply struct {
-	Boot int64 // Unix nanoseconds of the start of the process that was told
+	Boot int64 // start of the receiving process in Unix nanoseconds
 }
 
-// Ledger holds what other processes told. It is safe for concurrent use.
+// Ledger is a usage.Ledger with the counts that other processes sent to this one. It is
+// safe for concurrent use.
 type Ledger struct {
 	boot int64
 
@@ -28,29 +29,29 @@
 	ledger *usage.Ledger
 }
 
-// NewLedger returns the books of a process that started at boot, in Unix nanoseconds.
-func NewLedger(rules usage.Config, boot int64) *Ledger {
-	return &Ledger{boot: boot, ledger: usage.NewLedger(rules)}
+// NewLedger returns the ledger of a process that started at boot, in Unix nanoseconds.
+func NewLedger(config usage.Config, boot int64) *Ledger {
+	return &Ledger{boot: boot, ledger: usage.NewLedger(config)}
 }
 
-// Register offers the call by which counts are told.
-func (b *Ledger) Register(server *rpc.Server) error {
-	return errors.Wrap(server.RegisterName(serviceName, &Service{books: b}), "usagerun")
+// Register registers the net/rpc service that receives updates.
+func (l *Ledger) Register(server *rpc.Server) error {
+	return errors.Wrap(server.RegisterName(serviceName, &Service{ledger: l}), "usagerun")
 }
 
-// with has a function work on the ledger under its lock.
-func (b *Ledger) with(work func(*usage.Ledger)) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	work(b.ledger)
+// withLock calls a function with the ledger while it is locked.
+func (l *Ledger) withLock(work func(*usage.Ledger)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	work(l.ledger)
 }
 
-// Service takes in what other processes tell.
-type Service struct{ books *Ledger }
+// Service is the net/rpc service that receives updates of other processes.
+type Service struct{ ledger *Ledger }
 
-// Tell implements the call of that name.
-func (s *Service) Tell(telling usage.Update, reply *TellReply) error {
-	s.books.with(func(l *usage.Ledger) { l.Apply(telling) })
-	reply.Boot = s.books.boot
+// Tell applies an update of another process.
+func (s *Service) Tell(update usage.Update, reply *TellReply) error {
+	s.ledger.withLock(func(l *usage.Ledger) { l.Apply(update) })
+	reply.Boot = s.ledger.boot
 	return nil
 }
--- a/internal/agentless/usagerun/usagerun_test.go
+++ b/internal/agentless/usagerun/usagerun_test.go
@@ -27,7 +27,7 @@
 
 const duty = cluster.DutyKey + "weights"
 
-var rules = usage.Config{WindowLength: 300 * time.Millisecond, DueAfter: 3 * time.Second}
+var config = usage.Config{WindowLength: 300 * time.Millisecond, DueAfter: 3 * time.Second}
 
 func TestUsagerun(t *testing.T) {
 	RegisterFailHandler(Fail)
@@ -50,20 +50,20 @@
 	DeferCleanup(func() { cancel(); <-done })
 }
 
-// bills takes reports and remembers every one.
-type bills struct {
-	mu       sync.Mutex
-	reports  []usagerun.Report
-	verdicts []usagerun.Verdict // of the next reports; then they are accepted
-	lose     int                // answers that are lost, first
+// fakeBiller records all reports and answers with the given verdicts.
+type fakeBiller struct {
+	mu          sync.Mutex
+	reports     []usagerun.Report
+	verdicts    []usagerun.Verdict // of the next reports; all later ones are accepted
+	lostAnswers int                // how many reports get no answer before that
 }
 
-func (b *bills) Report(_ context.Context, r usagerun.Report) (usagerun.Verdict, error) {
+func (b *fakeBiller) Report(_ context.Context, r usagerun.Report) (usagerun.Verdict, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reports = append(b.reports, r)
-	if b.lose > 0 {
-		b.lose--
+	if b.lostAnswers > 0 {
+		b.lostAnswers--
 		return 0, errors.New("no answer")
 	}
 	if len(b.verdicts) > 0 {
@@ -74,14 +74,14 @@
 	return usagerun.Accepted, nil
 }
 
-func (b *bills) seen() []usagerun.Report {
+func (b *fakeBiller) seen() []usagerun.Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]usagerun.Report(nil), b.reports...)
 }
 
-// sums adds up each window once.
-func (b *bills) sums() usage.Counts {
+// sums returns the total of all windows, each counted once.
+func (b *fakeBiller) sums() usage.Counts {
 	sums, windows := usage.Counts{}, map[usage.Window]bool{}
 	for _, r := range b.seen() {
 		if !windows[r.Window] {
@@ -94,51 +94,52 @@
 	return sums
 }
 
-// site is one process that counts and others that may report.
-type site struct {
+// testSystem is a process that counts requests, and workers that may report them.
+type testSystem struct {
 	store   *standin.Shared
 	members *cluster.Members
 	counter *usagerun.Counter
-	bills   *bills
+	biller  *fakeBiller
 }
 
-func newSite() *site {
-	s := &site{store: standin.NewShared(), members: cluster.NewMembers(), counter: usagerun.NewCounter(rules), bills: &bills{}}
+func newTestSystem() *testSystem {
+	s := &testSystem{store: standin.NewShared(), members: cluster.NewMembers(), counter: usagerun.NewCounter(config), biller: &fakeBiller{}}
 	entry := cluster.Member{Name: "entry", Address: "127.0.0.1:1", Boot: time.Now().UnixNano()}
 	registrar := s.list(entry)
 	follower := &cluster.Follower{Store: s.store, Topic: registrar.Topic()}
 	start(follower.Run)
-	teller := &usagerun.Sender{Config: rules, Counter: s.counter, Self: entry, Members: s.members, Duty: duty, Peers: rpcpool.New(nil), Log: silent()}
-	start(teller.Run)
+	sender := &usagerun.Sender{Config: config, Counter: s.counter, Self: entry, Members: s.members, Duty: duty, Peers: rpcpool.New(nil), Log: silent()}
+	start(sender.Run)
 	return s
 }
 
 // list registers a process.
-func (s *site) list(m cluster.Member) *cluster.Registrar {
+func (s *testSystem) list(m cluster.Member) *cluster.Registrar {
 	registrar := cluster.NewRegistrar(s.store, m, time.Hour, s.members, silent())
 	start(registrar.Run)
 	return registrar
 }
 
-// worker starts a process that is told, and reports while it holds the duty.
-func (s *site) worker(name string) *cluster.Leader {
+// worker starts a process that receives counts and reports them while it holds the
+// duty.
+func (s *testSystem) worker(name string) *cluster.Leader {
 	boot := time.Now().UnixNano()
-	books := usagerun.NewLedger(rules, boot)
+	ledger := usagerun.NewLedger(config, boot)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	calls := rpc.NewServer()
-	Expect(books.Register(calls)).To(Succeed())
+	Expect(ledger.Register(calls)).To(Succeed())
 	go calls.Accept(listener)
 	DeferCleanup(listener.Close)
 	s.list(cluster.Member{Name: name, Address: listener.Addr().String(), Worker: true, Boot: boot})
 	leader := cluster.NewLeader(s.store, duty, name, 0, 0, func() bool { return true }, func(bool, int64) {})
 	start(leader.Run)
-	reporter := &usagerun.Reporter{Config: rules, Self: name, Ledger: books, Members: s.members, Leader: leader, Store: s.store, Biller: s.bills, Log: silent(), Registry: metrics.NewRegistry()}
+	reporter := &usagerun.Reporter{Config: config, Self: name, Ledger: ledger, Members: s.members, Leader: leader, Store: s.store, Biller: s.biller, Log: silent(), Registry: metrics.NewRegistry()}
 	start(reporter.Run)
 	return leader
 }
 
-func (s *site) serve(customer string, n int) {
+func (s *testSystem) serve(customer string, n int) {
 	for range n {
 		r := s.counter.Enter(customer)
 		r.CountStart(time.Now())
@@ -151,82 +152,82 @@
 }
 
 var _ = Describe("usage", func() {
-	It("is reported window by window, each request once", func() {
-		s := newSite()
+	It("is reported per window, each request once", func() {
+		s := newTestSystem()
 		Eventually(leads(s.worker("a"))).WithTimeout(patience).Should(BeTrue())
 		s.serve("desk", 3)
-		time.Sleep(rules.WindowLength)
+		time.Sleep(config.WindowLength)
 		s.serve("desk", 2)
 		s.serve("billing", 1)
-		Eventually(s.bills.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 5, "billing": 1}))
+		Eventually(s.biller.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 5, "billing": 1}))
 	})
 
-	It("is sent again, the same, when the answer was lost or the platform is busy", func() {
-		s := newSite()
-		s.bills.lose, s.bills.verdicts = 2, []usagerun.Verdict{usagerun.Busy}
+	It("is sent again unchanged when the answer was lost or the platform is busy", func() {
+		s := newTestSystem()
+		s.biller.lostAnswers, s.biller.verdicts = 2, []usagerun.Verdict{usagerun.Busy}
 		Eventually(leads(s.worker("a"))).WithTimeout(patience).Should(BeTrue())
 		s.serve("desk", 3)
-		Eventually(s.bills.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 3}))
-		Consistently(s.bills.sums).Should(Equal(usage.Counts{"desk": 3}))
-		told := map[usage.Window]usage.Counts{}
-		for _, r := range s.bills.seen() {
-			if before, found := told[r.Window]; found {
+		Eventually(s.biller.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 3}))
+		Consistently(s.biller.sums).Should(Equal(usage.Counts{"desk": 3}))
+		sent := map[usage.Window]usage.Counts{}
+		for _, r := range s.biller.seen() {
+			if before, found := sent[r.Window]; found {
 				Expect(r.Counts).To(Equal(before))
 			}
-			told[r.Window] = r.Counts
+			sent[r.Window] = r.Counts
 		}
 	})
 
-	It("is reported by the next holder under a higher token, with what was told to both", func() {
-		s := newSite()
+	It("is reported by the next holder of the duty under a higher fencing token, with the counts sent to both", func() {
+		s := newTestSystem()
 		first := s.worker("a")
 		Eventually(leads(first)).WithTimeout(patience).Should(BeTrue())
 		second := s.worker("b")
 		s.serve("desk", 3)
-		Eventually(s.bills.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 3}))
+		Eventually(s.biller.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 3}))
 		Expect(first.Release(context.Background())).To(Succeed())
 		s.serve("desk", 2)
 		second.TryNow()
-		Eventually(s.bills.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 5}))
+		Eventually(s.biller.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 5}))
 		terms := map[string]int64{}
-		for _, r := range s.bills.seen() {
+		for _, r := range s.biller.seen() {
 			terms[r.Holder] = r.Term
 		}
 		Expect(terms["b"]).To(BeNumerically(">", terms["a"]))
 	})
 
-	It("is not reported by one whose token is outdated", func() {
-		s := newSite()
-		s.bills.verdicts = []usagerun.Verdict{usagerun.Outdated}
+	It("is not reported under an outdated fencing token", func() {
+		s := newTestSystem()
+		s.biller.verdicts = []usagerun.Verdict{usagerun.Outdated}
 		leader := s.worker("a")
-		Eventually(s.bills.seen).WithTimeout(patience).ShouldNot(BeEmpty())
-		first := s.bills.seen()[0].Term
+		Eventually(s.biller.seen).WithTimeout(patience).ShouldNot(BeEmpty())
+		first := s.biller.seen()[0].Term
 		Eventually(func() bool {
 			term, leads := leader.Term(time.Now())
 			return leads && term > first
-		}).WithTimeout(patience).Should(BeTrue(), "it stands for the duty anew")
+		}).WithTimeout(patience).Should(BeTrue(), "it acquires the duty again")
 	})
 
-	It("waits for the store, as what is not written down may be told differently", func() {
-		s := newSite()
+	It("is not reported before it is stored, because unstored counts may still change", func() {
+		s := newTestSystem()
 		Eventually(leads(s.worker("a"))).WithTimeout(patience).Should(BeTrue())
-		Eventually(s.bills.seen).WithTimeout(patience).ShouldNot(BeEmpty())
+		Eventually(s.biller.seen).WithTimeout(patience).ShouldNot(BeEmpty())
 		s.store.SetDown(true)
-		time.Sleep(2 * rules.WindowLength)
-		before := len(s.bills.seen())
-		Consistently(func() int { return len(s.bills.seen()) }).WithTimeout(rules.WindowLength).Should(Equal(before))
+		time.Sleep(2 * config.WindowLength)
+		before := len(s.biller.seen())
+		Consistently(func() int { return len(s.biller.seen()) }).WithTimeout(config.WindowLength).Should(Equal(before))
 		s.serve("desk", 1)
 		s.store.SetDown(false)
-		Eventually(s.bills.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 1}))
+		Eventually(s.biller.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 1}))
 	})
 
-	It("leaves no more reports in the store than a next holder needs", func() {
-		s := newSite()
+	It("leaves only the reports in the store that the next holder needs", func() {
+		s := newTestSystem()
 		Eventually(leads(s.worker("a"))).WithTimeout(patience).Should(BeTrue())
-		most := int(rules.RetainedWindows()) + 2
-		Eventually(func() int { return len(s.bills.seen()) }).WithTimeout(patience).Should(BeNumerically(">", most+3))
+		maxReports := int(config.RetainedWindows()) + 2
+		Eventually(func() int { return len(s.biller.seen()) }).WithTimeout(patience).Should(BeNumerically(">", maxReports+3))
 		page, err := kv.ReadAll(context.Background(), s.store, "usage/")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(len(page.Records)).To(BeNumerically("<=", most))
+		Expect(len(page.Records)).To(BeNumerically("<=", maxReports))
 	})
 })
