--- a/internal/agentless/batchrun/batchrun_test.go
+++ b/internal/agentless/batchrun/batchrun_test.go
@@ -15,31 +15,32 @@
 	var llm *engines
 	var a, b *process
 
-	owned := func(id string) (owner, other *process) { return ownedOf(a, b, id) }
+	ownerOf := func(id string) (owner, other *process) { return ownerAndOther(a, b, id) }
 
 	BeforeEach(func() { store, llm, a, b = startPair() })
 
-	It("is read whole at any process, with the texts, versions and scores of its items", func() {
+	It("is readable at any process with the texts, versions and scores of all its items", func() {
 		Expect(a.desk.Submit(context.Background(), spec("j", 5))).To(Succeed())
 		for _, p := range []*process{a, b} {
-			Eventually(results(p, "j")).WithTimeout(patience).Should(Equal(5))
+			Eventually(results(p, "j")).WithTimeout(eventuallyTimeout).Should(Equal(5))
 			all, err := readAll(p.desk, "j")
 			Expect(err).NotTo(HaveOccurred())
 			checkResults(all)
 		}
 	})
 
-	It("is accepted once when the store's answer is lost, and when it comes again", func() {
-		// The write took effect and its answer did not come. The submitter must not be
-		// told that nothing runs; the same job sent again elsewhere is the same job.
+	It("is accepted only once if the store's answer is lost or the job is submitted again", func() {
+		// The write takes effect but its answer is lost. The submitter must not get an
+		// error that means that nothing runs; submitting the job at another process must
+		// not start it twice.
 		store.LoseAnswers(1)
 		Expect(a.desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		Expect(b.desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
-		Eventually(results(b, "j")).WithTimeout(patience).Should(Equal(3))
+		Eventually(results(b, "j")).WithTimeout(eventuallyTimeout).Should(Equal(3))
 		Expect(llm.count("i0")).To(Equal(1))
 	})
 
-	It("is refused as not run only if that is certain", func() {
+	It("is refused with ErrNotRun only if it is certain that it does not run", func() {
 		store.SetDown(true)
 		Expect(a.desk.Submit(context.Background(), spec("j", 3))).To(MatchError(batchrun.ErrNotRun))
 		store.SetDown(false)
@@ -47,30 +48,31 @@
 		_, err := readAll(a.desk, "j")
 		Expect(err).To(MatchError(batchrun.ErrNoJob))
 
-		silenced := &mute{Shared: store}
-		c := newProcess("c", silenced, llm)
+		losing := &answerLosingStore{Shared: store}
+		c := newProcess("c", losing, llm)
 		c.members = a.members
 		c.desk.Members = a.members
 		Expect(c.desk.Submit(context.Background(), spec("k", 3))).To(MatchError(batchrun.ErrOutcomeUnknown))
 	})
 
-	It("is accepted by the try that finds the store back, if nobody reached it", func() {
-		// All processes have lost the store, and a trainer submits its step. Refused at
-		// once it would come back a third of a second later, with the whole step.
-		looks := 0
+	It("is accepted by a retry once the store is reachable, if no process reached it before", func() {
+		// No process reaches the store, and a trainer submits its step. If it were refused
+		// at once, the trainer would retry a third of a second later and send the complete
+		// step again.
+		checks := 0
 		a.desk.Unreachable = func() bool {
-			if looks++; looks == 2 {
+			if checks++; checks == 2 {
 				a.cutOff.Store(false)
 			}
 			return true
 		}
 		a.cutOff.Store(true)
 		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
-		Expect(looks).To(Equal(2))
-		Eventually(results(a, "j")).WithTimeout(patience).Should(Equal(2))
+		Expect(checks).To(Equal(2))
+		Eventually(results(a, "j")).WithTimeout(eventuallyTimeout).Should(Equal(2))
 	})
 
-	It("is refused when the store stays away, and at once when others may reach it", func() {
+	It("is refused if the store stays unreachable, and at once if other processes may reach it", func() {
 		unreachable, asked := true, 0
 		a.desk.Unreachable = func() bool { asked++; return unreachable }
 		a.cutOff.Store(true)
@@ -83,44 +85,44 @@
 		Expect(asked).To(Equal(1))
 	})
 
-	It("resumes a broken run after its last event", func() {
+	It("resumes an interrupted run after its last event", func() {
 		llm.breaks = 1
 		Expect(a.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
-		Eventually(results(a, "j")).WithTimeout(patience).Should(Equal(1))
+		Eventually(results(a, "j")).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		all, err := readAll(a.desk, "j")
 		Expect(err).NotTo(HaveOccurred())
 		checkResults(all)
 		Expect(llm.resumed).To(Equal([]int64{2}))
 	})
 
-	It("completes a text whose stream broke off after its last event", func() {
-		// Every event came, then the connection was cut. Resumed after the last event,
-		// the engine has nothing to add and ends the stream; taken for a failure, the
-		// item was asked again and again until its trainer gave up.
+	It("completes a text whose stream was cut after its last event", func() {
+		// Every event arrives, then the connection is cut. When the run is resumed after
+		// the last event, the engine has nothing to add and ends the stream. If that
+		// counted as a failure, the item would be retried until its trainer gave up.
 		llm.cutEnds = 1
 		Expect(a.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
-		Eventually(results(a, "j")).WithTimeout(patience).Should(Equal(1))
+		Eventually(results(a, "j")).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		all, err := readAll(a.desk, "j")
 		Expect(err).NotTo(HaveOccurred())
 		checkResults(all)
 		Expect(llm.resumed).To(Equal([]int64{4}))
 	})
 
-	It("stops when it is ended, and the next job is run", func() {
+	It("stops running when it is ended, and the next job runs", func() {
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
-		owned("j")
-		Eventually(llm.total).WithTimeout(patience).Should(Equal(2))
+		ownerOf("j")
+		Eventually(llm.total).WithTimeout(eventuallyTimeout).Should(Equal(2))
 		Expect(b.desk.End(context.Background(), "j")).To(Succeed())
 		Expect(a.desk.End(context.Background(), "j")).To(Succeed(), "an end may be repeated")
-		Eventually(func() int { return len(a.owner.Jobs()) + len(b.owner.Jobs()) }).WithTimeout(patience).Should(BeZero())
+		Eventually(func() int { return len(a.owner.Jobs()) + len(b.owner.Jobs()) }).WithTimeout(eventuallyTimeout).Should(BeZero())
 		Consistently(llm.total).Should(Equal(2))
 		all, err := readAll(a.desk, "j")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(all).To(BeEmpty())
 		close(llm.hold)
 		Expect(a.desk.Submit(context.Background(), spec("k", 2))).To(Succeed())
-		Eventually(results(a, "k")).WithTimeout(patience).Should(Equal(2))
+		Eventually(results(a, "k")).WithTimeout(eventuallyTimeout).Should(Equal(2))
 		all, err = readAll(b.desk, "k")
 		Expect(err).NotTo(HaveOccurred())
 		checkResults(all)
--- a/internal/agentless/batchrun/copies_test.go
+++ b/internal/agentless/batchrun/copies_test.go
@@ -15,27 +15,27 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-var _ = Describe("the copies of texts under way", func() {
-	const made, whole = 40, 44 // events of each text before the pause, and in all
+var _ = Describe("copies of partial texts", func() {
+	const firstEvents, allEvents = 40, 44 // events of each text before the pause, and in total
 	var llm *engines
 	var store *standin.Shared
 	var processes []*process
 
-	// start starts processes that send each other copies.
-	wrap := func(p *process) {} // changes a process before it runs
+	// start starts processes that send copies to each other.
+	wrap := func(p *process) {} // changes a process before it is started
 	start := func(names ...string) {
 		store = standin.NewShared()
-		llm = &engines{sent: map[string]int{}, length: whole, pause: made, hold: make(chan struct{})}
+		llm = &engines{sent: map[string]int{}, length: allEvents, pause: firstEvents, hold: make(chan struct{})}
 		processes = nil
 		for _, name := range names {
 			p := newProcess(name, store, llm)
-			p.owner.Texts = textlog.New(GinkgoT().TempDir(), silent(), metrics.NewRegistry())
+			p.owner.Texts = textlog.New(GinkgoT().TempDir(), discardLogger(), metrics.NewRegistry())
 			p.owner.Copier.StandbyFor, p.owner.Copier.Send, p.owner.FetchTexts = p.desk.StandbyFor, p.desk.SendCopy, p.desk.FetchTexts
 			wrap(p)
 			processes = append(processes, p.run())
 		}
 		for _, p := range processes {
-			Eventually(func() int { return len(p.members.Live()) }).WithTimeout(patience).Should(Equal(len(names)))
+			Eventually(func() int { return len(p.members.Live()) }).WithTimeout(eventuallyTimeout).Should(Equal(len(names)))
 		}
 	}
 	ownerOf := func(id string) (owner *process, others []*process) {
@@ -49,7 +49,7 @@
 				}
 			}
 			return owner != nil
-		}).WithTimeout(patience).Should(BeTrue())
+		}).WithTimeout(eventuallyTimeout).Should(BeTrue())
 		return owner, others
 	}
 	copied := func(p *process) func() int {
@@ -70,27 +70,26 @@
 		return append([]int64(nil), llm.resumed...)
 	}
 
-	It("let the next owner go on when the one before is lost for good", func() {
-		// The owner sends what engines make to the process that would take its jobs
-		// over. It is killed and its machine does not come back: engines are asked for
-		// what comes after the last event that the standby was sent.
+	It("let the next owner resume texts after the previous owner is lost for good", func() {
+		// The owner copies events to its standby, is killed, and its machine does not come
+		// back. The next owner requests only the events after the last copied one.
 		start("a", "b")
 		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		owner, others := ownerOf("j")
-		Eventually(copied(others[0])).WithTimeout(patience).Should(Equal(3 * made))
+		Eventually(copied(others[0])).WithTimeout(eventuallyTimeout).Should(Equal(3 * firstEvents))
 		owner.stop()
 		release()
 		Expect(others[0].mover.MoveAll(context.Background(), owner.name)).To(Succeed())
-		Eventually(results(others[0], "j")).WithTimeout(patience).Should(Equal(3))
-		Expect(resumed()).To(Equal([]int64{made, made, made}))
+		Eventually(results(others[0], "j")).WithTimeout(eventuallyTimeout).Should(Equal(3))
+		Expect(resumed()).To(Equal([]int64{firstEvents, firstEvents, firstEvents}))
 	})
 
-	It("need not be asked for by an owner that is killed and comes back to its disk", func() {
-		// The owner is killed in the middle of every text. The process that starts in
-		// its place finds them on the machine's disk and asks engines for what follows;
-		// without them each text would begin anew.
+	It("are not needed by an owner that is restarted with its disk intact", func() {
+		// The owner is killed in the middle of every text. The restarted process reads the
+		// texts from the machine's disk and requests only the events that follow; otherwise
+		// each text would be generated from its start.
 		dir := GinkgoT().TempDir()
-		onDisk := func() *textlog.Log { return textlog.New(dir, silent(), metrics.NewRegistry()) }
+		onDisk := func() *textlog.Log { return textlog.New(dir, discardLogger(), metrics.NewRegistry()) }
 		wrap = func(p *process) { p.owner.Texts = onDisk() }
 		DeferCleanup(func() { wrap = func(*process) {} })
 		start("p")
@@ -98,20 +97,20 @@
 		Eventually(func() int {
 			_, events := batch.NewJob(spec("j", 3), nil).ResumeTexts(onDisk().Load(context.Background(), "j"))
 			return events
-		}).WithTimeout(patience).Should(Equal(3 * made))
+		}).WithTimeout(eventuallyTimeout).Should(Equal(3 * firstEvents))
 		processes[0].stop()
 		release()
 
 		again := newProcess("p", store, llm)
 		wrap(again)
 		again.run()
-		Eventually(results(again, "j")).WithTimeout(patience).Should(Equal(3))
-		Expect(resumed()).To(Equal([]int64{made, made, made}))
+		Eventually(results(again, "j")).WithTimeout(eventuallyTimeout).Should(Equal(3))
+		Expect(resumed()).To(Equal([]int64{firstEvents, firstEvents, firstEvents}))
 	})
 
-	It("come from the owner before, or whoever has them, to one that has none", func() {
-		// The job goes to a process that was not its standby, as another one joined or
-		// left meanwhile. It asks the others when it takes the job on.
+	It("are fetched from any process that has them by an owner that has none", func() {
+		// The job moves to a process that was not its standby, because a process joined or
+		// left meanwhile. It asks the other workers when it adopts the job.
 		start("a", "b", "c")
 		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		owner, others := ownerOf("j")
@@ -119,19 +118,19 @@
 		if name, _ := owner.desk.StandbyFor("m", "j"); name == third.name {
 			standby, third = third, standby
 		}
-		Eventually(copied(standby)).WithTimeout(patience).Should(Equal(3 * made))
+		Eventually(copied(standby)).WithTimeout(eventuallyTimeout).Should(Equal(3 * firstEvents))
 		Expect(copied(third)()).To(BeZero())
 		release()
 		Expect(standby.register.Leave(context.Background())).To(Succeed())
-		Eventually(func() int { return len(third.members.Owners()) }).WithTimeout(patience).Should(Equal(2))
+		Eventually(func() int { return len(third.members.Owners()) }).WithTimeout(eventuallyTimeout).Should(Equal(2))
 		owner.stop()
 		texts := third.desk.FetchTexts(context.Background(), "j")
-		Expect(texts).NotTo(BeEmpty(), "the standby is leaving and still has them")
+		Expect(texts).NotTo(BeEmpty(), "the standby is leaving but still has them")
 	})
 
-	It("are sent again as a whole when a call failed", func() {
-		// The first call does not come through. What it held is not there when the next
-		// events come, and they alone would be of no use.
+	It("are sent again completely after a failed call", func() {
+		// The first call fails. The standby lacks its events when the next ones arrive, and
+		// those alone would be of no use.
 		wrap = func(p *process) {
 			send := p.owner.Copier.Send
 			var calls atomic.Int32
@@ -146,11 +145,11 @@
 		start("a", "b")
 		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		_, others := ownerOf("j")
-		Eventually(copied(others[0])).WithTimeout(patience).Should(Equal(3 * made))
+		Eventually(copied(others[0])).WithTimeout(eventuallyTimeout).Should(Equal(3 * firstEvents))
 	})
 
-	It("are sent again as a whole when the standby says that it began anew", func() {
-		// The standby was restarted by itself and has forgotten what it was sent.
+	It("are sent again completely when the standby reports that it lacks events", func() {
+		// The standby was restarted and has lost the events that it was sent.
 		wrap = func(p *process) {
 			send := p.owner.Copier.Send
 			var calls atomic.Int32
@@ -165,10 +164,10 @@
 		start("a", "b")
 		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		_, others := ownerOf("j")
-		Eventually(copied(others[0])).WithTimeout(patience).Should(Equal(3 * made))
+		Eventually(copied(others[0])).WithTimeout(eventuallyTimeout).Should(Equal(3 * firstEvents))
 	})
 
-	It("are not taken from a message that cannot be read", func() {
+	It("are rejected if the message cannot be decoded", func() {
 		start("a")
 		service := &batchrun.Service{}
 		Expect(service.Copy(batchrun.CopyArgs{Job: "j", Raw: []byte("torn")}, &batchrun.CopyReply{})).NotTo(Succeed())
--- a/internal/agentless/batchrun/export_test.go
+++ b/internal/agentless/batchrun/export_test.go
@@ -5,7 +5,7 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// Distrusted tells whether a process was found silent lately.
+// MarkedUnresponsive reports whether a process was found unresponsive.
 func (d *Frontend) MarkedUnresponsive(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -13,16 +13,16 @@
 	return found
 }
 
-// Unpack reads texts as they go between processes.
+// Unpack decodes texts as they are sent between processes.
 func Unpack(raw []byte) error {
 	_, err := unpack[[]batch.TextPart](raw)
 	return err
 }
 
-// Pack writes texts as they go between processes.
+// Pack encodes texts as they are sent between processes.
 var Pack = pack
 
-// DecodeRecords reads a value of the store as each of its kinds.
+// DecodeRecords decodes a value of the store as each kind of record.
 func DecodeRecords(raw []byte) {
 	var record jobRecord
 	_ = decode(raw, &record)
@@ -32,28 +32,29 @@
 	_, _ = joinDone([]kv.Record{{Value: raw}})
 }
 
-// EncodeRecord returns a job's record as the store holds it.
+// EncodeRecord returns a job's record as it is stored.
 func EncodeRecord(owner string, total int) ([]byte, error) {
 	return encode(jobRecord{Owner: owner, Model: "m", Total: total, Parts: 1})
 }
 
-// Guards tells whether a process stands by for a job.
-func Guards(o *Owner, job string) bool {
+// IsStandbyFor reports whether a process is the standby for a job.
+func IsStandbyFor(o *Owner, job string) bool {
 	o.Standby.mu.Lock()
 	defer o.Standby.mu.Unlock()
 	return o.Standby.jobs[job] != nil
 }
 
-// RunsFor tells whether a process runs a job that it does not own.
-func RunsFor(o *Owner, job string) bool {
+// HasStandbyRun reports whether a process has a run of a job that it does not own.
+func HasStandbyRun(o *Owner, job string) bool {
 	o.Standby.mu.Lock()
 	defer o.Standby.mu.Unlock()
 	j := o.Standby.jobs[job]
 	return j != nil && j.run != nil
 }
 
-// MadeFor returns how many results a process has of a job that it does not own.
-func MadeFor(o *Owner, job string) int {
+// StandbyResultCount returns how many results a process has generated for a job that it does
+// not own.
+func StandbyResultCount(o *Owner, job string) int {
 	o.Standby.mu.Lock()
 	defer o.Standby.mu.Unlock()
 	j := o.Standby.jobs[job]
@@ -66,8 +67,8 @@
 	return len(results)
 }
 
-// RunsNow tells whether a process generates for a job that it does not own.
-func RunsNow(o *Owner, job string) bool {
+// StandbyIsRunning reports whether a process generates results for a job that it does not own.
+func StandbyIsRunning(o *Owner, job string) bool {
 	for _, j := range o.Standby.running() {
 		if j.id == job {
 			return true
--- a/internal/agentless/batchrun/fakes_test.go
+++ b/internal/agentless/batchrun/fakes_test.go
@@ -28,20 +28,20 @@
 )
 
 const (
-	patience = 20 * time.Second
-	events   = 4 // of each item's text
+	eventuallyTimeout = 20 * time.Second
+	events            = 4 // of each item's text
 )
 
-// engines are endpoints that generate texts of four events and score them.
+// engines fakes endpoints that generate texts of four events and score them.
 type engines struct {
 	mu      sync.Mutex
 	sent    map[string]int // requests by ID
-	resumed []int64        // where runs went on
+	resumed []int64        // events after which runs were resumed
 	length  int64          // events of each text; 0: events
-	pause   int64          // events before a pause; 0: two
-	hold    chan struct{}  // closed: events after the pause may be sent; nil: no pause
-	breaks  int            // runs that break off after two events, from now on
-	cutEnds int            // runs that break off after their last event, from now on
+	pause   int64          // events before the pause; 0: two
+	hold    chan struct{}  // closed when the events after the pause may be sent; nil: no pause
+	breaks  int            // number of next runs whose stream is cut after two events
+	cutEnds int            // number of next runs whose stream is cut after the last event
 }
 
 // Send implements dispatch.Sender.
@@ -61,12 +61,12 @@
 		e.cutEnds--
 	}
 	e.mu.Unlock()
-	length, early := int64(events), int64(2)
+	length, pauseAfter := int64(events), int64(2)
 	if e.length > 0 {
-		length, early = e.length, e.pause
+		length, pauseAfter = e.length, e.pause
 	}
 	if r.ResumeAfter >= length {
-		// Nothing is left to generate, so no weights are named.
+		// Nothing is left to generate, so the answer names no weight version.
 		return &dispatch.Answer{Status: http.StatusOK, Signed: true, Body: io.NopCloser(strings.NewReader(""))}, nil
 	}
 	answer := &dispatch.Answer{Status: http.StatusOK, Signed: true, Seal: "seal-" + r.ID, Version: 5}
@@ -75,25 +75,25 @@
 		return answer, nil
 	}
 	read, write := io.Pipe()
-	go (&text{after: r.ResumeAfter, length: length, early: early, hold: hold, broken: broken, cutEnd: cutEnd}).stream(ctx, write)
+	go (&text{after: r.ResumeAfter, length: length, pauseAfter: pauseAfter, hold: hold, broken: broken, cutEnd: cutEnd}).stream(ctx, write)
 	answer.Body = read
 	return answer, nil
 }
 
 // text is one run of an engine.
 type text struct {
-	after, length, early int64
-	hold                 chan struct{}
-	broken, cutEnd       bool
+	after, length, pauseAfter int64
+	hold                      chan struct{}
+	broken, cutEnd            bool
 }
 
 func (t *text) stream(ctx context.Context, w *io.PipeWriter) {
 	for id := t.after + 1; id <= t.length; id++ {
-		if id > t.early && t.broken {
+		if id > t.pauseAfter && t.broken {
 			_ = w.CloseWithError(io.ErrUnexpectedEOF)
 			return
 		}
-		if id > t.early && t.hold != nil {
+		if id > t.pauseAfter && t.hold != nil {
 			select {
 			case <-t.hold:
 			case <-ctx.Done():
@@ -128,13 +128,13 @@
 	return n
 }
 
-func silent() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// process is one process of the system.
+// process is one process of the deployment.
 type process struct {
 	name     string
 	store    kv.Shared
@@ -146,21 +146,21 @@
 	listener net.Listener
 	server   *rpc.Server
 	stop     context.CancelFunc
-	cutOff   *atomic.Bool // from the store
-	peers    *blind       // its calls as a standby; nil: it stands by for nobody
+	cutOff   *atomic.Bool // whether it is partitioned from the store
+	peers    *faultyPeers // its calls as a standby; nil: it is no standby
 
 	conns  sync.Mutex
 	open   []net.Conn
 	killed bool
 }
 
-// path is a process's path to the store.
-type path struct {
+// switchableStore is a process's connection to the store, which can be cut off.
+type switchableStore struct {
 	kv.Shared
 	cutOff *atomic.Bool
 }
 
-func (p path) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
+func (p switchableStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
 	changes, err := p.Shared.Await(ctx, prefix, after, wait)
 	if p.cutOff.Load() {
 		return kv.Changes{}, kv.ErrUnavailable
@@ -168,14 +168,14 @@
 	return changes, err
 }
 
-func (p path) ReadPage(ctx context.Context, prefix, after string) (kv.Page, error) {
+func (p switchableStore) ReadPage(ctx context.Context, prefix, after string) (kv.Page, error) {
 	if p.cutOff.Load() {
 		return kv.Page{}, kv.ErrUnavailable
 	}
 	return p.Shared.ReadPage(ctx, prefix, after)
 }
 
-func (p path) Commit(ctx context.Context, t kv.Transaction) (kv.Committed, error) {
+func (p switchableStore) Commit(ctx context.Context, t kv.Transaction) (kv.Committed, error) {
 	if p.cutOff.Load() {
 		return kv.Committed{}, kv.ErrUnavailable
 	}
@@ -184,7 +184,7 @@
 
 func newProcess(name string, shared kv.Shared, sender dispatch.Sender) *process {
 	cutOff := &atomic.Bool{}
-	store := path{shared, cutOff}
+	store := switchableStore{shared, cutOff}
 	d := directory.New("self", "", nil)
 	d.Declare(&deployment.Declaration{Version: 1, Routes: []deployment.Route{
 		{Name: "items", Host: "h", Prefix: "/items/", Kind: deployment.Rollout, MaxAttempts: 3, Backends: []deployment.Backend{{Service: "llm", Weight: 1}}},
@@ -195,7 +195,7 @@
 		d.Put(deployment.Endpoint{ID: fmt.Sprintf("app%d", i), Service: "app", Address: "x:2", Slots: 8})
 	}
 	p := &process{name: name, store: store, cutOff: cutOff, members: cluster.NewMembers()}
-	p.owner = &batchrun.Owner{Name: name, Store: store, Directory: d, Sender: sender, Log: silent(), ResultTTL: time.Minute, Registry: metrics.NewRegistry()}
+	p.owner = &batchrun.Owner{Name: name, Store: store, Directory: d, Sender: sender, Log: discardLogger(), ResultTTL: time.Minute, Registry: metrics.NewRegistry()}
 	p.owner.Init()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -203,9 +203,9 @@
 	p.server = rpc.NewServer()
 	Expect(p.owner.Register(p.server)).To(Succeed())
 	go p.accept(p.server)
-	p.register = cluster.NewRegistrar(store, cluster.Member{Name: name, Address: listener.Addr().String(), Worker: true}, hour, p.members, silent())
-	p.desk = &batchrun.Frontend{Store: store, Members: p.members, Peers: rpcpool.New(nil), Local: p.owner, Log: silent(), ValueBytes: 64}
-	p.mover = &batchrun.Mover{Self: name, Store: store, Members: p.members, Log: silent(), Unsettled: func() bool { return false }}
+	p.register = cluster.NewRegistrar(store, cluster.Member{Name: name, Address: listener.Addr().String(), Worker: true}, hour, p.members, discardLogger())
+	p.desk = &batchrun.Frontend{Store: store, Members: p.members, Peers: rpcpool.New(nil), Local: p.owner, Log: discardLogger(), ValueBytes: 64}
+	p.mover = &batchrun.Mover{Self: name, Store: store, Members: p.members, Log: discardLogger(), Unsettled: func() bool { return false }}
 	return p
 }
 
@@ -220,14 +220,14 @@
 		killed := p.killed
 		p.conns.Unlock()
 		if killed {
-			_ = conn.Close() // it came in the moment of the kill
+			_ = conn.Close() // accepted during the kill
 			return
 		}
 		go server.ServeConn(conn)
 	}
 }
 
-// closeConns ends the connections of a process that is killed.
+// closeConns closes the connections of a process that is killed.
 func (p *process) closeConns() {
 	p.conns.Lock()
 	p.killed = true
@@ -235,7 +235,7 @@
 	p.resetConns()
 }
 
-// resetConns ends the connections of a process that lives on.
+// resetConns closes the connections of a process that continues to run.
 func (p *process) resetConns() {
 	p.conns.Lock()
 	defer p.conns.Unlock()
@@ -245,10 +245,10 @@
 	p.open = nil
 }
 
-// hour is the lease of registrations that must not lapse in a spec.
+// hour is the TTL of registrations that must not expire during a spec.
 const hour = time.Hour
 
-// run starts the process; stop kills it.
+// run starts the process; calling stop kills it.
 func (p *process) run() *process {
 	Expect(p.desk.Register(p.server)).To(Succeed())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -274,10 +274,10 @@
 	return p
 }
 
-// mute is a store whose answers to commits are always lost.
-type mute struct{ *standin.Shared }
+// answerLosingStore is a store whose answers to commits are always lost.
+type answerLosingStore struct{ *standin.Shared }
 
-func (m *mute) Commit(context.Context, kv.Transaction) (kv.Committed, error) {
+func (m *answerLosingStore) Commit(context.Context, kv.Transaction) (kv.Committed, error) {
 	return kv.Committed{}, kv.ErrUnknown
 }
 
--- a/internal/agentless/batchrun/frontend_test.go
+++ b/internal/agentless/batchrun/frontend_test.go
@@ -12,11 +12,11 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-var _ = Describe("what a process remembers of a job", func() {
-	It("may be looked at while it changes", func() {
-		// A trainer ends its step again and again while other calls read the step's
-		// record anew at the same process, which takes it in. The race detector shows
-		// whether an end looks at a record that is being written.
+var _ = Describe("the cached record of a job", func() {
+	It("can be read while it changes", func() {
+		// A trainer retries the end of its step while other calls update the cached record
+		// at the same process. The race detector shows whether an end reads a record that
+		// is being written.
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		d := &Frontend{Store: standin.NewShared(), Log: log}
--- a/internal/agentless/batchrun/fuzz_test.go
+++ b/internal/agentless/batchrun/fuzz_test.go
@@ -7,7 +7,7 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// FuzzUnpack holds that texts from another process are read or refused.
+// FuzzUnpack checks that texts from another process are decoded or rejected without a panic.
 func FuzzUnpack(f *testing.F) {
 	raw, err := batchrun.Pack([]batch.TextPart{{Item: "i0", First: 1, Events: [][]byte{[]byte("e1")}, Versions: []int64{3}}})
 	if err != nil {
@@ -19,8 +19,8 @@
 	f.Fuzz(func(_ *testing.T, raw []byte) { _ = batchrun.Unpack(raw) })
 }
 
-// FuzzRecords holds that whatever stands in the store under a job's keys is read or
-// refused: another release may have written it.
+// FuzzRecords checks that any value under a job's keys in the store is decoded or rejected
+// without a panic: another release may have written it.
 func FuzzRecords(f *testing.F) {
 	raw, err := batchrun.EncodeRecord("worker", 3)
 	if err != nil {
--- a/internal/agentless/batchrun/helpers_test.go
+++ b/internal/agentless/batchrun/helpers_test.go
@@ -25,10 +25,10 @@
 	return s
 }
 
-// untold is a store whose watches tell nothing.
-type untold struct{ kv.Shared }
+// unwatchedStore is a store whose watches report no changes.
+type unwatchedStore struct{ kv.Shared }
 
-func (u *untold) Await(ctx context.Context, _ string, _ int64, _ time.Duration) (kv.Changes, error) {
+func (u *unwatchedStore) Await(ctx context.Context, _ string, _ int64, _ time.Duration) (kv.Changes, error) {
 	<-ctx.Done()
 	return kv.Changes{}, ctx.Err()
 }
@@ -75,12 +75,12 @@
 	llm = &engines{sent: map[string]int{}}
 	a = newProcess("a", store, llm).run()
 	b = newProcess("b", store, llm).run()
-	EventuallyWithOffset(1, func() int { return len(a.members.Live()) }).WithTimeout(patience).Should(Equal(2))
+	EventuallyWithOffset(1, func() int { return len(a.members.Live()) }).WithTimeout(eventuallyTimeout).Should(Equal(2))
 	return store, llm, a, b
 }
 
-// ownedOf returns which of two processes owns a job, and the other one.
-func ownedOf(a, b *process, id string) (owner, other *process) {
+// ownerAndOther returns which of two processes owns a job, and the other one.
+func ownerAndOther(a, b *process, id string) (owner, other *process) {
 	EventuallyWithOffset(2, func() bool {
 		for _, p := range []*process{a, b} {
 			if _, found := p.owner.Jobs()[id]; found {
@@ -89,7 +89,7 @@
 			}
 		}
 		return false
-	}).WithTimeout(patience).Should(BeTrue())
+	}).WithTimeout(eventuallyTimeout).Should(BeTrue())
 	if owner == a {
 		return a, b
 	}
--- a/internal/agentless/batchrun/loads_test.go
+++ b/internal/agentless/batchrun/loads_test.go
@@ -12,24 +12,23 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-var _ = Describe("the loads that owners tell each other", func() {
-	It("say what runs where while it runs, and then that nothing does", func() {
-		// Two owners, one with a job whose runs stand still in the middle. The other one
-		// is told what it has at the engines; once the job is ended it is told that
-		// there is nothing more.
+var _ = Describe("the loads that owners send each other", func() {
+	It("contain the requests in flight, and afterwards that there are none", func() {
+		// One of two owners has a job whose runs pause in the middle. It sends the other one
+		// its requests in flight, and once the job is ended, that there are none.
 		llm := &engines{sent: map[string]int{}, hold: make(chan struct{})}
 		store := standin.NewShared()
-		told := make(chan batchrun.LoadArgs, 1000)
+		sent := make(chan batchrun.LoadArgs, 1000)
 		p := newProcess("a", store, llm)
 		p.owner.Directory.Declare(withModels(p.owner.Directory.Table().Declaration))
 		p.owner.OtherOwners = func([]string) []string { return []string{"b"} }
 		p.owner.SendLoad = func(_ context.Context, to string, args batchrun.LoadArgs) error {
 			Expect(to).To(Equal("b"))
-			told <- args
+			sent <- args
 			return nil
 		}
 		p.run()
-		Eventually(func() int { return len(p.members.Live()) }).WithTimeout(patience).Should(Equal(1))
+		Eventually(func() int { return len(p.members.Live()) }).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		Expect(p.desk.Submit(context.Background(), spec("j", 4))).To(Succeed())
 		running := func(args batchrun.LoadArgs) int {
 			n := 0
@@ -38,16 +37,16 @@
 			}
 			return n
 		}
-		Eventually(func() int { return running(<-told) }).WithTimeout(patience).Should(Equal(4))
-		args := <-told
+		Eventually(func() int { return running(<-sent) }).WithTimeout(eventuallyTimeout).Should(Equal(4))
+		args := <-sent
 		Expect(args.From).To(Equal("a"))
 		Expect(args.Service).To(Equal("llm"))
 		Expect(args.Load.Work).To(BeNumerically(">", 0))
 		Expect(p.desk.End(context.Background(), "j")).To(Succeed())
 		close(llm.hold)
-		Eventually(func() int { return running(<-told) }).WithTimeout(patience).Should(BeZero())
-		drain(told)
-		Consistently(told).WithTimeout(300*time.Millisecond).ShouldNot(Receive(), "nothing is told of nothing")
+		Eventually(func() int { return running(<-sent) }).WithTimeout(eventuallyTimeout).Should(BeZero())
+		drain(sent)
+		Consistently(sent).WithTimeout(300*time.Millisecond).ShouldNot(Receive(), "a service without load is not reported")
 	})
 })
 
@@ -59,10 +58,10 @@
 	return &next
 }
 
-func drain(told chan batchrun.LoadArgs) {
+func drain(sent chan batchrun.LoadArgs) {
 	for {
 		select {
-		case <-told:
+		case <-sent:
 		case <-time.After(250 * time.Millisecond):
 			return
 		}
--- a/internal/agentless/batchrun/mover_test.go
+++ b/internal/agentless/batchrun/mover_test.go
@@ -19,43 +19,43 @@
 	var llm *engines
 	var a, b *process
 
-	owned := func(id string) (owner, other *process) { return ownedOf(a, b, id) }
+	ownerOf := func(id string) (owner, other *process) { return ownerAndOther(a, b, id) }
 
 	BeforeEach(func() { store, llm, a, b = startPair() })
 
-	It("goes on at another process when its owner is gone, with the results that were read", func() {
-		// The owner is killed with two of four results listed. Its successor makes the
-		// others; what a trainer read at a position stays there.
+	It("is replaced by another process when it is gone, without changing results that were read", func() {
+		// The owner is killed when some of four results are durable. Its successor generates
+		// the others; a result that a trainer read at a position must stay there.
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 4))).To(Succeed())
-		owner, other := owned("j")
+		owner, other := ownerOf("j")
 		close(llm.hold)
-		Eventually(results(other, "j")).WithTimeout(patience).Should(BeNumerically(">", 0))
+		Eventually(results(other, "j")).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", 0))
 		before, err := readAll(other.desk, "j")
 		Expect(err).NotTo(HaveOccurred())
 		owner.stop()
 		store.Revoke("live/members/" + owner.name)
-		Eventually(func() bool { _, found := other.members.Get(owner.name); return found }).WithTimeout(patience).Should(BeFalse())
+		Eventually(func() bool { _, found := other.members.Get(owner.name); return found }).WithTimeout(eventuallyTimeout).Should(BeFalse())
 		other.mover.MemberGone(context.Background(), owner.name)
-		Eventually(results(other, "j")).WithTimeout(patience).Should(Equal(4))
+		Eventually(results(other, "j")).WithTimeout(eventuallyTimeout).Should(Equal(4))
 		after, err := readAll(other.desk, "j")
 		Expect(err).NotTo(HaveOccurred())
 		checkResults(after)
 		Expect(after[:len(before)]).To(Equal(before))
 	})
 
-	It("goes on at the same process after a restart, and a late write of the dead one is refused", func() {
-		// The process is killed with a write under way and starts again under its
-		// name. The write arrives seconds later; if it took effect, a position would
-		// hold something else than what the new process lists there.
+	It("is the same process after its restart, and a late write of its predecessor is rejected", func() {
+		// The process is killed during a write and restarted under its name. The write
+		// arrives seconds later; if it took effect, a position would hold another result
+		// than the one that the new process writes there.
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
-		owner, other := owned("j")
+		owner, other := ownerOf("j")
 		mark, err := store.Read(context.Background(), "todo/"+owner.name+"/j")
 		Expect(err).NotTo(HaveOccurred())
 		owner.stop()
 		again := newProcess(owner.name, store, llm).run()
-		Eventually(func() bool { return again.owner.Jobs()["j"] > mark.Revision }).WithTimeout(patience).Should(BeTrue())
+		Eventually(func() bool { return again.owner.Jobs()["j"] > mark.Revision }).WithTimeout(eventuallyTimeout).Should(BeTrue())
 		late, err := store.Commit(context.Background(), kv.Transaction{
 			Expect: []kv.Expectation{{Key: "todo/" + owner.name + "/j", Revision: mark.Revision}, {Key: "done/j/000000"}},
 			Puts:   []kv.Put{{Key: "done/j/000000", Value: []byte("of the dead process")}},
@@ -63,37 +63,37 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(late.Done).To(BeFalse())
 		close(llm.hold)
-		Eventually(results(other, "j")).WithTimeout(patience).Should(Equal(2))
+		Eventually(results(other, "j")).WithTimeout(eventuallyTimeout).Should(Equal(2))
 	})
 
-	It("goes on at the same process after a restart before anybody tells it of marks", func() {
-		// All processes were killed and start again: nobody follows the store for the
-		// others yet. The process lists its marks, writes them anew and takes its jobs on.
+	It("is the same process after its restart, before its watch reports assignments", func() {
+		// All processes were killed and restarted, and none follows the store for the others
+		// yet. The process lists its assignments, writes them anew and adopts its jobs.
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
-		owner, _ := owned("j")
+		owner, _ := ownerOf("j")
 		owner.stop()
-		again := newProcess(owner.name, &untold{Shared: store}, llm).run()
-		Eventually(again.owner.Jobs).WithTimeout(patience).Should(HaveKey("j"))
+		again := newProcess(owner.name, &unwatchedStore{Shared: store}, llm).run()
+		Eventually(again.owner.Jobs).WithTimeout(eventuallyTimeout).Should(HaveKey("j"))
 		close(llm.hold)
 	})
 
-	It("is read whole after its end at an owner that had lost it and got it back", func() {
-		// The job moves to another process before anything of it is listed, and returns.
-		// Once it has ended its owner answers readers from memory: with what it had when
-		// the job ended, not with the nothing that it had when it lost the job before.
+	It("returns all results of an ended job that it had lost and got back", func() {
+		// The job moves to another process before any result is durable, and back. After its
+		// end the owner answers readers from memory: with the results at the end of the job,
+		// not with none, as when it lost the job before.
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
-		owner, other := owned("j")
+		owner, other := ownerOf("j")
 		Expect(other.mover.MoveAll(context.Background(), owner.name)).To(Succeed())
-		Eventually(other.owner.Jobs).WithTimeout(patience).Should(HaveKey("j"))
-		Eventually(owner.owner.Jobs).WithTimeout(patience).ShouldNot(HaveKey("j"))
+		Eventually(other.owner.Jobs).WithTimeout(eventuallyTimeout).Should(HaveKey("j"))
+		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).ShouldNot(HaveKey("j"))
 		Expect(owner.mover.MoveAll(context.Background(), other.name)).To(Succeed())
-		Eventually(owner.owner.Jobs).WithTimeout(patience).Should(HaveKey("j"))
+		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).Should(HaveKey("j"))
 		close(llm.hold)
-		Eventually(results(owner, "j")).WithTimeout(patience).Should(Equal(3))
+		Eventually(results(owner, "j")).WithTimeout(eventuallyTimeout).Should(Equal(3))
 		Expect(other.desk.End(context.Background(), "j")).To(Succeed())
-		Eventually(owner.owner.Jobs).WithTimeout(patience).ShouldNot(HaveKey("j"))
+		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).ShouldNot(HaveKey("j"))
 		store.SetDown(true)
 		defer store.SetDown(false)
 		all, err := readAll(other.desk, "j")
@@ -101,30 +101,30 @@
 		Expect(all).To(HaveLen(3))
 	})
 
-	It("goes to an owner that answers when the one it was accepted for does not", func() {
-		// What happens: the owner died while the store was away, so its registration
-		// still stands when the next job is accepted for it. The trainer sees results
-		// after the time of one unanswered call, not of a lease.
+	It("changes if the process that the job was accepted for does not answer", func() {
+		// The owner dies while the store is unreachable, so it is still registered when the
+		// next job is accepted for it. The trainer gets results after the timeout of one
+		// call, not after the TTL of a lease.
 		Expect(a.desk.Submit(context.Background(), spec("first", 1))).To(Succeed())
-		owner, other := owned("first")
-		Eventually(results(other, "first")).WithTimeout(patience).Should(Equal(1))
+		owner, other := ownerOf("first")
+		Eventually(results(other, "first")).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		owner.stop()
 		Expect(other.members.Registered(owner.name)).To(BeTrue())
 		Expect(other.desk.Submit(context.Background(), spec("second", 2))).To(Succeed())
-		Eventually(results(other, "second")).WithTimeout(patience).Should(Equal(2))
+		Eventually(results(other, "second")).WithTimeout(eventuallyTimeout).Should(Equal(2))
 		Expect(other.owner.Jobs()).To(HaveKey("second"))
 		Expect(other.desk.Submit(context.Background(), spec("third", 1))).To(Succeed())
 		_, err := store.Read(context.Background(), "todo/"+other.name+"/third")
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() map[string]int64 { return other.owner.Jobs() }).WithTimeout(patience).Should(HaveKey("third"), "the silent owner is passed over")
+		Eventually(func() map[string]int64 { return other.owner.Jobs() }).WithTimeout(eventuallyTimeout).Should(HaveKey("third"), "the unresponsive owner is skipped")
 	})
 
-	It("is accepted for an owner that answers, not for one that died while the store was away", func() {
-		// The dead owner is still listed. A step accepted for it was moved after the time
-		// of an unanswered call; now nobody writes its mark for the dead one at all.
+	It("is a process that answers, not one that died while the store was unreachable", func() {
+		// The dead owner is still registered. A step accepted for it would be moved only
+		// after the timeout of a call; the job must not be assigned to it at all.
 		Expect(a.desk.Submit(context.Background(), spec("first", 1))).To(Succeed())
-		owner, other := owned("first")
-		Eventually(results(other, "first")).WithTimeout(patience).Should(Equal(1))
+		owner, other := ownerOf("first")
+		Eventually(results(other, "first")).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		owner.stop()
 		Expect(other.members.Registered(owner.name)).To(BeTrue())
 		Expect(other.desk.Submit(context.Background(), spec("second", 1))).To(Succeed())
@@ -133,50 +133,50 @@
 		Expect(mark.Revision).To(BeNumerically(">", 0))
 	})
 
-	It("stays with its owner when only the connection to it is old", func() {
-		// What happens: the owner was killed and is back, or its connections were reset.
-		// The first call fails at once on the old connection; moving the job for that
-		// would give one model two owners who know nothing of each other's runs.
+	It("does not change if only the connection to it is stale", func() {
+		// The owner was restarted, or its connections were reset. The first call fails at
+		// once on the stale connection. If the job were moved for that, one model would have
+		// two owners that do not know of each other's runs.
 		Expect(a.desk.Submit(context.Background(), spec("first", 1))).To(Succeed())
-		owner, other := owned("first")
-		Eventually(results(other, "first")).WithTimeout(patience).Should(Equal(1))
+		owner, other := ownerOf("first")
+		Eventually(results(other, "first")).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		owner.resetConns()
 		Expect(other.desk.Submit(context.Background(), spec("second", 1))).To(Succeed())
-		Eventually(results(other, "second")).WithTimeout(patience).Should(Equal(1))
+		Eventually(results(other, "second")).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		Expect(owner.owner.Jobs()).To(HaveKey("second"))
 	})
 
-	It("is taken on and let go though nobody tells its owner and its watch is deaf", func() {
-		// What happens: an entry that is cut off from every worker accepts and ends jobs
-		// through a peer, while the store drops history that the owner's watch has not
-		// heard. The trainer saw no result for twelve seconds, and items of a job whose
-		// end was acknowledged went on to engines.
+	It("adopts and drops jobs although notifications fail and its watch misses changes", func() {
+		// An entry that is partitioned from all workers accepts and ends jobs through a peer,
+		// while the store drops history that the owner's watch has not read. In that case a
+		// trainer got no result for twelve seconds, and items of a job whose end was
+		// acknowledged were still sent to engines.
 		Expect(a.desk.Submit(context.Background(), spec("first", 1))).To(Succeed())
-		owner, other := owned("first")
-		Eventually(results(other, "first")).WithTimeout(patience).Should(Equal(1))
+		owner, other := ownerOf("first")
+		Eventually(results(other, "first")).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		entry := newProcess("e", store, llm)
 		entry.desk.Members = other.members
 		entry.desk.Peers = rpcpool.New(func(context.Context, string) (net.Conn, error) { return nil, errors.New("cut off") })
-		unheard := func(do func() error) {
+		withoutWatch := func(do func() error) {
 			store.SetDeaf(true)
 			ExpectWithOffset(1, do()).To(Succeed())
-			time.Sleep(200 * time.Millisecond) // the watch looks, and hears nothing
+			time.Sleep(200 * time.Millisecond) // the watch polls and gets no change
 			store.DropHistory()
 			store.SetDeaf(false)
 		}
-		const soon = 12 * time.Second // a watch that waits for long heard of it after 20 s
+		const soon = 12 * time.Second // a watch with a long timeout got the change after 20 s
 		llm.hold = make(chan struct{})
-		unheard(func() error { return entry.desk.Submit(context.Background(), spec("j", 1)) })
+		withoutWatch(func() error { return entry.desk.Submit(context.Background(), spec("j", 1)) })
 		Eventually(owner.owner.Jobs).WithTimeout(soon).Should(HaveKey("j"))
-		unheard(func() error { return entry.desk.End(context.Background(), "j") })
+		withoutWatch(func() error { return entry.desk.End(context.Background(), "j") })
 		Eventually(owner.owner.Jobs).WithTimeout(soon).ShouldNot(HaveKey("j"))
 	})
 
-	It("stays where it is when no other owner answers", func() {
-		// What happens: an entry that is cut off from every worker accepted the job by
-		// way of the store. It must not move it from one owner to the next.
+	It("does not change if no other owner answers", func() {
+		// An entry that is partitioned from all workers accepts the job through the store.
+		// It must not move the job from one owner to the next.
 		Expect(a.desk.Submit(context.Background(), spec("first", 1))).To(Succeed())
-		owner, other := owned("first")
+		owner, other := ownerOf("first")
 		entry := newProcess("e", store, llm)
 		entry.desk.Members = other.members
 		owner.stop()
@@ -192,10 +192,9 @@
 		}, time.Second).Should(Equal(record.Revision))
 	})
 
-	It("moves at once when the owner that lapsed in an outage does not answer", func() {
-		// What happens: registrations lapse while the store is away. A process that
-		// answers is given two seconds to register again; for one that is dead its
-		// jobs would lose them.
+	It("is replaced at once if its registration expired in an outage and it does not answer", func() {
+		// Registrations expire while the store is unreachable. A process that answers gets
+		// two seconds to register again; the jobs of a dead one must not lose that time.
 		asked := ""
 		other := newProcess("x", store, llm)
 		other.mover.Unsettled = func() bool { return true }
@@ -203,7 +202,7 @@
 			asked = name
 			until, limited := ctx.Deadline()
 			Expect(limited).To(BeTrue())
-			Expect(time.Until(until)).To(BeNumerically("<=", 300*time.Millisecond), "no longer than a killed process gets")
+			Expect(time.Until(until)).To(BeNumerically("<=", 300*time.Millisecond), "no longer than the grace period of a killed process")
 			return false
 		}
 		began := time.Now()
@@ -212,14 +211,14 @@
 		Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second))
 	})
 
-	It("is handed on by an owner that stops", func() {
+	It("hands its jobs over when it stops", func() {
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
-		owner, other := owned("j")
+		owner, other := ownerOf("j")
 		Expect(owner.mover.MoveAll(context.Background(), owner.name)).To(Succeed())
-		Eventually(func() int { return len(other.owner.Jobs()) }).WithTimeout(patience).Should(Equal(1))
-		Eventually(func() int { return len(owner.owner.Jobs()) }).WithTimeout(patience).Should(BeZero())
+		Eventually(func() int { return len(other.owner.Jobs()) }).WithTimeout(eventuallyTimeout).Should(Equal(1))
+		Eventually(func() int { return len(owner.owner.Jobs()) }).WithTimeout(eventuallyTimeout).Should(BeZero())
 		close(llm.hold)
-		Eventually(results(owner, "j")).WithTimeout(patience).Should(Equal(2))
+		Eventually(results(owner, "j")).WithTimeout(eventuallyTimeout).Should(Equal(2))
 	})
 })
--- a/internal/agentless/batchrun/resultcache_test.go
+++ b/internal/agentless/batchrun/resultcache_test.go
@@ -11,15 +11,15 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-var _ = Describe("the results kept where they were read", func() {
+var _ = Describe("the result cache", func() {
 	all := make([]batch.Result, 50)
 	for i := range all {
 		all[i] = batch.Result{Item: fmt.Sprintf("i%d", i), Output: []byte(strings.Repeat("x", 1000))}
 	}
 
-	It("are a prefix of the job's results, however they are read", func() {
-		// Readers of many positions ask at one entry, some twice and some beyond what
-		// is kept; none may be given another result at a position.
+	It("holds a prefix of the job's results for any order of reads", func() {
+		// Readers read from many positions, some repeatedly and some beyond the cached
+		// results; none may get a wrong result at a position.
 		random := rand.New(rand.NewPCG(3, 9))
 		c := &resultCache{}
 		for range 2000 {
@@ -37,7 +37,7 @@
 		Expect(cached.Total).To(Equal(len(all)))
 	})
 
-	It("cannot be changed by who adds to what it was given", func() {
+	It("is not changed by a caller that appends to the results it got", func() {
 		c := &resultCache{}
 		c.add("j", 0, Reading{Results: all[:10]})
 		cached, _ := c.get("j", 0)
@@ -47,7 +47,7 @@
 		Expect(again.Results[0].Item).To(Equal("i10"))
 	})
 
-	It("are bounded; those read longest ago go", func() {
+	It("is bounded, and evicts the least recently read results", func() {
 		c := &resultCache{}
 		big := []batch.Result{{Item: "i", Output: make([]byte, 1<<20)}}
 		for i := range 12 {
@@ -56,7 +56,7 @@
 		}
 		Expect(c.bytes).To(BeNumerically("<=", maxCachedBytes))
 		cached, _ := c.get("j0", 0)
-		Expect(cached.Results).To(HaveLen(1), "it is read all the time")
+		Expect(cached.Results).To(HaveLen(1), "it is read continuously")
 		cached, _ = c.get("j1", 0)
 		Expect(cached.Results).To(BeEmpty())
 	})
--- a/internal/agentless/batchrun/results_test.go
+++ b/internal/agentless/batchrun/results_test.go
@@ -17,19 +17,19 @@
 	var llm *engines
 	var a, b *process
 
-	owned := func(id string) (owner, other *process) { return ownedOf(a, b, id) }
+	ownerOf := func(id string) (owner, other *process) { return ownerAndOther(a, b, id) }
 
 	BeforeEach(func() { store, llm, a, b = startPair() })
 
-	It("is read from the store when a write of unknown outcome was followed by one that was not sent", func() {
-		// What happens: a write of results takes effect and its answer is lost, the next
-		// try meets an outage and is not sent, and the job ends as the store returns. That
-		// the last try certainly had no effect says nothing of the one before it; an owner
-		// that took it for the last word showed readers less than others had read.
+	It("are read from the store if a write of unknown outcome was followed by one that was not sent", func() {
+		// A write of results takes effect but its answer is lost, the retry is not sent
+		// because of an outage, and the job is ended when the store is back. That the retry
+		// certainly had no effect says nothing about the write before it; an owner that
+		// relied on the retry alone returned fewer results than others had read.
 		a.owner.RetryDelay, b.owner.RetryDelay = time.Hour, time.Hour
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
-		owner, other := owned("j")
+		owner, other := ownerOf("j")
 		tries := func() int { return store.Count("commit") }
 		store.LoseAnswers(1)
 		close(llm.hold)
@@ -37,32 +37,32 @@
 			record, err := store.Read(context.Background(), "done/j/000000")
 			Expect(err).NotTo(HaveOccurred())
 			return record.Revision
-		}).WithTimeout(patience).ShouldNot(BeZero())
+		}).WithTimeout(eventuallyTimeout).ShouldNot(BeZero())
 		store.SetDown(true)
 		before := tries()
 		Eventually(func() int {
 			owner.owner.StoreRecovered()
 			return tries()
-		}).WithTimeout(patience).Should(BeNumerically(">", before))
+		}).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", before))
 		store.SetDown(false)
 		Expect(other.desk.End(context.Background(), "j")).To(Succeed())
-		Eventually(owner.owner.Jobs).WithTimeout(patience).ShouldNot(HaveKey("j"))
+		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).ShouldNot(HaveKey("j"))
 		Expect(results(other, "j")()).To(Equal(1))
 	})
 
-	It("is ended by its owner's word, without reading the store, and stays readable", func() {
-		// What the caller sees: nothing. Each end is sent again at other processes;
-		// reading the record for each made a twelfth of all calls to the store.
+	It("stay readable after the job was ended under its owner's mark, without a read of the store", func() {
+		// Each end is retried at other processes. Reading the record for each retry was a
+		// twelfth of all calls to the store; the caller notices no difference.
 		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
-		owner, other := owned("j")
-		Eventually(results(other, "j")).WithTimeout(patience).Should(Equal(2))
+		owner, other := ownerOf("j")
+		Eventually(results(other, "j")).WithTimeout(eventuallyTimeout).Should(Equal(2))
 		third := newProcess("c", store, llm)
 		third.desk.Members = other.members
 		third.desk.Models = func() []string { return []string{"m"} }
 		reads := store.Count("read")
 		Expect(third.desk.End(context.Background(), "j")).To(Succeed())
 		Expect(store.Count("read")).To(Equal(reads))
-		Eventually(owner.owner.Jobs).WithTimeout(patience).ShouldNot(HaveKey("j"))
+		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).ShouldNot(HaveKey("j"))
 		fourth := newProcess("d", store, llm)
 		fourth.desk.Members = other.members
 		fourth.desk.Models = third.desk.Models
@@ -70,7 +70,7 @@
 			before := store.Count("read")
 			Expect(fourth.desk.End(context.Background(), "j")).To(Succeed())
 			return store.Count("read") - before
-		}).WithTimeout(patience).Should(BeZero(), "the owner is told of the end a moment after its mark went")
+		}).WithTimeout(eventuallyTimeout).Should(BeZero(), "the owner is notified of the end just after its assignment was deleted")
 		all, err := readAll(fourth.desk, "j")
 		Expect(err).NotTo(HaveOccurred())
 		checkResults(all)
@@ -78,15 +78,15 @@
 		Expect(err).To(MatchError(batchrun.ErrNoJob))
 	})
 
-	It("is read without the store when it ended right after its last write", func() {
-		// The load: trainers end a job as soon as their last group is whole, and other
-		// readers come for seconds. The owner took its own pause between two writes for
-		// a write under way and kept nothing, so each of them read the store.
+	It("are read without the store if the job ended right after its last write", func() {
+		// Trainers end a job as soon as their last group is complete, and other readers
+		// follow for seconds. If the owner mistakes the interval between two writes for a
+		// pending write, it retains no results, and each reader reads the store.
 		Expect(a.desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
-		owner, other := owned("j")
-		Eventually(results(other, "j")).WithTimeout(patience).Should(Equal(3))
+		owner, other := ownerOf("j")
+		Eventually(results(other, "j")).WithTimeout(eventuallyTimeout).Should(Equal(3))
 		Expect(other.desk.End(context.Background(), "j")).To(Succeed())
-		Eventually(owner.owner.Jobs).WithTimeout(patience).ShouldNot(HaveKey("j"))
+		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).ShouldNot(HaveKey("j"))
 		reader := newProcess("r", store, llm)
 		reader.desk.Members = other.members
 		reader.desk.Models = func() []string { return []string{"m"} }
@@ -94,63 +94,63 @@
 			before := store.Count("read") + store.Count("page")
 			Expect(results(reader, "j")()).To(Equal(3))
 			return store.Count("read") + store.Count("page") - before
-		}).WithTimeout(patience).Should(BeZero())
+		}).WithTimeout(eventuallyTimeout).Should(BeZero())
 	})
 
-	It("is read from the store when it ended with a write of unknown outcome", func() {
-		// What happens: the answer to a write of results is lost, and the job ends before
-		// the write is settled. Others may have read what it held; the owner must not
-		// answer readers with less.
+	It("are read from the store if the job ended during a write of unknown outcome", func() {
+		// The answer to a write of results is lost, and the job ends before the outcome of the
+		// write is known. Others may have read its results; the owner must not answer readers
+		// with fewer.
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
-		owner, other := owned("j")
+		owner, other := ownerOf("j")
 		store.LoseAnswers(1)
 		close(llm.hold)
 		Eventually(func() int64 {
 			record, err := store.Read(context.Background(), "done/j/000000")
 			Expect(err).NotTo(HaveOccurred())
 			return record.Revision
-		}).WithTimeout(patience).ShouldNot(BeZero())
+		}).WithTimeout(eventuallyTimeout).ShouldNot(BeZero())
 		Expect(other.desk.End(context.Background(), "j")).To(Succeed())
-		Eventually(owner.owner.Jobs).WithTimeout(patience).ShouldNot(HaveKey("j"))
+		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).ShouldNot(HaveKey("j"))
 		Expect(results(other, "j")()).To(Equal(1))
 	})
 
-	It("has its results written at once when the store answers again", func() {
-		// What happens: results wait for the store to return, and all processes are
-		// killed a moment after it did. An owner that waits for its own next look loses
-		// what others wrote in that moment. Here its own next look never comes.
-		patient := newProcess("p", store, llm)
-		patient.owner.RetryDelay = time.Hour
-		patient.desk.Members = a.members
+	It("are written at once when the store answers again", func() {
+		// Results wait for the store to be reachable, and all processes are killed a moment
+		// after it is. An owner that waits for its retry delay would lose results. Here the
+		// retry delay never ends within the test.
+		slowRetry := newProcess("p", store, llm)
+		slowRetry.owner.RetryDelay = time.Hour
+		slowRetry.desk.Members = a.members
 		a.stop()
 		b.stop()
-		patient.register.Members = a.members
-		patient.run()
-		Eventually(func() bool { _, found := a.members.Get("p"); return found }).WithTimeout(patience).Should(BeTrue())
+		slowRetry.register.Members = a.members
+		slowRetry.run()
+		Eventually(func() bool { _, found := a.members.Get("p"); return found }).WithTimeout(eventuallyTimeout).Should(BeTrue())
 		store.Revoke("live/members/a")
 		store.Revoke("live/members/b")
-		Eventually(a.members.Live).WithTimeout(patience).Should(HaveLen(1))
+		Eventually(a.members.Live).WithTimeout(eventuallyTimeout).Should(HaveLen(1))
 		llm.hold = make(chan struct{})
-		Expect(patient.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
-		Eventually(llm.total).WithTimeout(patience).Should(BeNumerically(">", 0))
+		Expect(slowRetry.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
+		Eventually(llm.total).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", 0))
 		commits := store.Count("commit")
 		store.SetDown(true)
 		close(llm.hold)
-		Eventually(func() int { return store.Count("commit") }).WithTimeout(patience).Should(BeNumerically(">", commits), "a write failed")
+		Eventually(func() int { return store.Count("commit") }).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", commits), "a write failed")
 		store.SetDown(false)
 		Eventually(func() int {
-			patient.owner.StoreRecovered()
-			return results(patient, "j")()
-		}).WithTimeout(patience).Should(Equal(1))
+			slowRetry.owner.StoreRecovered()
+			return results(slowRetry, "j")()
+		}).WithTimeout(eventuallyTimeout).Should(Equal(1))
 	})
 
-	It("is ended although its owner's word is out of date", func() {
-		// What happens: the owner was cut off and lost the job, which it does not know.
-		// Its word names a mark that is gone; the end must not be taken for done.
+	It("do not keep the job from being ended if its owner's mark is stale", func() {
+		// The owner was partitioned from the store and lost the job without knowing. The mark
+		// that it reports is of a deleted assignment; the end must not count as done.
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
-		owner, other := owned("j")
+		owner, other := ownerOf("j")
 		entry := newProcess("e", store, llm)
 		entry.desk.Members = other.members
 		Expect(results(entry, "j")()).To(Equal(0))
@@ -159,30 +159,30 @@
 		Expect(entry.desk.End(context.Background(), "j")).To(Succeed())
 		record, err := store.Read(context.Background(), "todo/"+other.name+"/j")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(record.Revision).To(BeZero(), "the new owner's mark is gone")
+		Expect(record.Revision).To(BeZero(), "the new owner's assignment is deleted")
 	})
 
-	It("is read at its owner while the store is away, and goes on", func() {
-		// The store is down for seconds. Trainers still read what is durable, runs go
-		// on, and the results decided meanwhile are listed once the store is back.
+	It("are read at the owner while the store is unreachable, and runs continue", func() {
+		// The store is down for seconds. Trainers still read durable results, runs continue,
+		// and results decided meanwhile become durable once the store is back.
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
-		_, other := owned("j")
+		_, other := ownerOf("j")
 		Expect(results(other, "j")()).To(Equal(0))
 		store.SetDown(true)
 		close(llm.hold)
-		Consistently(results(other, "j")).Should(BeZero(), "nothing is shown that is not durable")
+		Consistently(results(other, "j")).Should(BeZero(), "no result is returned before it is durable")
 		store.SetDown(false)
-		Eventually(results(other, "j")).WithTimeout(patience).Should(Equal(2))
+		Eventually(results(other, "j")).WithTimeout(eventuallyTimeout).Should(Equal(2))
 	})
 
-	It("is not read at an owner that was cut off from the store and lost it", func() {
-		// The owner answers readers but cannot reach the store. Its registration
-		// lapsed, another process has the job and listed results. A reader whose
-		// process still knows the old owner must get what others have read.
+	It("are not read at an owner that was partitioned from the store and lost the job", func() {
+		// The owner answers readers but cannot reach the store. Its registration expired,
+		// and another process owns the job and has written results. A reader whose process
+		// has cached the old owner must get what others have read.
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
-		owner, other := owned("j")
+		owner, other := ownerOf("j")
 		reader := newProcess("r", store, llm)
 		reader.desk.Members = other.members
 		Expect(results(reader, "j")()).To(Equal(0))
@@ -190,14 +190,14 @@
 		owner.cutOff.Store(true)
 		Expect(other.mover.MoveAll(context.Background(), owner.name)).To(Succeed())
 		close(llm.hold)
-		Eventually(results(reader, "j")).WithTimeout(patience).Should(Equal(2))
-		Expect(owner.owner.Jobs()).To(HaveKey("j"), "it does not know")
+		Eventually(results(reader, "j")).WithTimeout(eventuallyTimeout).Should(Equal(2))
+		Expect(owner.owner.Jobs()).To(HaveKey("j"), "it does not know that it lost the job")
 	})
 
-	It("is never denied by guess", func() {
+	It("are never reported as missing without an answer of the store", func() {
 		// Neither its owner nor the store answers a process that never saw the job.
 		Expect(a.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
-		owner, other := owned("j")
+		owner, other := ownerOf("j")
 		fresh := newProcess("c", store, llm)
 		owner.stop()
 		other.stop()
@@ -209,10 +209,10 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("gives the body of an item that is not listed, from the store too", func() {
+	It("leave the bodies of items without results readable, from the store too", func() {
 		llm.hold = make(chan struct{})
 		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
-		owner, other := owned("j")
+		owner, other := ownerOf("j")
 		body, err := other.desk.Body(context.Background(), "j", "i1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal(bytes.Repeat([]byte{1}, 40)))
--- a/internal/agentless/batchrun/standby_test.go
+++ b/internal/agentless/batchrun/standby_test.go
@@ -13,29 +13,29 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-// blind is a standby's calls, of which some do not come through.
-type blind struct {
+// faultyPeers makes a standby's calls, some of which fail.
+type faultyPeers struct {
 	batchrun.StandbyPeers
-	cut      atomic.Bool  // it reaches no owner
-	isolated atomic.Bool  // nor anybody else
-	deaf     atomic.Value // the process that others do not reach either
+	cutFromOwners atomic.Bool  // calls to owners fail
+	isolated      atomic.Bool  // all calls fail
+	unreachable   atomic.Value // name of a process that other processes do not reach either
 }
 
-func (b *blind) QueryJobs(ctx context.Context, owner string, args batchrun.GuardedArgs) (batchrun.GuardedReply, error) {
-	if b.cut.Load() || b.isolated.Load() {
+func (f *faultyPeers) QueryJobs(ctx context.Context, owner string, args batchrun.GuardedArgs) (batchrun.GuardedReply, error) {
+	if f.cutFromOwners.Load() || f.isolated.Load() {
 		return batchrun.GuardedReply{}, context.DeadlineExceeded
 	}
-	return b.StandbyPeers.QueryJobs(ctx, owner, args)
+	return f.StandbyPeers.QueryJobs(ctx, owner, args)
 }
 
-func (b *blind) IndirectPing(ctx context.Context, name string) (answers, known bool) {
-	if b.isolated.Load() {
+func (f *faultyPeers) IndirectPing(ctx context.Context, name string) (answers, known bool) {
+	if f.isolated.Load() {
 		return false, false
 	}
-	if b.deaf.Load() == name {
+	if f.unreachable.Load() == name {
 		return false, true
 	}
-	return b.StandbyPeers.IndirectPing(ctx, name)
+	return f.StandbyPeers.IndirectPing(ctx, name)
 }
 
 var _ = Describe("the standby of a job", func() {
@@ -44,22 +44,23 @@
 	var processes []*process
 	var release func()
 
-	// start runs three workers that stand by for each other's jobs. A text pauses after
+	// start starts three workers that are standbys for each other's jobs. A text pauses after
 	// two of its four events.
 	start := func(switches *mechanism.Switches) {
 		for _, name := range []string{"a", "b", "c"} {
 			p := newProcess(name, store, llm)
 			p.owner.Switches = switches
 			p.owner.Copier.StandbyFor, p.owner.Copier.Send, p.owner.FetchTexts = p.desk.StandbyFor, p.desk.SendCopy, p.desk.FetchTexts
-			p.peers = &blind{StandbyPeers: p.desk}
+			p.peers = &faultyPeers{StandbyPeers: p.desk}
 			p.owner.Standby.Peers = p.peers
 			p.run()
 			processes = append(processes, p)
 		}
-		Eventually(func() int { return len(processes[0].members.Owners()) }).WithTimeout(patience).Should(Equal(3))
+		Eventually(func() int { return len(processes[0].members.Owners()) }).WithTimeout(eventuallyTimeout).Should(Equal(3))
 	}
 
-	// submitted accepts a job, and returns its owner and its standby once that knows of it.
+	// submitted submits a job. It returns the owner, and the standby once that knows of the
+	// job.
 	submitted := func() (owner, standby *process) {
 		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		owned := func() *process {
@@ -70,7 +71,7 @@
 			}
 			return nil
 		}
-		Eventually(owned).WithTimeout(patience).ShouldNot(BeNil())
+		Eventually(owned).WithTimeout(eventuallyTimeout).ShouldNot(BeNil())
 		owner = owned()
 		name, _ := owner.desk.StandbyFor("m", "j")
 		for _, p := range processes {
@@ -78,7 +79,7 @@
 				standby = p
 			}
 		}
-		Eventually(func() bool { return batchrun.Guards(standby.owner, "j") }).WithTimeout(patience).Should(BeTrue())
+		Eventually(func() bool { return batchrun.IsStandbyFor(standby.owner, "j") }).WithTimeout(eventuallyTimeout).Should(BeTrue())
 		return owner, standby
 	}
 	owns := func(p *process) func() int { return func() int { return len(p.owner.Jobs()) } }
@@ -99,93 +100,94 @@
 		})
 	})
 
-	It("takes it over when its owner is killed, long before the owner's registration lapses", func() {
+	It("takes it over when its owner is killed, long before the owner's registration expires", func() {
 		start(nil)
 		owner, standby := submitted()
 		owner.stop()
-		Eventually(owns(standby)).WithTimeout(patience).Should(Equal(1))
+		Eventually(owns(standby)).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		release()
-		Eventually(results(standby, "j")).WithTimeout(patience).Should(Equal(3))
+		Eventually(results(standby, "j")).WithTimeout(eventuallyTimeout).Should(Equal(3))
 	})
 
-	It("runs it while the store is away, and lists what it made once the store is back", func() {
-		// The store is away for five seconds, and the owner dies in the first of them. Without a
-		// process that goes on, the step begins anew when the store is back and is late.
+	It("runs it while the store is unreachable, and writes its results once the store is back", func() {
+		// The store is unreachable for five seconds, and the owner dies in the first one.
+		// Unless another process continues, the step starts anew when the store is back and
+		// is late.
 		start(nil)
 		owner, standby := submitted()
 		store.SetDown(true)
 		owner.stop()
-		Eventually(func() bool { return batchrun.RunsFor(standby.owner, "j") }).WithTimeout(patience).Should(BeTrue())
+		Eventually(func() bool { return batchrun.HasStandbyRun(standby.owner, "j") }).WithTimeout(eventuallyTimeout).Should(BeTrue())
 		release()
-		Eventually(func() int { return batchrun.MadeFor(standby.owner, "j") }).WithTimeout(patience).Should(Equal(3))
+		Eventually(func() int { return batchrun.StandbyResultCount(standby.owner, "j") }).WithTimeout(eventuallyTimeout).Should(Equal(3))
 		sent := llm.total()
-		Expect(owns(standby)()).To(BeZero(), "it lists nothing of a job that is not its own")
+		Expect(owns(standby)()).To(BeZero(), "it writes no results of a job that it does not own")
 		store.SetDown(false)
-		Eventually(results(standby, "j")).WithTimeout(patience).Should(Equal(3))
+		Eventually(results(standby, "j")).WithTimeout(eventuallyTimeout).Should(Equal(3))
 		Expect(llm.total()).To(Equal(sent), "nothing was generated again")
-		Expect(batchrun.RunsFor(standby.owner, "j")).To(BeFalse())
+		Expect(batchrun.HasStandbyRun(standby.owner, "j")).To(BeFalse())
 	})
 
-	It("runs it for a while only, and keeps what it made", func() {
-		// The store answers others, through whom the job may have ended long ago.
+	It("runs it for a limited time, and keeps what it generated", func() {
+		// The store may answer other processes, and the job may have been ended through them.
 		start(nil)
 		owner, standby := submitted()
 		standby.owner.Standby.MaxRunTime = 100 * time.Millisecond
 		store.SetDown(true)
 		owner.stop()
-		Eventually(func() bool { return batchrun.RunsFor(standby.owner, "j") }).WithTimeout(patience).Should(BeTrue())
-		Eventually(func() bool { return batchrun.RunsNow(standby.owner, "j") }).WithTimeout(patience).Should(BeFalse())
+		Eventually(func() bool { return batchrun.HasStandbyRun(standby.owner, "j") }).WithTimeout(eventuallyTimeout).Should(BeTrue())
+		Eventually(func() bool { return batchrun.StandbyIsRunning(standby.owner, "j") }).WithTimeout(eventuallyTimeout).Should(BeFalse())
 		sent := llm.total()
 		release()
 		Consistently(llm.total).WithTimeout(time.Second).Should(Equal(sent))
 		store.SetDown(false)
-		Eventually(results(standby, "j")).WithTimeout(patience).Should(Equal(3))
+		Eventually(results(standby, "j")).WithTimeout(eventuallyTimeout).Should(Equal(3))
 		llm.mu.Lock()
 		defer llm.mu.Unlock()
-		Expect(llm.resumed).To(ContainElement(int64(2)), "texts go on from what the standby made")
+		Expect(llm.resumed).To(ContainElement(int64(2)), "texts continue those that the standby generated")
 	})
 
-	It("leaves it alone while another process reaches its owner", func() {
-		// Only the link between the two is cut: a second owner would run every item twice.
+	It("does not take it over while another process reaches its owner", func() {
+		// Only the link between the two is cut; a second owner would run every item twice.
 		start(nil)
 		owner, standby := submitted()
-		standby.peers.cut.Store(true)
+		standby.peers.cutFromOwners.Store(true)
 		Consistently(owns(owner)).WithTimeout(3 * time.Second).Should(Equal(1))
 		Expect(owns(standby)()).To(BeZero())
 	})
 
-	It("leaves it alone while it reaches nobody itself", func() {
+	It("does not take it over while it reaches no process itself", func() {
 		start(nil)
 		owner, standby := submitted()
 		standby.peers.isolated.Store(true)
 		Consistently(owns(owner)).WithTimeout(3 * time.Second).Should(Equal(1))
 	})
 
-	It("ends its runs when the owner answers again", func() {
-		// Owner and standby could not reach each other, nor others the owner, while the store
-		// was away. The owner has its own texts, and the engines' places are wanted.
+	It("stops its runs when the owner answers again", func() {
+		// Neither the standby nor others reached the owner while the store was unreachable.
+		// The owner has its own texts, and the standby's runs occupy slots that it needs.
 		start(nil)
 		owner, standby := submitted()
 		store.SetDown(true)
-		standby.peers.deaf.Store(owner.name)
-		standby.peers.cut.Store(true)
-		Eventually(func() bool { return batchrun.RunsFor(standby.owner, "j") }).WithTimeout(patience).Should(BeTrue())
-		standby.peers.cut.Store(false)
-		Eventually(func() bool { return batchrun.RunsFor(standby.owner, "j") }).WithTimeout(patience).Should(BeFalse())
+		standby.peers.unreachable.Store(owner.name)
+		standby.peers.cutFromOwners.Store(true)
+		Eventually(func() bool { return batchrun.HasStandbyRun(standby.owner, "j") }).WithTimeout(eventuallyTimeout).Should(BeTrue())
+		standby.peers.cutFromOwners.Store(false)
+		Eventually(func() bool { return batchrun.HasStandbyRun(standby.owner, "j") }).WithTimeout(eventuallyTimeout).Should(BeFalse())
 		Expect(owns(owner)()).To(Equal(1))
 	})
 
-	It("runs nothing of a job that ended before its owner was lost", func() {
+	It("does not run a job that ended before its owner was lost", func() {
 		start(nil)
 		owner, standby := submitted()
 		Expect(owner.desk.End(context.Background(), "j")).To(Succeed())
-		Eventually(func() bool { return batchrun.Guards(standby.owner, "j") }).WithTimeout(patience).Should(BeFalse())
+		Eventually(func() bool { return batchrun.IsStandbyFor(standby.owner, "j") }).WithTimeout(eventuallyTimeout).Should(BeFalse())
 		store.SetDown(true)
 		owner.stop()
-		Consistently(func() bool { return batchrun.RunsFor(standby.owner, "j") }).WithTimeout(3 * time.Second).Should(BeFalse())
+		Consistently(func() bool { return batchrun.HasStandbyRun(standby.owner, "j") }).WithTimeout(3 * time.Second).Should(BeFalse())
 	})
 
-	It("waits for the registration to lapse where operators took the mechanism out", func() {
+	It("waits for the registration to expire if operators disabled the mechanism", func() {
 		switches := &mechanism.Switches{}
 		switches.SetDisabled([]mechanism.Mechanism{mechanism.TakeOver})
 		start(switches)
--- a/internal/agentless/batchrun/sweep_test.go
+++ b/internal/agentless/batchrun/sweep_test.go
@@ -13,8 +13,8 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-var _ = Describe("sweeping", func() {
-	It("removes all of an old job and nothing of a young one", func() {
+var _ = Describe("the sweeper", func() {
+	It("removes all keys of an old job and none of a recent one", func() {
 		store := standin.NewShared()
 		log := logrus.New()
 		log.SetOutput(io.Discard)
