--- a/internal/agentless/gate/gate.go
+++ b/internal/agentless/gate/gate.go
@@ -162,7 +162,7 @@
 	g.earnRetries(c.service)
 	outcome := c.run(limited)
 	if started := c.startedAt(); !started.IsZero() {
-		usage.Began(started)
+		usage.CountStart(started)
 	}
 	if outcome.End == TimedOut && ctx.Err() != nil {
 		outcome = Outcome{End: Cancelled}
--- a/internal/agentless/gate/stream.go
+++ b/internal/agentless/gate/stream.go
@@ -173,7 +173,7 @@
 			return err
 		}
 		idleTimer.Reset(streamIdleTimeout)
-		s.usage.Began(time.Now()) // a stream counts as started with its first event
+		s.usage.CountStart(time.Now()) // a stream counts as started with its first event
 		if event.ID != 0 && event.ID <= s.lastEvent {
 			return errors.Errorf("event %d received after event %d", event.ID, s.lastEvent)
 		}
