--- a/internal/agentless/batchrun/owner.go
+++ b/internal/agentless/batchrun/owner.go
@@ -171,7 +171,7 @@
 func (o *Owner) Assignments() *cluster.Topic {
 	listed := false
 	return &cluster.Topic{
-		Prefix: assignmentPrefix(o.Name), Carrier: AssignmentsPrefix, Idle: o.idle,
+		Prefix: assignmentPrefix(o.Name), RelayPrefix: AssignmentsPrefix, Idle: o.idle,
 		Changed: func(r kv.Record) {
 			afterStart := listed // read when the record arrives, not when the goroutine runs
 			o.runs.Go(func() error {
@@ -181,7 +181,7 @@
 			})
 		},
 		Deleted: func(key string, revision int64) { o.drop(assignedJob(key), revision) },
-		Synced:  func() { listed = true },
+		Listed:  func() { listed = true },
 	}
 }
 
