--- a/internal/agentless/cluster/follow.go
+++ b/internal/agentless/cluster/follow.go
@@ -107,7 +107,7 @@
 
 // step makes one call to the store: a listing if asOf is 0, otherwise a watch. It
 // returns the revision that the topic has reached, and whether a watch returned
-// changes.
+// changes. If the topic is idle, it only pauses.
 func (f *Follower) step(ctx context.Context, asOf int64, wait time.Duration) (next int64, changed bool, err error) {
 	switch {
 	case f.Topic.isIdle():
--- a/internal/agentless/cluster/leader.go
+++ b/internal/agentless/cluster/leader.go
@@ -48,7 +48,7 @@
 	term        int64
 	actFrom     time.Time // this process may not act before
 	confirmedAt time.Time // start of the last call in which the store confirmed the lease
-	lostAt      time.Time // when the duty was last lost
+	lostAt      time.Time // when the duty was last lost or given up
 	wake        chan struct{}
 }
 
--- a/internal/agentless/cluster/members.go
+++ b/internal/agentless/cluster/members.go
@@ -145,14 +145,14 @@
 func (m *Members) linger(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	expired, found := m.list[name]
+	member, found := m.list[name]
 	if !found {
 		return
 	}
 	time.AfterFunc(lingerDuration, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.list[name] == expired && m.expired[name] {
+		if m.list[name] == member && m.expired[name] {
 			delete(m.list, name)
 		}
 	})
@@ -252,9 +252,9 @@
 		return
 	}
 	name := strings.TrimPrefix(key, prefixMembers)
-	unsettled := r.StoreRecentlyDown != nil && r.StoreRecentlyDown()
-	events.MemberGone.Log(r.Log, logrus.Fields{"member": name, "revision": revision, "lingers": unsettled})
-	if unsettled {
+	storeWasDown := r.StoreRecentlyDown != nil && r.StoreRecentlyDown()
+	events.MemberGone.Log(r.Log, logrus.Fields{"member": name, "revision": revision, "lingers": storeWasDown})
+	if storeWasDown {
 		r.Members.linger(name)
 	} else {
 		r.Members.remove(name)
--- a/internal/agentless/cluster/relay.go
+++ b/internal/agentless/cluster/relay.go
@@ -102,7 +102,7 @@
 	Topics   map[string]TopicNews // by prefix of the interest
 }
 
-// TopicNews contains the changes of one topic. It corresponds to news.Update.
+// TopicNews contains the changes of one topic. It has the same fields as news.Update.
 type TopicNews struct {
 	Full    bool // Changes and Stands are all existing keys; every other key is deleted
 	AsOf    int64
--- a/internal/agentless/textlog/buffer.go
+++ b/internal/agentless/textlog/buffer.go
@@ -44,60 +44,60 @@
 
 // Begin opens a job that an owner took over under its mark, with the texts that the job
 // starts from. It replaces the job if it is open already.
-func (g *Buffer) Begin(job string, mark int64, texts *batch.Texts) {
-	if g == nil {
+func (b *Buffer) Begin(job string, mark int64, texts *batch.Texts) {
+	if b == nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if old := g.jobs[job]; old != nil {
-		g.discardParts(old)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if old := b.jobs[job]; old != nil {
+		b.discardParts(old)
 	}
 	fresh := &openJob{mark: mark, newest: map[string]int{}}
-	g.jobs[job] = fresh
+	b.jobs[job] = fresh
 	for _, part := range texts.Parts() {
-		g.append(job, fresh, part)
+		b.append(job, fresh, part)
 	}
 }
 
 // Event adds one event of an item's text.
-func (g *Buffer) Event(job string, mark int64, item string, id int64, data []byte, version int64) {
-	g.Add(job, mark, batch.TextPart{Item: item, First: id, Events: [][]byte{data}, Versions: []int64{version}})
+func (b *Buffer) Event(job string, mark int64, item string, id int64, data []byte, version int64) {
+	b.Add(job, mark, batch.TextPart{Item: item, First: id, Events: [][]byte{data}, Versions: []int64{version}})
 }
 
 // Complete records that an item's text is complete and has the given number of events.
-func (g *Buffer) Complete(job string, mark int64, item string, events int64) {
-	g.Add(job, mark, batch.TextPart{Item: item, First: events + 1, Complete: true})
+func (b *Buffer) Complete(job string, mark int64, item string, events int64) {
+	b.Add(job, mark, batch.TextPart{Item: item, First: events + 1, Complete: true})
 }
 
 // Restart records that an item's text starts from its beginning again.
-func (g *Buffer) Restart(job string, mark int64, item string) {
-	g.Add(job, mark, batch.TextPart{Item: item, First: 1})
+func (b *Buffer) Restart(job string, mark int64, item string) {
+	b.Add(job, mark, batch.TextPart{Item: item, First: 1})
 }
 
 // Add adds a part of a job and ignores it unless the job is open under this mark. A run
 // that was started under an earlier mark of the job may still deliver events; they
 // continue a different text.
-func (g *Buffer) Add(job string, mark int64, part batch.TextPart) {
-	if g == nil {
+func (b *Buffer) Add(job string, mark int64, part batch.TextPart) {
+	if b == nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if open := g.jobs[job]; open != nil && open.mark == mark && !open.stopped {
-		g.append(job, open, part)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if open := b.jobs[job]; open != nil && open.mark == mark && !open.stopped {
+		b.append(job, open, part)
 	}
 }
 
 // append merges a part into the newest part of the same item if it directly continues
 // that, and adds it as a new part otherwise. mu must be held.
-func (g *Buffer) append(job string, open *openJob, part batch.TextPart) {
+func (b *Buffer) append(job string, open *openJob, part batch.TextPart) {
 	size := sizeOf(&part)
-	if g.pending+size > maxPendingBytes {
-		g.stop(job, open, "too many events are waiting to be written or sent")
+	if b.pending+size > maxPendingBytes {
+		b.stop(job, open, "too many events are waiting to be written or sent")
 		return
 	}
-	g.pending += size
+	b.pending += size
 	if at, found := open.newest[part.Item]; found {
 		before := &open.parts[at]
 		if (!before.Complete || len(part.Events) == 0) && part.First > 1 && part.First == before.First+int64(len(before.Events)) {
@@ -115,27 +115,27 @@
 }
 
 // stop discards a job's parts and makes the buffer ignore further ones. mu must be held.
-func (g *Buffer) stop(job string, open *openJob, why string) {
-	g.discardParts(open)
+func (b *Buffer) stop(job string, open *openJob, why string) {
+	b.discardParts(open)
 	open.stopped = true
-	if g.onStopped != nil {
-		g.onStopped(job, open.mark, why)
+	if b.onStopped != nil {
+		b.onStopped(job, open.mark, why)
 	}
 }
 
 // Stop stops collecting a job's parts because writing or sending them failed.
-func (g *Buffer) Stop(job string, why string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if open := g.jobs[job]; open != nil && !open.stopped {
-		g.stop(job, open, why)
+func (b *Buffer) Stop(job string, why string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if open := b.jobs[job]; open != nil && !open.stopped {
+		b.stop(job, open, why)
 	}
 }
 
 // discardParts discards the buffered parts of a job. mu must be held.
-func (g *Buffer) discardParts(open *openJob) {
+func (b *Buffer) discardParts(open *openJob) {
 	for i := range open.parts {
-		g.pending -= sizeOf(&open.parts[i])
+		b.pending -= sizeOf(&open.parts[i])
 	}
 	open.parts, open.newest = nil, map[string]int{}
 }
@@ -151,28 +151,28 @@
 
 // Drop removes a job unless it is open under a newer mark, in which case it returns
 // false.
-func (g *Buffer) Drop(job string, mark int64) bool {
-	if g == nil {
+func (b *Buffer) Drop(job string, mark int64) bool {
+	if b == nil {
 		return false
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	open := g.jobs[job]
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	open := b.jobs[job]
 	if open != nil && open.mark > mark {
 		return false
 	}
 	if open != nil {
-		g.discardParts(open)
-		delete(g.jobs, job)
+		b.discardParts(open)
+		delete(b.jobs, job)
 	}
 	return true
 }
 
 // Mark returns the mark under which a job is open, and whether it is open.
-func (g *Buffer) Mark(job string) (mark int64, open bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if o := g.jobs[job]; o != nil {
+func (b *Buffer) Mark(job string) (mark int64, open bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if o := b.jobs[job]; o != nil {
 		return o.mark, true
 	}
 	return 0, false
@@ -180,12 +180,12 @@
 
 // Drain removes and returns the buffered parts. Parts that start a text and have fewer
 // than minEvents events stay buffered.
-func (g *Buffer) Drain(minEvents int) []JobParts {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (b *Buffer) Drain(minEvents int) []JobParts {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var taken []JobParts
-	for job, open := range g.jobs {
-		parts := g.drainJob(open, minEvents)
+	for job, open := range b.jobs {
+		parts := b.drainJob(open, minEvents)
 		if len(parts) > 0 {
 			taken = append(taken, JobParts{job, open.mark, parts})
 		}
@@ -194,7 +194,7 @@
 }
 
 // drainJob removes and returns the parts of one job, as Drain does. mu must be held.
-func (g *Buffer) drainJob(open *openJob, minEvents int) []batch.TextPart {
+func (b *Buffer) drainJob(open *openJob, minEvents int) []batch.TextPart {
 	var parts, kept []batch.TextPart
 	for _, part := range open.parts {
 		if part.First == 1 && len(part.Events) < minEvents {
@@ -202,7 +202,7 @@
 			continue
 		}
 		parts = append(parts, part)
-		g.pending -= sizeOf(&part)
+		b.pending -= sizeOf(&part)
 	}
 	open.parts, open.newest = kept, map[string]int{}
 	for i := range kept {
@@ -212,10 +212,10 @@
 }
 
 // pendingParts returns a copy of a job's buffered parts.
-func (g *Buffer) pendingParts(job string) []batch.TextPart {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	open := g.jobs[job]
+func (b *Buffer) pendingParts(job string) []batch.TextPart {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	open := b.jobs[job]
 	if open == nil {
 		return nil
 	}
--- a/internal/agentless/textlog/textlog.go
+++ b/internal/agentless/textlog/textlog.go
@@ -5,8 +5,8 @@
 // trainer rarely makes up.
 //
 // The log is never authoritative: the platform's store records who owns a job and which
-// of its results are listed. If the disk is slow, stalled, full or wiped, the logged
-// texts are lost, but nothing else waits for it.
+// of its results are listed. If the disk is slow, stalled, full or wiped, the texts that
+// it should hold are lost, but nothing waits for it.
 package textlog
 
 import (
@@ -50,6 +50,7 @@
 	drops chan string // jobs whose files are to be removed
 }
 
+// stats holds the metrics of a Log.
 type stats struct {
 	written metrics.Counter
 	onDisk  metrics.Gauge
@@ -106,18 +107,18 @@
 // texts so far. Put returns false if they continue parts that this process lacks because
 // it started after those were sent. It then stores nothing, so that the files of an
 // earlier run of this process remain usable until the owner sends a full copy.
-func (l *Log) Put(g JobParts, full bool) (follows bool) {
+func (l *Log) Put(p JobParts, full bool) (follows bool) {
 	if l == nil {
 		return true
 	}
-	if mark, open := l.Mark(g.Job); !open || mark < g.Mark {
+	if mark, open := l.Mark(p.Job); !open || mark < p.Mark {
 		if !full {
 			return false
 		}
-		l.Begin(g.Job, g.Mark, batch.NewTexts())
+		l.Begin(p.Job, p.Mark, batch.NewTexts())
 	}
-	for _, part := range g.Parts {
-		l.Add(g.Job, g.Mark, part)
+	for _, part := range p.Parts {
+		l.Add(p.Job, p.Mark, part)
 	}
 	return true
 }
