--- a/internal/agentless/node/usage.go
+++ b/internal/agentless/node/usage.go
@@ -11,27 +11,28 @@
 	"siskinloom.example/siskinloom/internal/rpcpool"
 )
 
-// usageParts are a process's parts of the reports of usage. Those that serve callers
-// count and tell, workers take in what is told. The zero value has none.
-type usageParts struct {
+// usageRoles holds a process's components for reporting usage. Processes that serve callers
+// count requests and send the counts to workers. The zero value has no components.
+type usageRoles struct {
 	teller   *usagerun.Teller
 	books    *usagerun.Books
 	reporter *usagerun.Reporter
 }
 
+// addUsage creates the components for reporting usage, if it is enabled.
 func (n *Node) addUsage(self cluster.Member, peers *rpcpool.Pool) {
-	rules := n.settings.Usage
+	config := n.settings.Usage
 	switch {
-	case !rules.Enabled():
+	case !config.Enabled():
 	case self.Worker:
-		n.usage.books = usagerun.NewBooks(rules, self.Boot)
+		n.usage.books = usagerun.NewBooks(config, self.Boot)
 	default:
-		n.gate.Usage = usagerun.NewCounter(rules)
-		n.usage.teller = &usagerun.Teller{Rules: rules, Counter: n.gate.Usage, Self: self, Members: n.members, Duty: keyDuty, Peers: peers, Log: n.log}
+		n.gate.Usage = usagerun.NewCounter(config)
+		n.usage.teller = &usagerun.Teller{Rules: config, Counter: n.gate.Usage, Self: self, Members: n.members, Duty: keyDuty, Peers: peers, Log: n.log}
 	}
 }
 
-// newReporter returns what reports usage while this process leads, or nil.
+// newReporter returns the reporter of usage, which is active while this process leads, or nil.
 func (n *Node) newReporter() *usagerun.Reporter {
 	if n.usage.books == nil || n.adapter.Biller == nil {
 		return nil
@@ -42,14 +43,16 @@
 	}
 }
 
-func (u *usageParts) register(calls *rpc.Server) error {
+// register registers the service that receives counts, on a worker.
+func (u *usageRoles) register(server *rpc.Server) error {
 	if u.books == nil {
 		return nil
 	}
-	return u.books.Register(calls)
+	return u.books.Register(server)
 }
 
-func (u *usageParts) run(ctx context.Context, group *errgroup.Group) {
+// run starts the components.
+func (u *usageRoles) run(ctx context.Context, group *errgroup.Group) {
 	if u.teller != nil {
 		group.Go(func() error { return u.teller.Run(ctx) })
 	}
@@ -58,8 +61,8 @@
 	}
 }
 
-// flush tells what was counted before this process ends.
-func (u *usageParts) flush(ctx context.Context) {
+// flush sends the counts that were not sent yet, before this process ends.
+func (u *usageRoles) flush(ctx context.Context) {
 	if u.teller != nil {
 		u.teller.Flush(ctx)
 	}
