--- a/internal/agentless/batchrun/loads.go
+++ b/internal/agentless/batchrun/loads.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// tellEvery is how often owners tell each other what they run: three events'
-	// time, in which few runs start or end but when a step arrives.
-	tellEvery = 100 * time.Millisecond
-	// tellRate bounds the bytes a second that a process sends its fellows so; where
-	// there are many engines or fellows it tells them less often.
-	tellRate = 10_000
-	// tellSize and shareSize are about the bytes of a message and of each endpoint
-	// in it.
-	tellSize, shareSize = 120, 24
-	// mostTold bounds what one round of messages holds. Beyond it rounds would be
-	// further apart than what was told counts, and nothing is told.
-	mostTold = tellRate * int(loadLife/time.Second)
-	// loadLife is how long a fellow's load counts.
-	loadLife = time.Second
-	// tellLimit bounds a call; the next one tells all anew.
-	tellLimit = 300 * time.Millisecond
+	// loadInterval is how often owners send each other their load: the time of three events, in
+	// which few runs start or end, except when a step arrives.
+	loadInterval = 100 * time.Millisecond
+	// maxLoadRate limits the bytes per second that a process sends to other owners for this.
+	// With many engines or owners the messages are sent less often.
+	maxLoadRate = 10_000
+	// loadMessageBytes and endpointLoadBytes are the approximate sizes of a message and of each
+	// endpoint in it.
+	loadMessageBytes, endpointLoadBytes = 120, 24
+	// maxRoundBytes limits the size of one round of messages. Larger rounds would be further
+	// apart than loadTTL, and are not sent.
+	maxRoundBytes = maxLoadRate * int(loadTTL/time.Second)
+	// loadTTL is how long another owner's load stays valid.
+	loadTTL = time.Second
+	// loadTimeout is the timeout of a call; the next one sends everything again.
+	loadTimeout = 300 * time.Millisecond
 )
 
-// LoadArgs tell an owner what another one runs at the engines of a service.
+// LoadArgs holds what an owner runs at the engines of a service.
 type LoadArgs struct {
 	From    string
 	Service string
@@ -39,34 +39,34 @@
 	Shares  map[string]endpoints.ProcessLoad // by endpoint ID
 }
 
-// loads are what fellows told of their jobs. They are safe for concurrent use.
-type loads struct {
-	mu     sync.Mutex
-	byName map[string]toldLoad
+// reportedLoads holds the loads that other owners sent. It is safe for concurrent use.
+type reportedLoads struct {
+	mu      sync.Mutex
+	byOwner map[string]reportedLoad
 }
 
-type toldLoad struct {
+type reportedLoad struct {
 	at   time.Time
 	load schedule.Load
 }
 
-func (l *loads) told(now time.Time, from string, load schedule.Load) {
+func (l *reportedLoads) record(now time.Time, from string, load schedule.Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.byName == nil {
-		l.byName = map[string]toldLoad{}
+	if l.byOwner == nil {
+		l.byOwner = map[string]reportedLoad{}
 	}
-	l.byName[from] = toldLoad{now, load}
+	l.byOwner[from] = reportedLoad{now, load}
 }
 
-// others sums up what fellows told lately.
-func (l *loads) others(now time.Time) schedule.Load {
+// total returns the sum of the loads that are still valid.
+func (l *reportedLoads) total(now time.Time) schedule.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := schedule.Load{}
-	for from, t := range l.byName {
-		if now.Sub(t.at) > loadLife {
-			delete(l.byName, from)
+	for from, t := range l.byOwner {
+		if now.Sub(t.at) > loadTTL {
+			delete(l.byOwner, from)
 			continue
 		}
 		sum.Merge(t.load)
@@ -74,41 +74,41 @@
 	return sum
 }
 
-// Load implements the call of that name: another owner tells its load.
+// Load records another owner's load. It is called by net/rpc.
 func (s *Service) Load(args LoadArgs, _ *struct{}) error {
 	now := time.Now()
-	s.owner.loads.told(now, args.From, args.Load)
+	s.owner.loads.record(now, args.From, args.Load)
 	if s.owner.Switches.On(mechanism.ShareLoad) {
 		s.owner.Directory.SetReport(now, args.Service, args.From, args.Shares)
 	}
 	return nil
 }
 
-// tellLoads tells fellows of this process's load until ctx ends.
-func (o *Owner) tellLoads(ctx context.Context) error {
+// sendLoads sends this process's load to the other owners until ctx ends.
+func (o *Owner) sendLoads(ctx context.Context) error {
 	if o.OtherOwners == nil {
 		return nil
 	}
-	told := map[string]bool{} // services of which something was told last
+	reported := map[string]bool{} // services with a load in the last round
 	for ctx.Err() == nil {
 		bytes := 0
 		if o.Switches.On(mechanism.ShareLoad) {
-			bytes = o.tellLoad(ctx, told)
+			bytes = o.sendLoad(ctx, reported)
 		}
-		pause(ctx, max(tellEvery, time.Duration(bytes)*time.Second/tellRate))
+		pause(ctx, max(loadInterval, time.Duration(bytes)*time.Second/maxLoadRate))
 	}
 	return nil
 }
 
-// tellLoad tells the load once and returns about how many bytes it sent. A service
-// of which there is nothing to tell is told of once more, so that what was told
-// before does not go on counting.
-func (o *Owner) tellLoad(ctx context.Context, told map[string]bool) (bytes int) {
+// sendLoad sends the load once and returns the approximate number of bytes. A service whose
+// load has dropped to nothing is reported once more, so that its earlier load does not stay
+// valid.
+func (o *Owner) sendLoad(ctx context.Context, reported map[string]bool) (bytes int) {
 	table := o.Directory.Table()
 	if table == nil {
 		return 0
 	}
-	load := o.survey(table, o.open(), time.Now()).own
+	load := o.newRound(table, o.openJobs(), time.Now()).own
 	var group errgroup.Group
 	for name, service := range table.Declaration.Services {
 		if len(service.Models) == 0 {
@@ -116,22 +116,22 @@
 		}
 		shares := o.Directory.ProcessLoads(name)
 		busy := len(shares) > 0 || load.Work > 0
-		if !busy && !told[name] {
+		if !busy && !reported[name] {
 			continue
 		}
-		told[name] = busy
+		reported[name] = busy
 		args := LoadArgs{From: o.Name, Service: name, Load: load, Shares: shares}
-		fellows := o.OtherOwners(service.Models)
-		size := tellSize + shareSize*len(shares)
-		if len(fellows)*size > mostTold {
+		others := o.OtherOwners(service.Models)
+		size := loadMessageBytes + endpointLoadBytes*len(shares)
+		if len(others)*size > maxRoundBytes {
 			continue
 		}
-		for _, fellow := range fellows {
+		for _, other := range others {
 			bytes += size
 			group.Go(func() error {
-				ctx, cancel := context.WithTimeout(ctx, tellLimit)
+				ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 				defer cancel()
-				_ = o.SendLoad(ctx, fellow, args) // one that is not told counts what it knows for a second
+				_ = o.SendLoad(ctx, other, args) // a receiver that is not reached uses the last load until loadTTL is over
 				return nil
 			})
 		}
--- a/internal/agentless/batchrun/resultcache.go
+++ b/internal/agentless/batchrun/resultcache.go
@@ -7,14 +7,14 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-// mostCached bounds the results that one process keeps: the open steps of a few
-// trainers, and their last ones, at half a megabyte to a megabyte each.
-const mostCached = 8 << 20
+// maxCachedBytes limits the results that one process caches: the open steps of a few trainers
+// and their last ones, at half a megabyte to a megabyte each.
+const maxCachedBytes = 8 << 20
 
-// resultCache keeps the results that were read at this process, which never
-// change once they are durable. A job is read at every entry, again and again from
-// its start by some; asked for whole each time, results are most of the bytes
-// between failure domains. It is safe for concurrent use; the zero value is empty.
+// resultCache caches the results that were read at this process; durable results never change.
+// A job is read at every entry, by some readers repeatedly from its start. Without a cache
+// these results were most of the bytes between failure domains. It is safe for concurrent use;
+// the zero value is empty.
 type resultCache struct {
 	mu    sync.Mutex
 	jobs  map[string]*cachedJob
@@ -28,9 +28,8 @@
 	bytes   int
 }
 
-// from returns the results that are kept from a position on, and the position
-// after the last.
-func (c *resultCache) from(id string, position int) (kept Reading, next int) {
+// get returns the cached results from a position on, and the position after the last.
+func (c *resultCache) get(id string, position int) (cached Reading, next int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
@@ -41,7 +40,7 @@
 	return Reading{Total: j.total, Results: slices.Clip(j.results[position:])}, len(j.results)
 }
 
-// add keeps results that follow those kept; others cannot be used.
+// add caches results that continue the cached ones; results after a gap are ignored.
 func (c *resultCache) add(id string, position int, r Reading) {
 	results := r.Results
 	c.mu.Lock()
@@ -65,7 +64,7 @@
 		c.bytes += size
 	}
 	c.touch(id)
-	c.trim()
+	c.evict()
 }
 
 func (c *resultCache) touch(id string) {
@@ -75,8 +74,8 @@
 	c.order = append(c.order, id)
 }
 
-func (c *resultCache) trim() {
-	for c.bytes > mostCached && len(c.order) > 0 {
+func (c *resultCache) evict() {
+	for c.bytes > maxCachedBytes && len(c.order) > 0 {
 		oldest := c.order[0]
 		c.order = c.order[1:]
 		c.bytes -= c.jobs[oldest].bytes
