--- a/internal/agentless/node/usage.go
+++ b/internal/agentless/node/usage.go
@@ -11,28 +11,27 @@
 	"siskinloom.example/siskinloom/internal/rpcpool"
 )
 
-// usageRoles holds a process's components for reporting usage. Processes that serve callers
-// count requests and send the counts to workers. The zero value has no components.
-type usageRoles struct {
+// usageParts are a process's parts of the reports of usage. Those that serve callers
+// count and tell, workers take in what is told. The zero value has none.
+type usageParts struct {
 	teller   *usagerun.Teller
 	books    *usagerun.Books
 	reporter *usagerun.Reporter
 }
 
-// addUsage creates the components for reporting usage, if it is enabled.
 func (n *Node) addUsage(self cluster.Member, peers *rpcpool.Pool) {
-	config := n.settings.Usage
+	rules := n.settings.Usage
 	switch {
-	case !config.Enabled():
+	case !rules.Enabled():
 	case self.Worker:
-		n.usage.books = usagerun.NewBooks(config, self.Boot)
+		n.usage.books = usagerun.NewBooks(rules, self.Boot)
 	default:
-		n.gate.Usage = usagerun.NewCounter(config)
-		n.usage.teller = &usagerun.Teller{Rules: config, Counter: n.gate.Usage, Self: self, Members: n.members, Duty: keyDuty, Peers: peers, Log: n.log}
+		n.gate.Usage = usagerun.NewCounter(rules)
+		n.usage.teller = &usagerun.Teller{Rules: rules, Counter: n.gate.Usage, Self: self, Members: n.members, Duty: keyDuty, Peers: peers, Log: n.log}
 	}
 }
 
-// newReporter returns the reporter of usage, which is active while this process leads, or nil.
+// newReporter returns what reports usage while this process leads, or nil.
 func (n *Node) newReporter() *usagerun.Reporter {
 	if n.usage.books == nil || n.adapter.Biller == nil {
 		return nil
@@ -43,16 +42,14 @@
 	}
 }
 
-// register registers the service that receives counts, on a worker.
-func (u *usageRoles) register(server *rpc.Server) error {
+func (u *usageParts) register(calls *rpc.Server) error {
 	if u.books == nil {
 		return nil
 	}
-	return u.books.Register(server)
+	return u.books.Register(calls)
 }
 
-// run starts the components.
-func (u *usageRoles) run(ctx context.Context, group *errgroup.Group) {
+func (u *usageParts) run(ctx context.Context, group *errgroup.Group) {
 	if u.teller != nil {
 		group.Go(func() error { return u.teller.Run(ctx) })
 	}
@@ -61,8 +58,8 @@
 	}
 }
 
-// flush sends the counts that were not sent yet, before this process ends.
-func (u *usageRoles) flush(ctx context.Context) {
+// flush tells what was counted before this process ends.
+func (u *usageParts) flush(ctx context.Context) {
 	if u.teller != nil {
 		u.teller.Flush(ctx)
 	}
