--- a/internal/agentless/gate/execution.go
+++ b/internal/agentless/gate/execution.go
@@ -72,7 +72,8 @@
 	return c.finalOutcome()
 }
 
-// finalOutcome returns the outcome of a request whose attempts all ended without an answer to pass on.
+// finalOutcome returns the outcome of a request whose attempts all ended, none with a final
+// outcome. A 5xx answer, if there was one, is passed on.
 func (c *execution) finalOutcome() Outcome {
 	switch {
 	case c.failure != nil:
