--- a/internal/agentless/node/node.go
+++ b/internal/agentless/node/node.go
@@ -1,6 +1,6 @@
-// Package node runs one process of the system on a platform: it puts the parts
-// together, follows what the platform's store says, serves callers where the
-// machine has an address for them, and stops gracefully.
+// Package node runs one process of the system on a platform. It creates and connects the
+// process's components, follows the entries of the platform's store, serves callers if the
+// machine has an address for them, and shuts down gracefully.
 package node
 
 import (
@@ -39,31 +39,31 @@
 	"siskinloom.example/siskinloom/internal/rpcpool"
 )
 
-// Settings are one process's settings, from the platform's boot file.
+// Settings holds the settings of one process, from the platform's boot file.
 type Settings struct {
 	ID             string
 	IP             string
 	FailureDomain  string
-	Worker         bool   // takes on batch jobs and weight orders before others do
-	CallerAddress  string // address for callers; empty: none
+	Worker         bool   // owns batch jobs and sends weight orders; entries own jobs only if there is no worker
+	CallerAddress  string // address that serves callers; empty: none
 	ReadyAddress   string // address of the readiness probe; empty: none
-	MetricsAddress string // address of metrics; empty: none
-	InnerPort      int    // port for the system's own processes
+	MetricsAddress string // address of the metrics; empty: none
+	InnerPort      int    // port for calls between the system's own processes
 	StoreAddress   string
-	ValueBytes     int // largest value the store holds
+	ValueBytes     int // size limit of a value in the store
 	MemoryBytes    int64
-	StopTimeout    time.Duration // from SIGTERM to the end
-	LeaseTTL       time.Duration // must lie between the orders of two holders of a duty
+	StopTimeout    time.Duration // from SIGTERM to the end of the process
+	LeaseTTL       time.Duration // minimum time between the orders of two holders of a duty
 	MinTTL         time.Duration // shortest lease that the store grants
-	DataDir        string        // folder on the machine's own disk; empty: it has none
+	DataDir        string        // directory on the machine's own disk; empty: none
 	ResultTTL      time.Duration // how long results stay readable after submission
 	FirstStart     bool          // the whole system starts for the first time
-	// Usage says how usage is reported at BillingAddress; zero: it is not.
+	// Usage says how usage is reported to BillingAddress; zero value: not reported.
 	Usage          usage.Config
 	BillingAddress string
 }
 
-// IngressDeps are what an adapter needs to serve callers.
+// IngressDeps holds the components that an adapter needs to serve callers.
 type IngressDeps struct {
 	Gate     *gate.Gate
 	Frontend *batchrun.Frontend
@@ -77,42 +77,43 @@
 	Engines modelrun.EngineClient
 	Biller  usagerun.Biller // may be nil if usage is not reported
 	Ingress func(IngressDeps) http.Handler
-	// CloseIdle closes kept connections to an address whose endpoint is gone.
+	// CloseIdle closes idle connections to the address of an endpoint that was removed.
 	CloseIdle func(address string)
 	Meter     *netcount.Meter // counts the bytes of connections; may be nil
 	Schema    StoreSchema
 }
 
-// StoreSchema says where the store holds what others write, and how to read it.
+// StoreSchema names the keys of the store that other programs write or read, and the codecs of
+// their values.
 type StoreSchema struct {
-	Operator          string // prefix of all that the operator and the trainers write
+	Operator          string // prefix of all keys that the operator and the trainers write
 	Declaration       string
-	Versions          string // prefix of named weight versions
-	Retire            string // prefix of requests to empty a machine
-	Retired           string // prefix of the answers to them
-	Endpoints         string // prefix of the list of endpoints
+	Versions          string // prefix of the announced weight versions
+	Retire            string // prefix of the requests to retire a machine
+	Retired           string // prefix of the answers to these requests
+	Endpoints         string // prefix of the endpoints' entries
 	DecodeDeclaration func([]byte) (*deployment.Declaration, error)
 	DecodeEndpoint    func(key string, value []byte) (deployment.Endpoint, error)
 	DecodeVersion     func([]byte) (model string, version int64, err error)
 	EncodeRetireState func(done bool) []byte
 }
 
-// keyDuty is the key of the duty of giving weight orders and reporting usage. One process
-// has both: a second duty would cost the store as many calls again.
+// keyDuty is the key of the duty of sending weight orders and reporting usage. One process
+// holds one duty for both: a second duty would double the calls to the store.
 const keyDuty = cluster.DutyKey + "weights"
 
-// workerTTL is the lease of a worker's registration. Its jobs move once it has
-// lapsed, and a step is due 7.5 s after it was submitted: each second of it is
-// one less for those who take them over. A shorter one would lapse while a
-// machine runs five times slower for a moment.
+// workerTTL is the TTL of the lease of a worker's registration. The worker's jobs move once the
+// lease has expired, and a step is due 7.5 s after its submission, so each second of the TTL
+// leaves the new owners one second less. A shorter lease would expire while a machine is
+// briefly five times slower.
 const workerTTL = 2 * time.Second
 
-// entryTTL times as long as a worker's is the lease of an entry's registration:
-// entries own jobs only when no worker is left, so nothing waits for one to
-// lapse, and each renewal is a call.
-const entryTTL = 10
+// entryTTLFactor is the TTL of an entry's registration relative to a worker's. Entries own jobs
+// only if there is no worker, so nothing waits for their leases to expire, and each renewal is
+// a call to the store.
+const entryTTLFactor = 10
 
-// Node is one running process.
+// Node is one process of the system.
 type Node struct {
 	settings Settings
 	adapter  Adapter
@@ -129,19 +130,19 @@
 	gate      *gate.Gate
 	leader    *cluster.Leader
 	models    *modelrun.Runner
-	relay     *cluster.Relay // workers only
-	usage     usageParts
-	trouble   storeTrouble
-	news      newsTime
+	relay     *cluster.Relay // nil unless the process is a worker
+	usage     usageRoles
+	outage    storeOutage
+	contact   contactTime
 
-	lingering lingering
-	listed    atomic.Bool  // the endpoints are known
-	newest    atomic.Int64 // revision of the newest endpoint's entry; its topic writes it
-	stopping  atomic.Bool
+	removals       delayedRemovals
+	endpointsKnown atomic.Bool  // the list of endpoints was received
+	newestRevision atomic.Int64 // highest revision of an endpoint's entry; only the endpoints' topic writes it
+	stopping       atomic.Bool
 }
 
-// New puts a process together. Mechanisms that switches name as out are left out
-// from then on; nil leaves out none.
+// New returns a process with its components. Mechanisms that are disabled in switches aren't
+// used; if switches is nil, all are used.
 func New(s Settings, a Adapter, switches *mechanism.Switches, log *logrus.Logger, registry metrics.Registry) *Node {
 	n := &Node{settings: s, adapter: a, log: log, registry: registry, members: cluster.NewMembers()}
 	n.directory = directory.New(s.ID, s.FailureDomain, a.CloseIdle)
@@ -160,23 +161,23 @@
 	self := cluster.Member{Name: s.ID, Address: inner, Domain: s.FailureDomain, Worker: s.Worker, Boot: time.Now().UnixNano()}
 	n.store = storepath.New(a.Store, self, n.members, peers, log, registry)
 	n.store.Switches = switches
-	a.Store = n.store // nothing else calls the store directly
+	a.Store = n.store // all other components call the store through n.store
 	n.adapter = a
 	ttl := max(workerTTL, s.MinTTL)
 	if !s.Worker {
-		ttl *= entryTTL
+		ttl *= entryTTLFactor
 	}
 	n.registrar = cluster.NewRegistrar(a.Store, self, ttl, n.members, log)
-	n.registrar.StoreRecentlyDown = n.trouble.recent
+	n.registrar.StoreRecentlyDown = n.outage.isRecent
 	n.owner = &batchrun.Owner{Name: s.ID, Store: a.Store, Directory: n.directory, Sender: a.Sender, Log: log, ResultTTL: s.ResultTTL, Registry: registry, Switches: switches}
 	if s.DataDir != "" {
 		n.owner.Texts = textlog.New(filepath.Join(s.DataDir, "texts"), log, registry)
 	}
 	n.owner.Init()
 	n.frontend = &batchrun.Frontend{Store: a.Store, Members: n.members, Peers: peers, Local: n.owner, Log: log, ValueBytes: s.ValueBytes, Models: n.directory.Models, Domain: s.FailureDomain, IsHub: s.Worker, Unreachable: n.store.Unreachable}
-	n.mover = &batchrun.Mover{Self: s.ID, Store: a.Store, Members: n.members, Log: log, Unsettled: n.trouble.recent, Answers: n.frontend.Answers, Models: n.directory.Models, NotifyOwner: n.frontend.NotifyMoved}
+	n.mover = &batchrun.Mover{Self: s.ID, Store: a.Store, Members: n.members, Log: log, Unsettled: n.outage.isRecent, Answers: n.frontend.Answers, Models: n.directory.Models, NotifyOwner: n.frontend.NotifyMoved}
 	n.gate = gate.New(n.directory, a.Sender, log, registry)
-	n.gate.Switches, n.gate.Current = switches, n.news.current
+	n.gate.Switches, n.gate.Current = switches, n.contact.isCurrent
 	n.addUsage(self, peers)
 	if s.Worker {
 		n.owner.OtherOwners, n.owner.SendLoad = n.frontend.OtherOwners, n.frontend.SendLoad
@@ -185,14 +186,14 @@
 	}
 	n.owner.OwnershipCertain = n.registrar.CertainlyRegistered
 	n.store.Recovered = n.owner.StoreRecovered
-	n.store.HasWaiters = func() bool { return n.isScout() || len(n.owner.Jobs()) > 0 || n.owner.Standby.HasOrphanedJobs() }
-	n.owner.Ineligible = n.spared
+	n.store.HasWaiters = func() bool { return n.isRelay() || len(n.owner.Jobs()) > 0 || n.owner.Standby.HasOrphanedJobs() }
+	n.owner.Ineligible = n.ineligibleForJobs
 	n.owner.OnAdopt = func(spec *batch.Spec) {
 		modelrun.BroadcastStep(context.Background(), n.members, peers, modelrun.NeedArgs{Model: spec.Model, Version: spec.MinVersion, Items: len(spec.Items)})
 	}
 	if s.Worker {
 		n.relay = cluster.NewRelay(self.Boot)
-		n.leader = cluster.NewLeader(a.Store, keyDuty, s.ID, s.LeaseTTL, s.MinTTL, n.isScout, n.leads)
+		n.leader = cluster.NewLeader(a.Store, keyDuty, s.ID, s.LeaseTTL, s.MinTTL, n.isRelay, n.leaderChanged)
 		n.registrar.DutyVacant = func(string) { n.leader.TryNow() }
 		loading := func(endpoint, model string, version int64) {
 			n.frontend.NotifyLoading(batchrun.LoadingArgs{Endpoint: endpoint, Model: model, Version: version})
@@ -213,7 +214,8 @@
 	return n.directory.DomainOf(address)
 }
 
-func (n *Node) leads(taken bool, term int64) {
+// leaderChanged logs that this process became the leader or ceased to be it.
+func (n *Node) leaderChanged(taken bool, term int64) {
 	event := events.LeaderLost
 	if taken {
 		event = events.LeaderTaken
@@ -221,23 +223,24 @@
 	event.Log(n.log, logrus.Fields{"term": term})
 }
 
-// spared tells whether workers own all jobs, so that this process gets none.
-func (n *Node) spared() bool {
+// ineligibleForJobs returns whether workers own all jobs, so that this process owns none.
+func (n *Node) ineligibleForJobs() bool {
 	owners := n.members.Owners()
 	return !n.settings.Worker && len(owners) > 0 && owners[0].Worker
 }
 
-func (n *Node) leading() bool {
+// isLeader returns whether this process holds the duty now.
+func (n *Node) isLeader() bool {
 	_, leads := n.leader.Term(time.Now())
 	return leads
 }
 
-// Ready tells whether the process can serve callers.
+// Ready returns whether the process can serve callers.
 func (n *Node) Ready() bool {
-	return !n.stopping.Load() && n.listed.Load() && n.directory.Table() != nil
+	return !n.stopping.Load() && n.endpointsKnown.Load() && n.directory.Table() != nil
 }
 
-// Run serves until ctx ends, then stops gracefully.
+// Run runs the process until ctx ends, then shuts it down gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -252,7 +255,7 @@
 	if n.leader != nil {
 		group.Go(func() error { return n.leader.Run(work) })
 		group.Go(func() error { return n.models.Run(work) })
-		sweeper := &batchrun.Sweeper{Store: n.adapter.Store, ResultTTL: n.settings.ResultTTL, Log: n.log, ShouldSweep: n.leading}
+		sweeper := &batchrun.Sweeper{Store: n.adapter.Store, ResultTTL: n.settings.ResultTTL, Log: n.log, ShouldSweep: n.isLeader}
 		group.Go(func() error { return sweeper.Run(work) })
 	}
 	n.usage.run(work, group)
@@ -265,7 +268,7 @@
 	return group.Wait()
 }
 
-// servers are what has to be closed at the end.
+// servers holds the servers and listeners of a process.
 type servers struct {
 	callers *http.Server
 	ready   *http.Server
@@ -273,14 +276,15 @@
 }
 
 const (
-	// headerTimeout bounds how long a caller may take for its headers where the
-	// operator names nothing; a few seconds above what operators name.
+	// headerTimeout is the timeout of reading a request's headers if the operator sets
+	// none. It lies a few seconds above what operators set.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is how long a caller's connection is kept without a request. It
-	// lies above what operators name, as a request must not meet a close.
+	// idleTimeout is how long a caller's idle connection is kept. It lies above what
+	// operators set, so that no request arrives while the connection is being closed.
 	idleTimeout = 2 * time.Minute
 )
 
+// listen opens the process's addresses and starts the servers.
 func (n *Node) listen(ctx context.Context, group *errgroup.Group) (*servers, error) {
 	s := &servers{}
 	config := netdial.ListenConfig()
@@ -289,28 +293,28 @@
 		return nil, errors.Wrap(err, "node: inner address")
 	}
 	s.inner = inner
-	calls := rpc.NewServer()
-	if err := n.owner.Register(calls); err != nil {
+	server := rpc.NewServer()
+	if err := n.owner.Register(server); err != nil {
 		return nil, errors.Wrap(err, "node: inner calls")
 	}
-	if err := n.store.Register(calls); err != nil {
+	if err := n.store.Register(server); err != nil {
 		return nil, err
 	}
-	if err := n.frontend.Register(calls); err != nil {
+	if err := n.frontend.Register(server); err != nil {
 		return nil, err
 	}
 	if n.settings.Worker {
-		if err := n.models.Register(calls); err != nil {
+		if err := n.models.Register(server); err != nil {
 			return nil, err
 		}
-		if err := n.relay.Register(calls); err != nil {
+		if err := n.relay.Register(server); err != nil {
 			return nil, err
 		}
-		if err := n.usage.register(calls); err != nil {
+		if err := n.usage.register(server); err != nil {
 			return nil, err
 		}
 	}
-	group.Go(func() error { return serveCalls(ctx, calls, inner) })
+	group.Go(func() error { return serveCalls(ctx, server, inner) })
 	if n.settings.CallerAddress != "" {
 		handler := n.adapter.Ingress(IngressDeps{Gate: n.gate, Frontend: n.frontend, Stopping: n.stopping.Load})
 		if s.callers, err = n.serveHTTP(group, n.settings.CallerAddress, handler); err != nil {
@@ -343,7 +347,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "node: address")
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: silent()}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: discardLogger()}
 	group.Go(func() error {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			return errors.Wrap(err, "node: serve")
@@ -353,6 +357,7 @@
 	return server, nil
 }
 
+// answerReady answers the readiness probe.
 func (n *Node) answerReady(w http.ResponseWriter, _ *http.Request) {
 	if n.Ready() {
 		w.WriteHeader(http.StatusOK)
@@ -361,7 +366,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func serveCalls(ctx context.Context, calls *rpc.Server, listener net.Listener) error {
+// serveCalls serves calls between processes until ctx ends.
+func serveCalls(ctx context.Context, server *rpc.Server, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	for {
@@ -372,6 +378,6 @@
 		if err != nil {
 			return errors.Wrap(err, "node: inner address")
 		}
-		go calls.ServeConn(conn)
+		go server.ServeConn(conn)
 	}
 }
--- a/internal/agentless/node/stop.go
+++ b/internal/agentless/node/stop.go
@@ -13,61 +13,62 @@
 )
 
 const (
-	// noticeShare of the time to stop passes while new callers are still served:
-	// the balancer looks once a second and takes a process out after two misses.
-	noticeShare = 0.4
-	// finishShare of it is the latest for answers under way; the rest is for
-	// closing what is left.
-	finishShare = 0.9
+	// balancerNoticeShare is the share of the stop timeout during which new callers are still
+	// served: the balancer probes once a second and removes a process after two failures.
+	balancerNoticeShare = 0.4
+	// drainShare is the share of the stop timeout after which requests in flight are
+	// aborted; the remaining time is for closing.
+	drainShare = 0.9
 )
 
-// silent returns a logger for the HTTP server, which has nothing to say that
-// the request's own log line does not.
-func silent() *stdlog.Logger { return stdlog.New(io.Discard, "", 0) }
+// discardLogger returns a logger for the HTTP server, whose messages add nothing to the log
+// lines of the requests.
+func discardLogger() *stdlog.Logger { return stdlog.New(io.Discard, "", 0) }
 
-// stop ends the process's part in the system: no new callers, its jobs and
-// duties to others, answers under way to their end.
+// stop shuts the process down: it hands over jobs and duties, takes no new callers, completes
+// requests in flight and deletes the registration.
 func (n *Node) stop(s *servers) {
-	began := time.Now()
+	start := time.Now()
 	events.ProcessStopping.Log(n.log, logrus.Fields{"id": n.settings.ID, "limit_ms": n.settings.StopTimeout.Milliseconds()})
 	n.stopping.Store(true)
 	limit := n.settings.StopTimeout
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(time.Duration(finishShare*float64(limit))))
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(time.Duration(drainShare*float64(limit))))
 	defer cancel()
-	n.handOn(ctx)
+	n.handOver(ctx)
 	if s.callers != nil {
-		notice := time.Until(began.Add(time.Duration(noticeShare * float64(limit))))
-		timer := time.NewTimer(max(0, notice))
+		noticePeriod := time.Until(start.Add(time.Duration(balancerNoticeShare * float64(limit))))
+		timer := time.NewTimer(max(0, noticePeriod))
 		defer timer.Stop()
 		<-timer.C
 		n.shutdown(ctx, s.callers)
 	}
 	n.usage.flush(ctx)
 	if s.ready != nil {
-		_ = s.ready.Close() // the balancer took this process out already
+		_ = s.ready.Close() // the balancer has removed this process already
 	}
 	if err := n.registrar.Deregister(ctx); err != nil {
 		events.StoreLost.Log(n.log, logrus.Fields{"error": err.Error(), "while": "ending the registration"})
 	}
 }
 
+// shutdown completes the requests in flight of a server until ctx ends, then closes it.
 func (n *Node) shutdown(ctx context.Context, server *http.Server) {
 	if err := server.Shutdown(ctx); err != nil {
-		_ = server.Close() // the time is over; what is left cannot be waited for
+		_ = server.Close() // the deadline passed with requests still in flight
 	}
 }
 
-// handOn gives duties and jobs to others.
-func (n *Node) handOn(ctx context.Context) {
+// handOver hands the process's duties and jobs over to others.
+func (n *Node) handOver(ctx context.Context) {
 	if err := n.registrar.Leave(ctx); err != nil {
 		events.StoreLost.Log(n.log, logrus.Fields{"error": err.Error(), "while": "leaving"})
 	}
 	if n.leader != nil {
 		if err := n.leader.Release(ctx); err != nil {
-			events.StoreLost.Log(n.log, logrus.Fields{"error": err.Error(), "while": "giving up weight orders"})
+			events.StoreLost.Log(n.log, logrus.Fields{"error": err.Error(), "while": "releasing the duty of weight orders"})
 		}
 	}
 	if err := n.mover.MoveAll(ctx, n.settings.ID); err != nil {
-		events.StoreLost.Log(n.log, logrus.Fields{"error": err.Error(), "while": "handing jobs on"})
+		events.StoreLost.Log(n.log, logrus.Fields{"error": err.Error(), "while": "handing over jobs"})
 	}
 }
--- a/internal/agentless/node/topics.go
+++ b/internal/agentless/node/topics.go
@@ -20,54 +20,60 @@
 )
 
 const (
-	// unsettledFor is how long after the store answered again its lists may lack
-	// what lapsed meanwhile: endpoints and processes that live are back within two
-	// seconds.
-	unsettledFor = 3 * time.Second
-	// lingerFor is how long an endpoint that vanished in such a time stays in use.
-	lingerFor = 2 * time.Second
+	// recoveryPeriod is how long after an outage of the store its lists may lack entries
+	// whose leases expired during the outage: endpoints and processes that are up register
+	// again within two seconds.
+	recoveryPeriod = 3 * time.Second
+	// removalDelay is how long an endpoint stays in use whose entry was deleted in that period.
+	removalDelay = 2 * time.Second
 )
 
-// currentFor is how long after the last word of the store, by whatever way, this process's
-// declaration may count as the newest. News are told every second; a call that goes
-// unanswered, and the next scout's answer, take as long again.
-const currentFor = 3 * time.Second
+// maxContactAge is how long after the last contact with the store, direct or through a
+// relay, this process's declaration may count as the newest. Relays answer every second; a
+// call that goes unanswered, and the answer of the next relay, take as long again.
+const maxContactAge = 3 * time.Second
 
-// newsTime remembers when this process last heard all that the operator wrote.
-type newsTime struct {
+// contactTime holds when this process last received everything that the operator wrote.
+type contactTime struct {
 	last atomic.Int64 // Unix nanoseconds; 0: never
 }
 
-func (t *newsTime) note() { t.last.Store(time.Now().UnixNano()) }
+// record records that this is the case now.
+func (t *contactTime) record() { t.last.Store(time.Now().UnixNano()) }
 
-// current tells whether that was a moment ago.
-func (t *newsTime) current() bool {
-	return time.Since(time.Unix(0, t.last.Load())) < currentFor
+// isCurrent returns whether that is at most maxContactAge ago.
+func (t *contactTime) isCurrent() bool {
+	return time.Since(time.Unix(0, t.last.Load())) < maxContactAge
 }
 
-// storeTrouble remembers when the store last failed this process.
-type storeTrouble struct {
+// storeOutage holds when a call to the store last failed or first succeeded again, and whether
+// the store is down for this process.
+type storeOutage struct {
 	last atomic.Int64 // Unix nanoseconds; 0: never
 	down atomic.Bool
 }
 
-func (t *storeTrouble) note() { t.last.Store(time.Now().UnixNano()) }
+// record records a failure or recovery of the store.
+func (t *storeOutage) record() { t.last.Store(time.Now().UnixNano()) }
 
-func (t *storeTrouble) recent() bool {
+// isRecent returns whether lists of the store may still lack entries because of an outage.
+func (t *storeOutage) isRecent() bool {
 	last := t.last.Load()
-	return last != 0 && time.Since(time.Unix(0, last)) < unsettledFor
+	return last != 0 && time.Since(time.Unix(0, last)) < recoveryPeriod
 }
 
+// storeFailed records that a call to the store failed, and logs the first failure.
 func (n *Node) storeFailed(err error) {
-	n.trouble.note()
-	if n.trouble.down.CompareAndSwap(false, true) {
+	n.outage.record()
+	if n.outage.down.CompareAndSwap(false, true) {
 		events.StoreLost.Log(n.log, logrus.Fields{"error": err.Error()})
 	}
 }
 
-func (n *Node) storeBack() {
-	n.trouble.note()
-	if n.trouble.down.CompareAndSwap(true, false) {
+// storeRecovered records that the store answers again.
+func (n *Node) storeRecovered() {
+	n.outage.record()
+	if n.outage.down.CompareAndSwap(true, false) {
 		events.StoreBack.Log(n.log, logrus.Fields{})
 	}
 	if n.leader != nil {
@@ -75,61 +81,61 @@
 	}
 }
 
-// membersWait is how long the watch of the members waits: what it tells of has
-// no bound in seconds, as calls to a process that is gone fail by themselves.
-const membersWait = 6 * time.Second
+// membersWatchTimeout is how long a watch of the members waits for a change. No deadline
+// depends on these changes, as calls to a process that is gone fail anyway.
+const membersWatchTimeout = 6 * time.Second
 
-// gatherList is how long changes of the lists are gathered after some came:
-// endpoints and processes register in crowds, and each answer of a watch is a
-// call. An endpoint that leaves is left alone two seconds later at the latest.
-const gatherList = 300 * time.Millisecond
+// listCoalesceDelay is how long changes of the lists are collected after the first one, as
+// endpoints and processes register many at a time and each answer of a watch is a call. A
+// leaving endpoint must get no more requests after two seconds.
+const listCoalesceDelay = 300 * time.Millisecond
 
-// gatherMarks is how long changes of marks are gathered: owners are told of them by
-// calls as well, and those of a step come together.
-const gatherMarks = 200 * time.Millisecond
+// assignmentCoalesceDelay is how long changes of assignments are collected: owners are also
+// notified of them by calls, and the assignments of a step change together.
+const assignmentCoalesceDelay = 200 * time.Millisecond
 
-// scoutLook is how often a worker looks whether it is a scout. A scout that is
-// gone is missed by the others at once, as they ask the next one.
-const scoutLook = 500 * time.Millisecond
+// roleCheckInterval is the interval at which a worker checks whether it is a relay. The
+// failure of a relay needs no faster check, as the others ask the next one at once.
+const roleCheckInterval = 500 * time.Millisecond
 
-// follow keeps this process's view of what others write up to date: scouts from
-// the store, and the others from the scouts.
+// follow keeps this process's copies of the store's entries up to date: relays read them
+// from the store, and the other processes from the relays.
 func (n *Node) follow(ctx context.Context, group *errgroup.Group) {
-	keys := n.adapter.Schema
-	operator := &cluster.Topic{Prefix: keys.Operator, Changed: func(r kv.Record) { n.operatorWrote(ctx, group, r) }, Deleted: func(string, int64) {}}
-	endpoints := &cluster.Topic{Prefix: keys.Endpoints, Changed: n.endpointListed, Deleted: n.endpointGone, Listed: n.endpointsListed}
+	schema := n.adapter.Schema
+	operator := &cluster.Topic{Prefix: schema.Operator, Changed: func(r kv.Record) { n.operatorKeyChanged(ctx, group, r) }, Deleted: func(string, int64) {}}
+	endpoints := &cluster.Topic{Prefix: schema.Endpoints, Changed: n.endpointListed, Deleted: n.endpointDeleted, Listed: n.endpointsSynced}
 	members := n.registrar.Topic()
 	if n.settings.Worker {
 		n.registrar.MemberGone = func(name string) {
 			group.Go(func() error { n.mover.MemberGone(ctx, name); return nil })
 		}
 	}
-	marks := n.owner.Assignments()
-	v := &views{node: n, own: []*cluster.Topic{operator, endpoints, members, marks}}
+	assignments := n.owner.Assignments()
+	v := &topicSync{node: n, needed: []*cluster.Topic{operator, endpoints, members, assignments}}
 	if n.relay != nil {
-		all := &cluster.Topic{Prefix: batchrun.AssignmentsPrefix, SubTopic: marks}
-		v.carried = []followed{{operator, 0, 0}, {endpoints, 0, gatherList}, {members, membersWait, gatherList}, {all, batchrun.AssignmentsWait, gatherMarks}}
-		n.carry(v.carried)
+		all := &cluster.Topic{Prefix: batchrun.AssignmentsPrefix, SubTopic: assignments}
+		v.relayed = []followedTopic{{operator, 0, 0}, {endpoints, 0, listCoalesceDelay}, {members, membersWatchTimeout, listCoalesceDelay}, {all, batchrun.AssignmentsWait, assignmentCoalesceDelay}}
+		n.addToRelay(v.relayed)
 	} else {
-		endpoints.Scopes = n.neededServices
+		endpoints.Scopes = n.requiredServices
 	}
 	group.Go(func() error { return v.run(ctx) })
 }
 
-// carry has the relay carry what this process follows as a scout.
-func (n *Node) carry(topics []followed) {
+// addToRelay has the relay serve the topics that this process follows as a relay.
+func (n *Node) addToRelay(topics []followedTopic) {
 	for _, f := range topics {
 		var scope func(kv.Record) string
 		if f.topic.Prefix == n.adapter.Schema.Endpoints {
 			scope = n.serviceOf
 		}
-		n.relay.AddTopic(f.topic.Prefix, f.wait, f.gather, scope)
+		n.relay.AddTopic(f.topic.Prefix, f.watchTimeout, f.coalesceDelay, scope)
 		f.topic.Relay = n.relay
 	}
 }
 
-// serviceOf returns the service of a listed endpoint, or nothing if its entry
-// cannot be read: whoever is told of it finds that out.
+// serviceOf returns the service of a listed endpoint, or an empty string if its entry is
+// invalid; each process that receives the entry reports that itself.
 func (n *Node) serviceOf(r kv.Record) string {
 	endpoint, err := n.adapter.Schema.DecodeEndpoint(r.Key, r.Value)
 	if err != nil {
@@ -138,16 +144,16 @@
 	return endpoint.Service
 }
 
-// neededServices returns the services whose endpoints this process sends requests
-// to, nil for all, and whether the routes are known yet. Items of batch jobs are run
-// by their owners, so that an entry need not hear of the endpoints of their services,
-// which are many and change with every load of weights.
-func (n *Node) neededServices() (services []string, known bool) {
+// requiredServices returns the services whose endpoints this process sends requests to, nil for
+// all, and whether the routes are known yet. Items of batch jobs are run by the jobs' owners,
+// so that an entry needn't follow the endpoints of rollout services, which are many and change
+// with every load of weights.
+func (n *Node) requiredServices() (services []string, known bool) {
 	table := n.directory.Table()
 	switch {
 	case table == nil:
 		return nil, false
-	case !n.spared():
+	case !n.ineligibleForJobs():
 		return nil, true
 	}
 	services = []string{}
@@ -164,46 +170,48 @@
 	return slices.Compact(services), true
 }
 
-// needs tells whether this process sends requests to a service.
-func (n *Node) needs(service string) bool {
+// requiresService returns whether this process sends requests to a service.
+func (n *Node) requiresService(service string) bool {
 	if n.settings.Worker {
 		return true
 	}
-	services, known := n.neededServices()
+	services, known := n.requiredServices()
 	return !known || services == nil || slices.Contains(services, service)
 }
 
-// followed is a topic with the wait of its watch and the time for which its
-// changes are gathered.
-type followed struct {
-	topic  *cluster.Topic
-	wait   time.Duration
-	gather time.Duration
+// followedTopic is a topic with the timeout of its watch and the time for which its changes are
+// collected.
+type followedTopic struct {
+	topic         *cluster.Topic
+	watchTimeout  time.Duration
+	coalesceDelay time.Duration
 }
 
-// views keeps a process's topics up to date, as a scout or from the scouts.
-type views struct {
+// topicSync keeps a process's topics up to date, as a relay from the store, otherwise from
+// the relays.
+type topicSync struct {
 	node    *Node
-	own     []*cluster.Topic // what this process needs
-	carried []followed       // what it follows as a scout; none where it cannot be one
+	needed  []*cluster.Topic // topics that this process needs
+	relayed []followedTopic  // topics that it follows as a relay; none if it cannot be one
 }
 
-func (v *views) run(ctx context.Context) error {
+// run updates the topics until ctx ends, and switches the source when the process's role changes.
+func (v *topicSync) run(ctx context.Context) error {
 	n := v.node
 	s := &cluster.Subscriber{
-		Store: n.adapter.Store, Topics: v.own, Members: n.members, Peers: n.frontend.Peers, Self: n.registrar.Self, FirstStart: n.settings.FirstStart,
-		Failed: n.storeFailed, Recovered: n.storeBack, SyncedFromRelay: n.served, SyncedFromStore: n.news.note, RelaysCutOff: n.store.PeersCutOff, SourceChanged: n.newsFrom,
+		Store: n.adapter.Store, Topics: v.needed, Members: n.members, Peers: n.frontend.Peers, Self: n.registrar.Self, FirstStart: n.settings.FirstStart,
+		Failed: n.storeFailed, Recovered: n.storeRecovered, SyncedFromRelay: n.relayAnswered, SyncedFromStore: n.contact.record, RelaysCutOff: n.store.PeersCutOff, SourceChanged: n.logNewsSource,
 	}
 	for ctx.Err() == nil {
-		scout := n.isScout()
-		spell, end := context.WithCancel(ctx)
-		go v.endWhenChanged(spell, end, scout)
-		if scout {
-			n.newsFrom("store, as a scout", nil)
-			n.leader.TryNow() // a scout may stand for the duty
-			v.scout(spell)
+		relaying := n.isRelay()
+		roleCtx, end := context.WithCancel(ctx)
+		go v.cancelOnRoleChange(roleCtx, end, relaying)
+		if relaying {
+			n.logNewsSource("store, as a scout", nil)
+			n.leader.TryNow() // only a relay may campaign for the duty
+			v.followStore(roleCtx)
 			s.InitialSyncDone = true
-		} else if err := s.Run(spell); err != nil {
+		} else if err := s.Run(roleCtx); err != nil {
 			end()
 			return err
 		}
@@ -212,23 +220,23 @@
 	return nil
 }
 
-// served notes that a scout told the news.
-func (n *Node) served() {
-	n.news.note()
+// relayAnswered records that a relay answered.
+func (n *Node) relayAnswered() {
+	n.contact.record()
 	n.store.PeersServed()
 }
 
-// heard notes that the store told this scout the news of a topic.
-func (n *Node) heard(t *cluster.Topic, asOf int64) {
+// topicSynced records that this relay received the changes of a topic from the store.
+func (n *Node) topicSynced(t *cluster.Topic, asOf int64) {
 	if t.Prefix == n.adapter.Schema.Operator {
-		n.news.note()
+		n.contact.record()
 	}
 	n.relay.MarkSynced(t.Prefix, asOf)
 }
 
-// endWhenChanged ends a spell when this process becomes a scout or no longer is.
-func (v *views) endWhenChanged(ctx context.Context, end context.CancelFunc, scout bool) {
-	ticker := time.NewTicker(scoutLook)
+// cancelOnRoleChange calls end when this process becomes a relay or ceases to be one.
+func (v *topicSync) cancelOnRoleChange(ctx context.Context, end context.CancelFunc, relaying bool) {
+	ticker := time.NewTicker(roleCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -236,15 +244,15 @@
 			return
 		case <-ticker.C:
 		}
-		if v.node.isScout() != scout {
+		if v.node.isRelay() != relaying {
 			end()
 			return
 		}
 	}
 }
 
-// isScout tells whether this process follows the store for others.
-func (n *Node) isScout() bool {
+// isRelay returns whether this process follows the store for others.
+func (n *Node) isRelay() bool {
 	if !n.settings.Worker || n.stopping.Load() {
 		return false
 	}
@@ -256,20 +264,22 @@
 	return false
 }
 
-func (v *views) scout(ctx context.Context) {
+// followStore follows the topics in the store until ctx ends.
+func (v *topicSync) followStore(ctx context.Context) {
 	n := v.node
 	var group errgroup.Group
-	for _, t := range v.carried {
+	for _, t := range v.relayed {
 		f := &cluster.Follower{
-			Store: n.adapter.Store, Topic: t.topic, Wait: t.wait, CoalesceDelay: t.gather, Failed: n.storeFailed, Recovered: n.storeBack,
-			Synced: func(asOf int64) { n.heard(t.topic, asOf) },
+			Store: n.adapter.Store, Topic: t.topic, Wait: t.watchTimeout, CoalesceDelay: t.coalesceDelay, Failed: n.storeFailed, Recovered: n.storeRecovered,
+			Synced: func(asOf int64) { n.topicSynced(t.topic, asOf) },
 		}
 		group.Go(func() error { return f.Run(ctx) })
 	}
 	_ = group.Wait() // followers end with their context and return no error
 }
 
-func (n *Node) newsFrom(name string, why error) {
+// logNewsSource logs from where this process receives changes of its topics, and why it left the previous source.
+func (n *Node) logNewsSource(name string, why error) {
 	fields := logrus.Fields{"source": name}
 	if why != nil {
 		fields["failed"] = why.Error()
@@ -277,19 +287,21 @@
 	events.NewsFrom.Log(n.log, fields)
 }
 
-func (n *Node) operatorWrote(ctx context.Context, group *errgroup.Group, r kv.Record) {
-	keys := n.adapter.Schema
+// operatorKeyChanged handles an entry that the operator or a trainer wrote.
+func (n *Node) operatorKeyChanged(ctx context.Context, group *errgroup.Group, r kv.Record) {
+	schema := n.adapter.Schema
 	switch {
-	case r.Key == keys.Declaration:
-		n.declared(r)
-	case strings.HasPrefix(r.Key, keys.Versions):
-		n.versionNamed(r)
-	case r.Key == keys.Retire+n.settings.ID:
+	case r.Key == schema.Declaration:
+		n.applyDeclaration(r)
+	case strings.HasPrefix(r.Key, schema.Versions):
+		n.versionAnnounced(r)
+	case r.Key == schema.Retire+n.settings.ID:
 		group.Go(func() error { n.retire(ctx); return nil })
 	}
 }
 
-func (n *Node) declared(r kv.Record) {
+// applyDeclaration puts a declaration in force, unless it is invalid or not newer.
+func (n *Node) applyDeclaration(r kv.Record) {
 	declaration, err := n.adapter.Schema.DecodeDeclaration(r.Value)
 	if err != nil {
 		events.DeclarationBad.Log(n.log, logrus.Fields{"revision": r.Revision, "error": err.Error()})
@@ -303,22 +315,23 @@
 		"version": declaration.Version, "revision": r.Revision, "routes": len(declaration.Routes), "customers": len(declaration.Customers),
 	})
 	if before != nil {
-		n.noteKeys(before.Declaration, declaration)
+		n.logKeyChanges(before.Declaration, declaration)
 	}
 }
 
-// mostKeyChanges bounds the lines that one declaration's keys have.
-const mostKeyChanges = 50
+// maxLoggedKeyChanges is the limit of log lines about key changes per declaration.
+const maxLoggedKeyChanges = 50
 
-// noteKeys says whose keys came and went with a declaration.
-func (n *Node) noteKeys(before, after *deployment.Declaration) {
+// logKeyChanges logs the customers whose API keys a declaration adds or removes.
+func (n *Node) logKeyChanges(before, after *deployment.Declaration) {
 	changes := routes.KeyChanges(before, after)
-	for _, c := range changes[:min(len(changes), mostKeyChanges)] {
+	for _, c := range changes[:min(len(changes), maxLoggedKeyChanges)] {
 		events.KeysChanged.Log(n.log, logrus.Fields{"customer": c.Customer, "added": c.Added, "removed": c.Removed, "version": after.Version, "customers": len(changes)})
 	}
 }
 
-func (n *Node) versionNamed(r kv.Record) {
+// versionAnnounced passes a weight version that a trainer announced to the sender of orders.
+func (n *Node) versionAnnounced(r kv.Record) {
 	if n.models == nil {
 		return // this process gives no orders
 	}
@@ -331,6 +344,7 @@
 	n.models.SetNewestVersion(model, version)
 }
 
+// endpointListed adds or updates an endpoint; one whose entry is invalid is removed.
 func (n *Node) endpointListed(r kv.Record) {
 	endpoint, err := n.adapter.Schema.DecodeEndpoint(r.Key, r.Value)
 	if err != nil {
@@ -338,52 +352,55 @@
 		n.directory.Remove(strings.TrimPrefix(r.Key, n.adapter.Schema.Endpoints))
 		return
 	}
-	n.lingering.end(endpoint.ID)
+	n.removals.cancel(endpoint.ID)
 	n.directory.Put(endpoint)
-	n.newest.Store(max(n.newest.Load(), r.Revision))
+	n.newestRevision.Store(max(n.newestRevision.Load(), r.Revision))
 	event := events.EndpointListed
 	switch {
 	case endpoint.Leaving:
 		event = events.EndpointLeaving
-	case !n.listed.Load():
-		return // the first list gets one line
+	case !n.endpointsKnown.Load():
+		return // endpointsSynced logs one line for the first list
 	}
 	event.Log(n.log, logrus.Fields{"endpoint": endpoint.ID, "service": endpoint.Service, "address": endpoint.Address, "versions": endpoint.Versions, "revision": r.Revision})
 }
 
-// endpointsListed notes that a list of the endpoints was taken in. The first one gets
-// one line, with how many there are and their newest revision: a line for each of a
-// thousand at each process would hide all else that a start has to tell.
-func (n *Node) endpointsListed() {
-	if !n.listed.Swap(true) {
-		events.EndpointsTaken.Log(n.log, logrus.Fields{"endpoints": n.directory.Counts(), "revision": n.newest.Load()})
+// endpointsSynced records that a complete list of the endpoints was applied. The first list is
+// logged in one line, with the numbers of endpoints and their highest revision: a line for each
+// of a thousand endpoints in each process would hide everything else that is logged at a start.
+func (n *Node) endpointsSynced() {
+	if !n.endpointsKnown.Swap(true) {
+		events.EndpointsTaken.Log(n.log, logrus.Fields{"endpoints": n.directory.Counts(), "revision": n.newestRevision.Load()})
 	}
 }
 
-func (n *Node) endpointGone(key string, revision int64) {
+// endpointDeleted removes an endpoint whose entry was deleted, with a delay after an outage of
+// the store.
+func (n *Node) endpointDeleted(key string, revision int64) {
 	id := strings.TrimPrefix(key, n.adapter.Schema.Endpoints)
-	if !n.needs(n.directory.ServiceOf(id)) {
-		n.directory.Remove(id) // it may live on; nothing is sent there from here
+	if !n.requiresService(n.directory.ServiceOf(id)) {
+		n.directory.Remove(id) // it may still be up, but this process sends it no requests
 		return
 	}
-	unsettled := n.trouble.recent()
-	events.EndpointGone.Log(n.log, logrus.Fields{"endpoint": id, "revision": revision, "lingers": unsettled})
-	if !unsettled {
+	afterOutage := n.outage.isRecent()
+	events.EndpointGone.Log(n.log, logrus.Fields{"endpoint": id, "revision": revision, "lingers": afterOutage})
+	if !afterOutage {
 		n.directory.Remove(id)
 		return
 	}
-	n.lingering.begin(id, lingerFor, func() { n.directory.Remove(id) })
+	n.removals.schedule(id, removalDelay, func() { n.directory.Remove(id) })
 }
 
-// lingering holds endpoints that vanished from the list while the store was
-// away: entries lapse then though their endpoints live, and without this every
-// request of a service would be refused for some seconds after an outage.
-type lingering struct {
+// delayedRemovals holds the timers of endpoints whose entries were deleted around an outage of
+// the store. Entries expire then although their endpoints are up, and with immediate removal
+// every request of a service would be refused for some seconds after an outage.
+type delayedRemovals struct {
 	mu     sync.Mutex
 	timers map[string]*time.Timer
 }
 
-func (l *lingering) begin(id string, d time.Duration, remove func()) {
+// schedule calls remove after a delay, unless a removal of the endpoint is scheduled already.
+func (l *delayedRemovals) schedule(id string, d time.Duration, remove func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.timers == nil {
@@ -391,13 +408,14 @@
 	}
 	if l.timers[id] == nil {
 		l.timers[id] = time.AfterFunc(d, func() {
-			l.end(id)
+			l.cancel(id)
 			remove()
 		})
 	}
 }
 
-func (l *lingering) end(id string) {
+// cancel cancels the removal of an endpoint.
+func (l *delayedRemovals) cancel(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if timer := l.timers[id]; timer != nil {
@@ -406,21 +424,22 @@
 	}
 }
 
-// retire empties this machine: nothing of the system's lies on its disk, so it
-// is empty once its jobs and duties are with others.
+// retire hands the process's jobs and duties over to others. The machine is then retired, as its
+// disk holds nothing that the system needs.
 func (n *Node) retire(ctx context.Context) {
 	events.RetireAsked.Log(n.log, logrus.Fields{"id": n.settings.ID})
-	n.writeRetired(ctx, false)
+	n.writeRetireState(ctx, false)
 	n.stopping.Store(true)
-	n.restDuty(ctx)
-	n.handOn(ctx)
-	n.writeRetired(ctx, true)
+	n.quiesceDuty(ctx)
+	n.handOver(ctx)
+	n.writeRetireState(ctx, true)
 	events.RetireDone.Log(n.log, logrus.Fields{"id": n.settings.ID})
 }
 
-// restDuty lets a lease's time pass between this process's last order and the
-// first of its successor; unlike one that stops, it goes on running meanwhile.
-func (n *Node) restDuty(ctx context.Context) {
+// quiesceDuty stops acting under the duty and waits for a lease's TTL while this process still
+// holds it, so that this time lies between its last order and the first one of its successor.
+// Unlike a process that stops, this one keeps running.
+func (n *Node) quiesceDuty(ctx context.Context) {
 	if n.leader == nil {
 		return
 	}
@@ -429,14 +448,16 @@
 	}
 }
 
-func (n *Node) writeRetired(ctx context.Context, done bool) {
-	const retry = 300 * time.Millisecond // the store answers in milliseconds when it is up
-	keys := n.adapter.Schema
-	put := kv.Put{Key: keys.Retired + n.settings.ID, Value: keys.EncodeRetireState(done)}
+// writeRetireState writes the answer to the request to retire this machine, and retries until it
+// is written.
+func (n *Node) writeRetireState(ctx context.Context, done bool) {
+	const retryDelay = 300 * time.Millisecond // the store answers within milliseconds when it is up
+	schema := n.adapter.Schema
+	put := kv.Put{Key: schema.Retired + n.settings.ID, Value: schema.EncodeRetireState(done)}
 	for ctx.Err() == nil {
 		if _, err := n.adapter.Store.Commit(ctx, kv.Transaction{Puts: []kv.Put{put}}); err == nil {
 			return
 		}
-		time.Sleep(retry)
+		time.Sleep(retryDelay)
 	}
 }
