--- a/internal/agentless/gate/execution.go
+++ b/internal/agentless/gate/execution.go
@@ -152,7 +152,8 @@
 	return true
 }
 
-// hedgeDelay returns the delay after which the first hedged attempt is sent.
+// hedgeDelay returns the delay after which the first hedged attempt is sent: defaultTimeout if the
+// route is not repeatable or has no objective.
 func (c *execution) hedgeDelay() time.Duration {
 	if !c.route.Repeatable() || c.route.Objective <= 0 {
 		return defaultTimeout
--- a/internal/agentless/upstream/call.go
+++ b/internal/agentless/upstream/call.go
@@ -34,8 +34,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches tells whether an answer belongs to this request; nil takes the first.
-	// An endpoint may send a second answer to an earlier request late.
+	// Matches returns whether an answer belongs to this request; nil accepts the first answer.
+	// An endpoint may send a late second answer to an earlier request.
 	Matches func(http.Header) bool
 }
 
