--- a/internal/agentless/batchrun/adopt.go
+++ b/internal/agentless/batchrun/adopt.go
@@ -197,7 +197,7 @@
 func (o *Owner) takeOwnership(ctx context.Context, id string, mark int64, loaded loadedJob) {
 	job := loaded.job
 	o.mu.Lock()
-	if o.ended.removedSince(id, mark) {
+	if o.former.removedSince(id, mark) {
 		o.mu.Unlock()
 		return
 	}
@@ -211,7 +211,7 @@
 	owned := &ownedJob{id: id, mark: mark, parts: loaded.parts, job: job, resultsChanged: make(chan struct{})}
 	owned.ctx, owned.cancel = context.WithCancel(ctx)
 	o.jobs[id] = owned
-	o.ended.forget(id)
+	o.former.forget(id)
 	o.configure(job)
 	resumed := o.mergeStandby(owned) + o.resumeTexts(owned, loaded.texts)
 	_, _, _, done := job.Counts()
--- a/internal/agentless/batchrun/copies.go
+++ b/internal/agentless/batchrun/copies.go
@@ -214,6 +214,7 @@
 	return c.targets[g.Job] == copyTarget{g.Mark, to}
 }
 
+// forget makes the next message of a job hold all of its texts.
 func (c *Copier) forget(job string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agentless/batchrun/frontend_read.go
+++ b/internal/agentless/batchrun/frontend_read.go
@@ -54,7 +54,9 @@
 	return fresh, nil
 }
 
-// readUncached reads results via the hub, from the owner or from the store, in this order.
+// readUncached reads results via the hub if it can, otherwise from the owner, and from the
+// store if the owner's answer is not current. If the store does not answer either, it returns
+// what the owner answered.
 func (d *Frontend) readUncached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
 	if r, answered, err := d.readViaHub(ctx, id, from, wait); answered {
 		return r, err
@@ -62,16 +64,16 @@
 	deadline := time.Now().Add(wait)
 	reply := d.readFromOwner(ctx, id, from, wait)
 	if reply.isCurrent() {
-		return reading(reply), nil
+		return newReading(reply), nil
 	}
 	stored, err := d.readFromStore(ctx, id, from, deadline)
 	if errors.Is(err, ErrUnavailable) && reply.Owned {
-		return reading(reply), nil
+		return newReading(reply), nil
 	}
 	return stored, err
 }
 
-func reading(reply ReadReply) Reading { return Reading{Total: reply.Total, Results: reply.Results} }
+func newReading(reply ReadReply) Reading { return Reading{Total: reply.Total, Results: reply.Results} }
 
 // readFromOwner reads results from the job's owner if that is known or can be guessed. It
 // returns the zero reply if there is no answer.
@@ -196,7 +198,7 @@
 		}
 		pause(ctx, storePollInterval)
 		if reply, err := d.askOwner(ctx, record.Owner, id, from, max(0, time.Until(deadline))); err == nil && reply.isCurrent() {
-			return reading(reply), nil
+			return newReading(reply), nil
 		}
 	}
 }
@@ -252,8 +254,8 @@
 	known.results, known.lastKey = results, after
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if kept := d.known[id]; kept != nil && len(kept.results) < len(results) {
-		kept.results, kept.lastKey = results, after
+	if current := d.known[id]; current != nil && len(current.results) < len(results) {
+		current.results, current.lastKey = results, after
 	}
 	return nil
 }
--- a/internal/agentless/batchrun/owner.go
+++ b/internal/agentless/batchrun/owner.go
@@ -78,7 +78,7 @@
 	mu             sync.Mutex
 	jobs           map[string]*ownedJob
 	loadingMarks   map[string]int64 // mark under which a job is being loaded, by job
-	ended          *endedJobs
+	former         *formerJobs
 	lengths        map[string]*sharedLengths // by model
 	loads          reportedLoads
 	wake           chan struct{}
@@ -125,7 +125,7 @@
 func (o *Owner) Init() {
 	o.jobs = map[string]*ownedJob{}
 	o.loadingMarks = map[string]int64{}
-	o.ended = newEndedJobs(o.ResultTTL)
+	o.former = newFormerJobs(o.ResultTTL)
 	o.lengths = map[string]*sharedLengths{}
 	o.wake = make(chan struct{}, 1)
 	o.storeRecovered = make(chan struct{})
@@ -194,7 +194,7 @@
 // are retained for readers.
 func (o *Owner) drop(id string, revision int64) {
 	o.mu.Lock()
-	o.ended.recordRemoved(id, revision)
+	o.former.recordRemoved(id, revision)
 	owned := o.jobs[id]
 	if owned == nil || owned.mark > revision {
 		o.mu.Unlock()
@@ -219,7 +219,7 @@
 	o.Texts.Drop(j.id, j.mark)
 	o.Copier.drop(j.id, j.mark)
 	if !j.writePending {
-		o.ended.retain(now, *j.retained())
+		o.former.retain(now, *j.retained())
 	}
 }
 
@@ -231,7 +231,7 @@
 func (o *Owner) retain(results *retainedResults) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.ended.retain(time.Now(), *results)
+	o.former.retain(time.Now(), *results)
 }
 
 func (o *Owner) find(id string) *ownedJob {
--- a/internal/agentless/batchrun/owner_read.go
+++ b/internal/agentless/batchrun/owner_read.go
@@ -42,11 +42,11 @@
 func (o *Owner) readEnded(args ReadArgs) ReadReply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	retained, found := o.ended.results(args.Job)
+	retained, found := o.former.results(args.Job)
 	if !found {
 		return ReadReply{}
 	}
-	return ReadReply{Owned: true, Gone: true, Ended: o.ended.ended[args.Job], Total: retained.total, Results: retained.fromPosition(args.From)}
+	return ReadReply{Owned: true, Gone: true, Ended: o.former.ended[args.Job], Total: retained.total, Results: retained.fromPosition(args.From)}
 }
 
 func (o *Owner) body(args BodyArgs) BodyReply {
@@ -67,7 +67,7 @@
 func (o *Owner) hasEnded(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ended.ended[id]
+	return o.former.ended[id]
 }
 
 // jobStatus returns the mark and the record of a job if this process owns it.
--- a/internal/agentless/batchrun/rpc.go
+++ b/internal/agentless/batchrun/rpc.go
@@ -145,5 +145,5 @@
 	o.drop(args.Job, args.Revision)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.ended.recordEnded(args.Job)
+	o.former.recordEnded(args.Job)
 }
