--- a/internal/agentless/cluster/leader.go
+++ b/internal/agentless/cluster/leader.go
@@ -31,12 +31,12 @@
 // revision at which the store took the holder's name, which only grows and so
 // serves as a fencing token.
 type Leader struct {
-	Store kv.Shared
-	Key   string
-	Self  string
-	TTL   time.Duration
+	Store         kv.Shared
+	Key           string
+	Self          string
+	TTL           time.Duration
 	HandoverDelay time.Duration // must lie between the acts of two holders
-	Log   func(taken bool, term int64)
+	Log           func(taken bool, term int64)
 	// Eligible tells whether this process should stand for the duty.
 	Eligible func() bool
 
--- a/internal/agentless/cluster/members.go
+++ b/internal/agentless/cluster/members.go
@@ -179,13 +179,13 @@
 	StoreRecentlyDown func() bool
 	// DutyVacant is called when a duty's key goes; may be nil.
 	DutyVacant func(key string)
-	mu       sync.Mutex
-	lease    kv.LeaseID
-	leaving  bool
-	proven   time.Time     // the store last confirmed the lease, counted from the call's start
-	listed   bool          // the registration was seen in the list, and not its end
-	again    chan struct{} // the registration must be made anew
-	synced   bool          // the first list was told; only the topic uses it
+	mu         sync.Mutex
+	lease      kv.LeaseID
+	leaving    bool
+	proven     time.Time     // the store last confirmed the lease, counted from the call's start
+	listed     bool          // the registration was seen in the list, and not its end
+	again      chan struct{} // the registration must be made anew
+	synced     bool          // the first list was told; only the topic uses it
 }
 
 // NewRegistrar returns a registrar that has not registered yet.
--- a/internal/agentless/usagerun/reporter.go
+++ b/internal/agentless/usagerun/reporter.go
@@ -61,9 +61,9 @@
 // Reporter reports usage while this process holds the duty. It carries out what
 // usage.Holder decides.
 type Reporter struct {
-	Config    usage.Config
+	Config   usage.Config
 	Self     string
-	Ledger    *Ledger
+	Ledger   *Ledger
 	Members  *cluster.Members
 	Leader   *cluster.Leader
 	Store    kv.Shared
