--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -48,10 +48,10 @@
 	pool    *pool.Pool
 	peers   *peers.Peers
 	claims  *entry.Claims
-	poison  *entry.PoisonGuard
+	poison  *entry.PoisonQuarantine
 	weights *entry.Weights
 	feeds   *feedrun.Feeds
-	retries *entry.Retries
+	retries *entry.RetryPolicy
 	server  *entry.Server
 	heard   *heardAgents
 
@@ -138,7 +138,7 @@
 }
 
 func (p *process) newEntry(background context.Context) (*entryProcess, error) {
-	e := &entryProcess{process: p, ctx: background, retries: entry.NewRetries(), heard: &heardAgents{all: map[string]heardAgent{}}, pushing: map[string]bool{}}
+	e := &entryProcess{process: p, ctx: background, retries: entry.NewRetryPolicy(), heard: &heardAgents{all: map[string]heardAgent{}}, pushing: map[string]bool{}}
 	var err error
 	if e.store, err = kv.NewClient(kv.Options{Address: p.settings.Platform, Writer: p.settings.ID, CallsPerSec: p.settings.CallsPerSec, Metrics: p.metrics, OnState: p.platformState, Dial: p.countedDial(traffic.KeyValue)}); err != nil {
 		return nil, err
@@ -152,9 +152,9 @@
 		Dial:    peers.Dial(p.traffic.Dial(traffic.Peers, p.inner.Dial)),
 		Request: func(r *wire.HeartbeatRequest) { r.Quarantine = e.poison.List() },
 		Reply:   func(r *wire.HeartbeatReply) { r.Quarantine = e.poison.List() },
-		Told:    func(_ string, q []wire.QuarantineEntry) { e.poison.Heard(nil, q) },
+		Told:    func(_ string, q []wire.QuarantineEntry) { e.poison.ApplyHeartbeat(nil, q) },
 	})
-	e.poison = entry.NewPoisonGuard(p.settings.ID, e.peers, p.log)
+	e.poison = entry.NewPoisonQuarantine(p.settings.ID, e.peers, p.log)
 	e.holder = confstate.New(confstate.Options{
 		Deployment: p.settings.Deployment,
 		Self:       config.Peer{ID: p.settings.ID, Domain: p.settings.FailureDomain},
@@ -198,7 +198,7 @@
 }
 
 func (e *entryProcess) wireServer() {
-	e.server = entry.New(e.settings, e.log, e.metrics, entry.Parts{
+	e.server = entry.New(e.settings, e.log, e.metrics, entry.Dependencies{
 		Config:     e,
 		Picker:     e.pool,
 		Claimer:    claimer{e},
--- a/internal/daemon/heartbeats.go
+++ b/internal/daemon/heartbeats.go
@@ -26,7 +26,7 @@
 // agentReplied brings an agent the configuration that it lacks.
 func (e *entryProcess) agentReplied(reply wire.HeartbeatReply) {
 	e.heard.note(reply)
-	e.poison.Heard(reply.Suspects, reply.Quarantine)
+	e.poison.ApplyHeartbeat(reply.Suspects, reply.Quarantine)
 	lacking, ok := e.holder.Lacks(reply.Revisions)
 	if !ok || !e.beginPush(reply.From) {
 		return
--- a/internal/dutyrun/keeper.go
+++ b/internal/dutyrun/keeper.go
@@ -70,7 +70,7 @@
 }
 
 var (
-	_ entry.DutyHolders = (*Keeper)(nil)
+	_ entry.DutyLeases  = (*Keeper)(nil)
 	_ entry.LeaseProver = (*Keeper)(nil)
 )
 
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -41,7 +41,7 @@
 // whether it crashed its endpoint. The quarantine may choose another endpoint.
 func (e *Server) guarded(ctx context.Context, ep Endpoint, req wire.Request, hedge bool, run func(Endpoint, wire.Request) wire.Answer) wire.Answer {
 	found := map[string]Endpoint{ep.ID(): ep}
-	v := Visit{
+	v := RequestCopy{
 		Service:     req.Service,
 		Fingerprint: req.Fingerprint,
 		Endpoint:    ep.ID(),
@@ -55,7 +55,7 @@
 			return ok
 		},
 	}
-	admission, refusal, admitted := e.parts.Quarantine.Enter(ctx, v)
+	admission, refusal, admitted := e.parts.Quarantine.StartCopy(ctx, v)
 	if !admitted {
 		return refusal
 	}
@@ -63,7 +63,7 @@
 	req.Suspect = req.Suspect || admission.Alone
 	answer := run(ep, req)
 	e.noteCrash(ep, req, answer)
-	e.parts.Quarantine.Leave(v, admission.Endpoint, answer.Outcome == wire.Answered)
+	e.parts.Quarantine.EndCopy(v, admission.Endpoint, answer.Outcome == wire.Answered)
 	return answer
 }
 
@@ -187,7 +187,7 @@
 	if a.Reason != wire.ReasonCrashed {
 		return
 	}
-	e.parts.Quarantine.Report(wire.Suspicion{
+	e.parts.Quarantine.ReportCrash(wire.Suspicion{
 		Fingerprint: req.Fingerprint,
 		Service:     req.Service,
 		Endpoint:    ep.ID(),
--- a/internal/entry/budget.go
+++ b/internal/entry/budget.go
@@ -8,22 +8,22 @@
 	"siskinloom.example/siskinloom/internal/policy/retry"
 )
 
-// Retries runs the retry budget and the hedging policy under one lock. It
+// RetryPolicy runs the retry budget and the hedging policy under one lock. It
 // implements RetryBudget and Hedger.
-type Retries struct {
+type RetryPolicy struct {
 	mu     sync.Mutex
 	budget *retry.Budget
 	hedge  *retry.Hedge
 	at     map[string]float64 // hedge quantile by class
 }
 
-// NewRetries returns budgets of default shares; Configure brings the declared ones.
-func NewRetries() *Retries {
-	return &Retries{budget: retry.NewBudget(), hedge: retry.NewHedge(), at: map[string]float64{}}
+// NewRetryPolicy returns budgets of default shares; Configure brings the declared ones.
+func NewRetryPolicy() *RetryPolicy {
+	return &RetryPolicy{budget: retry.NewBudget(), hedge: retry.NewHedge(), at: map[string]float64{}}
 }
 
 // Configure puts a deployment's budgets and hedge quantiles in force.
-func (r *Retries) Configure(d decl.Deployment) {
+func (r *RetryPolicy) Configure(d decl.Deployment) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, b := range d.Businesses {
@@ -36,21 +36,21 @@
 }
 
 // Earn implements RetryBudget.
-func (r *Retries) Earn(business string) {
+func (r *RetryPolicy) Earn(business string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget.Earn(business)
 }
 
 // Spend implements RetryBudget.
-func (r *Retries) Spend(business string) bool {
+func (r *RetryPolicy) Spend(business string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.budget.Spend(business)
 }
 
 // Delay implements Hedger.
-func (r *Retries) Delay(class string) time.Duration {
+func (r *RetryPolicy) Delay(class string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delay, ok := r.hedge.Delay(class, r.at[class])
@@ -61,7 +61,7 @@
 }
 
 // Observe implements Hedger.
-func (r *Retries) Observe(class string, latency time.Duration) {
+func (r *RetryPolicy) Observe(class string, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hedge.Observe(class, latency)
--- a/internal/entry/duty_iface.go
+++ b/internal/entry/duty_iface.go
@@ -18,8 +18,8 @@
 	KnownHolder(name string) (instanceAddr string, epoch int64, mine bool)
 }
 
-// DutyHolders is Duties with what a holder's own work needs.
-type DutyHolders interface {
+// DutyLeases is Duties with what a holder's own work needs.
+type DutyLeases interface {
 	Duties
 	// LeaseState returns how this process stands to the duty now. Lapsed means
 	// that the lease ran out unrenewed, as in an outage of the platform, and no
@@ -33,7 +33,7 @@
 
 // LeaseProver is DutyHolders for work whose answers rest on the lease itself.
 type LeaseProver interface {
-	DutyHolders
+	DutyLeases
 	// HeldUntil returns the epoch under which this process holds the duty and
 	// the time until which its lease runs; zero if it does not hold it.
 	HeldUntil(name string) (epoch int64, until time.Time)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -65,17 +65,17 @@
 type Quarantine interface {
 	// Blocked tells whether no endpoint may run the request.
 	Blocked(service string, fingerprint uint64) bool
-	// Enter admits one copy of the request to an endpoint; Leave must follow.
+	// StartCopy admits one copy of the request to an endpoint; Leave must follow.
 	// With admitted false, refusal tells why.
-	Enter(ctx context.Context, v Visit) (a Admission, refusal wire.Answer, admitted bool)
-	// Report notes a crash while the request ran; it comes before Leave.
-	Report(s wire.Suspicion)
-	// Leave ends a copy that was admitted to the endpoint.
-	Leave(v Visit, endpoint string, answered bool)
+	StartCopy(ctx context.Context, v RequestCopy) (a Admission, refusal wire.Answer, admitted bool)
+	// ReportCrash notes a crash while the request ran; it comes before Leave.
+	ReportCrash(s wire.Suspicion)
+	// EndCopy ends a copy that was admitted to the endpoint.
+	EndCopy(v RequestCopy, endpoint string, answered bool)
 }
 
-// Visit is a copy of a request that wants to run at an endpoint.
-type Visit struct {
+// RequestCopy is a copy of a request that wants to run at an endpoint.
+type RequestCopy struct {
 	Service     string
 	Fingerprint uint64
 	Endpoint    string               // where it wants to run
@@ -98,8 +98,8 @@
 	Spend(business string) bool
 }
 
-// Parts are what an entry's callers' side is made of.
-type Parts struct {
+// Dependencies are what an entry's callers' side is made of.
+type Dependencies struct {
 	Config     Config
 	Picker     Picker
 	Claimer    Claimer
@@ -121,7 +121,7 @@
 	settings settings.Settings
 	log      *logrus.Logger
 	metrics  metrics.Registry
-	parts    Parts
+	parts    Dependencies
 	http     *fasthttp.Server
 	leaving  atomic.Bool
 	active   atomic.Int64            // callers' requests being served
@@ -129,7 +129,7 @@
 }
 
 // New prepares an entry's callers' side.
-func New(s settings.Settings, log *logrus.Logger, registry metrics.Registry, parts Parts) *Server {
+func New(s settings.Settings, log *logrus.Logger, registry metrics.Registry, parts Dependencies) *Server {
 	e := &Server{settings: s, log: log, metrics: registry, parts: parts}
 	e.http = &fasthttp.Server{
 		Handler:               e.handle,
--- a/internal/entry/generator.go
+++ b/internal/entry/generator.go
@@ -16,14 +16,14 @@
 	Generate(ctx context.Context, req wire.Request, onTokens func(wire.ReadReply)) wire.Answer
 }
 
-// CacheMover has the agent of an engine fetch the KV cache of a stream that runs
+// CacheImporter has the agent of an engine fetch the KV cache of a stream that runs
 // elsewhere. The error tells that it is unknown what the engine took.
-type CacheMover interface {
+type CacheImporter interface {
 	ImportCache(ctx context.Context, to string, req wire.ImportRequest) (wire.ImportReply, error)
 }
 
-// Caller runs one request at an endpoint of a plain service.
-type Caller interface {
+// ServiceClient runs one request at an endpoint of a plain service.
+type ServiceClient interface {
 	Call(ctx context.Context, req wire.Request) wire.Answer
 }
 
@@ -36,8 +36,8 @@
 	Address string // inner address of its agent
 }
 
-// Fleet lists the endpoints of a service that may be given work.
-type Fleet interface {
+// EngineLister lists the endpoints of a service that may be given work.
+type EngineLister interface {
 	Engines(service string) []EngineState
 }
 
--- a/internal/entry/pool/pool_test.go
+++ b/internal/entry/pool/pool_test.go
@@ -114,7 +114,7 @@
 
 	begin := func() {
 		p = start("entry-1")
-		server = entry.New(settings.Settings{}, quiet(), metrics.NewRegistry(), entry.Parts{Picker: p, Quarantine: noQuarantine{}, Retries: noRetries{}})
+		server = entry.New(settings.Settings{}, quiet(), metrics.NewRegistry(), entry.Dependencies{Picker: p, Quarantine: noQuarantine{}, Retries: noRetries{}})
 	}
 
 	usable := func(p *pool.Pool) func() int {
@@ -262,10 +262,10 @@
 
 type noQuarantine struct{}
 
-func (noQuarantine) Blocked(string, uint64) bool     { return false }
-func (noQuarantine) Report(wire.Suspicion)           {}
-func (noQuarantine) Leave(entry.Visit, string, bool) {}
-func (noQuarantine) Enter(_ context.Context, v entry.Visit) (entry.Admission, wire.Answer, bool) {
+func (noQuarantine) Blocked(string, uint64) bool             { return false }
+func (noQuarantine) ReportCrash(wire.Suspicion)              {}
+func (noQuarantine) EndCopy(entry.RequestCopy, string, bool) {}
+func (noQuarantine) StartCopy(_ context.Context, v entry.RequestCopy) (entry.Admission, wire.Answer, bool) {
 	return entry.Admission{Endpoint: v.Endpoint}, wire.Answer{}, true
 }
 
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -36,10 +36,10 @@
 	ClaimPeers
 }
 
-// PoisonGuard is the entry's Quarantine: it hosts the registry of requests
+// PoisonQuarantine is the entry's Quarantine: it hosts the registry of requests
 // that crash their endpoints and keeps it level with the other entries'. One
 // lock guards the whole registry, since a crash is judged over all that ran.
-type PoisonGuard struct {
+type PoisonQuarantine struct {
 	self  string
 	peers PoisonPeers
 	log   *logrus.Logger
@@ -50,11 +50,11 @@
 	relayed  map[poison.ID]bool // told to every entry by this one, a home
 }
 
-var _ Quarantine = (*PoisonGuard)(nil)
+var _ Quarantine = (*PoisonQuarantine)(nil)
 
-// NewPoisonGuard returns a guard that suspects nothing.
-func NewPoisonGuard(self string, peers PoisonPeers, log *logrus.Logger) *PoisonGuard {
-	return &PoisonGuard{
+// NewPoisonQuarantine returns a guard that suspects nothing.
+func NewPoisonQuarantine(self string, peers PoisonPeers, log *logrus.Logger) *PoisonQuarantine {
+	return &PoisonQuarantine{
 		self:     self,
 		peers:    peers,
 		log:      log,
@@ -65,21 +65,21 @@
 }
 
 // Blocked tells whether no endpoint may run the request.
-func (g *PoisonGuard) Blocked(service string, fingerprint uint64) bool {
+func (g *PoisonQuarantine) Blocked(service string, fingerprint uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.verdict(poison.ID{Service: service, Fingerprint: fingerprint}) == poison.Blocked
 }
 
-func (g *PoisonGuard) verdict(id poison.ID) poison.Verdict {
+func (g *PoisonQuarantine) verdict(id poison.ID) poison.Verdict {
 	return g.registry.Verdict(time.Now(), id)
 }
 
-// Enter admits one copy of the request to an endpoint; Leave must follow. With
+// StartCopy admits one copy of the request to an endpoint; Leave must follow. With
 // admitted false, refusal tells why. A suspect waits while a copy of it runs
 // through any entry, and a copy that may run at certain endpoints only waits
 // while none of them is usable.
-func (g *PoisonGuard) Enter(ctx context.Context, v Visit) (a Admission, refusal wire.Answer, admitted bool) {
+func (g *PoisonQuarantine) StartCopy(ctx context.Context, v RequestCopy) (a Admission, refusal wire.Answer, admitted bool) {
 	since := time.Now()
 	for {
 		v.waited = time.Since(since)
@@ -111,7 +111,7 @@
 )
 
 // begin counts a copy that may run freely.
-func (g *PoisonGuard) begin(v Visit, a *Admission) entering {
+func (g *PoisonQuarantine) begin(v RequestCopy, a *Admission) entering {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch g.verdict(idOf(v)) {
@@ -128,7 +128,7 @@
 
 // admit begins the copy at an endpoint where it may run. The caller holds the
 // lock.
-func (g *PoisonGuard) admit(v Visit, a *Admission) bool {
+func (g *PoisonQuarantine) admit(v RequestCopy, a *Admission) bool {
 	now := time.Now()
 	endpoint, ok := g.choose(now, v)
 	if !ok {
@@ -143,7 +143,7 @@
 
 // choose keeps the endpoint that the copy wants if it may run there. A hedge may
 // open a second endpoint: one beside the slow one would be as slow.
-func (g *PoisonGuard) choose(now time.Time, v Visit) (string, bool) {
+func (g *PoisonQuarantine) choose(now time.Time, v RequestCopy) (string, bool) {
 	id := idOf(v)
 	allowed, firm := g.registry.AllowedEndpoints(now, id)
 	free := g.verdict(id) == poison.Unrestricted
@@ -161,14 +161,14 @@
 	return v.Endpoint, !firm && v.waited > followLimit
 }
 
-func idOf(v Visit) poison.ID {
+func idOf(v RequestCopy) poison.ID {
 	return poison.ID{Service: v.Service, Fingerprint: v.Fingerprint}
 }
 
 // place names the endpoint for others to follow. A sample that the scheduler
 // moves begins on its new engine before its old copy has ended; bound to that, it
 // could not move.
-func (v Visit) place(endpoint string) string {
+func (v RequestCopy) place(endpoint string) string {
 	if v.Rollout {
 		return ""
 	}
@@ -176,7 +176,7 @@
 }
 
 // startAlone begins a suspect unless any entry runs a copy of it.
-func (g *PoisonGuard) startAlone(ctx context.Context, v Visit, a *Admission) bool {
+func (g *PoisonQuarantine) startAlone(ctx context.Context, v RequestCopy, a *Admission) bool {
 	id := idOf(v)
 	g.mu.Lock()
 	waits := g.registry.Reserve(id)
@@ -195,9 +195,9 @@
 	return true
 }
 
-// Leave ends a copy. Report comes before it, so that no peer finds the request
+// EndCopy ends a copy. Report comes before it, so that no peer finds the request
 // neither running nor suspect.
-func (g *PoisonGuard) Leave(v Visit, endpoint string, answered bool) {
+func (g *PoisonQuarantine) EndCopy(v RequestCopy, endpoint string, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if news, some := g.registry.EndCopy(time.Now(), idOf(v), v.place(endpoint), answered); some {
@@ -205,22 +205,22 @@
 	}
 }
 
-// Report notes a crash while the request ran. It returns once the peers know
+// ReportCrash notes a crash while the request ran. It returns once the peers know
 // it, as far as they can be reached: the caller hears of the crash after that,
 // so that its resend through another entry does not overtake the suspicion.
-func (g *PoisonGuard) Report(s wire.Suspicion) {
+func (g *PoisonQuarantine) ReportCrash(s wire.Suspicion) {
 	g.learn([]wire.Suspicion{s}, nil)
 	g.ask(context.Background(), poison.ID{})
 }
 
-// Heard takes in what a heartbeat tells.
-func (g *PoisonGuard) Heard(suspicions []wire.Suspicion, entries []wire.QuarantineEntry) {
+// ApplyHeartbeat takes in what a heartbeat tells.
+func (g *PoisonQuarantine) ApplyHeartbeat(suspicions []wire.Suspicion, entries []wire.QuarantineEntry) {
 	if len(suspicions) > 0 || len(entries) > 0 {
 		g.learn(suspicions, entries)
 	}
 }
 
-func (g *PoisonGuard) learn(suspicions []wire.Suspicion, entries []wire.QuarantineEntry) {
+func (g *PoisonQuarantine) learn(suspicions []wire.Suspicion, entries []wire.QuarantineEntry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -238,7 +238,7 @@
 
 // List returns the quarantine, for heartbeats and operators. Released entries
 // are in it until they expire.
-func (g *PoisonGuard) List() []wire.QuarantineEntry {
+func (g *PoisonQuarantine) List() []wire.QuarantineEntry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.registry.List(time.Now())
@@ -246,7 +246,7 @@
 
 // Release lets a request run again on every entry and tells whether it was in
 // quarantine.
-func (g *PoisonGuard) Release(fingerprint uint64) bool {
+func (g *PoisonQuarantine) Release(fingerprint uint64) bool {
 	g.mu.Lock()
 	released := g.registry.Release(time.Now(), fingerprint)
 	g.mu.Unlock()
@@ -258,7 +258,7 @@
 
 // ask exchanges knowledge with every other entry and tells whether one of them
 // runs the request. A peer that cannot be reached is taken for gone.
-func (g *PoisonGuard) ask(ctx context.Context, id poison.ID) bool {
+func (g *PoisonQuarantine) ask(ctx context.Context, id poison.ID) bool {
 	request := g.exchange(id)
 	busy := make(chan bool, 1)
 	var group errgroup.Group
@@ -277,7 +277,7 @@
 	return len(busy) > 0
 }
 
-func (g *PoisonGuard) exchange(id poison.ID) wire.PoisonExchange {
+func (g *PoisonQuarantine) exchange(id poison.ID) wire.PoisonExchange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return wire.PoisonExchange{
@@ -290,7 +290,7 @@
 }
 
 // askPeer asks twice, the second time over a new connection.
-func (g *PoisonGuard) askPeer(ctx context.Context, address string, request wire.PoisonExchange) bool {
+func (g *PoisonQuarantine) askPeer(ctx context.Context, address string, request wire.PoisonExchange) bool {
 	for _, fresh := range []bool{false, true} {
 		limited, cancel := context.WithTimeout(ctx, exchangeLimit)
 		var reply wire.PoisonExchange
@@ -308,10 +308,10 @@
 }
 
 // PoisonServer answers exchanges; register it under wire.PoisonService.
-type PoisonServer struct{ guard *PoisonGuard }
+type PoisonServer struct{ guard *PoisonQuarantine }
 
 // Server returns the net/rpc service of the guard.
-func (g *PoisonGuard) Server() *PoisonServer { return &PoisonServer{guard: g} }
+func (g *PoisonQuarantine) Server() *PoisonServer { return &PoisonServer{guard: g} }
 
 // Exchange takes in what another entry knows and returns what this one does.
 func (s *PoisonServer) Exchange(request wire.PoisonExchange, reply *wire.PoisonExchange) error {
--- a/internal/entry/quarantine_place.go
+++ b/internal/entry/quarantine_place.go
@@ -33,7 +33,7 @@
 }
 
 // tellPlacement passes the news of a copy here on. The caller holds the lock.
-func (g *PoisonGuard) tellPlacement(news wire.Placement) {
+func (g *PoisonQuarantine) tellPlacement(news wire.Placement) {
 	others := g.peers.Others()
 	if len(others) <= placementPeers {
 		g.post(others, news)
@@ -49,7 +49,7 @@
 // home returns the entry that hears of every copy of the request, nil if that
 // is this one. All entries that know the same list find the same. While the list
 // names one that is lost, copies of its requests are not followed.
-func (g *PoisonGuard) home(others []kv.Instance, fingerprint uint64) *kv.Instance {
+func (g *PoisonQuarantine) home(others []kv.Instance, fingerprint uint64) *kv.Instance {
 	var best *kv.Instance
 	most := rendezvous.Weight(fingerprint, rendezvous.Key(g.self))
 	for i := range others {
@@ -63,7 +63,7 @@
 // relay tells every entry of a request that has two copies or more: the third
 // must follow them. One with a single copy at a time, as nearly all are, costs
 // its home two messages. The caller holds the lock.
-func (g *PoisonGuard) relay(others []kv.Instance, news wire.Placement) {
+func (g *PoisonQuarantine) relay(others []kv.Instance, news wire.Placement) {
 	id := poison.ID{Service: news.Service, Fingerprint: news.Fingerprint}
 	copies := g.registry.Placements(id)
 	switch {
@@ -86,7 +86,7 @@
 }
 
 // post puts news into the peers' outboxes. The caller holds the lock.
-func (g *PoisonGuard) post(peers []kv.Instance, news ...wire.Placement) {
+func (g *PoisonQuarantine) post(peers []kv.Instance, news ...wire.Placement) {
 	for _, peer := range peers {
 		box := g.outboxes[peer.Address]
 		if box == nil {
@@ -106,7 +106,7 @@
 
 // sendPlacements sends one call after the other, each with all that came
 // meanwhile, until nothing is left.
-func (g *PoisonGuard) sendPlacements(address string, box *outbox) {
+func (g *PoisonQuarantine) sendPlacements(address string, box *outbox) {
 	for {
 		news := g.takePlacements(address, box)
 		if len(news) == 0 {
@@ -121,7 +121,7 @@
 	}
 }
 
-func (g *PoisonGuard) takePlacements(address string, box *outbox) []wire.Placement {
+func (g *PoisonQuarantine) takePlacements(address string, box *outbox) []wire.Placement {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	news := box.pending
--- a/internal/entry/quarantine_place_test.go
+++ b/internal/entry/quarantine_place_test.go
@@ -13,12 +13,12 @@
 )
 
 var _ = Describe("PoisonGuard's choice of an endpoint", func() {
-	var guards map[string]*PoisonGuard
+	var guards map[string]*PoisonQuarantine
 	BeforeEach(func() { guards = newGuards("entry-1", "entry-2", "entry-3") })
-	admit := func(name string, v Visit) string {
+	admit := func(name string, v RequestCopy) string {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		a, _, admitted := guards[name].Enter(ctx, v)
+		a, _, admitted := guards[name].StartCopy(ctx, v)
 		Expect(admitted).To(BeTrue())
 		return a.Endpoint
 	}
@@ -42,7 +42,7 @@
 		Expect(admit("entry-1", hedge)).To(Equal("agent-3"))
 		hedge.Endpoint = "agent-4"
 		Expect(admit("entry-1", hedge)).To(Equal("agent-1"))
-		guards["entry-1"].Leave(visitAt("agent-1"), "agent-1", true)
+		guards["entry-1"].EndCopy(visitAt("agent-1"), "agent-1", true)
 		Eventually(func() []string { return placed("entry-3") }, time.Minute).Should(BeEmpty())
 		Expect(admit("entry-3", visitAt("agent-5"))).To(Equal("agent-5"))
 	})
@@ -85,7 +85,7 @@
 		Expect(admit(names[second], visitAt("agent-2"))).To(Equal("agent-2"))
 		Eventually(known("agent-1", "agent-2"), time.Minute).Should(Equal(len(names)))
 		Expect(admit(names[second+3], visitAt("agent-3"))).To(BeElementOf("agent-1", "agent-2"))
-		guards[names[0]].Leave(visitAt("agent-1"), "agent-1", true)
+		guards[names[0]].EndCopy(visitAt("agent-1"), "agent-1", true)
 		Eventually(known(), time.Minute).Should(Equal(len(names)))
 	})
 
@@ -104,15 +104,15 @@
 	// It is tried on these two only, and waits while neither may be given work.
 	It("runs a suspect that crashed two endpoints on no third", func() {
 		for _, endpoint := range []string{"agent-1", "agent-2"} {
-			guards["entry-1"].Report(crashAt(endpoint, 4))
+			guards["entry-1"].ReportCrash(crashAt(endpoint, 4))
 		}
 		Expect(admit("entry-2", visitAt("agent-3"))).To(Equal("agent-1"))
-		guards["entry-2"].Leave(visitAt("agent-3"), "agent-1", false)
+		guards["entry-2"].EndCopy(visitAt("agent-3"), "agent-1", false)
 		down := visitAt("agent-3")
 		down.Usable = func(string) bool { return false }
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
-		_, refusal, admitted := guards["entry-2"].Enter(ctx, down)
+		_, refusal, admitted := guards["entry-2"].StartCopy(ctx, down)
 		Expect(admitted).To(BeFalse())
 		Expect(refusal.Outcome).To(Equal(wire.NotRun))
 	})
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -23,7 +23,7 @@
 // guardPeers connects guards to each other.
 type guardPeers struct {
 	self   string
-	guards map[string]*PoisonGuard
+	guards map[string]*PoisonQuarantine
 	cut    map[string]bool // cannot be reached
 }
 
@@ -47,13 +47,13 @@
 	return p.guards[address].Server().Exchange(args.(wire.PoisonExchange), reply.(*wire.PoisonExchange))
 }
 
-func newGuards(names ...string) map[string]*PoisonGuard {
-	guards := map[string]*PoisonGuard{}
+func newGuards(names ...string) map[string]*PoisonQuarantine {
+	guards := map[string]*PoisonQuarantine{}
 	cut := map[string]bool{}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for _, name := range names {
-		guards[name] = NewPoisonGuard(name, &guardPeers{self: name, guards: guards, cut: cut}, log)
+		guards[name] = NewPoisonQuarantine(name, &guardPeers{self: name, guards: guards, cut: cut}, log)
 	}
 	return guards
 }
@@ -117,29 +117,29 @@
 	return wire.Suspicion{Service: "tone", Fingerprint: 7, Endpoint: endpoint, Batch: batch, UnixMilli: time.Now().UnixMilli()}
 }
 
-func visitAt(endpoint string) Visit {
-	return Visit{Service: "tone", Fingerprint: 7, Endpoint: endpoint, Usable: func(string) bool { return true }}
+func visitAt(endpoint string) RequestCopy {
+	return RequestCopy{Service: "tone", Fingerprint: 7, Endpoint: endpoint, Usable: func(string) bool { return true }}
 }
 
 var _ = Describe("PoisonGuard", func() {
-	var guards map[string]*PoisonGuard
+	var guards map[string]*PoisonQuarantine
 	BeforeEach(func() { guards = newGuards("entry-1", "entry-2", "entry-3") })
 	enter := func(name string, wait time.Duration) (bool, wire.Answer, bool) {
 		ctx, cancel := context.WithTimeout(context.Background(), wait)
 		defer cancel()
-		a, refusal, admitted := guards[name].Enter(ctx, visitAt("agent-9"))
+		a, refusal, admitted := guards[name].StartCopy(ctx, visitAt("agent-9"))
 		return a.Alone, refusal, admitted
 	}
 
 	// The caller of a request that crashed its endpoint sends it again through
 	// another entry at once. That entry knows of the crash already.
 	It("tells the other entries before the caller hears of a crash", func() {
-		guards["entry-1"].Report(crashAt("agent-1", 4))
+		guards["entry-1"].ReportCrash(crashAt("agent-1", 4))
 		alone, _, admitted := enter("entry-2", time.Minute)
 		Expect(admitted).To(BeTrue())
 		Expect(alone).To(BeTrue())
-		guards["entry-2"].Report(crashAt("agent-2", 1))
-		guards["entry-2"].Leave(visitAt("agent-9"), "agent-9", false)
+		guards["entry-2"].ReportCrash(crashAt("agent-2", 1))
+		guards["entry-2"].EndCopy(visitAt("agent-9"), "agent-9", false)
 		for name := range guards {
 			_, refusal, admitted := enter(name, time.Minute)
 			Expect(admitted).To(BeFalse())
@@ -148,31 +148,31 @@
 	})
 
 	It("runs a suspect through one entry at a time, and freely once answered", func() {
-		guards["entry-1"].Report(crashAt("agent-1", 4))
+		guards["entry-1"].ReportCrash(crashAt("agent-1", 4))
 		_, _, admitted := enter("entry-2", time.Minute)
 		Expect(admitted).To(BeTrue())
 		_, refusal, admitted := enter("entry-3", 100*time.Millisecond)
 		Expect(admitted).To(BeFalse())
 		Expect(refusal.Outcome).To(Equal(wire.NotRun))
-		guards["entry-2"].Leave(visitAt("agent-9"), "agent-9", true)
+		guards["entry-2"].EndCopy(visitAt("agent-9"), "agent-9", true)
 		_, _, admitted = enter("entry-3", time.Minute)
 		Expect(admitted).To(BeTrue())
-		guards["entry-3"].Leave(visitAt("agent-9"), "agent-9", true)
+		guards["entry-3"].EndCopy(visitAt("agent-9"), "agent-9", true)
 		alone, _, _ := enter("entry-2", time.Minute)
 		Expect(alone).To(BeFalse())
 	})
 
 	It("lets an operator release a request on every entry, and a new entry learn", func() {
-		guards["entry-1"].Report(crashAt("agent-1", 1))
-		guards["entry-1"].Report(crashAt("agent-2", 1))
+		guards["entry-1"].ReportCrash(crashAt("agent-1", 1))
+		guards["entry-1"].ReportCrash(crashAt("agent-2", 1))
 		fresh := newGuards("entry-4")["entry-4"]
-		fresh.Heard(nil, guards["entry-2"].List())
+		fresh.ApplyHeartbeat(nil, guards["entry-2"].List())
 		Expect(fresh.Blocked("tone", 7)).To(BeTrue())
 		Expect(guards["entry-3"].Release(7)).To(BeTrue())
 		for _, g := range guards {
 			Expect(g.Blocked("tone", 7)).To(BeFalse())
 		}
-		fresh.Heard(nil, guards["entry-2"].List())
+		fresh.ApplyHeartbeat(nil, guards["entry-2"].List())
 		Expect(fresh.Blocked("tone", 7)).To(BeFalse())
 	})
 
@@ -191,7 +191,7 @@
 			return n
 		}
 		send := func(name, body string) wire.Answer {
-			server := New(settings.Settings{}, guards[name].log, metrics.NewRegistry(), Parts{
+			server := New(settings.Settings{}, guards[name].log, metrics.NewRegistry(), Dependencies{
 				Picker: pool, Quarantine: guards[name], Retries: plentyRetries{}, Hedge: plentyRetries{},
 			})
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/internal/entry/weights.go
+++ b/internal/entry/weights.go
@@ -33,7 +33,7 @@
 // WeightsOptions sets up Weights.
 type WeightsOptions struct {
 	Store      kv.Store
-	Duties     DutyHolders
+	Duties     DutyLeases
 	Config     Config
 	Instances  Instances
 	Dial       rpcpool.DialFunc // to agents; nil: plain TCP
--- a/internal/entry/weights_test.go
+++ b/internal/entry/weights_test.go
@@ -36,7 +36,7 @@
 
 // weightsDuties hands the duty over as a spec says.
 type weightsDuties struct {
-	DutyHolders
+	DutyLeases
 	mu sync.Mutex
 	fn func(duties.Change)
 }
--- a/internal/feedrun/feeds.go
+++ b/internal/feedrun/feeds.go
@@ -52,13 +52,13 @@
 type Options struct {
 	Instance  string // this process; unique over restarts
 	Store     kv.Store
-	Duties    entry.DutyHolders
+	Duties    entry.DutyLeases
 	Peers     Peers
 	Config    Config
 	Generator entry.Generator
-	Scorer    entry.Caller
-	Caches    entry.CacheMover // nil: no KV cache travels
-	Fleet     entry.Fleet
+	Scorer    entry.ServiceClient
+	Caches    entry.CacheImporter // nil: no KV cache travels
+	Fleet     entry.EngineLister
 	Versions  entry.VersionAnnouncer // nil: announcements are refused
 	Log       *logrus.Logger
 	Metrics   metrics.Registry
--- a/internal/lab/path/inflight.go
+++ b/internal/lab/path/inflight.go
@@ -48,7 +48,7 @@
 	return wire.Answer{Outcome: wire.Unknown, Reason: wire.ReasonCancelled}
 }
 
-// Engines implements entry.Fleet: one engine with a slot for every sample.
+// Engines implements entry.EngineLister: one engine with a slot for every sample.
 func (s *stalled) Engines(string) []entry.EngineState {
 	return []entry.EngineState{{ID: "agent", Load: wire.Load{Slots: flightGroups * sampleSize, WeightVersion: 1}}}
 }
--- a/internal/lab/path/path.go
+++ b/internal/lab/path/path.go
@@ -190,8 +190,8 @@
 	}
 	p := pool.New(pool.Options{ID: "entry", Lister: agents, Log: log})
 	group.Go(func() error { return p.Run(ctx) })
-	retries := entry.NewRetries()
-	e := entry.New(settings.Settings{}, log, metrics.NewRegistry(), entry.Parts{
+	retries := entry.NewRetryPolicy()
+	e := entry.New(settings.Settings{}, log, metrics.NewRegistry(), entry.Dependencies{
 		Config: config{d}, Picker: p, Quarantine: clean{}, Retries: retries, Hedge: retries,
 	})
 	group.Go(func() error { return e.ServeHTTP(ctx, front) })
@@ -248,9 +248,9 @@
 // clean is a quarantine that knows no request.
 type clean struct{}
 
-func (clean) Blocked(string, uint64) bool     { return false }
-func (clean) Report(wire.Suspicion)           {}
-func (clean) Leave(entry.Visit, string, bool) {}
-func (clean) Enter(_ context.Context, v entry.Visit) (entry.Admission, wire.Answer, bool) {
+func (clean) Blocked(string, uint64) bool             { return false }
+func (clean) ReportCrash(wire.Suspicion)              {}
+func (clean) EndCopy(entry.RequestCopy, string, bool) {}
+func (clean) StartCopy(_ context.Context, v entry.RequestCopy) (entry.Admission, wire.Answer, bool) {
 	return entry.Admission{Endpoint: v.Endpoint}, wire.Answer{}, true
 }
