--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -56,7 +56,7 @@
 	queue    *Queue
 	fences   *fences
 	crashes  *crashes
-	orders   *Orders
+	orders   *OrderHandler
 	caches   *caches
 	conf     *confstate.Holder
 	inner    *tlsconf.Inner
@@ -88,7 +88,7 @@
 	a.traffic = traffic.NewMeter(registry)
 	a.inner, a.innerErr = tlsconf.NewInner(s.TLS)
 	a.caches = newCaches(a.endpoint, a.inner.Dial)
-	a.orders = NewOrders(OrdersOptions{
+	a.orders = NewOrderHandler(OrderHandlerOptions{
 		Incarnation: a.incarnation,
 		Endpoint:    s.Endpoint,
 		Store:       weightStore(s),
@@ -206,7 +206,7 @@
 		if load, err := a.endpoint.load(); err == nil {
 			a.version.Store(load.WeightVersion)
 			a.role.Store(load.Role)
-			a.orders.Report(load, asked)
+			a.orders.RecordReport(load, asked)
 		}
 	})
 }
@@ -225,7 +225,7 @@
 // load is what rides on every reply.
 func (a *Agent) load() wire.Load {
 	load := a.queue.Load()
-	load.QueuedSeconds += a.orders.Busy().Seconds()
+	load.QueuedSeconds += a.orders.RemainingLoadTime().Seconds()
 	load.WeightVersion = a.version.Load()
 	load.Leaving = a.isLeaving()
 	load.Down = a.down.Load()
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -27,22 +27,22 @@
 	storePause = 100 * time.Millisecond
 )
 
-// OrdersOptions are what the orders to one endpoint need.
-type OrdersOptions struct {
-	Incarnation string // of this agent process
-	Endpoint    string // address of the engine
-	Store       platformpb.WeightStoreClient
-	Dial        rpcpool.DialFunc // to other agents; nil: plain TCP
-	DataDir     string           // empty: weights are kept in memory
-	MemoryBytes int              // 0: DefaultWeightsMemory
-	MaxOrder    time.Duration
-	Log         *logrus.Logger
-	Metrics     metrics.Registry // nil: the default registry
+// OrderHandlerOptions are what the orders to one endpoint need.
+type OrderHandlerOptions struct {
+	Incarnation     string // of this agent process
+	Endpoint        string // address of the engine
+	Store           platformpb.WeightStoreClient
+	Dial            rpcpool.DialFunc // to other agents; nil: plain TCP
+	DataDir         string           // empty: weights are kept in memory
+	MemoryBytes     int              // 0: DefaultWeightsMemory
+	MaxOrderTimeout time.Duration
+	Log             *logrus.Logger
+	Metrics         metrics.Registry // nil: the default registry
 }
 
-// Orders carries out a weights owner's orders at the endpoint, and passes chunks
+// OrderHandler carries out a weights owner's orders at the endpoint, and passes chunks
 // of weights on to other agents. It is safe for concurrent use.
-type Orders struct {
+type OrderHandler struct {
 	endpoint *endpoint
 	table    *chunkTable
 	fetcher  *fetcher
@@ -56,27 +56,27 @@
 	took    time.Duration // of the last load
 }
 
-// NewOrders returns the orders of an agent that starts now.
-func NewOrders(o OrdersOptions) *Orders {
+// NewOrderHandler returns the orders of an agent that starts now.
+func NewOrderHandler(o OrderHandlerOptions) *OrderHandler {
 	if o.MemoryBytes == 0 {
 		o.MemoryBytes = DefaultWeightsMemory
 	}
-	if o.MaxOrder == 0 {
-		o.MaxOrder = weights.MaxOrderTimeout
+	if o.MaxOrderTimeout == 0 {
+		o.MaxOrderTimeout = weights.MaxOrderTimeout
 	}
 	table := newChunkTable(o.DataDir, o.MemoryBytes)
-	return &Orders{
+	return &OrderHandler{
 		endpoint: newEndpoint(o.Endpoint),
 		table:    table,
 		fetcher:  &fetcher{store: o.Store, table: table, peers: rpcpool.New(o.Dial)},
 		log:      o.Log,
 		metrics:  o.Metrics,
-		guard:    weights.NewOrderFilter(o.Incarnation, o.MaxOrder, time.Now()),
+		guard:    weights.NewOrderFilter(o.Incarnation, o.MaxOrderTimeout, time.Now()),
 	}
 }
 
-// Fence notes epochs heard on a heartbeat.
-func (s *Orders) Fence(all []wire.Fence) {
+// ObserveFences notes epochs heard on a heartbeat.
+func (s *OrderHandler) ObserveFences(all []wire.Fence) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range all {
@@ -84,8 +84,8 @@
 	}
 }
 
-// Report notes the engine's own report, asked for at the time asked.
-func (s *Orders) Report(load engineapi.Load, asked time.Time) {
+// RecordReport notes the engine's own report, asked for at the time asked.
+func (s *OrderHandler) RecordReport(load engineapi.Load, asked time.Time) {
 	taken := asked.Add(-time.Duration(load.AgeMilli) * time.Millisecond)
 	versions := map[string]int64{"": load.WeightVersion}
 	for adapter, version := range load.Adapters {
@@ -97,9 +97,9 @@
 	s.guard.ReportVersions(versions, taken)
 }
 
-// Busy returns how long the load in progress will probably last; 0 without one.
+// RemainingLoadTime returns how long the load in progress will probably last; 0 without one.
 // It counts as queued work, so that entries choose other endpoints meanwhile.
-func (s *Orders) Busy() time.Duration {
+func (s *OrderHandler) RemainingLoadTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.loading.IsZero() {
@@ -110,7 +110,7 @@
 
 // Handle carries an order out, or says why not. A load goes on until the order's
 // deadline even if ctx ends before.
-func (s *Orders) Handle(ctx context.Context, o wire.Order) wire.OrderReply {
+func (s *OrderHandler) Handle(ctx context.Context, o wire.Order) wire.OrderReply {
 	s.mu.Lock()
 	verdict := s.guard.Accept(o, time.Now())
 	s.mu.Unlock()
@@ -123,7 +123,7 @@
 	return s.load(o, verdict.Deadline)
 }
 
-func (s *Orders) prepare(ctx context.Context, o wire.Order, deadline time.Time) wire.OrderReply {
+func (s *OrderHandler) prepare(ctx context.Context, o wire.Order, deadline time.Time) wire.OrderReply {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	began := time.Now()
@@ -137,7 +137,7 @@
 	return wire.OrderReply{Outcome: wire.Answered, Version: o.Version}
 }
 
-func (s *Orders) count(name string) {
+func (s *OrderHandler) count(name string) {
 	metrics.GetOrRegisterCounter("weights."+name, s.metrics).Inc(1)
 }
 
@@ -152,7 +152,7 @@
 	return f
 }
 
-func (s *Orders) load(o wire.Order, deadline time.Time) wire.OrderReply {
+func (s *OrderHandler) load(o wire.Order, deadline time.Time) wire.OrderReply {
 	began := time.Now()
 	s.mu.Lock()
 	s.loading = began
@@ -179,7 +179,7 @@
 }
 
 // give hands a load to the engine and waits for its end.
-func (s *Orders) give(o wire.Order, deadline time.Time) (weights.LoadResult, wire.Reason, error) {
+func (s *OrderHandler) give(o wire.Order, deadline time.Time) (weights.LoadResult, wire.Reason, error) {
 	s.mu.Lock()
 	due := s.guard.StillValid(time.Now())
 	s.mu.Unlock()
@@ -203,7 +203,7 @@
 	}
 }
 
-func (s *Orders) engineOrder(o wire.Order, deadline time.Time) engineapi.Order {
+func (s *OrderHandler) engineOrder(o wire.Order, deadline time.Time) engineapi.Order {
 	order := engineapi.Order{
 		Kind:          string(o.Kind),
 		Model:         o.Model,
@@ -232,7 +232,7 @@
 
 // Chunk gives a piece of weights to another agent, waiting a little for one that
 // is on its way.
-func (s *Orders) Chunk(ctx context.Context, id wire.ChunkRequest) wire.ChunkReply {
+func (s *OrderHandler) Chunk(ctx context.Context, id wire.ChunkRequest) wire.ChunkReply {
 	data, found := s.table.wait(ctx, id, weights.ChunkHoldTimeout)
 	if found {
 		s.count("chunks_given")
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -28,14 +28,14 @@
 )
 
 // chunkServer is the part of an agent's inner protocol that passes chunks on.
-type chunkServer struct{ orders *agent.Orders }
+type chunkServer struct{ orders *agent.OrderHandler }
 
 func (s *chunkServer) Chunk(id wire.ChunkRequest, reply *wire.ChunkReply) error {
 	*reply = s.orders.Chunk(context.Background(), id)
 	return nil
 }
 
-func serveChunks(orders *agent.Orders) string {
+func serveChunks(orders *agent.OrderHandler) string {
 	server := rpc.NewServer()
 	Expect(server.RegisterName(wire.AgentService, &chunkServer{orders})).To(Succeed())
 	listener, err := net.Listen("tcp", loopback)
@@ -66,23 +66,23 @@
 		DeferCleanup(engine.Crash)
 	})
 
-	start := func(incarnation, dir string) *agent.Orders {
+	start := func(incarnation, dir string) *agent.OrderHandler {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		return agent.NewOrders(agent.OrdersOptions{
-			Incarnation: incarnation, Endpoint: endpoint, Store: store, DataDir: dir, MaxOrder: maxOrder, Log: log,
+		return agent.NewOrderHandler(agent.OrderHandlerOptions{
+			Incarnation: incarnation, Endpoint: endpoint, Store: store, DataDir: dir, MaxOrderTimeout: maxOrder, Log: log,
 		})
 	}
-	settle := func(o *agent.Orders, epoch int64) wire.Target {
+	settle := func(o *agent.OrderHandler, epoch int64) wire.Target {
 		var reply wire.OrderReply
 		Eventually(func() wire.Outcome {
-			o.Report(engineapi.Load{WeightVersion: engine.Version()}, time.Now())
+			o.RecordReport(engineapi.Load{WeightVersion: engine.Version()}, time.Now())
 			reply = o.Handle(ctx, wire.Order{Kind: wire.OrderStatus, Fence: wire.Fence{Duty: "weights/s", Epoch: epoch}})
 			return reply.Outcome
 		}).WithTimeout(5 * time.Second).Should(Equal(wire.Answered))
 		return reply.Target
 	}
-	swap := func(o *agent.Orders, target wire.Target, epoch, version int64) wire.OrderReply {
+	swap := func(o *agent.OrderHandler, target wire.Target, epoch, version int64) wire.OrderReply {
 		return o.Handle(ctx, wire.Order{
 			ID: "o", Kind: wire.OrderSwap, Version: version, Target: target,
 			Fence: wire.Fence{Duty: "weights/s", Epoch: epoch}, Remaining: maxOrder,
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -83,7 +83,7 @@
 func (s *rpcServer) Heartbeat(req wire.HeartbeatRequest, reply *wire.HeartbeatReply) error {
 	a := s.a
 	a.fences.raise(req.Fences)
-	a.orders.Fence(req.Fences)
+	a.orders.ObserveFences(req.Fences)
 	if req.ListedLeaving {
 		a.listedAt.Store(int64(a.uptime()))
 	}
@@ -114,7 +114,7 @@
 		return nil
 	}
 	if o.Kind == wire.OrderStatus && s.a.down.Load() {
-		s.a.orders.Fence([]wire.Fence{o.Fence})
+		s.a.orders.ObserveFences([]wire.Fence{o.Fence})
 		*reply = wire.OrderReply{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint}
 		return nil
 	}
--- a/internal/agent/weights_http.go
+++ b/internal/agent/weights_http.go
@@ -80,7 +80,7 @@
 
 // ServeWeights gives the engine the weights held in memory until ctx ends. An
 // agent with a data folder has nothing to serve.
-func (s *Orders) ServeWeights(ctx context.Context) error {
+func (s *OrderHandler) ServeWeights(ctx context.Context) error {
 	if s.table.dir != "" {
 		return nil
 	}
@@ -106,7 +106,7 @@
 // sourceOf tells the engine where the version lies and how to check it. Neither
 // is told of a version that this agent does not hold whole: the engine would
 // fail in the middle of a load.
-func (s *Orders) sourceOf(o wire.Order, order *engineapi.Order) {
+func (s *OrderHandler) sourceOf(o wire.Order, order *engineapi.Order) {
 	model := weightsName(o.Model, o.Adapter)
 	v, held := s.table.whole(model, o.Version)
 	if held {
--- a/internal/agent/weights_http_test.go
+++ b/internal/agent/weights_http_test.go
@@ -19,13 +19,13 @@
 
 var _ = Describe("weights from an agent's memory", func() {
 	const chunkBytes = 1000
-	var s *Orders
+	var s *OrderHandler
 	var ctx context.Context
 
 	start := func(dir string, memory int) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		s = NewOrders(OrdersOptions{Incarnation: "a", Endpoint: "127.0.0.1:1", DataDir: dir, MemoryBytes: memory, Log: log})
+		s = NewOrderHandler(OrderHandlerOptions{Incarnation: "a", Endpoint: "127.0.0.1:1", DataDir: dir, MemoryBytes: memory, Log: log})
 		done := make(chan error, 1)
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithCancel(context.Background())
--- a/internal/entry/weights_test.go
+++ b/internal/entry/weights_test.go
@@ -62,7 +62,7 @@
 func (c weightsConfig) Current() *decl.Deployment { return c.deployment }
 
 // orderServer is the part of an agent's inner protocol that rollouts use.
-type orderServer struct{ orders *agent.Orders }
+type orderServer struct{ orders *agent.OrderHandler }
 
 func (s *orderServer) Order(o wire.Order, reply *wire.OrderReply) error {
 	*reply = s.orders.Handle(context.Background(), o)
@@ -93,8 +93,8 @@
 		endpoints = append(endpoints, endpoint)
 		conn, err := grpc.NewClient(address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		Expect(err).NotTo(HaveOccurred())
-		orders := agent.NewOrders(agent.OrdersOptions{
-			Incarnation: strconv.Itoa(id), Endpoint: endpoint, MaxOrder: weightsOrder, Log: log,
+		orders := agent.NewOrderHandler(agent.OrderHandlerOptions{
+			Incarnation: strconv.Itoa(id), Endpoint: endpoint, MaxOrderTimeout: weightsOrder, Log: log,
 			Store: platformpb.NewWeightStoreClient(conn),
 		})
 		server := rpc.NewServer()
@@ -105,7 +105,7 @@
 		go server.Accept(listener)
 		go func(ctx context.Context) {
 			for ctx.Err() == nil {
-				orders.Report(engineapi.Load{
+				orders.RecordReport(engineapi.Load{
 					WeightVersion: engine.Version(),
 					Adapters:      map[string]int64{"polite": engine.Adapter("polite")},
 					Role:          engine.Role(),
