--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -25,21 +25,21 @@
 	// settleBackoff is the pause between settle calls that found no agent.
 	settleBackoff = 100 * time.Millisecond
 	// answerMargin is kept of the deadline for the answer's way to the caller.
-	answerMargin = 20 * time.Millisecond
-	cancelLimit  = time.Second
+	answerMargin  = 20 * time.Millisecond
+	cancelTimeout = time.Second
 )
 
 // attempt sends the request to one endpoint, as its quarantine allows, and
 // returns what truly became of it. A hedge runs apart from its first attempt.
 func (e *Server) attempt(ctx context.Context, ep Endpoint, req wire.Request, hedge bool) wire.Answer {
-	return e.guarded(ctx, ep, req, hedge, func(ep Endpoint, req wire.Request) wire.Answer {
+	return e.runCopy(ctx, ep, req, hedge, func(ep Endpoint, req wire.Request) wire.Answer {
 		return e.attemptOnce(ctx, ep, req)
 	})
 }
 
-// guarded runs one copy of the request, alone if it is suspect, and notes
+// runCopy runs one copy of the request, alone if it is suspect, and notes
 // whether it crashed its endpoint. The quarantine may choose another endpoint.
-func (e *Server) guarded(ctx context.Context, ep Endpoint, req wire.Request, hedge bool, run func(Endpoint, wire.Request) wire.Answer) wire.Answer {
+func (e *Server) runCopy(ctx context.Context, ep Endpoint, req wire.Request, hedge bool, run func(Endpoint, wire.Request) wire.Answer) wire.Answer {
 	found := map[string]Endpoint{ep.ID(): ep}
 	v := RequestCopy{
 		Service:     req.Service,
@@ -48,27 +48,27 @@
 		Hedge:       hedge,
 		Rollout:     req.Rollout,
 		Usable: func(id string) bool {
-			other, ok := e.parts.Picker.Find(id)
+			other, ok := e.deps.Picker.Find(id)
 			if ok {
 				found[id] = other
 			}
 			return ok
 		},
 	}
-	admission, refusal, admitted := e.parts.Quarantine.StartCopy(ctx, v)
+	admission, refusal, admitted := e.deps.Quarantine.StartCopy(ctx, v)
 	if !admitted {
 		return refusal
 	}
 	ep = found[admission.Endpoint]
 	req.Suspect = req.Suspect || admission.Alone
 	answer := run(ep, req)
-	e.noteCrash(ep, req, answer)
-	e.parts.Quarantine.EndCopy(v, admission.Endpoint, answer.Outcome == wire.Answered)
+	e.reportCrash(ep, req, answer)
+	e.deps.Quarantine.EndCopy(v, admission.Endpoint, answer.Outcome == wire.Answered)
 	return answer
 }
 
 func (e *Server) attemptOnce(ctx context.Context, ep Endpoint, req wire.Request) wire.Answer {
-	req = pinned(ctx, ep, req)
+	req = pinToAgent(ctx, ep, req)
 	var answer wire.Answer
 	err := ep.Call(ctx, methodDo, req, &answer)
 	if err == nil {
@@ -91,8 +91,8 @@
 	return wire.Answer{ID: req.ID, Outcome: wire.Unknown, Reason: wire.ReasonConnection, Detail: cause.Error()}
 }
 
-// pinned names the attempt and binds it to the agent process that answers now.
-func pinned(ctx context.Context, ep Endpoint, req wire.Request) wire.Request {
+// pinToAgent names the attempt and binds it to the agent process that answers now.
+func pinToAgent(ctx context.Context, ep Endpoint, req wire.Request) wire.Request {
 	req.ID = ulid.Make().String()
 	req.Target = ep.Target()
 	if deadline, ok := ctx.Deadline(); ok {
@@ -107,8 +107,8 @@
 func (e *Server) settle(ctx context.Context, ep Endpoint, req wire.Request, cause error) wire.Answer {
 	for ctx.Err() == nil {
 		var answer wire.Answer
-		ask := wire.SettleRequest{ID: req.ID, Target: req.Target, Wait: settleWait}
-		err := ep.CallFresh(ctx, methodSettle, ask, &answer)
+		request := wire.SettleRequest{ID: req.ID, Target: req.Target, Wait: settleWait}
+		err := ep.CallFresh(ctx, methodSettle, request, &answer)
 		if err == nil && answer.Outcome != wire.Running {
 			return answer
 		}
@@ -118,7 +118,7 @@
 			return connectionLost(req, err)
 		}
 		if err != nil {
-			pause(ctx, settleBackoff)
+			sleep(ctx, settleBackoff)
 		}
 	}
 	return connectionLost(req, cause)
@@ -131,14 +131,14 @@
 }
 
 func cancelAt(ep Endpoint, id string) {
-	ctx, cancel := context.WithTimeout(context.Background(), cancelLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	var none struct{}
 	_ = ep.Call(ctx, methodCancel, wire.CancelRequest{ID: id}, &none)
 }
 
-// pause sleeps for d or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep sleeps for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -158,13 +158,13 @@
 	last := wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service can be reached"}
 	var tried []string
 	for range maxAttempts {
-		ep, ok := e.parts.Picker.Pick(req.Service, req.Principal.Business, req.Fingerprint, tried)
+		ep, ok := e.deps.Picker.Pick(req.Service, req.Principal.Business, req.Fingerprint, tried)
 		if !ok || ctx.Err() != nil {
 			return last
 		}
 		tried = append(tried, ep.ID())
 		last = e.attempt(ctx, ep, req, false)
-		if last.Outcome != wire.NotRun || !elsewhere(last.Reason) {
+		if last.Outcome != wire.NotRun || !retryableElsewhere(last.Reason) {
 			return last
 		}
 	}
@@ -172,7 +172,7 @@
 }
 
 // elsewhere tells whether another endpoint may take what this one refused.
-func elsewhere(reason wire.Reason) bool {
+func retryableElsewhere(reason wire.Reason) bool {
 	switch reason {
 	case wire.ReasonLeaving, wire.ReasonNoEndpoint, wire.ReasonNotReady, wire.ReasonQueueFull, wire.ReasonCancelled, wire.ReasonConnection:
 		return true
@@ -181,13 +181,13 @@
 	}
 }
 
-// noteCrash tells the quarantine of a crash; beyond two endpoints a request
+// reportCrash tells the quarantine of a crash; beyond two endpoints a request
 // that kills engines must not travel.
-func (e *Server) noteCrash(ep Endpoint, req wire.Request, a wire.Answer) {
+func (e *Server) reportCrash(ep Endpoint, req wire.Request, a wire.Answer) {
 	if a.Reason != wire.ReasonCrashed {
 		return
 	}
-	e.parts.Quarantine.ReportCrash(wire.Suspicion{
+	e.deps.Quarantine.ReportCrash(wire.Suspicion{
 		Fingerprint: req.Fingerprint,
 		Service:     req.Service,
 		Endpoint:    ep.ID(),
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -11,14 +11,14 @@
 )
 
 // callers are the keys of one deployment's callers.
-type callers struct {
+type callerIndex struct {
 	deployment *decl.Deployment
 	keys       *keys.Index[wire.Principal]
 }
 
-// callersOf indexes a deployment's callers. Its digests were checked when it was read.
-func callersOf(deployment *decl.Deployment) *callers {
-	c := &callers{deployment: deployment, keys: keys.NewIndex[wire.Principal](len(deployment.Callers))}
+// newCallerIndex indexes a deployment's callers. Its digests were checked when it was read.
+func newCallerIndex(deployment *decl.Deployment) *callerIndex {
+	c := &callerIndex{deployment: deployment, keys: keys.NewIndex[wire.Principal](len(deployment.Callers))}
 	for _, caller := range deployment.Callers {
 		digest, err := keys.Parse(caller.KeySHA256)
 		if err != nil {
@@ -30,7 +30,7 @@
 }
 
 // authenticate finds the caller by its key.
-func (c *callers) authenticate(ctx *fasthttp.RequestCtx) (wire.Principal, bool) {
+func (c *callerIndex) authenticate(ctx *fasthttp.RequestCtx) (wire.Principal, bool) {
 	key, bearer := strings.CutPrefix(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
 	if !bearer {
 		return wire.Principal{}, false
@@ -38,15 +38,15 @@
 	return c.keys.Owner(key)
 }
 
-// callersNow returns the callers of the deployment in force, nil while none is.
-func (e *Server) callersNow() *callers {
-	deployment := e.parts.Config.Current()
+// currentCallers returns the callers of the deployment in force, nil while none is.
+func (e *Server) currentCallers() *callerIndex {
+	deployment := e.deps.Config.Current()
 	if deployment == nil {
 		return nil
 	}
 	known := e.callers.Load()
 	if known == nil || known.deployment != deployment {
-		known = callersOf(deployment)
+		known = newCallerIndex(deployment)
 		e.callers.Store(known)
 	}
 	return known
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -19,11 +19,11 @@
 const methodClaim = wire.ClaimService + ".Do"
 
 const (
-	// rerouteWait is the pause before a call looks for its owner again.
-	rerouteWait = 20 * time.Millisecond
-	// minForward is the shortest time that one forward is waited for, unless
+	// rerouteDelay is the pause before a call looks for its owner again.
+	rerouteDelay = 20 * time.Millisecond
+	// minForwardTimeout is the shortest time that one forward is waited for, unless
 	// the call's deadline is sooner.
-	minForward = 200 * time.Millisecond
+	minForwardTimeout = 200 * time.Millisecond
 )
 
 // ClaimPeers reaches the entry that owns a partition. With fresh set, the call
@@ -52,8 +52,8 @@
 // Claims runs non-idempotent requests at most once. It hosts the partitions
 // that this entry owns and forwards calls to the owners of the others.
 type Claims struct {
-	options ClaimsOptions
-	parts   []*claimPartition
+	options    ClaimsOptions
+	partitions []*claimPartition
 }
 
 var _ Claimer = (*Claims)(nil)
@@ -62,9 +62,9 @@
 func NewClaims(o ClaimsOptions) *Claims {
 	c := &Claims{options: o}
 	for i := range claims.DefaultPartitions {
-		c.parts = append(c.parts, newClaimPartition(o, wire.ClaimDuty(i)))
+		c.partitions = append(c.partitions, newClaimPartition(o, wire.ClaimDuty(i)))
 	}
-	o.Duties.OnChange(wire.ClaimDutyPrefix, c.changed)
+	o.Duties.OnChange(wire.ClaimDutyPrefix, c.onDutyChange)
 	return c
 }
 
@@ -79,8 +79,8 @@
 
 // changed takes in a new standing to a partition's duty. A lapsed lease ends
 // nothing: the next commit tells whether a successor has raised the epoch.
-func (c *Claims) changed(change duties.Change) {
-	for _, p := range c.parts {
+func (c *Claims) onDutyChange(change duties.Change) {
+	for _, p := range c.partitions {
 		if p.duty != change.Duty {
 			continue
 		}
@@ -102,7 +102,7 @@
 	if !limited {
 		deadline = time.Now().Add(class.Deadline)
 	}
-	r := &claimRoute{
+	r := &claimCall{
 		claims:   c,
 		call:     call,
 		window:   class.RetryWindow,
@@ -114,14 +114,14 @@
 	return answer
 }
 
-// part returns the partition of a call and the call's key in it.
-func (c *Claims) part(call wire.Request) (*claimPartition, claims.Key) {
+// partition returns the partition of a call and the call's key in it.
+func (c *Claims) partition(call wire.Request) (*claimPartition, claims.Key) {
 	key := claims.NewKey(call.Principal.Caller, call.CallID)
-	return c.parts[key.Partition(len(c.parts))], key
+	return c.partitions[key.Partition(len(c.partitions))], key
 }
 
-// claimRoute is one call on its way to the owner of its partition.
-type claimRoute struct {
+// claimCall is one call on its way to the owner of its partition.
+type claimCall struct {
 	claims   *Claims
 	call     wire.Request
 	window   time.Duration
@@ -129,16 +129,16 @@
 	deadline time.Time
 	// open is set once a forward is left unresolved: it may still reach an
 	// owner and run, whatever a later one is told.
-	open  bool
-	fresh bool // the next forward goes over a new connection
+	unresolved    bool
+	newConnection bool // the next forward goes over a new connection
 }
 
-func (r *claimRoute) run(ctx context.Context) wire.Answer {
+func (r *claimCall) run(ctx context.Context) wire.Answer {
 	for time.Now().Before(r.deadline) && ctx.Err() == nil {
-		if answer, final := r.try(ctx); final {
-			return r.truthful(answer)
+		if answer, final := r.askOwner(ctx); final {
+			return r.finalAnswer(answer)
 		}
-		pause(ctx, rerouteWait)
+		sleep(ctx, rerouteDelay)
 	}
 	return wire.Answer{
 		Outcome:    wire.Unknown,
@@ -148,22 +148,22 @@
 	}
 }
 
-// truthful keeps a "not run" from being said where it may turn false: an
+// finalAnswer keeps a "not run" from being said where it may turn false: an
 // unresolved forward may yet run, and after the deadline a repeat may have run.
-func (r *claimRoute) truthful(answer wire.Answer) wire.Answer {
+func (r *claimCall) finalAnswer(answer wire.Answer) wire.Answer {
 	if answer.Outcome != wire.NotRun {
 		return answer
 	}
-	if r.open || !time.Now().Before(r.deadline) {
+	if r.unresolved || !time.Now().Before(r.deadline) {
 		return claims.RefusalAsUnknown(answer)
 	}
 	return answer
 }
 
 // try asks the owner once; false if the call has to look for it again.
-func (r *claimRoute) try(ctx context.Context) (wire.Answer, bool) {
-	p, key := r.claims.part(r.call)
-	if p.here() {
+func (r *claimCall) askOwner(ctx context.Context) (wire.Answer, bool) {
+	p, key := r.claims.partition(r.call)
+	if p.servedHere() {
 		answer, moved := p.submit(ctx, key, submission{
 			call:     r.call,
 			window:   r.window,
@@ -181,18 +181,18 @@
 
 // forward hands the call to its owner. One that stays silent is asked again
 // over a new connection; it joins what the first one began.
-func (r *claimRoute) forward(ctx context.Context, address string) (wire.Answer, bool) {
+func (r *claimCall) forward(ctx context.Context, address string) (wire.Answer, bool) {
 	remaining := time.Until(r.deadline)
-	wait := min(remaining, max(remaining/2, minForward))
+	wait := min(remaining, max(remaining/2, minForwardTimeout))
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	request := wire.ClaimRequest{Call: r.call, RetryWindow: r.window}
 	request.Call.Remaining = remaining
 	var reply wire.ClaimReply
-	err := r.claims.options.Peers.CallPeer(ctx, address, r.fresh, methodClaim, request, &reply)
+	err := r.claims.options.Peers.CallPeer(ctx, address, r.newConnection, methodClaim, request, &reply)
 	if err != nil {
-		r.fresh = true
-		r.open = r.open || !errors.Is(err, ErrNotSent)
+		r.newConnection = true
+		r.unresolved = r.unresolved || !errors.Is(err, ErrNotSent)
 		return wire.Answer{}, false
 	}
 	if !reply.Owner && reply.Holder.Address != "" {
@@ -219,8 +219,8 @@
 
 // Do serves a call that another entry forwards.
 func (s *ClaimServer) Do(request wire.ClaimRequest, reply *wire.ClaimReply) error {
-	p, key := s.claims.part(request.Call)
-	if !p.here() {
+	p, key := s.claims.partition(request.Call)
+	if !p.servedHere() {
 		reply.Holder = s.claims.holder(p)
 		return nil
 	}
--- a/internal/entry/claims_fakes_test.go
+++ b/internal/entry/claims_fakes_test.go
@@ -104,7 +104,7 @@
 	until   time.Time
 	fn      func(duties.Change)
 
-	givingUp bool // promises nothing
+	refusePromises bool // promises nothing
 }
 
 func (d *fakeDuties) KnownHolder(string) (string, int64, bool) {
@@ -139,13 +139,13 @@
 
 func (d *fakeDuties) Promise(name string, epoch int64, until time.Time) bool {
 	held, end := d.HeldUntil(name)
-	return !d.givingUp && held == epoch && !until.After(end)
+	return !d.refusePromises && held == epoch && !until.After(end)
 }
 
 func (d *fakeDuties) Heard([]wire.Holder) {}
 
 // learn changes the view and tells the claims.
-func (d *fakeDuties) learn(address string, epoch int64, mine bool, lease time.Duration) {
+func (d *fakeDuties) set(address string, epoch int64, mine bool, lease time.Duration) {
 	d.mu.Lock()
 	d.address, d.epoch, d.mine, d.until = address, epoch, mine, time.Now().Add(lease)
 	d.mu.Unlock()
@@ -206,10 +206,10 @@
 	endpoint *fakeEndpoint
 	nodes    map[string]*fakeNode
 
-	mu       sync.Mutex
-	lost     int // so many forwards are served and lose their answers
-	unheard  map[string]bool
-	forwards int
+	mu          sync.Mutex
+	lostReplies int // so many forwards are served and lose their answers
+	silent      map[string]bool
+	forwards    int
 }
 
 func newFakeCluster(addresses ...string) *fakeCluster {
@@ -217,7 +217,7 @@
 		store:    newFakeStore(),
 		endpoint: &fakeEndpoint{runs: map[string]int{}, reached: make(chan struct{}, 100)},
 		nodes:    map[string]*fakeNode{},
-		unheard:  map[string]bool{},
+		silent:   map[string]bool{},
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -248,7 +248,7 @@
 func (c *fakeCluster) own(address string, epoch int64, stale ...string) {
 	for _, n := range c.nodes {
 		if !strings.Contains(strings.Join(stale, " "), n.address) {
-			n.duties.learn(address, epoch, n.address == address, time.Minute)
+			n.duties.set(address, epoch, n.address == address, time.Minute)
 		}
 	}
 }
@@ -266,10 +266,10 @@
 func (c *fakeCluster) CallPeer(ctx context.Context, address string, _ bool, _ string, args, reply any) error {
 	c.mu.Lock()
 	c.forwards++
-	silent := c.unheard[address]
-	lost := c.lost > 0
+	silent := c.silent[address]
+	lost := c.lostReplies > 0
 	if lost {
-		c.lost--
+		c.lostReplies--
 	}
 	c.mu.Unlock()
 	if silent {
--- a/internal/entry/claims_partition.go
+++ b/internal/entry/claims_partition.go
@@ -26,15 +26,15 @@
 	duty    string
 	closing atomic.Bool // a graceful stop has begun; calls go to the next owner
 
-	mu      sync.Mutex
-	machine *claims.Partition
-	waiters map[int64]*claimWaiter
-	last    int64 // waiter number
-	timer   *time.Timer
-	serving bool                // as last logged
-	stalled bool                // as last logged
-	results []claims.SendResult // for the next owner, oldest first
-	telling bool                // they are being told
+	mu             sync.Mutex
+	machine        *claims.Partition
+	waiters        map[int64]*claimWaiter
+	lastWaiter     int64 // waiter number
+	timer          *time.Timer
+	serving        bool                // as last logged
+	stalled        bool                // as last logged
+	results        []claims.SendResult // for the next owner, oldest first
+	sendingResults bool                // they are being told
 }
 
 // submission is a call that a partition is asked to run at most once.
@@ -68,7 +68,7 @@
 
 // here tells whether calls are served here. A holder whose lease has lapsed in
 // an outage still serves: it cannot commit past a successor's epoch.
-func (p *claimPartition) here() bool {
+func (p *claimPartition) servedHere() bool {
 	return !p.closing.Load() && p.options.Duties.LeaseState(p.duty) != duties.NotHolder
 }
 
@@ -76,8 +76,8 @@
 func (p *claimPartition) submit(ctx context.Context, key claims.Key, s submission) (answer wire.Answer, moved bool) {
 	w := &claimWaiter{submission: s, reply: make(chan claims.Reply, 1)}
 	p.mu.Lock()
-	p.last++
-	id := p.last
+	p.lastWaiter++
+	id := p.lastWaiter
 	p.waiters[id] = w
 	p.stepLocked(claims.Submitted{
 		Waiter:      id,
@@ -102,45 +102,45 @@
 }
 
 func (p *claimPartition) stepLocked(e claims.Event) {
-	p.renew()
-	p.feed(e)
-	p.noteServing()
+	p.updateLease()
+	p.applyEvent(e)
+	p.logServing()
 	if at, ok := p.machine.NextWake(); ok {
 		p.timer.Reset(max(time.Until(at), time.Millisecond))
 	}
 }
 
-func (p *claimPartition) feed(e claims.Event) {
+func (p *claimPartition) applyEvent(e claims.Event) {
 	for _, action := range p.machine.Step(time.Now(), e) {
-		p.carryOut(action)
+		p.perform(action)
 	}
 }
 
 // renew tells the machine how long the lease runs. A lease of another epoch
 // proves nothing about the one under which the machine's history is complete.
-func (p *claimPartition) renew() {
+func (p *claimPartition) updateLease() {
 	epoch, until := p.options.Duties.HeldUntil(p.duty)
 	if epoch == p.machine.Epoch() {
-		p.feed(claims.Renewed{Until: until})
+		p.applyEvent(claims.Renewed{Until: until})
 	}
 }
 
-func (p *claimPartition) carryOut(action claims.Action) {
+func (p *claimPartition) perform(action claims.Action) {
 	switch a := action.(type) {
 	case claims.Read:
 		go p.read(a)
 	case claims.Write:
 		go p.write(a)
 	case claims.Delete:
-		go p.remove(a)
+		go p.deleteBucket(a)
 	case claims.Run:
 		p.run(a)
 	case claims.Reply:
 		p.reply(a)
 	case claims.SendResult:
-		p.tell(a)
+		p.queueResult(a)
 	case claims.QueryAgents:
-		p.ask(a)
+		p.queryAgents(a)
 	case claims.Fault:
 		events.ClaimsUnreadable.Log(p.options.Log, logrus.Fields{"duty": p.duty, "error": a.Err.Error()})
 	}
@@ -174,14 +174,14 @@
 	go func() {
 		ctx, cancel := context.WithDeadline(context.Background(), r.Deadline)
 		defer cancel()
-		p.step(claims.Settled{Key: r.Key, Answer: dispatchInTime(ctx, call, r.Deadline, w.dispatch)})
+		p.step(claims.Settled{Key: r.Key, Answer: dispatchBeforeDeadline(ctx, call, r.Deadline, w.dispatch)})
 	}()
 }
 
-// dispatchInTime does not dispatch past the deadline: a process that was paused
+// dispatchBeforeDeadline does not dispatch past the deadline: a process that was paused
 // between the commit and here could wake when the claim is forgotten, and a
 // repeat would then be a second run.
-func dispatchInTime(ctx context.Context, call wire.Request, deadline time.Time, dispatch Dispatch) wire.Answer {
+func dispatchBeforeDeadline(ctx context.Context, call wire.Request, deadline time.Time, dispatch Dispatch) wire.Answer {
 	call.Remaining = time.Until(deadline)
 	if call.Remaining <= 0 {
 		return wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonDeadline}
@@ -193,7 +193,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), claimCallTimeout)
 	defer cancel()
 	record, err := p.options.Store.Get(ctx, kv.UseClaim, r.Key)
-	p.noteService(err)
+	p.logStoreState(err)
 	done := claims.ReadDone{Record: claimRecord(record), Failed: err != nil}
 	done.Record.Key = r.Key
 	p.step(done)
@@ -202,14 +202,14 @@
 func (p *claimPartition) write(w claims.Write) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimCallTimeout)
 	defer cancel()
-	begun := time.Now()
+	start := time.Now()
 	swapped, current, err := p.options.Store.CompareAndSwap(ctx, kv.UseClaim, kv.Write{
 		Key:      w.Key,
 		Expected: w.Expected,
 		Value:    w.Value,
 	})
-	p.noteService(err)
-	metrics.GetOrRegisterTimer("claims.commit", p.options.Metrics).UpdateSince(begun)
+	p.logStoreState(err)
+	metrics.GetOrRegisterTimer("claims.commit", p.options.Metrics).UpdateSince(start)
 	done := claims.WriteDone{ID: w.ID, Swapped: swapped, Current: claimRecord(current), Failed: err != nil}
 	done.Current.Key = w.Key
 	p.step(done)
@@ -217,7 +217,7 @@
 
 // remove deletes a bucket that no head lists. If that fails the bucket stays
 // behind, which costs space and nothing else.
-func (p *claimPartition) remove(d claims.Delete) {
+func (p *claimPartition) deleteBucket(d claims.Delete) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimCallTimeout)
 	defer cancel()
 	_, _, err := p.options.Store.CompareAndSwap(ctx, kv.UseClaim, kv.Write{
@@ -238,8 +238,8 @@
 	metrics.GetOrRegisterCounter(name, p.options.Metrics).Inc(1)
 }
 
-// noteServing logs when the partition begins or ceases to be served here.
-func (p *claimPartition) noteServing() {
+// logServing logs when the partition begins or ceases to be served here.
+func (p *claimPartition) logServing() {
 	serving := p.machine.Serving()
 	if serving == p.serving {
 		return
@@ -252,8 +252,8 @@
 	event.Log(p.options.Log, logrus.Fields{"duty": p.duty, "epoch": p.machine.Epoch()})
 }
 
-// noteService logs when the service stops taking claims and when it resumes.
-func (p *claimPartition) noteService(err error) {
+// logStoreState logs when the service stops taking claims and when it resumes.
+func (p *claimPartition) logStoreState(err error) {
 	p.mu.Lock()
 	changed := p.stalled != (err != nil)
 	p.stalled = err != nil
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -14,18 +14,18 @@
 
 var _ = Describe("Claims", func() {
 	const (
-		a, b, c  = "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"
-		patience = 20 * time.Second
+		a, b, c     = "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"
+		testTimeout = 20 * time.Second
 	)
-	var net *fakeCluster
+	var cluster *fakeCluster
 	class := decl.Class{Name: "sync", RetryWindow: time.Minute}
 
 	BeforeEach(func() {
-		net = newFakeCluster(a, b, c)
-		net.own(a, 1)
+		cluster = newFakeCluster(a, b, c)
+		cluster.own(a, 1)
 	})
 
-	filing := func(id, body string) wire.Request {
+	newRequest := func(id, body string) wire.Request {
 		return wire.Request{
 			ID:          "attempt-" + id,
 			CallID:      id,
@@ -40,14 +40,14 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), deadline)
 			defer cancel()
-			answers <- net.nodes[via].claims.Do(ctx, filing(id, "body"), class, net.endpoint.dispatch)
+			answers <- cluster.nodes[via].claims.Do(ctx, newRequest(id, "body"), class, cluster.endpoint.dispatch)
 		}()
 		return answers
 	}
 	// ask sends and waits.
 	ask := func(via, id string, deadline time.Duration) wire.Answer {
 		var answer wire.Answer
-		Eventually(send(via, id, deadline), patience).Should(Receive(&answer))
+		Eventually(send(via, id, deadline), testTimeout).Should(Receive(&answer))
 		return answer
 	}
 	answered := func(body string) wire.Answer {
@@ -61,31 +61,31 @@
 	unknown := wire.Answer{Outcome: wire.Unknown}
 
 	It("replays a repeat through any entry and refuses another body", func() {
-		match(answered("run 1"), ask(a, "f1", patience))
-		match(answered("run 1"), ask(b, "f1", patience))
-		match(answered("run 1"), ask(c, "f1", patience))
-		Expect(net.endpoint.fences[0].Epoch).To(Equal(int64(1)))
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		match(answered("run 1"), ask(a, "f1", testTimeout))
+		match(answered("run 1"), ask(b, "f1", testTimeout))
+		match(answered("run 1"), ask(c, "f1", testTimeout))
+		Expect(cluster.endpoint.fences[0].Epoch).To(Equal(int64(1)))
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		other := net.nodes[b].claims.Do(ctx, filing("f1", "another body"), class, net.endpoint.dispatch)
+		other := cluster.nodes[b].claims.Do(ctx, newRequest("f1", "another body"), class, cluster.endpoint.dispatch)
 		Expect(other.Outcome).To(Equal(wire.NotRun))
 		Expect(other.Reason).To(Equal(wire.ReasonConflict))
-		Expect(net.endpoint.count("f1")).To(Equal(1))
+		Expect(cluster.endpoint.count("f1")).To(Equal(1))
 	})
 
 	// The caller loses patience and sends its filing again through another
 	// entry while the first one runs. Both wait for the one run.
 	It("joins a resend through another entry to the run in flight", func() {
 		gate := make(chan struct{})
-		net.endpoint.gate = gate
-		first := send(b, "f1", patience)
-		Eventually(net.endpoint.reached, patience).Should(Receive())
-		second := send(c, "f1", patience)
+		cluster.endpoint.gate = gate
+		first := send(b, "f1", testTimeout)
+		Eventually(cluster.endpoint.reached, testTimeout).Should(Receive())
+		second := send(c, "f1", testTimeout)
 		Consistently(second, 100*time.Millisecond).ShouldNot(Receive())
 		close(gate)
 		for _, answers := range []<-chan wire.Answer{first, second} {
 			var answer wire.Answer
-			Eventually(answers, patience).Should(Receive(&answer))
+			Eventually(answers, testTimeout).Should(Receive(&answer))
 			match(answered("run 1"), answer)
 		}
 	})
@@ -94,14 +94,14 @@
 	// so the caller's resend runs at the successor, once.
 	It("runs a resend once when its owner died before the write", func() {
 		gate := make(chan struct{})
-		net.store.set(func() { net.store.gate = gate })
-		send(a, "f1", patience)
-		Eventually(net.store.reached, patience).Should(Receive())
-		net.store.set(func() { net.store.gate = nil })
-		net.own(b, 2, a)
-		match(answered("run 1"), ask(c, "f1", patience))
+		cluster.store.set(func() { cluster.store.gate = gate })
+		send(a, "f1", testTimeout)
+		Eventually(cluster.store.reached, testTimeout).Should(Receive())
+		cluster.store.set(func() { cluster.store.gate = nil })
+		cluster.own(b, 2, a)
+		match(answered("run 1"), ask(c, "f1", testTimeout))
 		close(gate)
-		Consistently(func() int { return net.endpoint.count("f1") }, 200*time.Millisecond).Should(Equal(1))
+		Consistently(func() int { return cluster.endpoint.count("f1") }, 200*time.Millisecond).Should(Equal(1))
 	})
 
 	// The owner dies, or is paused, after the claim is written. The successor
@@ -109,40 +109,40 @@
 	// request reaches an endpoint that ignores fences. That is the only run.
 	It("never runs again what an old owner may have dispatched", func() {
 		gate := make(chan struct{})
-		net.endpoint.gate = gate
-		send(a, "f1", patience)
-		Eventually(net.endpoint.reached, patience).Should(Receive())
-		net.own(b, 2, a)
-		answer := ask(c, "f1", patience)
+		cluster.endpoint.gate = gate
+		send(a, "f1", testTimeout)
+		Eventually(cluster.endpoint.reached, testTimeout).Should(Receive())
+		cluster.own(b, 2, a)
+		answer := ask(c, "f1", testTimeout)
 		match(unknown, answer)
 		Expect(answer.Reason).To(Equal(wire.ReasonUnsettled))
 		close(gate)
-		Eventually(func() int { return net.endpoint.count("f1") }, patience).Should(Equal(1))
-		match(unknown, ask(b, "f1", patience))
-		Expect(net.endpoint.count("f1")).To(Equal(1))
+		Eventually(func() int { return cluster.endpoint.count("f1") }, testTimeout).Should(Equal(1))
+		match(unknown, ask(b, "f1", testTimeout))
+		Expect(cluster.endpoint.count("f1")).To(Equal(1))
 	})
 
 	// The owner was paused past its lease and does not know it. Its next
 	// commit fails on the successor's epoch; the call goes to the successor.
 	It("hands a paused owner's calls to its successor", func() {
-		net.own(b, 2, a)
-		match(answered("run 1"), ask(b, "f0", patience))
-		first := send(a, "f1", patience)
+		cluster.own(b, 2, a)
+		match(answered("run 1"), ask(b, "f0", testTimeout))
+		first := send(a, "f1", testTimeout)
 		Consistently(first, 100*time.Millisecond).ShouldNot(Receive())
-		net.own(b, 2)
+		cluster.own(b, 2)
 		var answer wire.Answer
-		Eventually(first, patience).Should(Receive(&answer))
+		Eventually(first, testTimeout).Should(Receive(&answer))
 		match(answered("run 1"), answer)
-		Expect(net.endpoint.fences[len(net.endpoint.fences)-1].Epoch).To(Equal(int64(2)))
+		Expect(cluster.endpoint.fences[len(cluster.endpoint.fences)-1].Epoch).To(Equal(int64(2)))
 	})
 
 	// The answer to the claim's write is lost, after the write or with it.
 	// Until the outcome is read nothing is dispatched; then it is, once.
 	DescribeTable("settles a write whose answer was lost", func(applied, dropped int) {
-		match(answered("run 1"), ask(a, "f0", patience))
-		net.store.set(func() { net.store.applied, net.store.dropped = applied, dropped })
-		match(answered("run 1"), ask(a, "f1", patience))
-		Expect(net.endpoint.count("f1")).To(Equal(1))
+		match(answered("run 1"), ask(a, "f0", testTimeout))
+		cluster.store.set(func() { cluster.store.applied, cluster.store.dropped = applied, dropped })
+		match(answered("run 1"), ask(a, "f1", testTimeout))
+		Expect(cluster.endpoint.count("f1")).To(Equal(1))
 	},
 		Entry("after it took effect", 1, 0),
 		Entry("before it took effect", 0, 1),
@@ -151,65 +151,65 @@
 
 	Context("in an outage of the service", func() {
 		It("refuses as not run while the lease holds, and as unknown after", func() {
-			match(answered("run 1"), ask(a, "f0", patience))
-			net.store.set(func() { net.store.down = true })
+			match(answered("run 1"), ask(a, "f0", testTimeout))
+			cluster.store.set(func() { cluster.store.down = true })
 			answer := ask(b, "f1", 2*time.Second)
 			Expect(answer.Outcome).To(Equal(wire.NotRun), answer.Detail)
 			Expect(answer.Reason).To(Equal(wire.ReasonPlatform))
-			net.nodes[a].duties.learn(a, 1, true, 0)
+			cluster.nodes[a].duties.set(a, 1, true, 0)
 			match(unknown, ask(b, "f2", time.Second))
-			match(answered("run 1"), ask(c, "f0", patience))
-			Expect(net.endpoint.count("f1")).To(BeZero())
-			Expect(net.endpoint.count("f2")).To(BeZero())
+			match(answered("run 1"), ask(c, "f0", testTimeout))
+			Expect(cluster.endpoint.count("f1")).To(BeZero())
+			Expect(cluster.endpoint.count("f2")).To(BeZero())
 		})
 
 		It("answers what was dispatched before, and records it afterwards", func() {
 			gate := make(chan struct{})
-			net.endpoint.gate = gate
-			first := send(b, "f1", patience)
-			Eventually(net.endpoint.reached, patience).Should(Receive())
-			net.store.set(func() { net.store.down = true })
+			cluster.endpoint.gate = gate
+			first := send(b, "f1", testTimeout)
+			Eventually(cluster.endpoint.reached, testTimeout).Should(Receive())
+			cluster.store.set(func() { cluster.store.down = true })
 			close(gate)
 			var answer wire.Answer
-			Eventually(first, patience).Should(Receive(&answer))
+			Eventually(first, testTimeout).Should(Receive(&answer))
 			match(answered("run 1"), answer)
-			net.store.set(func() { net.store.down = false })
-			Eventually(func() bool { return net.store.holds(`"s":"d"`) }, patience).Should(BeTrue())
-			net.own(b, 2)
-			match(answered("run 1"), ask(c, "f1", patience))
-			Expect(net.endpoint.count("f1")).To(Equal(1))
+			cluster.store.set(func() { cluster.store.down = false })
+			Eventually(func() bool { return cluster.store.holds(`"s":"d"`) }, testTimeout).Should(BeTrue())
+			cluster.own(b, 2)
+			match(answered("run 1"), ask(c, "f1", testTimeout))
+			Expect(cluster.endpoint.count("f1")).To(Equal(1))
 		})
 
 		It("says unknown while a takeover cannot read, and replays once it can", func() {
-			match(answered("run 1"), ask(a, "f1", patience))
-			Eventually(func() bool { return net.store.holds(`"s":"d"`) }, patience).Should(BeTrue())
-			net.store.set(func() { net.store.down = true })
-			net.own(b, 2)
+			match(answered("run 1"), ask(a, "f1", testTimeout))
+			Eventually(func() bool { return cluster.store.holds(`"s":"d"`) }, testTimeout).Should(BeTrue())
+			cluster.store.set(func() { cluster.store.down = true })
+			cluster.own(b, 2)
 			match(unknown, ask(c, "f1", 300*time.Millisecond))
-			net.store.set(func() { net.store.down = false })
-			match(answered("run 1"), ask(c, "f1", patience))
-			Expect(net.endpoint.count("f1")).To(Equal(1))
+			cluster.store.set(func() { cluster.store.down = false })
+			match(answered("run 1"), ask(c, "f1", testTimeout))
+			Expect(cluster.endpoint.count("f1")).To(Equal(1))
 		})
 	})
 
 	// A forward's answer is lost; the entry asks again. The first one may still
 	// be on its way, so that the owner's "not run" to the second is not final.
 	It("does not pass on a refusal while an earlier forward is open", func() {
-		net.endpoint.refuse = true
-		net.lost = 1
+		cluster.endpoint.refuse = true
+		cluster.lostReplies = 1
 		answer := ask(b, "f1", 8*time.Second)
 		Expect(answer.Outcome).To(Equal(wire.Unknown))
-		net.lost = 0
-		Expect(ask(b, "f2", patience).Outcome).To(Equal(wire.NotRun))
+		cluster.lostReplies = 0
+		Expect(ask(b, "f2", testTimeout).Outcome).To(Equal(wire.NotRun))
 	})
 
 	It("asks again when the connection to the owner is silent", func() {
-		net.unheard[a] = true
+		cluster.silent[a] = true
 		first := send(b, "f1", 3*time.Second)
 		Consistently(first, 50*time.Millisecond).ShouldNot(Receive())
-		net.own(c, 2, a)
+		cluster.own(c, 2, a)
 		var answer wire.Answer
-		Eventually(first, patience).Should(Receive(&answer))
+		Eventually(first, testTimeout).Should(Receive(&answer))
 		match(answered("run 1"), answer)
 	})
 
@@ -217,49 +217,49 @@
 	// it before it gives the duty up, and takes nothing new meanwhile.
 	It("finishes and records what it took before a graceful stop", func() {
 		gate := make(chan struct{})
-		net.endpoint.gate = gate
-		first := send(b, "f1", patience)
-		Eventually(net.endpoint.reached, patience).Should(Receive())
+		cluster.endpoint.gate = gate
+		first := send(b, "f1", testTimeout)
+		Eventually(cluster.endpoint.reached, testTimeout).Should(Receive())
 		drained := make(chan error, 1)
-		go func() { drained <- net.nodes[a].claims.Drain(context.Background()) }()
+		go func() { drained <- cluster.nodes[a].claims.Drain(context.Background()) }()
 		Consistently(drained, 100*time.Millisecond).ShouldNot(Receive())
-		second := send(b, "f2", patience)
+		second := send(b, "f2", testTimeout)
 		close(gate)
 		var answer wire.Answer
-		Eventually(first, patience).Should(Receive(&answer))
+		Eventually(first, testTimeout).Should(Receive(&answer))
 		match(answered("run 1"), answer)
-		Eventually(drained, patience).Should(Receive(BeNil()))
-		Expect(net.store.holds(`"s":"d"`)).To(BeTrue())
-		Expect(net.endpoint.count("f2")).To(BeZero())
-		net.own(c, 2)
-		Eventually(second, patience).Should(Receive(&answer))
+		Eventually(drained, testTimeout).Should(Receive(BeNil()))
+		Expect(cluster.store.holds(`"s":"d"`)).To(BeTrue())
+		Expect(cluster.endpoint.count("f2")).To(BeZero())
+		cluster.own(c, 2)
+		Eventually(second, testTimeout).Should(Receive(&answer))
 		match(answered("run 1"), answer)
-		match(answered("run 1"), ask(b, "f1", patience))
-		Expect(net.endpoint.count("f1")).To(Equal(1))
+		match(answered("run 1"), ask(b, "f1", testTimeout))
+		Expect(cluster.endpoint.count("f1")).To(Equal(1))
 	})
 
 	It("dispatches a call without a key once, and claims nothing", func() {
-		call := filing("", "body")
+		call := newRequest("", "body")
 		call.Keyed = false
-		match(answered("run 1"), net.nodes[b].claims.Do(context.Background(), call, class, net.endpoint.dispatch))
-		Expect(net.forwards).To(BeZero())
+		match(answered("run 1"), cluster.nodes[b].claims.Do(context.Background(), call, class, cluster.endpoint.dispatch))
+		Expect(cluster.forwards).To(BeZero())
 	})
 
 	// The lease still holds by this entry's clock, but the duty is being handed
 	// back: its next owner may run a repeat before this refusal is told.
 	It("refuses as unknown when the duty's keeper does not promise", func() {
-		match(answered("run 1"), ask(a, "f0", patience))
-		net.store.set(func() { net.store.down = true })
-		net.nodes[a].duties.givingUp = true
+		match(answered("run 1"), ask(a, "f0", testTimeout))
+		cluster.store.set(func() { cluster.store.down = true })
+		cluster.nodes[a].duties.refusePromises = true
 		match(unknown, ask(a, "f1", time.Second))
 	})
 
 	// The process is paused between the commit and the dispatch, for longer
 	// than the claim is kept. Its successor has forgotten the claim.
 	It("dispatches nothing after the deadline", func() {
-		answer := dispatchInTime(context.Background(), filing("f1", "body"), time.Now(), net.endpoint.dispatch)
+		answer := dispatchBeforeDeadline(context.Background(), newRequest("f1", "body"), time.Now(), cluster.endpoint.dispatch)
 		Expect(answer.Outcome).To(Equal(wire.NotRun))
-		Expect(net.endpoint.count("f1")).To(BeZero())
+		Expect(cluster.endpoint.count("f1")).To(BeZero())
 		Expect(claims.RefusalAsUnknown(answer).Outcome).To(Equal(wire.Unknown))
 	})
 })
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -22,9 +22,9 @@
 	// maxBodyBytes is the largest request body of any service; a service may
 	// declare a smaller one.
 	maxBodyBytes = 8 << 20
-	// leaveNotice is how long a stopping entry still answers new connections,
+	// shutdownDelay is how long a stopping entry still answers new connections,
 	// so that the balancer sees it unready before it refuses.
-	leaveNotice = time.Second
+	shutdownDelay = time.Second
 )
 
 // Endpoint is one endpoint as the entry reaches it, through its agent.
@@ -121,16 +121,16 @@
 	settings settings.Settings
 	log      *logrus.Logger
 	metrics  metrics.Registry
-	parts    Dependencies
+	deps     Dependencies
 	http     *fasthttp.Server
 	leaving  atomic.Bool
-	active   atomic.Int64            // callers' requests being served
-	callers  atomic.Pointer[callers] // of the deployment in force when one was last asked for
+	active   atomic.Int64                // callers' requests being served
+	callers  atomic.Pointer[callerIndex] // of the deployment in force when one was last asked for
 }
 
 // New prepares an entry's callers' side.
-func New(s settings.Settings, log *logrus.Logger, registry metrics.Registry, parts Dependencies) *Server {
-	e := &Server{settings: s, log: log, metrics: registry, parts: parts}
+func New(s settings.Settings, log *logrus.Logger, registry metrics.Registry, deps Dependencies) *Server {
+	e := &Server{settings: s, log: log, metrics: registry, deps: deps}
 	e.http = &fasthttp.Server{
 		Handler:               e.handle,
 		ErrorHandler:          e.badRequest,
@@ -147,7 +147,7 @@
 // Ready tells whether the entry takes callers: it holds a configuration and is
 // not leaving.
 func (e *Server) Ready() bool {
-	return !e.leaving.Load() && e.parts.Config.Current() != nil
+	return !e.leaving.Load() && e.deps.Config.Current() != nil
 }
 
 // Leaving tells whether a graceful stop has begun.
@@ -164,7 +164,7 @@
 	<-ctx.Done()
 	e.leaving.Store(true)
 	events.EntryLeaving.Log(e.log, logrus.Fields{"active": e.active.Load()})
-	time.Sleep(leaveNotice)
+	time.Sleep(shutdownDelay)
 	stopCtx, cancel := context.WithTimeout(context.Background(), e.settings.StopTimeout)
 	defer cancel()
 	if err := e.http.ShutdownWithContext(stopCtx); err != nil {
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -14,16 +14,16 @@
 	req.Rollout = true
 	req.Idempotent = true
 	req.Fingerprint = fingerprint(req)
-	if e.parts.Quarantine.Blocked(req.Service, req.Fingerprint) {
-		return quarantined()
+	if e.deps.Quarantine.Blocked(req.Service, req.Fingerprint) {
+		return quarantinedAnswer()
 	}
-	e.parts.Retries.Earn(req.Principal.Business)
+	e.deps.Retries.Earn(req.Principal.Business)
 	return e.runStream(ctx, call{req: req}, onTokens)
 }
 
 // ImportCache implements CacheMover.
 func (e *Server) ImportCache(ctx context.Context, to string, req wire.ImportRequest) (wire.ImportReply, error) {
-	ep, ok := e.parts.Picker.Find(to)
+	ep, ok := e.deps.Picker.Find(to)
 	if !ok {
 		return wire.ImportReply{}, ErrNotSent
 	}
@@ -37,10 +37,10 @@
 // Call implements Caller for requests of the entry's own, such as scoring.
 func (e *Server) Call(ctx context.Context, req wire.Request) wire.Answer {
 	req.Fingerprint = fingerprint(req)
-	if e.parts.Quarantine.Blocked(req.Service, req.Fingerprint) {
-		return quarantined()
+	if e.deps.Quarantine.Blocked(req.Service, req.Fingerprint) {
+		return quarantinedAnswer()
 	}
-	e.parts.Retries.Earn(req.Principal.Business)
+	e.deps.Retries.Earn(req.Principal.Business)
 	c := call{req: req, plain: true, class: decl.Class{Name: req.Class, Service: req.Service, Idempotent: req.Idempotent}}
 	if req.Idempotent {
 		return e.runIdempotent(ctx, c)
@@ -48,7 +48,7 @@
 	return e.dispatchOnce(ctx, req)
 }
 
-func quarantined() wire.Answer {
+func quarantinedAnswer() wire.Answer {
 	return wire.Answer{
 		Outcome: wire.NotRun,
 		Reason:  wire.ReasonQuarantined,
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -21,9 +21,9 @@
 	if e.serveHealth(ctx) {
 		return
 	}
-	known := e.callersNow()
+	known := e.currentCallers()
 	if known == nil {
-		problemOf(e.notReadyFor(ctx)).write(ctx)
+		problemOf(e.notReadyAnswerFor(ctx)).write(ctx)
 		return
 	}
 	c, faults := readCall(ctx, known, time.Now())
@@ -36,19 +36,19 @@
 		e.serveStream(ctx, c)
 		return
 	}
-	e.serveWhole(ctx, c)
+	e.serveNonStreaming(ctx, c)
 }
 
-// notReadyFor refuses a request before a configuration is known. A repeat of a
+// notReadyAnswerFor refuses a request before a configuration is known. A repeat of a
 // keyed request may have run before, and only its claim could tell.
-func (e *Server) notReadyFor(ctx *fasthttp.RequestCtx) wire.Answer {
+func (e *Server) notReadyAnswerFor(ctx *fasthttp.RequestCtx) wire.Answer {
 	if len(ctx.Request.Header.Peek(headerIdempotencyKey)) > 0 {
-		return claims.RefusalAsUnknown(notReady())
+		return claims.RefusalAsUnknown(notReadyAnswer())
 	}
-	return notReady()
+	return notReadyAnswer()
 }
 
-func notReady() wire.Answer {
+func notReadyAnswer() wire.Answer {
 	return wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNotReady, Detail: "no configuration is in force yet", RetryAfter: time.Second}
 }
 
@@ -79,14 +79,14 @@
 	refused(status, err.Error()).write(ctx)
 }
 
-// serveWhole serves a request that is answered in one piece.
-func (e *Server) serveWhole(ctx *fasthttp.RequestCtx, c call) {
-	begun := time.Now()
+// serveNonStreaming serves a request that is answered in one piece.
+func (e *Server) serveNonStreaming(ctx *fasthttp.RequestCtx, c call) {
+	start := time.Now()
 	callCtx, cancel := context.WithTimeout(context.Background(), c.req.Remaining)
 	defer cancel()
 	answer := e.execute(callCtx, c)
 	answer.RetryAfter = defaultRetryAfter(answer)
-	e.count(c, answer, time.Since(begun))
+	e.count(c, answer, time.Since(start))
 	if answer.Outcome != wire.Answered {
 		problemOf(answer).write(ctx)
 		return
@@ -109,23 +109,23 @@
 // false. Its claim knows.
 func (e *Server) execute(ctx context.Context, c call) wire.Answer {
 	once := c.plain && !c.class.Idempotent
-	if !once && e.parts.Quarantine.Blocked(c.req.Service, c.req.Fingerprint) {
-		return quarantined()
+	if !once && e.deps.Quarantine.Blocked(c.req.Service, c.req.Fingerprint) {
+		return quarantinedAnswer()
 	}
-	e.parts.Retries.Earn(c.req.Principal.Business)
+	e.deps.Retries.Earn(c.req.Principal.Business)
 	if !c.plain {
 		return e.complete(ctx, c)
 	}
 	if c.class.Idempotent {
 		return e.runIdempotent(ctx, c)
 	}
-	return e.parts.Claimer.Do(ctx, c.req, c.class, e.dispatchOnce)
+	return e.deps.Claimer.Do(ctx, c.req, c.class, e.dispatchOnce)
 }
 
 // complete assembles a completion from its stream, so that a whole answer too
 // survives the loss of its engine and names the versions that produced it.
 func (e *Server) complete(ctx context.Context, c call) wire.Answer {
-	var s assembled
+	var s completionBuilder
 	answer := e.runStream(ctx, c, s.add)
 	if answer.Outcome != wire.Answered || answer.Status != fasthttp.StatusOK {
 		return answer
@@ -140,14 +140,14 @@
 	return answer
 }
 
-// assembled is a completion put together from a stream's tokens.
-type assembled struct {
+// completionBuilder is a completion put together from a stream's tokens.
+type completionBuilder struct {
 	text     []byte
 	tokens   int
 	segments []wire.Segment
 }
 
-func (s *assembled) add(reply wire.ReadReply) {
+func (s *completionBuilder) add(reply wire.ReadReply) {
 	for i, token := range reply.Tokens {
 		s.text = append(s.text, token...)
 		s.label(reply.Versions[i])
@@ -156,7 +156,7 @@
 }
 
 // label extends the last segment or begins a new one at the present token.
-func (s *assembled) label(version int64) {
+func (s *completionBuilder) label(version int64) {
 	if n := len(s.segments); n > 0 && s.segments[n-1].Version == version {
 		s.segments[n-1].To = s.tokens + 1
 		return
@@ -164,7 +164,7 @@
 	s.segments = append(s.segments, wire.Segment{Version: version, From: s.tokens, To: s.tokens + 1})
 }
 
-func (s *assembled) completion(c call, finish string) engineapi.Completion {
+func (s *completionBuilder) completion(c call, finish string) engineapi.Completion {
 	out := engineapi.Completion{
 		ID:      ulid.Make().String(),
 		Object:  "text_completion",
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -20,14 +20,14 @@
 const methodExchange = wire.PoisonService + ".Exchange"
 
 const (
-	// exchangeLimit bounds one exchange with a peer; a caller waits for it.
-	exchangeLimit = 100 * time.Millisecond
-	// suspectWait is the pause before a suspect looks at the peers again.
-	suspectWait = 20 * time.Millisecond
-	// followLimit bounds the wait for an endpoint that a copy should follow
+	// exchangeTimeout bounds one exchange with a peer; a caller waits for it.
+	exchangeTimeout = 100 * time.Millisecond
+	// suspectRetryDelay is the pause before a suspect looks at the peers again.
+	suspectRetryDelay = 20 * time.Millisecond
+	// followTimeout bounds the wait for an endpoint that a copy should follow
 	// another to and that takes no work: it leaves, or the news of the other
 	// copy's end was lost. A crash is known by then.
-	followLimit = 500 * time.Millisecond
+	followTimeout = 500 * time.Millisecond
 )
 
 // PoisonPeers reaches the other entries.
@@ -44,10 +44,10 @@
 	peers PoisonPeers
 	log   *logrus.Logger
 
-	mu       sync.Mutex
-	registry *poison.Registry
-	outboxes map[string]*outbox // by address of the peer
-	relayed  map[poison.ID]bool // told to every entry by this one, a home
+	mu           sync.Mutex
+	registry     *poison.Registry
+	outboxes     map[string]*outbox // by address of the peer
+	broadcasting map[poison.ID]bool // told to every entry by this one, a home
 }
 
 var _ Quarantine = (*PoisonQuarantine)(nil)
@@ -55,12 +55,12 @@
 // NewPoisonQuarantine returns a guard that suspects nothing.
 func NewPoisonQuarantine(self string, peers PoisonPeers, log *logrus.Logger) *PoisonQuarantine {
 	return &PoisonQuarantine{
-		self:     self,
-		peers:    peers,
-		log:      log,
-		registry: poison.New(poison.DefaultConfig(), self),
-		outboxes: map[string]*outbox{},
-		relayed:  map[poison.ID]bool{},
+		self:         self,
+		peers:        peers,
+		log:          log,
+		registry:     poison.New(poison.DefaultConfig(), self),
+		outboxes:     map[string]*outbox{},
+		broadcasting: map[poison.ID]bool{},
 	}
 }
 
@@ -83,17 +83,17 @@
 	since := time.Now()
 	for {
 		v.waited = time.Since(since)
-		switch g.begin(v, &a) {
-		case entered:
+		switch g.tryStart(v, &a) {
+		case admittedCopy:
 			return a, wire.Answer{}, true
-		case barred:
-			return a, quarantined(), false
-		case suspected:
-			if g.startAlone(ctx, v, &a) {
+		case blockedRequest:
+			return a, quarantinedAnswer(), false
+		case suspectRequest:
+			if g.startSuspect(ctx, v, &a) {
 				return a, wire.Answer{}, true
 			}
 		}
-		pause(ctx, suspectWait)
+		sleep(ctx, suspectRetryDelay)
 		if ctx.Err() != nil {
 			return a, wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonDeadline, Detail: "another copy of this request runs, or where it may run is down"}, false
 		}
@@ -101,56 +101,56 @@
 }
 
 // entering is how an attempt to enter ended.
-type entering int
+type admitResult int
 
 const (
-	entered entering = iota
-	barred
-	suspected // ask the peers first
-	delayed   // none of the endpoints where it may run is usable
+	admittedCopy admitResult = iota
+	blockedRequest
+	suspectRequest   // ask the peers first
+	noUsableEndpoint // none of the endpoints where it may run is usable
 )
 
 // begin counts a copy that may run freely.
-func (g *PoisonQuarantine) begin(v RequestCopy, a *Admission) entering {
+func (g *PoisonQuarantine) tryStart(v RequestCopy, a *Admission) admitResult {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	switch g.verdict(idOf(v)) {
+	switch g.verdict(requestID(v)) {
 	case poison.Blocked:
-		return barred
+		return blockedRequest
 	case poison.Alone:
-		return suspected
+		return suspectRequest
 	}
-	if !g.admit(v, a) {
-		return delayed
+	if !g.startAtAllowed(v, a) {
+		return noUsableEndpoint
 	}
-	return entered
+	return admittedCopy
 }
 
 // admit begins the copy at an endpoint where it may run. The caller holds the
 // lock.
-func (g *PoisonQuarantine) admit(v RequestCopy, a *Admission) bool {
+func (g *PoisonQuarantine) startAtAllowed(v RequestCopy, a *Admission) bool {
 	now := time.Now()
-	endpoint, ok := g.choose(now, v)
+	endpoint, ok := g.chooseEndpoint(now, v)
 	if !ok {
 		return false
 	}
 	a.Endpoint = endpoint
-	if news, some := g.registry.StartCopy(now, idOf(v), v.place(endpoint)); some {
-		g.tellPlacement(news)
+	if placement, ok := g.registry.StartCopy(now, requestID(v), v.placementEndpoint(endpoint)); ok {
+		g.announcePlacement(placement)
 	}
 	return true
 }
 
 // choose keeps the endpoint that the copy wants if it may run there. A hedge may
 // open a second endpoint: one beside the slow one would be as slow.
-func (g *PoisonQuarantine) choose(now time.Time, v RequestCopy) (string, bool) {
-	id := idOf(v)
-	allowed, firm := g.registry.AllowedEndpoints(now, id)
-	free := g.verdict(id) == poison.Unrestricted
+func (g *PoisonQuarantine) chooseEndpoint(now time.Time, v RequestCopy) (string, bool) {
+	id := requestID(v)
+	allowed, exclusive := g.registry.AllowedEndpoints(now, id)
+	unrestricted := g.verdict(id) == poison.Unrestricted
 	switch {
 	case len(allowed) == 0 || slices.Contains(allowed, v.Endpoint):
 		return v.Endpoint, true
-	case free && (v.Rollout || v.Hedge && len(allowed) == 1):
+	case unrestricted && (v.Rollout || v.Hedge && len(allowed) == 1):
 		return v.Endpoint, true
 	}
 	for _, endpoint := range allowed {
@@ -158,36 +158,36 @@
 			return endpoint, true
 		}
 	}
-	return v.Endpoint, !firm && v.waited > followLimit
+	return v.Endpoint, !exclusive && v.waited > followTimeout
 }
 
-func idOf(v RequestCopy) poison.ID {
+func requestID(v RequestCopy) poison.ID {
 	return poison.ID{Service: v.Service, Fingerprint: v.Fingerprint}
 }
 
 // place names the endpoint for others to follow. A sample that the scheduler
 // moves begins on its new engine before its old copy has ended; bound to that, it
 // could not move.
-func (v RequestCopy) place(endpoint string) string {
+func (v RequestCopy) placementEndpoint(endpoint string) string {
 	if v.Rollout {
 		return ""
 	}
 	return endpoint
 }
 
-// startAlone begins a suspect unless any entry runs a copy of it.
-func (g *PoisonQuarantine) startAlone(ctx context.Context, v RequestCopy, a *Admission) bool {
-	id := idOf(v)
+// startSuspect begins a suspect unless any entry runs a copy of it.
+func (g *PoisonQuarantine) startSuspect(ctx context.Context, v RequestCopy, a *Admission) bool {
+	id := requestID(v)
 	g.mu.Lock()
-	waits := g.registry.Reserve(id)
+	reserved := g.registry.Reserve(id)
 	g.mu.Unlock()
-	if !waits {
+	if !reserved {
 		return false
 	}
-	busy := g.ask(ctx, id)
+	busy := g.exchangeWithAll(ctx, id)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if busy || g.verdict(id) != poison.Alone || !g.registry.Reserved(id) || !g.admit(v, a) {
+	if busy || g.verdict(id) != poison.Alone || !g.registry.Reserved(id) || !g.startAtAllowed(v, a) {
 		g.registry.CancelReservation(id)
 		return false
 	}
@@ -200,8 +200,8 @@
 func (g *PoisonQuarantine) EndCopy(v RequestCopy, endpoint string, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if news, some := g.registry.EndCopy(time.Now(), idOf(v), v.place(endpoint), answered); some {
-		g.tellPlacement(news)
+	if placement, ok := g.registry.EndCopy(time.Now(), requestID(v), v.placementEndpoint(endpoint), answered); ok {
+		g.announcePlacement(placement)
 	}
 }
 
@@ -209,18 +209,18 @@
 // it, as far as they can be reached: the caller hears of the crash after that,
 // so that its resend through another entry does not overtake the suspicion.
 func (g *PoisonQuarantine) ReportCrash(s wire.Suspicion) {
-	g.learn([]wire.Suspicion{s}, nil)
-	g.ask(context.Background(), poison.ID{})
+	g.merge([]wire.Suspicion{s}, nil)
+	g.exchangeWithAll(context.Background(), poison.ID{})
 }
 
 // ApplyHeartbeat takes in what a heartbeat tells.
 func (g *PoisonQuarantine) ApplyHeartbeat(suspicions []wire.Suspicion, entries []wire.QuarantineEntry) {
 	if len(suspicions) > 0 || len(entries) > 0 {
-		g.learn(suspicions, entries)
+		g.merge(suspicions, entries)
 	}
 }
 
-func (g *PoisonQuarantine) learn(suspicions []wire.Suspicion, entries []wire.QuarantineEntry) {
+func (g *PoisonQuarantine) merge(suspicions []wire.Suspicion, entries []wire.QuarantineEntry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -251,20 +251,20 @@
 	released := g.registry.Release(time.Now(), fingerprint)
 	g.mu.Unlock()
 	if released {
-		g.ask(context.Background(), poison.ID{})
+		g.exchangeWithAll(context.Background(), poison.ID{})
 	}
 	return released
 }
 
 // ask exchanges knowledge with every other entry and tells whether one of them
 // runs the request. A peer that cannot be reached is taken for gone.
-func (g *PoisonQuarantine) ask(ctx context.Context, id poison.ID) bool {
-	request := g.exchange(id)
+func (g *PoisonQuarantine) exchangeWithAll(ctx context.Context, id poison.ID) bool {
+	request := g.newExchange(id)
 	busy := make(chan bool, 1)
 	var group errgroup.Group
 	for _, peer := range g.peers.Others() {
 		group.Go(func() error {
-			if g.askPeer(ctx, peer.Address, request) {
+			if g.exchangeWith(ctx, peer.Address, request) {
 				select {
 				case busy <- true:
 				default:
@@ -277,7 +277,7 @@
 	return len(busy) > 0
 }
 
-func (g *PoisonQuarantine) exchange(id poison.ID) wire.PoisonExchange {
+func (g *PoisonQuarantine) newExchange(id poison.ID) wire.PoisonExchange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return wire.PoisonExchange{
@@ -289,15 +289,15 @@
 	}
 }
 
-// askPeer asks twice, the second time over a new connection.
-func (g *PoisonQuarantine) askPeer(ctx context.Context, address string, request wire.PoisonExchange) bool {
+// exchangeWith asks twice, the second time over a new connection.
+func (g *PoisonQuarantine) exchangeWith(ctx context.Context, address string, request wire.PoisonExchange) bool {
 	for _, fresh := range []bool{false, true} {
-		limited, cancel := context.WithTimeout(ctx, exchangeLimit)
+		limited, cancel := context.WithTimeout(ctx, exchangeTimeout)
 		var reply wire.PoisonExchange
 		err := g.peers.CallPeer(limited, address, fresh, methodExchange, request, &reply)
 		cancel()
 		if err == nil {
-			g.learn(reply.Suspects, reply.Quarantine)
+			g.merge(reply.Suspects, reply.Quarantine)
 			return reply.Busy
 		}
 		if errors.Is(err, ErrNotSent) {
@@ -308,17 +308,17 @@
 }
 
 // PoisonServer answers exchanges; register it under wire.PoisonService.
-type PoisonServer struct{ guard *PoisonQuarantine }
+type PoisonServer struct{ quarantine *PoisonQuarantine }
 
 // Server returns the net/rpc service of the guard.
-func (g *PoisonQuarantine) Server() *PoisonServer { return &PoisonServer{guard: g} }
+func (g *PoisonQuarantine) Server() *PoisonServer { return &PoisonServer{quarantine: g} }
 
 // Exchange takes in what another entry knows and returns what this one does.
 func (s *PoisonServer) Exchange(request wire.PoisonExchange, reply *wire.PoisonExchange) error {
-	g := s.guard
-	g.learn(request.Suspects, request.Quarantine)
+	g := s.quarantine
+	g.merge(request.Suspects, request.Quarantine)
 	id := poison.ID{Service: request.Service, Fingerprint: request.Fingerprint}
-	*reply = g.exchange(id)
+	*reply = g.newExchange(id)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	reply.Busy = id != poison.ID{} && g.registry.Busy(id, request.From)
--- a/internal/entry/quarantine_place.go
+++ b/internal/entry/quarantine_placement.go
@@ -12,17 +12,17 @@
 
 const methodPlace = wire.PoisonService + ".Place"
 
-// maxPlacements bounds what waits for one peer. What is beyond is not told: a
+// maxPendingPlacements bounds what waits for one peer. What is beyond is not told: a
 // peer that does not answer would fill the memory.
-const maxPlacements = 10_000
+const maxPendingPlacements = 10_000
 
 const (
-	// placementPeers is up to how many other entries each hears of every copy. In
+	// maxBroadcastPeers is up to how many other entries each hears of every copy. In
 	// a fleet of hundreds that would be the larger part of an entry's work; there
 	// the request's home hears of it alone, and tells all once it has two copies.
-	placementPeers = 16
-	// placementPause lets news for one peer gather while its requests are many.
-	placementPause = 2 * time.Millisecond
+	maxBroadcastPeers = 16
+	// placementSendDelay lets news for one peer gather while its requests are many.
+	placementSendDelay = 2 * time.Millisecond
 )
 
 // outbox is what one peer has yet to be told. Nobody waits for it: a caller's
@@ -32,24 +32,24 @@
 	sending bool
 }
 
-// tellPlacement passes the news of a copy here on. The caller holds the lock.
-func (g *PoisonQuarantine) tellPlacement(news wire.Placement) {
+// announcePlacement passes the news of a copy here on. The caller holds the lock.
+func (g *PoisonQuarantine) announcePlacement(placement wire.Placement) {
 	others := g.peers.Others()
-	if len(others) <= placementPeers {
-		g.post(others, news)
+	if len(others) <= maxBroadcastPeers {
+		g.post(others, placement)
 		return
 	}
-	if home := g.home(others, news.Fingerprint); home != nil {
-		g.post([]kv.Instance{*home}, news)
+	if coordinator := g.coordinator(others, placement.Fingerprint); coordinator != nil {
+		g.post([]kv.Instance{*coordinator}, placement)
 		return
 	}
-	g.relay(others, news)
+	g.broadcastCopies(others, placement)
 }
 
 // home returns the entry that hears of every copy of the request, nil if that
 // is this one. All entries that know the same list find the same. While the list
 // names one that is lost, copies of its requests are not followed.
-func (g *PoisonQuarantine) home(others []kv.Instance, fingerprint uint64) *kv.Instance {
+func (g *PoisonQuarantine) coordinator(others []kv.Instance, fingerprint uint64) *kv.Instance {
 	var best *kv.Instance
 	most := rendezvous.Weight(fingerprint, rendezvous.Key(g.self))
 	for i := range others {
@@ -63,22 +63,22 @@
 // relay tells every entry of a request that has two copies or more: the third
 // must follow them. One with a single copy at a time, as nearly all are, costs
 // its home two messages. The caller holds the lock.
-func (g *PoisonQuarantine) relay(others []kv.Instance, news wire.Placement) {
-	id := poison.ID{Service: news.Service, Fingerprint: news.Fingerprint}
+func (g *PoisonQuarantine) broadcastCopies(others []kv.Instance, placement wire.Placement) {
+	id := poison.ID{Service: placement.Service, Fingerprint: placement.Fingerprint}
 	copies := g.registry.Placements(id)
 	switch {
-	case g.relayed[id]:
-		g.post(others, relayed(news)...)
+	case g.broadcasting[id]:
+		g.post(others, markRelayed(placement)...)
 		if len(copies) == 0 {
-			delete(g.relayed, id)
+			delete(g.broadcasting, id)
 		}
 	case len(copies) > 1:
-		g.relayed[id] = true
-		g.post(others, relayed(copies...)...)
+		g.broadcasting[id] = true
+		g.post(others, markRelayed(copies...)...)
 	}
 }
 
-func relayed(all ...wire.Placement) []wire.Placement {
+func markRelayed(all ...wire.Placement) []wire.Placement {
 	for i := range all {
 		all[i].Relayed = true
 	}
@@ -86,17 +86,17 @@
 }
 
 // post puts news into the peers' outboxes. The caller holds the lock.
-func (g *PoisonQuarantine) post(peers []kv.Instance, news ...wire.Placement) {
+func (g *PoisonQuarantine) post(peers []kv.Instance, placements ...wire.Placement) {
 	for _, peer := range peers {
 		box := g.outboxes[peer.Address]
 		if box == nil {
 			box = &outbox{}
 			g.outboxes[peer.Address] = box
 		}
-		if len(box.pending) >= maxPlacements {
+		if len(box.pending) >= maxPendingPlacements {
 			continue
 		}
-		box.pending = append(box.pending, news...)
+		box.pending = append(box.pending, placements...)
 		if !box.sending {
 			box.sending = true
 			go g.sendPlacements(peer.Address, box)
@@ -108,42 +108,42 @@
 // meanwhile, until nothing is left.
 func (g *PoisonQuarantine) sendPlacements(address string, box *outbox) {
 	for {
-		news := g.takePlacements(address, box)
-		if len(news) == 0 {
+		placements := g.drainOutbox(address, box)
+		if len(placements) == 0 {
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), exchangeLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
 		var none struct{}
 		// News that is lost binds nobody, or for PlacedFor at most.
-		_ = g.peers.CallPeer(ctx, address, false, methodPlace, news, &none)
+		_ = g.peers.CallPeer(ctx, address, false, methodPlace, placements, &none)
 		cancel()
-		time.Sleep(placementPause)
+		time.Sleep(placementSendDelay)
 	}
 }
 
-func (g *PoisonQuarantine) takePlacements(address string, box *outbox) []wire.Placement {
+func (g *PoisonQuarantine) drainOutbox(address string, box *outbox) []wire.Placement {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	news := box.pending
+	placements := box.pending
 	box.pending = nil
-	if len(news) == 0 {
+	if len(placements) == 0 {
 		box.sending = false
 		delete(g.outboxes, address)
 	}
-	return news
+	return placements
 }
 
 // Place takes in where copies of requests run through another entry.
-func (s *PoisonServer) Place(news []wire.Placement, _ *struct{}) error {
-	g := s.guard
+func (s *PoisonServer) Place(placements []wire.Placement, _ *struct{}) error {
+	g := s.quarantine
 	others := g.peers.Others()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	for _, p := range news {
+	for _, p := range placements {
 		g.registry.RecordPlacement(now, p)
-		if !p.Relayed && len(others) > placementPeers {
-			g.relay(others, p)
+		if !p.Relayed && len(others) > maxBroadcastPeers {
+			g.broadcastCopies(others, p)
 		}
 	}
 	return nil
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -58,7 +58,7 @@
 }
 
 // readCall reads a caller's request against the configuration in force.
-func readCall(ctx *fasthttp.RequestCtx, from *callers, now time.Time) (call, *findings) {
+func readCall(ctx *fasthttp.RequestCtx, from *callerIndex, now time.Time) (call, *findings) {
 	var c call
 	f := &findings{}
 	deployment := from.deployment
--- a/internal/entry/request_test.go
+++ b/internal/entry/request_test.go
@@ -49,7 +49,7 @@
 func read(raw string) (call, *findings) {
 	ctx, err := parse(raw)
 	Expect(err).NotTo(HaveOccurred())
-	return readCall(ctx, callersOf(testDeployment()), time.Now())
+	return readCall(ctx, newCallerIndex(testDeployment()), time.Now())
 }
 
 func request(line, headers, body string) string {
@@ -113,7 +113,7 @@
 		if err != nil {
 			return
 		}
-		c, faults := readCall(ctx, callersOf(testDeployment()), time.Now())
+		c, faults := readCall(ctx, newCallerIndex(testDeployment()), time.Now())
 		if faults.status == 0 && (c.class.Name == "" || c.req.Remaining <= 0 || c.req.CallID == "") {
 			t.Fatalf("accepted without class, time or id: %+v", c.req)
 		}
--- a/internal/entry/retry.go
+++ b/internal/entry/retry.go
@@ -8,9 +8,9 @@
 )
 
 // visit is one attempt's outcome with where it was made.
-type visit struct {
-	answer wire.Answer
-	took   time.Duration
+type attemptResult struct {
+	answer  wire.Answer
+	latency time.Duration
 }
 
 // runIdempotent runs a request that may be repeated: over several endpoints if
@@ -18,39 +18,39 @@
 func (e *Server) runIdempotent(ctx context.Context, c call) wire.Answer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &attempts{entry: e, call: c, results: make(chan visit, maxAttempts)}
+	r := &attempts{entry: e, call: c, results: make(chan attemptResult, maxAttempts)}
 	if !r.launch(ctx, false) {
 		return r.last
 	}
-	hedge := hedgeTimer(e.parts.Hedge.Delay(c.class.Name))
+	hedge := hedgeTimer(e.deps.Hedge.Delay(c.class.Name))
 	defer hedge.Stop()
 	for {
 		select {
 		case v := <-r.results:
-			r.open--
-			if r.settle(ctx, v) {
+			r.inFlight--
+			if r.handleResult(ctx, v) {
 				return v.answer
 			}
-			if r.open == 0 {
+			if r.inFlight == 0 {
 				return r.last
 			}
 		case <-hedge.C:
-			r.hedge(ctx)
+			r.launchHedge(ctx)
 		case <-ctx.Done():
-			return r.expired()
+			return r.deadlineAnswer()
 		}
 	}
 }
 
 // attempts are the tries of one idempotent request.
 type attempts struct {
-	entry   *Server
-	call    call
-	tried   []string
-	open    int
-	suspect bool
-	last    wire.Answer
-	results chan visit
+	entry    *Server
+	call     call
+	tried    []string
+	inFlight int
+	suspect  bool
+	last     wire.Answer
+	results  chan attemptResult
 }
 
 // launch starts an attempt on an endpoint not tried yet.
@@ -58,7 +58,7 @@
 	if len(r.tried) >= maxAttempts {
 		return false
 	}
-	ep, ok := r.entry.parts.Picker.Pick(r.call.req.Service, r.call.req.Principal.Business, r.call.prefix, r.tried)
+	ep, ok := r.entry.deps.Picker.Pick(r.call.req.Service, r.call.req.Principal.Business, r.call.prefix, r.tried)
 	if !ok {
 		if len(r.tried) == 0 {
 			r.last = wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service can be reached"}
@@ -66,32 +66,32 @@
 		return false
 	}
 	r.tried = append(r.tried, ep.ID())
-	r.open++
+	r.inFlight++
 	req := r.call.req
 	req.Suspect = r.suspect
 	go func() {
-		begun := time.Now()
+		start := time.Now()
 		answer := r.entry.attempt(ctx, ep, req, hedge)
-		r.results <- visit{answer: answer, took: time.Since(begun)}
+		r.results <- attemptResult{answer: answer, latency: time.Since(start)}
 	}()
 	return true
 }
 
 // settle takes an attempt's outcome and tells whether it is the final answer.
-func (r *attempts) settle(ctx context.Context, v visit) bool {
+func (r *attempts) handleResult(ctx context.Context, v attemptResult) bool {
 	if v.answer.Outcome == wire.Answered {
-		r.entry.parts.Hedge.Observe(r.call.class.Name, v.took)
+		r.entry.deps.Hedge.Observe(r.call.class.Name, v.latency)
 		return true
 	}
 	r.last = v.answer
 	if v.answer.Reason == wire.ReasonCrashed {
 		r.suspect = true
 	}
-	if r.entry.parts.Quarantine.Blocked(r.call.req.Service, r.call.req.Fingerprint) {
-		return r.open == 0
+	if r.entry.deps.Quarantine.Blocked(r.call.req.Service, r.call.req.Fingerprint) {
+		return r.inFlight == 0
 	}
 	if !r.mayRetry(v.answer) {
-		return r.open == 0
+		return r.inFlight == 0
 	}
 	r.launch(ctx, false)
 	return false
@@ -102,21 +102,21 @@
 // would multiply an overload.
 func (r *attempts) mayRetry(a wire.Answer) bool {
 	if a.Outcome == wire.NotRun {
-		return elsewhere(a.Reason)
+		return retryableElsewhere(a.Reason)
 	}
 	if a.Reason == wire.ReasonDeadline {
 		return false
 	}
-	return r.entry.parts.Retries.Spend(r.call.req.Principal.Business)
+	return r.entry.deps.Retries.Spend(r.call.req.Principal.Business)
 }
 
-func (r *attempts) hedge(ctx context.Context) {
-	if r.entry.parts.Retries.Spend(r.call.req.Principal.Business) {
+func (r *attempts) launchHedge(ctx context.Context) {
+	if r.entry.deps.Retries.Spend(r.call.req.Principal.Business) {
 		r.launch(ctx, true)
 	}
 }
 
-func (r *attempts) expired() wire.Answer {
+func (r *attempts) deadlineAnswer() wire.Answer {
 	return wire.Answer{Outcome: wire.Unknown, Reason: wire.ReasonDeadline, Detail: "the deadline passed"}
 }
 
--- a/internal/entry/budget.go
+++ b/internal/entry/retry_policy.go
@@ -11,15 +11,15 @@
 // RetryPolicy runs the retry budget and the hedging policy under one lock. It
 // implements RetryBudget and Hedger.
 type RetryPolicy struct {
-	mu     sync.Mutex
-	budget *retry.Budget
-	hedge  *retry.Hedge
-	at     map[string]float64 // hedge quantile by class
+	mu             sync.Mutex
+	budget         *retry.Budget
+	hedge          *retry.Hedge
+	hedgeQuantiles map[string]float64 // hedge quantile by class
 }
 
 // NewRetryPolicy returns budgets of default shares; Configure brings the declared ones.
 func NewRetryPolicy() *RetryPolicy {
-	return &RetryPolicy{budget: retry.NewBudget(), hedge: retry.NewHedge(), at: map[string]float64{}}
+	return &RetryPolicy{budget: retry.NewBudget(), hedge: retry.NewHedge(), hedgeQuantiles: map[string]float64{}}
 }
 
 // Configure puts a deployment's budgets and hedge quantiles in force.
@@ -29,9 +29,9 @@
 	for _, b := range d.Businesses {
 		r.budget.SetRatio(b.Name, b.RetryBudget)
 	}
-	r.at = map[string]float64{}
+	r.hedgeQuantiles = map[string]float64{}
 	for _, c := range d.Classes {
-		r.at[c.Name] = c.HedgeAt
+		r.hedgeQuantiles[c.Name] = c.HedgeAt
 	}
 }
 
@@ -53,7 +53,7 @@
 func (r *RetryPolicy) Delay(class string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delay, ok := r.hedge.Delay(class, r.at[class])
+	delay, ok := r.hedge.Delay(class, r.hedgeQuantiles[class])
 	if !ok {
 		return 0
 	}
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -17,10 +17,10 @@
 const (
 	// readWait is how long an agent holds a read while there are no tokens.
 	readWait = 2 * time.Second
-	// rolloutGather is how long an agent gathers a rollout's tokens. Nobody
+	// rolloutCoalesceDelay is how long an agent gathers a rollout's tokens. Nobody
 	// waits for each of them, and a read a token would be most of what a token
 	// costs; what is lost with an agent meanwhile is generated again.
-	rolloutGather = 250 * time.Millisecond
+	rolloutCoalesceDelay = 250 * time.Millisecond
 )
 
 // runStream runs a completion to its end and hands its tokens to onTokens in
@@ -32,31 +32,31 @@
 	for range maxAttempts {
 		ep, ok := s.pick()
 		if !ok || ctx.Err() != nil {
-			return s.truthful(last)
+			return s.finalAnswer(last)
 		}
 		s.tried = append(s.tried, ep.ID())
-		last = s.follow(ctx, ep)
+		last = s.attempt(ctx, ep)
 		if last.Outcome == wire.Answered || !s.mayResume(last) {
-			return s.truthful(last)
+			return s.finalAnswer(last)
 		}
 	}
-	return s.truthful(last)
+	return s.finalAnswer(last)
 }
 
 // streamRun is one stream over the engines that it visits.
 type streamRun struct {
-	entry    *Server
-	call     call
-	onTokens func(wire.ReadReply)
-	tried    []string
-	tokens   tokens.Text // handed on so far
-	suspect  bool
-	resumed  bool
+	entry          *Server
+	call           call
+	onTokens       func(wire.ReadReply)
+	tried          []string
+	tokens         tokens.Text // handed on so far
+	suspect        bool
+	freeResumeUsed bool
 }
 
 // pick takes the preferred endpoint first, then any that was not tried.
 func (s *streamRun) pick() (Endpoint, bool) {
-	picker := s.entry.parts.Picker
+	picker := s.entry.deps.Picker
 	if want := s.call.req.Prefer; want != "" && len(s.tried) == 0 {
 		if ep, ok := picker.Find(want); ok {
 			return ep, true
@@ -65,9 +65,9 @@
 	return picker.Pick(s.call.req.Service, s.call.req.Principal.Business, s.call.prefix, s.tried)
 }
 
-// truthful keeps a stream that has already delivered tokens from ending as
+// finalAnswer keeps a stream that has already delivered tokens from ending as
 // "not run" because its last engine refused it.
-func (s *streamRun) truthful(a wire.Answer) wire.Answer {
+func (s *streamRun) finalAnswer(a wire.Answer) wire.Answer {
 	if a.Outcome == wire.NotRun && s.tokens.Len() > 0 {
 		a.Outcome = wire.Unknown
 	}
@@ -75,36 +75,36 @@
 }
 
 func (s *streamRun) mayResume(a wire.Answer) bool {
-	if s.entry.parts.Quarantine.Blocked(s.call.req.Service, s.call.req.Fingerprint) {
+	if s.entry.deps.Quarantine.Blocked(s.call.req.Service, s.call.req.Fingerprint) {
 		return false
 	}
 	if a.Outcome == wire.NotRun {
-		return elsewhere(a.Reason)
+		return retryableElsewhere(a.Reason)
 	}
 	if a.Reason != wire.ReasonCrashed && a.Reason != wire.ReasonConnection {
 		return false
 	}
 	s.suspect = s.suspect || a.Reason == wire.ReasonCrashed
-	if !s.resumed {
+	if !s.freeResumeUsed {
 		// The first resume is free: it runs only the rest of the stream. Were it
 		// paid from the budget, the loss of a failure domain, which cuts many
 		// streams at once, would leave those beyond the budget unanswered.
-		s.resumed = true
+		s.freeResumeUsed = true
 		return true
 	}
-	return s.entry.parts.Retries.Spend(s.call.req.Principal.Business)
+	return s.entry.deps.Retries.Spend(s.call.req.Principal.Business)
 }
 
 // follow runs the stream at one endpoint, as its quarantine allows.
-func (s *streamRun) follow(ctx context.Context, ep Endpoint) wire.Answer {
-	return s.entry.guarded(ctx, ep, s.call.req, false, func(ep Endpoint, req wire.Request) wire.Answer {
-		return s.followOnce(ctx, ep, req)
+func (s *streamRun) attempt(ctx context.Context, ep Endpoint) wire.Answer {
+	return s.entry.runCopy(ctx, ep, s.call.req, false, func(ep Endpoint, req wire.Request) wire.Answer {
+		return s.attemptOnce(ctx, ep, req)
 	})
 }
 
-// followOnce starts the stream at one endpoint and reads it to its end there.
-func (s *streamRun) followOnce(ctx context.Context, ep Endpoint, req wire.Request) wire.Answer {
-	req = pinned(ctx, ep, req)
+// attemptOnce starts the stream at one endpoint and reads it to its end there.
+func (s *streamRun) attemptOnce(ctx context.Context, ep Endpoint, req wire.Request) wire.Answer {
+	req = pinToAgent(ctx, ep, req)
 	req.Suspect = req.Suspect || s.suspect
 	req.Resume.Tokens = s.tokens.List()
 	var started wire.Started
@@ -126,11 +126,11 @@
 // neither lose nor repeat a token.
 func (s *streamRun) readAll(ctx context.Context, ep Endpoint, req wire.Request) wire.Answer {
 	for offset, lost := 0, 0; ; {
-		ask := wire.ReadRequest{ID: req.ID, Offset: offset, Wait: readWait}
+		request := wire.ReadRequest{ID: req.ID, Offset: offset, Wait: readWait}
 		if req.Rollout {
-			ask.Gather = rolloutGather
+			request.Gather = rolloutCoalesceDelay
 		}
-		reply, err := s.read(ctx, ep, ask, lost > 0)
+		reply, err := s.read(ctx, ep, request, lost > 0)
 		switch {
 		case ctx.Err() != nil:
 			return s.entry.abandon(ep, req)
@@ -138,7 +138,7 @@
 			return connectionLost(req, err)
 		case err != nil:
 			lost++
-			pause(ctx, settleBackoff)
+			sleep(ctx, settleBackoff)
 			continue
 		}
 		lost = 0
@@ -153,18 +153,18 @@
 	}
 }
 
-func (s *streamRun) read(ctx context.Context, ep Endpoint, ask wire.ReadRequest, fresh bool) (wire.ReadReply, error) {
+func (s *streamRun) read(ctx context.Context, ep Endpoint, request wire.ReadRequest, fresh bool) (wire.ReadReply, error) {
 	var reply wire.ReadReply
 	call := ep.Call
 	if fresh {
 		call = ep.CallFresh
 	}
-	if err := call(ctx, methodRead, ask, &reply); err != nil {
+	if err := call(ctx, methodRead, request, &reply); err != nil {
 		// The answer may still come and be written into reply; a copy of it
 		// would be torn.
 		return wire.ReadReply{}, err
 	}
-	if reply.ID != ask.ID || reply.Offset != ask.Offset {
+	if reply.ID != request.ID || reply.Offset != request.Offset {
 		return wire.ReadReply{}, errors.New("entry: answer to another read")
 	}
 	return reply, nil
@@ -173,11 +173,11 @@
 // serveStream serves a completion as server-sent events. It ends with [DONE]
 // or with an event that says what became of the request, never just a close.
 func (e *Server) serveStream(ctx *fasthttp.RequestCtx, c call) {
-	if e.parts.Quarantine.Blocked(c.req.Service, c.req.Fingerprint) {
-		problemOf(quarantined()).write(ctx)
+	if e.deps.Quarantine.Blocked(c.req.Service, c.req.Fingerprint) {
+		problemOf(quarantinedAnswer()).write(ctx)
 		return
 	}
-	begun := time.Now()
+	start := time.Now()
 	callCtx, cancel := context.WithTimeout(context.Background(), c.req.Remaining)
 	first := make(chan wire.ReadReply, 1)
 	rest := make(chan wire.ReadReply)
@@ -185,11 +185,11 @@
 	e.active.Add(1)
 	go func() {
 		defer e.active.Add(-1)
-		e.parts.Retries.Earn(c.req.Principal.Business)
+		e.deps.Retries.Earn(c.req.Principal.Business)
 		f := &forwarder{ctx: callCtx, first: first, rest: rest}
-		answer := f.truthful(e.runStream(callCtx, c, f.forward))
+		answer := f.finalAnswer(e.runStream(callCtx, c, f.forward))
 		answer.RetryAfter = defaultRetryAfter(answer)
-		e.count(c, answer, time.Since(begun))
+		e.count(c, answer, time.Since(start))
 		end <- answer
 		close(rest)
 	}()
@@ -204,7 +204,7 @@
 			end <- answer
 			e.writeStream(ctx, c, cancel, reply, rest, end)
 		default:
-			e.writeEarlyEnd(ctx, answer)
+			e.writeWithoutTokens(ctx, answer)
 		}
 	}
 }
@@ -215,13 +215,13 @@
 	ctx     context.Context
 	first   chan<- wire.ReadReply
 	rest    chan<- wire.ReadReply
-	begun   bool
+	started bool
 	dropped bool
 }
 
 func (f *forwarder) forward(reply wire.ReadReply) {
-	if !f.begun {
-		f.begun = true
+	if !f.started {
+		f.started = true
 		f.first <- reply
 		return
 	}
@@ -232,16 +232,16 @@
 	}
 }
 
-// truthful keeps a stream whose last tokens came too late to be written from
+// finalAnswer keeps a stream whose last tokens came too late to be written from
 // ending as if it were whole: its caller would take a cut answer for complete.
-func (f *forwarder) truthful(a wire.Answer) wire.Answer {
+func (f *forwarder) finalAnswer(a wire.Answer) wire.Answer {
 	if f.dropped && a.Outcome == wire.Answered {
 		return wire.Answer{ID: a.ID, Outcome: wire.Unknown, Reason: wire.ReasonDeadline, Detail: "the deadline passed before the last tokens were written"}
 	}
 	return a
 }
 
-func (e *Server) writeEarlyEnd(ctx *fasthttp.RequestCtx, answer wire.Answer) {
+func (e *Server) writeWithoutTokens(ctx *fasthttp.RequestCtx, answer wire.Answer) {
 	if answer.Outcome != wire.Answered {
 		problemOf(answer).write(ctx)
 		return
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -19,12 +19,12 @@
 		f.forward(wire.ReadReply{Tokens: []string{"a"}})
 		cancel()
 		f.forward(wire.ReadReply{Tokens: []string{"b"}, Done: true})
-		Expect(f.truthful(wire.Answer{Outcome: wire.Answered}).Outcome).To(Equal(wire.Unknown))
+		Expect(f.finalAnswer(wire.Answer{Outcome: wire.Answered}).Outcome).To(Equal(wire.Unknown))
 	})
 	It("ends as answered when every token was written", func() {
 		f := &forwarder{ctx: context.Background(), first: make(chan wire.ReadReply, 1), rest: make(chan wire.ReadReply, 1)}
 		f.forward(wire.ReadReply{Tokens: []string{"a"}})
 		f.forward(wire.ReadReply{Tokens: []string{"b"}, Done: true})
-		Expect(f.truthful(wire.Answer{Outcome: wire.Answered}).Outcome).To(Equal(wire.Answered))
+		Expect(f.finalAnswer(wire.Answer{Outcome: wire.Answered}).Outcome).To(Equal(wire.Answered))
 	})
 })
--- a/internal/entry/weights.go
+++ b/internal/entry/weights.go
@@ -18,8 +18,8 @@
 	"siskinloom.example/siskinloom/internal/rpcpool"
 )
 
-// announceRetry is the pause before an announcement is written again.
-const announceRetry = 100 * time.Millisecond
+// announceRetryDelay is the pause before an announcement is written again.
+const announceRetryDelay = 100 * time.Millisecond
 
 // ErrUnknownFeed is returned for an announcement from a feed that the
 // configuration does not declare, or for another model than the feed's.
@@ -49,16 +49,16 @@
 	options WeightsOptions
 	agents  *rpcpool.Pool
 
-	mu    sync.Mutex
-	owned map[string]*serviceRollout // by service
-	ctx   context.Context            // of Run; nil before
+	mu       sync.Mutex
+	rollouts map[string]*serviceRollout // by service
+	ctx      context.Context            // of Run; nil before
 }
 
 var _ VersionAnnouncer = (*Weights)(nil)
 
 // NewWeights returns weights that own no rollout until Run.
 func NewWeights(o WeightsOptions) *Weights {
-	return &Weights{options: o, agents: rpcpool.New(o.Dial), owned: map[string]*serviceRollout{}}
+	return &Weights{options: o, agents: rpcpool.New(o.Dial), rollouts: map[string]*serviceRollout{}}
 }
 
 // WeightDuties lists the duties that a deployment has for weights.
@@ -86,15 +86,15 @@
 	}
 	key := weights.Key{Model: model, Adapter: adapter}
 	for {
-		standing, err := w.raise(ctx, service, key, version)
+		newest, err := w.raiseRecord(ctx, service, key, version)
 		if err == nil {
-			events.WeightsAnnounced.Log(w.options.Log, logrus.Fields{"service": service, "model": model, "adapter": adapter, "version": version, "standing": standing})
-			return standing, nil
+			events.WeightsAnnounced.Log(w.options.Log, logrus.Fields{"service": service, "model": model, "adapter": adapter, "version": version, "standing": newest})
+			return newest, nil
 		}
 		select {
 		case <-ctx.Done():
 			return 0, errors.Wrap(err, "entry: announce")
-		case <-time.After(announceRetry):
+		case <-time.After(announceRetryDelay):
 		}
 	}
 }
@@ -114,7 +114,7 @@
 
 // raise tries once to have the record name at least the version. Repeating it
 // after an unknown outcome is harmless: a record that stands is not raised again.
-func (w *Weights) raise(ctx context.Context, service string, key weights.Key, version int64) (int64, error) {
+func (w *Weights) raiseRecord(ctx context.Context, service string, key weights.Key, version int64) (int64, error) {
 	path := weightsKey(w.options.Deployment, service)
 	found, err := w.options.Store.Get(ctx, kv.UseWeights, path)
 	if err != nil {
@@ -162,28 +162,28 @@
 	w.mu.Lock()
 	w.ctx = ctx
 	w.mu.Unlock()
-	w.options.Duties.OnChange(weights.DutyPrefix, w.changed)
+	w.options.Duties.OnChange(weights.DutyPrefix, w.onDutyChange)
 	<-ctx.Done()
 	return nil
 }
 
 // changed takes in a new standing to a duty. A lapsed lease ends nothing: agents
 // refuse the orders once a successor has raised the epoch.
-func (w *Weights) changed(c duties.Change) {
+func (w *Weights) onDutyChange(c duties.Change) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	service := strings.TrimPrefix(c.Duty, weights.DutyPrefix)
-	held, ok := w.owned[service]
-	keep := ok && held.epoch == c.Epoch && c.LeaseState != duties.NotHolder
-	if keep {
+	held, ok := w.rollouts[service]
+	unchanged := ok && held.epoch == c.Epoch && c.LeaseState != duties.NotHolder
+	if unchanged {
 		return
 	}
 	if ok {
 		held.stop()
-		delete(w.owned, service)
+		delete(w.rollouts, service)
 	}
 	if c.LeaseState == duties.Holder && w.ctx.Err() == nil {
-		w.owned[service] = w.begin(service, c.Epoch)
+		w.rollouts[service] = w.startRollout(service, c.Epoch)
 	}
 }
 
@@ -193,7 +193,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	all := map[string][]weights.Progress{}
-	for service, r := range w.owned {
+	for service, r := range w.rollouts {
 		all[service] = r.progress()
 	}
 	return all
--- a/internal/entry/weights_rollout.go
+++ b/internal/entry/weights_rollout.go
@@ -18,17 +18,17 @@
 const (
 	methodOrder = wire.AgentService + ".Order"
 
-	weightsTick = 50 * time.Millisecond
-	// weightsList is the time between readings of the instance list, which is no
+	rolloutStepInterval = 50 * time.Millisecond
+	// instanceListInterval is the time between readings of the instance list, which is no
 	// part of the key-value service and its call budget.
-	weightsList = 2 * time.Second
-	// watchRetry is the pause before a broken watch is opened again.
-	watchRetry = time.Second
-	// orderGrace is how much longer than an order's deadline its reply is waited for.
-	orderGrace = time.Second
-	// statusLimit bounds the wait for a status, so that a silent connection is
+	instanceListInterval = 2 * time.Second
+	// watchRetryDelay is the pause before a broken watch is opened again.
+	watchRetryDelay = time.Second
+	// orderReplyMargin is how much longer than an order's deadline its reply is waited for.
+	orderReplyMargin = time.Second
+	// statusTimeout bounds the wait for a status, so that a silent connection is
 	// found soon.
-	statusLimit = 2 * time.Second
+	statusTimeout = 2 * time.Second
 )
 
 // serviceRollout runs the rollout of one service while this entry holds its duty.
@@ -47,7 +47,7 @@
 	blocked   bool
 }
 
-func (w *Weights) begin(service string, epoch int64) *serviceRollout {
+func (w *Weights) startRollout(service string, epoch int64) *serviceRollout {
 	config := weights.DefaultConfig()
 	config.Duty = weights.Duty(service)
 	config.Epoch = epoch
@@ -67,7 +67,7 @@
 	}
 	events.WeightsOwned.Log(w.options.Log, r.fields())
 	go r.watch(ctx)
-	go r.list(ctx)
+	go r.pollInstances(ctx)
 	go r.run(ctx)
 	return r
 }
@@ -83,20 +83,20 @@
 	for ctx.Err() == nil {
 		found, err := store.Get(ctx, kv.UseWeights, path)
 		if err == nil {
-			r.take(found)
+			r.applyRecord(found)
 			_ = store.Watch(ctx, kv.UseWeights, path, found.Revision, func(all []kv.Record) {
 				for _, changed := range all {
 					if changed.Key == path {
-						r.take(changed)
+						r.applyRecord(changed)
 					}
 				}
 			})
 		}
-		pause(ctx, watchRetry)
+		sleep(ctx, watchRetryDelay)
 	}
 }
 
-func (r *serviceRollout) take(found kv.Record) {
+func (r *serviceRollout) applyRecord(found kv.Record) {
 	record, err := weightsRecord(found)
 	if err != nil {
 		events.WeightsUnreadable.Log(r.weights.options.Log, logrus.Fields{"service": r.service, "error": err.Error()})
@@ -110,13 +110,13 @@
 }
 
 // list follows the instance list. When it cannot be read the last one stands.
-func (r *serviceRollout) list(ctx context.Context) {
+func (r *serviceRollout) pollInstances(ctx context.Context) {
 	for ctx.Err() == nil {
 		all, err := r.weights.options.Instances.Instances(ctx, r.weights.options.Deployment)
 		if err == nil {
 			r.setListed(all)
 		}
-		pause(ctx, weightsList)
+		sleep(ctx, instanceListInterval)
 	}
 }
 
@@ -135,7 +135,7 @@
 }
 
 func (r *serviceRollout) run(ctx context.Context) {
-	ticker := time.NewTicker(weightsTick)
+	ticker := time.NewTicker(rolloutStepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -143,9 +143,9 @@
 			return
 		case <-ticker.C:
 		}
-		sends, deposed := r.step(time.Now())
-		for _, send := range sends {
-			go r.give(ctx, send)
+		orders, deposed := r.step(time.Now())
+		for _, order := range orders {
+			go r.sendOrder(ctx, order)
 		}
 		if deposed {
 			events.WeightsDeposed.Log(r.weights.options.Log, r.fields())
@@ -169,9 +169,9 @@
 	r.rollout.SetCapacityFloor(service.CapacityFloor)
 	r.rollout.SetRoles(rolesOf(service))
 	r.rollout.SetMembers(r.members(d.DrainInstances), now)
-	sends := r.rollout.Step(now)
-	r.note(now)
-	return sends, r.rollout.Deposed()
+	orders := r.rollout.Step(now)
+	r.logProgress(now)
+	return orders, r.rollout.Deposed()
 }
 
 func rolesOf(service decl.Service) []weights.Role {
@@ -196,12 +196,12 @@
 
 // note logs a version that has come to every engine, and a floor that lets no
 // engine load.
-func (r *serviceRollout) note(now time.Time) {
+func (r *serviceRollout) logProgress(now time.Time) {
 	blocked := false
 	for _, p := range r.rollout.Progress(now) {
 		blocked = blocked || p.Blocked && p.Done < p.Engines
 		if p.Key == weights.RoleKey {
-			r.noteRoles(p)
+			r.logRoles(p)
 			continue
 		}
 		if p.Engines > 0 && p.Done == p.Engines && r.done[p.Key] < p.Version {
@@ -215,8 +215,8 @@
 	r.blocked = blocked
 }
 
-// noteRoles logs once that every engine has the role it is to have.
-func (r *serviceRollout) noteRoles(p weights.Progress) {
+// logRoles logs once that every engine has the role it is to have.
+func (r *serviceRollout) logRoles(p weights.Progress) {
 	if p.Engines == 0 || p.Done < p.Engines {
 		delete(r.done, p.Key)
 		return
@@ -228,10 +228,10 @@
 }
 
 // give sends an order and feeds its reply back.
-func (r *serviceRollout) give(ctx context.Context, s weights.EngineOrder) {
-	limit := s.Order.Remaining + orderGrace
+func (r *serviceRollout) sendOrder(ctx context.Context, s weights.EngineOrder) {
+	limit := s.Order.Remaining + orderReplyMargin
 	if s.Order.Kind == wire.OrderStatus {
-		limit = statusLimit
+		limit = statusTimeout
 	}
 	callCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/internal/entry/weights_test.go
+++ b/internal/entry/weights_test.go
@@ -27,39 +27,39 @@
 )
 
 const (
-	weightsOrder = 1500 * time.Millisecond // longest order in these specs
-	weightsSoon  = time.Minute             // longer than an engine is set aside
+	maxOrderTimeout    = 1500 * time.Millisecond // longest order in these specs
+	weightsTestTimeout = time.Minute             // longer than an engine is set aside
 	// restartable is where an engine listens that a spec starts again at the same
 	// port. No dial's own end takes a port of this address meanwhile.
 	restartable = "127.0.0.2:0"
 )
 
-// weightsDuties hands the duty over as a spec says.
-type weightsDuties struct {
+// fakeDutyLeases hands the duty over as a spec says.
+type fakeDutyLeases struct {
 	DutyLeases
 	mu sync.Mutex
 	fn func(duties.Change)
 }
 
-func (d *weightsDuties) OnChange(_ string, fn func(duties.Change)) {
+func (d *fakeDutyLeases) OnChange(_ string, fn func(duties.Change)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fn = fn
 }
 
-func (d *weightsDuties) tell(c duties.Change) {
+func (d *fakeDutyLeases) notify(c duties.Change) {
 	Eventually(func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return d.fn != nil
-	}).WithTimeout(weightsSoon).Should(BeTrue())
+	}).WithTimeout(weightsTestTimeout).Should(BeTrue())
 	c.Duty = "weights/tone"
 	d.fn(c)
 }
 
-type weightsConfig struct{ deployment *decl.Deployment }
+type fixedConfig struct{ deployment *decl.Deployment }
 
-func (c weightsConfig) Current() *decl.Deployment { return c.deployment }
+func (c fixedConfig) Current() *decl.Deployment { return c.deployment }
 
 // orderServer is the part of an agent's inner protocol that rollouts use.
 type orderServer struct{ orders *agent.Orders }
@@ -94,7 +94,7 @@
 		conn, err := grpc.NewClient(address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		Expect(err).NotTo(HaveOccurred())
 		orders := agent.NewOrders(agent.OrdersOptions{
-			Incarnation: strconv.Itoa(id), Endpoint: endpoint, MaxOrder: weightsOrder, Log: log,
+			Incarnation: strconv.Itoa(id), Endpoint: endpoint, MaxOrder: maxOrderTimeout, Log: log,
 			Store: platformpb.NewWeightStoreClient(conn),
 		})
 		server := rpc.NewServer()
@@ -110,7 +110,7 @@
 					Adapters:      map[string]int64{"polite": engine.Adapter("polite")},
 					Role:          engine.Role(),
 				}, time.Now())
-				pause(ctx, 20*time.Millisecond)
+				sleep(ctx, 20*time.Millisecond)
 			}
 		}(ctx)
 		return &platformpb.Instance{
@@ -119,16 +119,16 @@
 		}
 	}
 
-	startEntry := func(id string) (*Weights, *weightsDuties) {
+	startEntry := func(id string) (*Weights, *fakeDutyLeases) {
 		store, err := kv.NewClient(kv.Options{Address: address, Writer: id})
 		Expect(err).NotTo(HaveOccurred())
 		lister, err := kv.NewLister(address)
 		Expect(err).NotTo(HaveOccurred())
-		holders := &weightsDuties{}
+		holders := &fakeDutyLeases{}
 		w := NewWeights(WeightsOptions{
-			Store: store, Duties: holders, Config: weightsConfig{deployment}, Instances: lister, Deployment: "d", Log: log,
+			Store: store, Duties: holders, Config: fixedConfig{deployment}, Instances: lister, Deployment: "d", Log: log,
 			Rollout: func(c *weights.Config) {
-				c.LoadTimeout, c.MaxTargetAge = weightsOrder*3/4, weightsOrder/4
+				c.LoadTimeout, c.MaxTargetAge = maxOrderTimeout*3/4, maxOrderTimeout/4
 				c.RecheckInterval = 300 * time.Millisecond
 			},
 		})
@@ -169,9 +169,9 @@
 	It("bring an announced version to every engine, through a failed load", func() {
 		w, holders := startEntry("a")
 		engines[2].FailLoads(1)
-		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
-		Eventually(versions).WithTimeout(weightsSoon).Should(HaveEach(int64(2)))
+		Eventually(versions).WithTimeout(weightsTestTimeout).Should(HaveEach(int64(2)))
 	})
 
 	// The key-value service goes away once the owner has read the announcement and
@@ -179,17 +179,17 @@
 	It("finish a rollout during an outage", func() {
 		w, holders := startEntry("a")
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
-		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
-		Eventually(func() int { return len(w.Progress()["tone"]) }).WithTimeout(weightsSoon).Should(Equal(1))
+		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		Eventually(func() int { return len(w.Progress()["tone"]) }).WithTimeout(weightsTestTimeout).Should(Equal(1))
 		platform.Outage(true)
-		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Lapsed})
-		Eventually(versions).WithTimeout(weightsSoon).Should(HaveEach(int64(2)))
+		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Lapsed})
+		Eventually(versions).WithTimeout(weightsTestTimeout).Should(HaveEach(int64(2)))
 		Expect(w.Progress()["tone"]).To(HaveLen(1))
 	})
 
 	It("bring an adapter to every engine and leave the model's version", func() {
 		w, holders := startEntry("a")
-		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 7, "polite")).To(Equal(int64(7)))
 		Eventually(func() []int64 {
 			var all []int64
@@ -197,7 +197,7 @@
 				all = append(all, e.Adapter("polite"))
 			}
 			return all
-		}).WithTimeout(weightsSoon).Should(HaveEach(int64(7)))
+		}).WithTimeout(weightsTestTimeout).Should(HaveEach(int64(7)))
 		Expect(versions()).To(HaveEach(int64(1)))
 	})
 
@@ -205,22 +205,22 @@
 	// agent lets the newest version through again, though it did so before.
 	It("bring a restarted engine back to the newest version", func() {
 		w, holders := startEntry("a")
-		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
-		Eventually(versions).WithTimeout(weightsSoon).Should(HaveEach(int64(2)))
+		Eventually(versions).WithTimeout(weightsTestTimeout).Should(HaveEach(int64(2)))
 		engines[1].Crash()
 		Expect(versions()).To(ContainElement(int64(1)))
 		_, err := engines[1].Start(endpoints[1])
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(versions).WithTimeout(weightsSoon).Should(HaveEach(int64(2)))
+		Eventually(versions).WithTimeout(weightsTestTimeout).Should(HaveEach(int64(2)))
 	})
 
 	It("pass over an engine that an operator drained", func() {
 		deployment.DrainInstances = []string{"3"}
 		w, holders := startEntry("a")
-		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
-		Eventually(versions).WithTimeout(weightsSoon).Should(Equal([]int64{2, 2, 2, 1}))
+		Eventually(versions).WithTimeout(weightsTestTimeout).Should(Equal([]int64{2, 2, 2, 1}))
 	})
 
 	// Operators declare roles; an engine fails its change once, another restarts
@@ -238,13 +238,13 @@
 			return all
 		}
 		divided := ConsistOf("prefill", "decode", "decode", "decode")
-		holders.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
-		Eventually(roles).WithTimeout(weightsSoon).Should(divided)
+		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		Eventually(roles).WithTimeout(weightsTestTimeout).Should(divided)
 		engines[1].Crash()
 		_, err := engines[1].Start(endpoints[1])
 		Expect(err).NotTo(HaveOccurred())
-		next.tell(duties.Change{Epoch: 2, LeaseState: duties.Holder})
-		Eventually(roles).WithTimeout(weightsSoon).Should(divided)
+		next.notify(duties.Change{Epoch: 2, LeaseState: duties.Holder})
+		Eventually(roles).WithTimeout(weightsTestTimeout).Should(divided)
 		Expect(versions()).To(HaveEach(int64(1)))
 	})
 
@@ -270,12 +270,12 @@
 	It("go on under a successor while the paused owner is refused", func() {
 		old, oldDuties := startEntry("a")
 		next, nextDuties := startEntry("b")
-		oldDuties.tell(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		oldDuties.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(old.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
-		Eventually(versions).WithTimeout(weightsSoon).Should(ContainElement(int64(2)))
-		nextDuties.tell(duties.Change{Epoch: 2, LeaseState: duties.Holder})
+		Eventually(versions).WithTimeout(weightsTestTimeout).Should(ContainElement(int64(2)))
+		nextDuties.notify(duties.Change{Epoch: 2, LeaseState: duties.Holder})
 		Expect(next.Announce(ctx, "d", "drafts", "m", 3, "")).To(Equal(int64(3)))
-		Eventually(versions).WithTimeout(weightsSoon).Should(HaveEach(int64(3)))
+		Eventually(versions).WithTimeout(weightsTestTimeout).Should(HaveEach(int64(3)))
 		for _, e := range engines {
 			seen := e.Stats().Versions
 			for i := 1; i < len(seen); i++ {
