--- a/internal/agentless/gate/execution.go
+++ b/internal/agentless/gate/execution.go
@@ -72,7 +72,8 @@
 	return c.finalOutcome()
 }
 
-// finalOutcome returns the outcome of a request whose attempts all ended without an answer to pass on.
+// finalOutcome returns the outcome of a request whose attempts all ended, none with a final
+// outcome. A 5xx answer, if there was one, is passed on.
 func (c *execution) finalOutcome() Outcome {
 	switch {
 	case c.failure != nil:
@@ -151,7 +152,8 @@
 	return true
 }
 
-// hedgeDelay returns the delay after which the first hedged attempt is sent.
+// hedgeDelay returns the delay after which the first hedged attempt is sent: defaultTimeout if the
+// route is not repeatable or has no objective.
 func (c *execution) hedgeDelay() time.Duration {
 	if !c.route.Repeatable() || c.route.Objective <= 0 {
 		return defaultTimeout
