--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -18,27 +18,32 @@
 	methodSettle = wire.AgentService + ".Settle"
 	methodImport = wire.AgentService + ".Import"
 
-	// maxAttempts bounds how many endpoints one request may visit.
+	// maxAttempts limits the number of endpoints that one request is sent to.
 	maxAttempts = 4
-	// settleWait is how long one settle call waits at the agent.
+	// settleWait is how long the agent holds one Settle call while the request
+	// still runs.
 	settleWait = time.Second
-	// settleBackoff is the pause between settle calls that found no agent.
+	// settleBackoff is the delay after a failed Settle or Read call.
 	settleBackoff = 100 * time.Millisecond
-	// answerMargin is kept of the deadline for the answer's way to the caller.
-	answerMargin  = 20 * time.Millisecond
+	// answerMargin is subtracted from the time that an endpoint gets, so that its
+	// answer reaches the caller before the deadline.
+	answerMargin = 20 * time.Millisecond
+	// cancelTimeout bounds the Cancel call of an abandoned request.
 	cancelTimeout = time.Second
 )
 
-// attempt sends the request to one endpoint, as its quarantine allows, and
-// returns what truly became of it. A hedge runs apart from its first attempt.
+// attempt sends the request to one endpoint, subject to the quarantine, and
+// returns its outcome. The quarantine may run a hedge at another endpoint than
+// the first attempt.
 func (e *Server) attempt(ctx context.Context, ep Endpoint, req wire.Request, hedge bool) wire.Answer {
 	return e.runCopy(ctx, ep, req, hedge, func(ep Endpoint, req wire.Request) wire.Answer {
 		return e.attemptOnce(ctx, ep, req)
 	})
 }
 
-// runCopy runs one copy of the request, alone if it is suspect, and notes
-// whether it crashed its endpoint. The quarantine may choose another endpoint.
+// runCopy calls run for one copy of the request and reports to the quarantine
+// whether the copy crashed its endpoint. The quarantine may choose another
+// endpoint, and has a suspect run with no other request beside it.
 func (e *Server) runCopy(ctx context.Context, ep Endpoint, req wire.Request, hedge bool, run func(Endpoint, wire.Request) wire.Answer) wire.Answer {
 	found := map[string]Endpoint{ep.ID(): ep}
 	v := RequestCopy{
@@ -81,7 +86,8 @@
 		return e.abandon(ep, req)
 	}
 	if req.Idempotent {
-		// Running it twice does no harm, waiting for its fate would.
+		// A second run is harmless, while waiting for the outcome of the first
+		// would only delay the retry.
 		return connectionLost(req, err)
 	}
 	return e.settle(ctx, ep, req, err)
@@ -91,7 +97,8 @@
 	return wire.Answer{ID: req.ID, Outcome: wire.Unknown, Reason: wire.ReasonConnection, Detail: cause.Error()}
 }
 
-// pinToAgent names the attempt and binds it to the agent process that answers now.
+// pinToAgent gives the attempt a new ID and binds it to the agent process that
+// answers now.
 func pinToAgent(ctx context.Context, ep Endpoint, req wire.Request) wire.Request {
 	req.ID = ulid.Make().String()
 	req.Target = ep.Target()
@@ -101,9 +108,9 @@
 	return req
 }
 
-// settle asks, on new connections until the deadline, what became of a request
-// whose connection was lost. Without it a request that ran would be repeated, or
-// one that never arrived would be "unknown".
+// settle queries the outcome of a request whose connection was lost, on new
+// connections until the deadline. Without it the entry would repeat a request
+// that ran, or report "unknown" for one that never arrived.
 func (e *Server) settle(ctx context.Context, ep Endpoint, req wire.Request, cause error) wire.Answer {
 	for ctx.Err() == nil {
 		var answer wire.Answer
@@ -113,8 +120,8 @@
 			return answer
 		}
 		if errors.Is(err, ErrGone) {
-			// No process is left that could tell; waiting on would only keep
-			// the caller from its final answer.
+			// The agent process that knew the outcome is gone; further calls would
+			// only delay the caller's final answer.
 			return connectionLost(req, err)
 		}
 		if err != nil {
@@ -124,10 +131,11 @@
 	return connectionLost(req, cause)
 }
 
-// abandon gives up on a request at its deadline and frees its slot.
+// abandon cancels a request that reached its deadline, which frees its slot at
+// the endpoint, and returns "unknown".
 func (e *Server) abandon(ep Endpoint, req wire.Request) wire.Answer {
 	go cancelAt(ep, req.ID)
-	return wire.Answer{ID: req.ID, Outcome: wire.Unknown, Reason: wire.ReasonDeadline, Detail: "the deadline passed while the request ran"}
+	return wire.Answer{ID: req.ID, Outcome: wire.Unknown, Reason: wire.ReasonDeadline, Detail: "the deadline passed while the request was running"}
 }
 
 func cancelAt(ep Endpoint, id string) {
@@ -152,10 +160,10 @@
 	return e.dispatchOnce(ctx, req)
 }
 
-// dispatchOnce sends a request that may run only once. Another endpoint is
-// tried only when the last one proved that it never saw the request.
+// dispatchOnce dispatches a request that may run only once. It tries another
+// endpoint only if the last one certainly did not run the request.
 func (e *Server) dispatchOnce(ctx context.Context, req wire.Request) wire.Answer {
-	last := wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service can be reached"}
+	last := wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service is reachable"}
 	var tried []string
 	for range maxAttempts {
 		ep, ok := e.deps.Picker.Pick(req.Service, req.Principal.Business, req.Fingerprint, tried)
@@ -171,7 +179,8 @@
 	return last
 }
 
-// elsewhere tells whether another endpoint may take what this one refused.
+// retryableElsewhere reports whether another endpoint may accept a request that
+// one refused for this reason.
 func retryableElsewhere(reason wire.Reason) bool {
 	switch reason {
 	case wire.ReasonLeaving, wire.ReasonNoEndpoint, wire.ReasonNotReady, wire.ReasonQueueFull, wire.ReasonCancelled, wire.ReasonConnection:
@@ -181,8 +190,8 @@
 	}
 }
 
-// reportCrash tells the quarantine of a crash; beyond two endpoints a request
-// that kills engines must not travel.
+// reportCrash reports a crash to the quarantine, which keeps a request that
+// crashes engines from reaching a third endpoint.
 func (e *Server) reportCrash(ep Endpoint, req wire.Request, a wire.Answer) {
 	if a.Reason != wire.ReasonCrashed {
 		return
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -10,26 +10,27 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// callers are the keys of one deployment's callers.
+// callerIndex maps the API keys of one deployment's callers to their principals.
 type callerIndex struct {
 	deployment *decl.Deployment
 	keys       *keys.Index[wire.Principal]
 }
 
-// newCallerIndex indexes a deployment's callers. Its digests were checked when it was read.
+// newCallerIndex returns the index of a deployment's callers. The digests were
+// validated when the deployment was read.
 func newCallerIndex(deployment *decl.Deployment) *callerIndex {
 	c := &callerIndex{deployment: deployment, keys: keys.NewIndex[wire.Principal](len(deployment.Callers))}
 	for _, caller := range deployment.Callers {
 		digest, err := keys.Parse(caller.KeySHA256)
 		if err != nil {
-			continue // no key has this digest
+			continue // an invalid digest matches no key
 		}
 		c.keys.Add(digest, wire.Principal{Caller: caller.Name, Agency: caller.Agency, Business: businessOf(deployment, caller.Agency)})
 	}
 	return c
 }
 
-// authenticate finds the caller by its key.
+// authenticate returns the principal whose key the request bears.
 func (c *callerIndex) authenticate(ctx *fasthttp.RequestCtx) (wire.Principal, bool) {
 	key, bearer := strings.CutPrefix(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
 	if !bearer {
@@ -38,7 +39,8 @@
 	return c.keys.Owner(key)
 }
 
-// currentCallers returns the callers of the deployment in force, nil while none is.
+// currentCallers returns the callers of the deployment in force, or nil if there
+// is no deployment yet.
 func (e *Server) currentCallers() *callerIndex {
 	deployment := e.deps.Config.Current()
 	if deployment == nil {
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -19,38 +19,38 @@
 const methodClaim = wire.ClaimService + ".Do"
 
 const (
-	// rerouteDelay is the pause before a call looks for its owner again.
+	// rerouteDelay is the delay before a call looks up its partition's owner again.
 	rerouteDelay = 20 * time.Millisecond
-	// minForwardTimeout is the shortest time that one forward is waited for, unless
-	// the call's deadline is sooner.
+	// minForwardTimeout is the shortest timeout of one forwarded call, unless the
+	// call's deadline is earlier.
 	minForwardTimeout = 200 * time.Millisecond
 )
 
-// ClaimPeers reaches the entry that owns a partition. With fresh set, the call
-// goes over a new connection. ErrNotSent means that it was certainly not sent.
+// ClaimPeers calls other entries. If fresh is true the call uses a new
+// connection. ErrNotSent means that the call was certainly not sent.
 type ClaimPeers interface {
 	CallPeer(ctx context.Context, address string, fresh bool, method string, args, reply any) error
 }
 
-// ClaimsOptions sets up Claims.
+// ClaimsOptions configures Claims.
 type ClaimsOptions struct {
 	Store    kv.Store
 	Duties   LeaseProver
 	Peers    ClaimPeers
-	Dispatch Dispatch // runs calls that other entries forward here
-	// Agents calls fn for each agent that may have run a claimed request; nil:
-	// none is asked after a take-over.
+	Dispatch Dispatch // runs the calls that other entries forward to this one
+	// Agents calls fn for each agent that may have run a claimed request. If it
+	// is nil, no agent is queried after a takeover.
 	Agents     func(fn func(Endpoint))
 	Deployment string
 	Instance   string
 	Log        *logrus.Logger
 	Metrics    metrics.Registry
-	// Config changes the parameters of the partitions; nil keeps the defaults.
+	// Config adjusts the configuration of each partition. Nil keeps the defaults.
 	Config func(*claims.Config)
 }
 
-// Claims runs non-idempotent requests at most once. It hosts the partitions
-// that this entry owns and forwards calls to the owners of the others.
+// Claims runs non-idempotent requests at most once. It runs the partitions that
+// this entry owns and forwards the calls of other partitions to their owners.
 type Claims struct {
 	options    ClaimsOptions
 	partitions []*claimPartition
@@ -58,7 +58,7 @@
 
 var _ Claimer = (*Claims)(nil)
 
-// NewClaims returns claims that own no partition until the duties say so.
+// NewClaims returns claims that own no partition until a duty is acquired.
 func NewClaims(o ClaimsOptions) *Claims {
 	c := &Claims{options: o}
 	for i := range claims.DefaultPartitions {
@@ -68,7 +68,7 @@
 	return c
 }
 
-// ClaimDuties lists the duties that exist for claims.
+// ClaimDuties returns the names of the claim partitions' duties.
 func ClaimDuties() []string {
 	var names []string
 	for i := range claims.DefaultPartitions {
@@ -77,8 +77,8 @@
 	return names
 }
 
-// changed takes in a new standing to a partition's duty. A lapsed lease ends
-// nothing: the next commit tells whether a successor has raised the epoch.
+// onDutyChange handles a new lease state of a partition's duty. A lapsed lease
+// stops nothing: the next commit fails if a successor has raised the epoch.
 func (c *Claims) onDutyChange(change duties.Change) {
 	for _, p := range c.partitions {
 		if p.duty != change.Duty {
@@ -93,7 +93,7 @@
 	}
 }
 
-// Do runs dispatch at most once for the caller's call id; see Claimer.
+// Do runs dispatch at most once for the caller's call ID; see Claimer.
 func (c *Claims) Do(ctx context.Context, call wire.Request, class decl.Class, dispatch Dispatch) wire.Answer {
 	if !call.Keyed {
 		return dispatch(ctx, call)
@@ -114,23 +114,23 @@
 	return answer
 }
 
-// partition returns the partition of a call and the call's key in it.
+// partition returns the partition of a call and the call's key in the partition.
 func (c *Claims) partition(call wire.Request) (*claimPartition, claims.Key) {
 	key := claims.NewKey(call.Principal.Caller, call.CallID)
 	return c.partitions[key.Partition(len(c.partitions))], key
 }
 
-// claimCall is one call on its way to the owner of its partition.
+// claimCall is the state of one call until the owner of its partition answers.
 type claimCall struct {
 	claims   *Claims
 	call     wire.Request
 	window   time.Duration
 	dispatch Dispatch
 	deadline time.Time
-	// open is set once a forward is left unresolved: it may still reach an
-	// owner and run, whatever a later one is told.
+	// unresolved is set once a forwarded call has an unknown outcome: it may still
+	// reach an owner and run, whatever the answer to a later one is.
 	unresolved    bool
-	newConnection bool // the next forward goes over a new connection
+	newConnection bool // the next forwarded call uses a new connection
 }
 
 func (r *claimCall) run(ctx context.Context) wire.Answer {
@@ -144,12 +144,13 @@
 		Outcome:    wire.Unknown,
 		Reason:     wire.ReasonOwnerAbsent,
 		RetryAfter: time.Second,
-		Detail:     "the entry that keeps the request's claim was not reached in time. Repeat it with the same key",
+		Detail:     "the entry that owns the request's claim was not reached before the deadline; repeat the request with the same key",
 	}
 }
 
-// finalAnswer keeps a "not run" from being said where it may turn false: an
-// unresolved forward may yet run, and after the deadline a repeat may have run.
+// finalAnswer turns "not run" into "unknown" where it may become false: an
+// unresolved forwarded call may still run, and after the deadline a repeat may
+// have run.
 func (r *claimCall) finalAnswer(answer wire.Answer) wire.Answer {
 	if answer.Outcome != wire.NotRun {
 		return answer
@@ -160,7 +161,8 @@
 	return answer
 }
 
-// try asks the owner once; false if the call has to look for it again.
+// askOwner submits the call to the partition's owner once. It returns false if
+// the owner has to be looked up again.
 func (r *claimCall) askOwner(ctx context.Context) (wire.Answer, bool) {
 	p, key := r.claims.partition(r.call)
 	if p.servedHere() {
@@ -179,8 +181,9 @@
 	return r.forward(ctx, address)
 }
 
-// forward hands the call to its owner. One that stays silent is asked again
-// over a new connection; it joins what the first one began.
+// forward sends the call to the entry that owns its partition. If that entry
+// does not answer, the next call uses a new connection and joins the run that
+// the first one started.
 func (r *claimCall) forward(ctx context.Context, address string) (wire.Answer, bool) {
 	remaining := time.Until(r.deadline)
 	wait := min(remaining, max(remaining/2, minForwardTimeout))
@@ -201,8 +204,9 @@
 	return reply.Answer, reply.Owner
 }
 
-// holder returns the holder of the partition's duty as known here; without an
-// address if that is this entry, which does not serve.
+// holder returns the last known holder of the partition's duty. The address is
+// empty if that is this entry, since it is called only while this entry does not
+// serve the partition.
 func (c *Claims) holder(p *claimPartition) wire.Holder {
 	address, epoch, mine := c.options.Duties.KnownHolder(p.duty)
 	if mine {
@@ -211,21 +215,22 @@
 	return wire.Holder{Duty: p.duty, Address: address, Epoch: epoch}
 }
 
-// ClaimServer serves forwarded calls; register it under wire.ClaimService.
+// ClaimServer is the net/rpc service for forwarded calls and for results of
+// former owners. It is registered under wire.ClaimService.
 type ClaimServer struct{ claims *Claims }
 
 // Server returns the net/rpc service of the claims.
 func (c *Claims) Server() *ClaimServer { return &ClaimServer{claims: c} }
 
-// Do serves a call that another entry forwards.
+// Do serves a call that another entry forwarded.
 func (s *ClaimServer) Do(request wire.ClaimRequest, reply *wire.ClaimReply) error {
 	p, key := s.claims.partition(request.Call)
 	if !p.servedHere() {
 		reply.Holder = s.claims.holder(p)
 		return nil
 	}
-	// Counted from the arrival, so that it is not before the deadline of the
-	// entry that waits.
+	// The deadline counts from the arrival, so it is never earlier than that of
+	// the entry that waits.
 	deadline := time.Now().Add(request.Call.Remaining)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
--- a/internal/entry/claims_handover.go
+++ b/internal/entry/claims_handover.go
@@ -14,28 +14,34 @@
 // methodTell is the net/rpc method of ClaimServer.Tell.
 const methodTell = wire.ClaimService + ".Tell"
 
-// methodQueryClaims is the agents' net/rpc method that tells the answers of claims.
+// methodQueryClaims is the agents' net/rpc method that returns the results of
+// claimed requests.
 const methodQueryClaims = wire.AgentService + ".Claims"
 
 const (
+	// drainPollInterval is how often a graceful stop checks whether it is done.
 	drainPollInterval = 5 * time.Millisecond
-	// handoverTimeout is how long a successor is looked for: a lease with its margins
-	// and the spread of take-overs pass in that time.
+	// handoverTimeout is how long a former owner tries to send its results to a
+	// successor. It covers a lease with its margins and the jitter of takeovers.
 	handoverTimeout = 10 * time.Second
-	sendTimeout     = time.Second
-	sendRetryDelay  = 20 * time.Millisecond
-	// queryMargin is what an agent's answer may take beside its own waiting.
+	// sendTimeout bounds one call that sends results.
+	sendTimeout = time.Second
+	// sendRetryDelay is the delay after a call that the next owner did not accept.
+	sendRetryDelay = 20 * time.Millisecond
+	// queryMargin is added to the time that an agent holds a query to get the
+	// timeout of the call.
 	queryMargin = time.Second
-	// maxResultsPerCall bounds the results told in one call.
+	// maxResultsPerCall limits the results sent in one call.
 	maxResultsPerCall = 256
-	// runningReportInterval keeps a successor waiting for what still runs here; well
-	// under claims.DefaultSettleWait.
+	// runningReportInterval is the longest time between two reports of the
+	// requests that still run here. It is well under claims.DefaultResultTimeout,
+	// after which the successor stops waiting for their results.
 	runningReportInterval = claims.DefaultResultTimeout / 4
 )
 
-// Close begins the graceful stop: calls go to the next owner from now on. It
+// Close starts the graceful stop: from now on calls go to the next owner. It
 // returns once no call waits for its claim to be written, so that the duties
-// can be handed over; requests in flight go on. See Drain.
+// can be handed over. Requests in flight keep running; see Drain.
 func (c *Claims) Close(ctx context.Context) error {
 	for _, p := range c.partitions {
 		p.closing.Store(true)
@@ -43,8 +49,8 @@
 	return c.waitFor(ctx, func(p *claimPartition) bool { return !p.committing() })
 }
 
-// Drain closes and returns once every call taken before is answered, and
-// recorded here or told to the next owner, or when ctx ends.
+// Drain calls Close and returns once every call accepted before is answered and
+// its result is either recorded here or sent to the next owner, or when ctx ends.
 func (c *Claims) Drain(ctx context.Context) error {
 	if err := c.Close(ctx); err != nil {
 		return err
@@ -56,7 +62,7 @@
 	for _, p := range c.partitions {
 		for !done(p) {
 			if ctx.Err() != nil {
-				return errors.New("claims: not every call was answered and recorded in time")
+				return errors.New("claims: drain ended before every call was answered and recorded")
 			}
 			sleep(ctx, drainPollInterval)
 		}
@@ -70,7 +76,8 @@
 	return p.machine.Committing()
 }
 
-// drained tells whether nothing is left to answer, record or tell.
+// drained reports whether nothing is left to answer, to record or to send. It
+// starts sending if requests still run for a partition that this entry lost.
 func (p *claimPartition) drained() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,14 +87,14 @@
 	return p.machine.Idle() && !p.sendingResults
 }
 
-// tell notes a result for the next owner; p.mu is held.
+// queueResult queues a result for the next owner. p.mu must be held.
 func (p *claimPartition) queueResult(t claims.SendResult) {
 	p.results = append(p.results, t)
 	p.startSending()
 }
 
-// startSending has the next owner told of results and, in a graceful stop, of
-// what still runs here; p.mu is held.
+// startSending starts sending the next owner the results and, in a graceful
+// stop, the list of requests that still run here. p.mu must be held.
 func (p *claimPartition) startSending() {
 	if !p.sendingResults {
 		p.sendingResults = true
@@ -95,8 +102,8 @@
 	}
 }
 
-// sendResults tells results until none is left or no owner takes any for handoverTimeout.
-// What is dropped then stays "unknown" to the next owner.
+// sendResults sends results until none is left or no owner has accepted any for
+// handoverTimeout. Results dropped then stay "unknown" at the next owner.
 func (p *claimPartition) sendResults() {
 	end := time.Now().Add(handoverTimeout)
 	for {
@@ -122,8 +129,9 @@
 	}
 }
 
-// waitForResult waits until there is a result to tell or nothing runs any more,
-// and not so long that the next owner gives up on what does.
+// waitForResult blocks until there is a result to send or no request runs any
+// more, and for runningReportInterval at most, so that the next owner keeps
+// waiting for the requests that still run.
 func (p *claimPartition) waitForResult() {
 	for end := time.Now().Add(runningReportInterval); time.Now().Before(end); time.Sleep(drainPollInterval) {
 		p.mu.Lock()
@@ -135,7 +143,8 @@
 	}
 }
 
-// sendToOwner makes one call and tells whether the owner took it.
+// sendToOwner sends one batch of results and reports whether the owner accepted
+// it.
 func (p *claimPartition) sendToOwner(batch []claims.SendResult) bool {
 	told := wire.ClaimsTold{Duty: p.duty}
 	for _, t := range batch {
@@ -167,7 +176,8 @@
 	return reply.Taken
 }
 
-// take takes in what an earlier owner tells; false if this entry is no owner.
+// receiveResults passes on results and running requests that a former owner or
+// an agent sent. It returns false if this entry is not the owner.
 func (p *claimPartition) receiveResults(told wire.ClaimsTold) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,7 +188,7 @@
 	return true
 }
 
-// Tell takes in results of an earlier owner of a partition.
+// Tell receives results from a former owner of a partition.
 func (s *ClaimServer) Tell(told wire.ClaimsTold, reply *wire.ClaimsToldReply) error {
 	for _, p := range s.claims.partitions {
 		if p.duty == told.Duty {
@@ -189,8 +199,8 @@
 	return nil
 }
 
-// ask puts one question to each agent. What comes late is still taken in; an
-// agent that does not answer changes nothing.
+// queryAgents queries every agent once for the results of claimed requests. Late
+// answers are still accepted; an agent that does not answer changes nothing.
 func (p *claimPartition) queryAgents(a claims.QueryAgents) {
 	if p.options.Agents == nil {
 		return
--- a/internal/entry/claims_partition.go
+++ b/internal/entry/claims_partition.go
@@ -19,35 +19,36 @@
 // claimCallTimeout bounds one call to the key-value service.
 const claimCallTimeout = 2 * time.Second
 
-// claimPartition hosts the state machine of one partition: it feeds it with
-// time, calls and the service's answers, and carries out what it asks for.
+// claimPartition runs the state machine of one partition: it passes it the time,
+// calls and answers of the key-value service, and performs the actions that the
+// machine returns.
 type claimPartition struct {
 	options ClaimsOptions
 	duty    string
-	closing atomic.Bool // a graceful stop has begun; calls go to the next owner
+	closing atomic.Bool // a graceful stop has begun, so calls go to the next owner
 
 	mu             sync.Mutex
 	machine        *claims.Partition
 	waiters        map[int64]*claimWaiter
-	lastWaiter     int64 // waiter number
+	lastWaiter     int64 // ID of the newest waiter
 	timer          *time.Timer
 	serving        bool                // as last logged
 	stalled        bool                // as last logged
 	results        []claims.SendResult // for the next owner, oldest first
-	sendingResults bool                // they are being told
+	sendingResults bool                // a goroutine is sending results
 }
 
-// submission is a call that a partition is asked to run at most once.
+// submission is a call that the partition runs at most once.
 type submission struct {
 	call     wire.Request
 	window   time.Duration
-	deadline time.Time // of the entry that waits, or a little after
+	deadline time.Time // of the waiting entry, or slightly later
 	dispatch Dispatch
 }
 
 type claimWaiter struct {
 	submission
-	reply chan claims.Reply // holds one
+	reply chan claims.Reply // buffered, so that a reply never blocks
 }
 
 func newClaimPartition(o ClaimsOptions, duty string) *claimPartition {
@@ -66,13 +67,15 @@
 	return p
 }
 
-// here tells whether calls are served here. A holder whose lease has lapsed in
-// an outage still serves: it cannot commit past a successor's epoch.
+// servedHere reports whether this entry serves the partition's calls. A holder
+// whose lease lapsed in an outage still serves: its commits fail once a successor
+// has raised the epoch.
 func (p *claimPartition) servedHere() bool {
 	return !p.closing.Load() && p.options.Duties.LeaseState(p.duty) != duties.NotHolder
 }
 
-// submit waits for the call's answer; moved means that nothing was done here.
+// submit blocks until the call is answered or ctx ends. If moved is true, nothing
+// was done here and the call belongs to another owner.
 func (p *claimPartition) submit(ctx context.Context, key claims.Key, s submission) (answer wire.Answer, moved bool) {
 	w := &claimWaiter{submission: s, reply: make(chan claims.Reply, 1)}
 	p.mu.Lock()
@@ -116,8 +119,9 @@
 	}
 }
 
-// renew tells the machine how long the lease runs. A lease of another epoch
-// proves nothing about the one under which the machine's history is complete.
+// updateLease passes the end of the lease to the machine. A lease of another
+// epoch is ignored, as it proves nothing about the epoch under which the
+// machine's history is complete.
 func (p *claimPartition) updateLease() {
 	epoch, until := p.options.Duties.HeldUntil(p.duty)
 	if epoch == p.machine.Epoch() {
@@ -146,8 +150,10 @@
 	}
 }
 
-// reply ends a waiter. An answer that rests on the lease is given only with
-// the duty keeper's promise, which is atomic with its giving the duty up.
+// reply answers a waiter. An answer that depends on the lease is given only if
+// the duty keeper promises to hold the duty until r.LeaseUntil; the promise is
+// atomic with respect to releasing the duty. Otherwise a refusal becomes
+// "unknown".
 func (p *claimPartition) reply(r claims.Reply) {
 	w := p.waiters[r.Waiter]
 	delete(p.waiters, r.Waiter)
@@ -163,8 +169,8 @@
 	w.reply <- r
 }
 
-// run dispatches a claimed call. The dispatch outlives its caller's connection:
-// what it does is recorded whoever still waits.
+// run dispatches a claimed call. The dispatch continues after its caller has
+// disconnected: its result is recorded whether or not anyone still waits for it.
 func (p *claimPartition) run(r claims.Run) {
 	w := p.waiters[r.Waiter]
 	call := w.call
@@ -178,9 +184,9 @@
 	}()
 }
 
-// dispatchBeforeDeadline does not dispatch past the deadline: a process that was paused
-// between the commit and here could wake when the claim is forgotten, and a
-// repeat would then be a second run.
+// dispatchBeforeDeadline dispatches the call unless its deadline has passed. A
+// process that was paused between the commit and this point may resume after the
+// claim has expired; a repeat of the call would then be a second run.
 func dispatchBeforeDeadline(ctx context.Context, call wire.Request, deadline time.Time, dispatch Dispatch) wire.Answer {
 	call.Remaining = time.Until(deadline)
 	if call.Remaining <= 0 {
@@ -215,8 +221,8 @@
 	p.step(done)
 }
 
-// remove deletes a bucket that no head lists. If that fails the bucket stays
-// behind, which costs space and nothing else.
+// deleteBucket deletes a bucket that no head refers to. If the deletion fails,
+// the bucket stays in the store, which costs only space.
 func (p *claimPartition) deleteBucket(d claims.Delete) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimCallTimeout)
 	defer cancel()
@@ -238,7 +244,7 @@
 	metrics.GetOrRegisterCounter(name, p.options.Metrics).Inc(1)
 }
 
-// logServing logs when the partition begins or ceases to be served here.
+// logServing logs when this entry starts or stops serving the partition.
 func (p *claimPartition) logServing() {
 	serving := p.machine.Serving()
 	if serving == p.serving {
@@ -252,7 +258,8 @@
 	event.Log(p.options.Log, logrus.Fields{"duty": p.duty, "epoch": p.machine.Epoch()})
 }
 
-// logStoreState logs when the service stops taking claims and when it resumes.
+// logStoreState logs when calls to the key-value service start to fail and when
+// they succeed again.
 func (p *claimPartition) logStoreState(err error) {
 	p.mu.Lock()
 	changed := p.stalled != (err != nil)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -22,83 +22,90 @@
 	// maxBodyBytes is the largest request body of any service; a service may
 	// declare a smaller one.
 	maxBodyBytes = 8 << 20
-	// shutdownDelay is how long a stopping entry still answers new connections,
-	// so that the balancer sees it unready before it refuses.
+	// shutdownDelay is how long a stopping entry still accepts new connections, so
+	// that the load balancer sees it unready before connections are refused.
 	shutdownDelay = time.Second
 )
 
-// Endpoint is one endpoint as the entry reaches it, through its agent.
+// Endpoint is one endpoint, which the entry reaches through its agent.
 type Endpoint interface {
-	// ID is the instance id of the endpoint's agent.
+	// ID returns the instance ID of the endpoint's agent.
 	ID() string
-	// Target pins the requests sent next to the agent process that answers now.
+	// Target returns the agent process that answers now. A request with this
+	// target is refused by any other process.
 	Target() wire.Target
-	// Call calls a method of the agent on the standing connection. ErrNotSent
-	// means that the agent certainly never saw the call.
+	// Call calls a method of the agent on the existing connection. ErrNotSent
+	// means that the agent certainly never received the call.
 	Call(ctx context.Context, method string, args, reply any) error
-	// CallFresh calls on a new connection, for when the standing one is silent.
+	// CallFresh calls a method on a new connection, for use when the existing one
+	// does not answer.
 	CallFresh(ctx context.Context, method string, args, reply any) error
 }
 
-// ErrNotSent is returned by an Endpoint whose connection could not be made.
+// ErrNotSent is returned by an Endpoint if no connection could be established.
 var ErrNotSent = errors.New("entry: call was not sent")
 
-// ErrGone is the ErrNotSent of an address where nobody listens: the agent's
-// process is gone, and with it what it remembered of earlier requests.
+// ErrGone is an ErrNotSent returned if nothing listens at the agent's address:
+// the process has ended, and its record of earlier requests is lost.
 var ErrGone = errors.WithMessage(ErrNotSent, "entry: the agent is gone")
 
-// Picker chooses endpoints. Business is whose request it is: behind a fair
-// queue a request waits for its own business's others. Prefix is a hash of the prompt's beginning, for
-// cache affinity; exclude lists endpoints that this request tried already.
+// Picker chooses endpoints.
 type Picker interface {
+	// Pick chooses an endpoint of the service, or returns false if there is none.
+	// business is the business that the request belongs to: in a fair queue a
+	// request waits behind the other requests of its business. prefix is a hash of
+	// the start of the prompt, for cache affinity. exclude lists the endpoints that
+	// the request has already been sent to.
 	Pick(service, business string, prefix uint64, exclude []string) (Endpoint, bool)
-	// Find returns the endpoint of an agent, unless it may not be given work.
+	// Find returns the endpoint of an agent, or false if it must not get requests.
 	Find(id string) (Endpoint, bool)
 }
 
-// Config gives the configuration in force; nil until one is known.
+// Config provides the configuration in force.
 type Config interface {
+	// Current returns the configuration in force, or nil until one is known.
 	Current() *decl.Deployment
 }
 
-// Quarantine knows the requests that crash their endpoints.
+// Quarantine limits where requests that may crash their endpoints can run.
 type Quarantine interface {
-	// Blocked tells whether no endpoint may run the request.
+	// Blocked reports whether the request must not run at any endpoint.
 	Blocked(service string, fingerprint uint64) bool
-	// StartCopy admits one copy of the request to an endpoint; Leave must follow.
-	// With admitted false, refusal tells why.
+	// StartCopy admits one copy of the request to an endpoint. If admitted is true,
+	// EndCopy must be called; otherwise refusal is the answer to the request.
 	StartCopy(ctx context.Context, v RequestCopy) (a Admission, refusal wire.Answer, admitted bool)
-	// ReportCrash notes a crash while the request ran; it comes before Leave.
+	// ReportCrash records a crash while the request ran. It must be called before
+	// EndCopy.
 	ReportCrash(s wire.Suspicion)
 	// EndCopy ends a copy that was admitted to the endpoint.
 	EndCopy(v RequestCopy, endpoint string, answered bool)
 }
 
-// RequestCopy is a copy of a request that wants to run at an endpoint.
+// RequestCopy is a copy of a request that is to run at an endpoint.
 type RequestCopy struct {
 	Service     string
 	Fingerprint uint64
-	Endpoint    string               // where it wants to run
-	Hedge       bool                 // apart from the copy that runs, if it may
-	Rollout     bool                 // placed by the rollout scheduler, which others do not follow
-	Usable      func(id string) bool // tells whether another endpoint may be given work
+	Endpoint    string               // preferred endpoint
+	Hedge       bool                 // runs at another endpoint than the first copy, if allowed
+	Rollout     bool                 // placed by the rollout scheduler; other copies need not run at the same endpoint
+	Usable      func(id string) bool // whether another endpoint may get requests
 
-	waited time.Duration // since it wanted to enter
+	waited time.Duration // time since StartCopy was called
 }
 
-// Admission tells how a copy has to run.
+// Admission is where and how an admitted copy must run.
 type Admission struct {
-	Endpoint string // where; not always where it wanted to
-	Alone    bool   // with nothing beside it, since it may crash the endpoint
+	Endpoint string // where to run; may differ from RequestCopy.Endpoint
+	Alone    bool   // with no other request beside it, since it may crash the endpoint
 }
 
-// RetryBudget keeps retries a share of each business's requests.
+// RetryBudget limits the retries of each business to a ratio of its requests.
 type RetryBudget interface {
 	Earn(business string)
 	Spend(business string) bool
 }
 
-// Dependencies are what an entry's callers' side is made of.
+// Dependencies are the components that a Server uses.
 type Dependencies struct {
 	Config     Config
 	Picker     Picker
@@ -108,15 +115,16 @@
 	Hedge      Hedger
 }
 
-// Hedger tells when a second attempt of an idempotent request is worth it.
+// Hedger decides when to hedge an idempotent request with a second attempt.
 type Hedger interface {
-	// Delay is how long to wait for the first attempt; 0 means never hedge.
+	// Delay returns how long to wait for the first attempt before hedging. 0 means
+	// that requests of the class are not hedged.
 	Delay(class string) time.Duration
-	// Observe notes an answered attempt's latency.
+	// Observe records the latency of an answered attempt.
 	Observe(class string, latency time.Duration)
 }
 
-// Server serves callers.
+// Server is the HTTP server for callers.
 type Server struct {
 	settings settings.Settings
 	log      *logrus.Logger
@@ -124,11 +132,11 @@
 	deps     Dependencies
 	http     *fasthttp.Server
 	leaving  atomic.Bool
-	active   atomic.Int64                // callers' requests being served
-	callers  atomic.Pointer[callerIndex] // of the deployment in force when one was last asked for
+	active   atomic.Int64                // requests in progress
+	callers  atomic.Pointer[callerIndex] // index of the deployment that was in force at the last request
 }
 
-// New prepares an entry's callers' side.
+// New returns a server that serves callers once ServeHTTP is called.
 func New(s settings.Settings, log *logrus.Logger, registry metrics.Registry, deps Dependencies) *Server {
 	e := &Server{settings: s, log: log, metrics: registry, deps: deps}
 	e.http = &fasthttp.Server{
@@ -144,19 +152,19 @@
 	return e
 }
 
-// Ready tells whether the entry takes callers: it holds a configuration and is
-// not leaving.
+// Ready reports whether the entry accepts callers' requests: it has a
+// configuration and is not stopping.
 func (e *Server) Ready() bool {
 	return !e.leaving.Load() && e.deps.Config.Current() != nil
 }
 
-// Leaving tells whether a graceful stop has begun.
+// Leaving reports whether a graceful stop has begun.
 func (e *Server) Leaving() bool {
 	return e.leaving.Load()
 }
 
-// ServeHTTP serves callers on the listener until ctx ends, then finishes the
-// requests in flight within the stop timeout.
+// ServeHTTP serves callers on the listener until ctx ends. It then waits for the
+// requests in flight, for at most the stop timeout.
 func (e *Server) ServeHTTP(ctx context.Context, listener net.Listener) error {
 	var group errgroup.Group
 	group.Go(func() error { return e.http.Serve(listener) })
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -7,8 +7,8 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Generate implements Generator: it runs a rollout request over the engines,
-// going on elsewhere behind the last token if an engine is lost.
+// Generate implements Generator. If an engine is lost, the run resumes at another
+// engine after the last token received.
 func (e *Server) Generate(ctx context.Context, req wire.Request, onTokens func(wire.ReadReply)) wire.Answer {
 	req.Stream = true
 	req.Rollout = true
@@ -34,7 +34,7 @@
 	return reply, nil
 }
 
-// Call implements Caller for requests of the entry's own, such as scoring.
+// Call implements ServiceClient for the entry's own requests, such as scoring.
 func (e *Server) Call(ctx context.Context, req wire.Request) wire.Answer {
 	req.Fingerprint = fingerprint(req)
 	if e.deps.Quarantine.Blocked(req.Service, req.Fingerprint) {
@@ -52,6 +52,6 @@
 	return wire.Answer{
 		Outcome: wire.NotRun,
 		Reason:  wire.ReasonQuarantined,
-		Detail:  "this request crashed its endpoints and is in quarantine",
+		Detail:  "the request is in quarantine because it crashed its endpoints",
 	}
 }
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -39,8 +39,9 @@
 	e.serveNonStreaming(ctx, c)
 }
 
-// notReadyAnswerFor refuses a request before a configuration is known. A repeat of a
-// keyed request may have run before, and only its claim could tell.
+// notReadyAnswerFor refuses a request that arrives before a configuration is known.
+// A request with an idempotency key may be a repeat of one that ran, which only its
+// claim could tell, so it is refused as "unknown".
 func (e *Server) notReadyAnswerFor(ctx *fasthttp.RequestCtx) wire.Answer {
 	if len(ctx.Request.Header.Peek(headerIdempotencyKey)) > 0 {
 		return claims.RefusalAsUnknown(notReadyAnswer())
@@ -52,7 +53,8 @@
 	return wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNotReady, Detail: "no configuration is in force yet", RetryAfter: time.Second}
 }
 
-// serveHealth answers the balancer's probes.
+// serveHealth answers the load balancer's probes. It returns false if the request
+// is not a probe.
 func (e *Server) serveHealth(ctx *fasthttp.RequestCtx) bool {
 	switch string(ctx.Path()) {
 	case "/healthz":
@@ -70,7 +72,7 @@
 	return true
 }
 
-// badRequest answers what the HTTP library itself refuses.
+// badRequest answers a request that the HTTP library rejected.
 func (e *Server) badRequest(ctx *fasthttp.RequestCtx, err error) {
 	status := fasthttp.StatusBadRequest
 	if err == fasthttp.ErrBodyTooLarge {
@@ -79,7 +81,7 @@
 	refused(status, err.Error()).write(ctx)
 }
 
-// serveNonStreaming serves a request that is answered in one piece.
+// serveNonStreaming serves a request that is answered with one complete response.
 func (e *Server) serveNonStreaming(ctx *fasthttp.RequestCtx, c call) {
 	start := time.Now()
 	callCtx, cancel := context.WithTimeout(context.Background(), c.req.Remaining)
@@ -102,11 +104,11 @@
 	metrics.GetOrRegisterTimer("class."+c.class.Name+".latency", e.metrics).Update(took)
 }
 
-// execute runs a checked request to its final answer.
+// execute runs a validated request to its final answer.
 //
 // A quarantined request that may run only once is refused by its dispatch, not
-// here: it may have run and crashed its endpoint before, and "not run" would be
-// false. Its claim knows.
+// here: it may have run before and crashed its endpoint, so that "not run" would
+// be false. Its claim records whether it ran.
 func (e *Server) execute(ctx context.Context, c call) wire.Answer {
 	once := c.plain && !c.class.Idempotent
 	if !once && e.deps.Quarantine.Blocked(c.req.Service, c.req.Fingerprint) {
@@ -122,8 +124,9 @@
 	return e.deps.Claimer.Do(ctx, c.req, c.class, e.dispatchOnce)
 }
 
-// complete assembles a completion from its stream, so that a whole answer too
-// survives the loss of its engine and names the versions that produced it.
+// complete builds a completion from a stream, so that a non-streaming request also
+// survives the loss of its engine and its answer names the weight versions that
+// produced it.
 func (e *Server) complete(ctx context.Context, c call) wire.Answer {
 	var s completionBuilder
 	answer := e.runStream(ctx, c, s.add)
@@ -140,7 +143,7 @@
 	return answer
 }
 
-// completionBuilder is a completion put together from a stream's tokens.
+// completionBuilder builds a completion from the tokens of a stream.
 type completionBuilder struct {
 	text     []byte
 	tokens   int
@@ -155,7 +158,8 @@
 	}
 }
 
-// label extends the last segment or begins a new one at the present token.
+// label extends the last segment by the current token, or starts a new segment if
+// the weight version changed.
 func (s *completionBuilder) label(version int64) {
 	if n := len(s.segments); n > 0 && s.segments[n-1].Version == version {
 		s.segments[n-1].To = s.tokens + 1
--- a/internal/entry/problem.go
+++ b/internal/entry/problem.go
@@ -13,7 +13,7 @@
 
 const problemType = "application/problem+json"
 
-// problem is an error answer as RFC 9457 has it, with what became of the request.
+// problem is an RFC 9457 problem document with the outcome of the request.
 type problem struct {
 	Type       string   `json:"type"`
 	Title      string   `json:"title"`
@@ -46,7 +46,7 @@
 	wire.ReasonOwnerAbsent: fasthttp.StatusServiceUnavailable,
 }
 
-// problemOf describes an answer that is not an endpoint's own.
+// problemOf returns the problem document for an answer that no endpoint gave.
 func problemOf(a wire.Answer) problem {
 	status, known := statusOf[a.Reason]
 	if !known {
@@ -70,7 +70,7 @@
 	}
 }
 
-// refused describes a request that its own faults keep from running.
+// refused returns the problem document for an invalid request.
 func refused(status int, findings ...string) problem {
 	return problem{
 		Type:     "about:blank",
@@ -98,7 +98,8 @@
 	ctx.SetBody(text)
 }
 
-// retryAfterSeconds rounds up: a caller that comes back a second early is refused again.
+// retryAfterSeconds rounds up, since a caller that retries too early is refused
+// again.
 func retryAfterSeconds(s float64) string {
 	return strconv.Itoa(int(math.Ceil(s)))
 }
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -20,13 +20,13 @@
 const methodExchange = wire.PoisonService + ".Exchange"
 
 const (
-	// exchangeTimeout bounds one exchange with a peer; a caller waits for it.
+	// exchangeTimeout bounds one exchange with a peer. A caller waits for it.
 	exchangeTimeout = 100 * time.Millisecond
-	// suspectRetryDelay is the pause before a suspect looks at the peers again.
+	// suspectRetryDelay is the delay before a copy that was not admitted tries again.
 	suspectRetryDelay = 20 * time.Millisecond
-	// followTimeout bounds the wait for an endpoint that a copy should follow
-	// another to and that takes no work: it leaves, or the news of the other
-	// copy's end was lost. A crash is known by then.
+	// followTimeout bounds how long a copy waits for the endpoint of an earlier copy
+	// if that endpoint gets no requests: it is leaving, or the message that the
+	// earlier copy ended was lost. By then a crash would be known.
 	followTimeout = 500 * time.Millisecond
 )
 
@@ -36,9 +36,9 @@
 	ClaimPeers
 }
 
-// PoisonQuarantine is the entry's Quarantine: it hosts the registry of requests
-// that crash their endpoints and keeps it level with the other entries'. One
-// lock guards the whole registry, since a crash is judged over all that ran.
+// PoisonQuarantine is the entry's Quarantine. It runs the registry of requests that
+// crash their endpoints and exchanges it with the other entries. One lock protects
+// the whole registry, since a crash is judged by all requests that ran.
 type PoisonQuarantine struct {
 	self  string
 	peers PoisonPeers
@@ -47,12 +47,12 @@
 	mu           sync.Mutex
 	registry     *poison.Registry
 	outboxes     map[string]*outbox // by address of the peer
-	broadcasting map[poison.ID]bool // told to every entry by this one, a home
+	broadcasting map[poison.ID]bool // requests whose placements this entry, as coordinator, sends to every entry
 }
 
 var _ Quarantine = (*PoisonQuarantine)(nil)
 
-// NewPoisonQuarantine returns a guard that suspects nothing.
+// NewPoisonQuarantine returns a quarantine with an empty registry.
 func NewPoisonQuarantine(self string, peers PoisonPeers, log *logrus.Logger) *PoisonQuarantine {
 	return &PoisonQuarantine{
 		self:         self,
@@ -64,7 +64,7 @@
 	}
 }
 
-// Blocked tells whether no endpoint may run the request.
+// Blocked reports whether the request must not run at any endpoint.
 func (g *PoisonQuarantine) Blocked(service string, fingerprint uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,10 +75,10 @@
 	return g.registry.Verdict(time.Now(), id)
 }
 
-// StartCopy admits one copy of the request to an endpoint; Leave must follow. With
-// admitted false, refusal tells why. A suspect waits while a copy of it runs
-// through any entry, and a copy that may run at certain endpoints only waits
-// while none of them is usable.
+// StartCopy admits one copy of the request to an endpoint. If admitted is true,
+// EndCopy must be called; otherwise refusal is the answer to the request. A suspect
+// waits while any entry runs a copy of it, and a copy that may run only at certain
+// endpoints waits while none of them is usable.
 func (g *PoisonQuarantine) StartCopy(ctx context.Context, v RequestCopy) (a Admission, refusal wire.Answer, admitted bool) {
 	since := time.Now()
 	for {
@@ -95,22 +95,22 @@
 		}
 		sleep(ctx, suspectRetryDelay)
 		if ctx.Err() != nil {
-			return a, wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonDeadline, Detail: "another copy of this request runs, or where it may run is down"}, false
+			return a, wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonDeadline, Detail: "another copy of the request is running, or no endpoint where it may run is usable"}, false
 		}
 	}
 }
 
-// entering is how an attempt to enter ended.
+// admitResult is the result of one attempt to start a copy.
 type admitResult int
 
 const (
 	admittedCopy admitResult = iota
 	blockedRequest
-	suspectRequest   // ask the peers first
-	noUsableEndpoint // none of the endpoints where it may run is usable
+	suspectRequest   // the peers must be asked first
+	noUsableEndpoint // no endpoint where the copy may run is usable
 )
 
-// begin counts a copy that may run freely.
+// tryStart starts a copy unless the request is blocked or a suspect.
 func (g *PoisonQuarantine) tryStart(v RequestCopy, a *Admission) admitResult {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -126,8 +126,8 @@
 	return admittedCopy
 }
 
-// admit begins the copy at an endpoint where it may run. The caller holds the
-// lock.
+// startAtAllowed starts the copy at an endpoint where it may run and announces the
+// placement. g.mu must be held.
 func (g *PoisonQuarantine) startAtAllowed(v RequestCopy, a *Admission) bool {
 	now := time.Now()
 	endpoint, ok := g.chooseEndpoint(now, v)
@@ -141,8 +141,9 @@
 	return true
 }
 
-// choose keeps the endpoint that the copy wants if it may run there. A hedge may
-// open a second endpoint: one beside the slow one would be as slow.
+// chooseEndpoint returns the preferred endpoint if the copy may run there, and
+// otherwise another allowed one. A hedge may use a second endpoint, since at the
+// slow endpoint of the first attempt it would be just as slow.
 func (g *PoisonQuarantine) chooseEndpoint(now time.Time, v RequestCopy) (string, bool) {
 	id := requestID(v)
 	allowed, exclusive := g.registry.AllowedEndpoints(now, id)
@@ -165,9 +166,10 @@
 	return poison.ID{Service: v.Service, Fingerprint: v.Fingerprint}
 }
 
-// place names the endpoint for others to follow. A sample that the scheduler
-// moves begins on its new engine before its old copy has ended; bound to that, it
-// could not move.
+// placementEndpoint returns the endpoint to register as the copy's placement, which
+// later copies have to use, or "" for a rollout. A sample that the scheduler moves
+// starts at its new engine before the old copy has ended, so that a registered
+// placement would prevent the move.
 func (v RequestCopy) placementEndpoint(endpoint string) string {
 	if v.Rollout {
 		return ""
@@ -175,7 +177,7 @@
 	return endpoint
 }
 
-// startSuspect begins a suspect unless any entry runs a copy of it.
+// startSuspect starts a copy of a suspect unless any entry runs one already.
 func (g *PoisonQuarantine) startSuspect(ctx context.Context, v RequestCopy, a *Admission) bool {
 	id := requestID(v)
 	g.mu.Lock()
@@ -195,8 +197,8 @@
 	return true
 }
 
-// EndCopy ends a copy. Report comes before it, so that no peer finds the request
-// neither running nor suspect.
+// EndCopy ends a copy that StartCopy admitted. After a crash ReportCrash must be
+// called first, so that no peer finds the request neither running nor suspect.
 func (g *PoisonQuarantine) EndCopy(v RequestCopy, endpoint string, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -205,15 +207,15 @@
 	}
 }
 
-// ReportCrash notes a crash while the request ran. It returns once the peers know
-// it, as far as they can be reached: the caller hears of the crash after that,
-// so that its resend through another entry does not overtake the suspicion.
+// ReportCrash records a crash while the request ran. It returns once every
+// reachable peer knows of the crash. The caller gets its answer only after that, so
+// that a resend through another entry does not arrive there before the suspicion.
 func (g *PoisonQuarantine) ReportCrash(s wire.Suspicion) {
 	g.merge([]wire.Suspicion{s}, nil)
 	g.exchangeWithAll(context.Background(), poison.ID{})
 }
 
-// ApplyHeartbeat takes in what a heartbeat tells.
+// ApplyHeartbeat merges the suspicions and quarantine entries of a heartbeat.
 func (g *PoisonQuarantine) ApplyHeartbeat(suspicions []wire.Suspicion, entries []wire.QuarantineEntry) {
 	if len(suspicions) > 0 || len(entries) > 0 {
 		g.merge(suspicions, entries)
@@ -236,16 +238,16 @@
 	}
 }
 
-// List returns the quarantine, for heartbeats and operators. Released entries
-// are in it until they expire.
+// List returns the quarantine entries, for heartbeats and operators. Released
+// entries are included until they expire.
 func (g *PoisonQuarantine) List() []wire.QuarantineEntry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.registry.List(time.Now())
 }
 
-// Release lets a request run again on every entry and tells whether it was in
-// quarantine.
+// Release lets a request run again through every entry and reports whether it was
+// in quarantine.
 func (g *PoisonQuarantine) Release(fingerprint uint64) bool {
 	g.mu.Lock()
 	released := g.registry.Release(time.Now(), fingerprint)
@@ -256,8 +258,9 @@
 	return released
 }
 
-// ask exchanges knowledge with every other entry and tells whether one of them
-// runs the request. A peer that cannot be reached is taken for gone.
+// exchangeWithAll exchanges suspicions and quarantine entries with every other
+// entry and reports whether one of them runs the request. A peer that cannot be
+// reached is assumed to be gone.
 func (g *PoisonQuarantine) exchangeWithAll(ctx context.Context, id poison.ID) bool {
 	request := g.newExchange(id)
 	busy := make(chan bool, 1)
@@ -289,7 +292,8 @@
 	}
 }
 
-// exchangeWith asks twice, the second time over a new connection.
+// exchangeWith calls one peer, and once more over a new connection if the first call
+// fails. It reports whether the peer runs the request.
 func (g *PoisonQuarantine) exchangeWith(ctx context.Context, address string, request wire.PoisonExchange) bool {
 	for _, fresh := range []bool{false, true} {
 		limited, cancel := context.WithTimeout(ctx, exchangeTimeout)
@@ -307,13 +311,15 @@
 	return false
 }
 
-// PoisonServer answers exchanges; register it under wire.PoisonService.
+// PoisonServer is the net/rpc service for other entries. It is registered under
+// wire.PoisonService.
 type PoisonServer struct{ quarantine *PoisonQuarantine }
 
-// Server returns the net/rpc service of the guard.
+// Server returns the net/rpc service of the quarantine.
 func (g *PoisonQuarantine) Server() *PoisonServer { return &PoisonServer{quarantine: g} }
 
-// Exchange takes in what another entry knows and returns what this one does.
+// Exchange merges the suspicions and quarantine entries of another entry and returns
+// those of this one.
 func (s *PoisonServer) Exchange(request wire.PoisonExchange, reply *wire.PoisonExchange) error {
 	g := s.quarantine
 	g.merge(request.Suspects, request.Quarantine)
--- a/internal/entry/quarantine_placement.go
+++ b/internal/entry/quarantine_placement.go
@@ -12,27 +12,31 @@
 
 const methodPlace = wire.PoisonService + ".Place"
 
-// maxPendingPlacements bounds what waits for one peer. What is beyond is not told: a
-// peer that does not answer would fill the memory.
+// maxPendingPlacements limits the placements queued for one peer. Further ones are
+// dropped, since a peer that does not answer would exhaust the memory.
 const maxPendingPlacements = 10_000
 
 const (
-	// maxBroadcastPeers is up to how many other entries each hears of every copy. In
-	// a fleet of hundreds that would be the larger part of an entry's work; there
-	// the request's home hears of it alone, and tells all once it has two copies.
+	// maxBroadcastPeers is the largest number of other entries at which every
+	// placement is sent to all of them. In a fleet of hundreds that would be most of
+	// an entry's work; there placements go only to the request's coordinator, which
+	// sends them to all entries once the request has two copies.
 	maxBroadcastPeers = 16
-	// placementSendDelay lets news for one peer gather while its requests are many.
+	// placementSendDelay is the delay between two calls to the same peer, in which
+	// placements are collected into one call under load.
 	placementSendDelay = 2 * time.Millisecond
 )
 
-// outbox is what one peer has yet to be told. Nobody waits for it: a caller's
-// request starts at once, and its peers know a moment later where.
+// outbox is the queue of placements to send to one peer. Sending is asynchronous: a
+// caller's request starts at once, and the peers learn of its endpoint slightly
+// later.
 type outbox struct {
 	pending []wire.Placement
 	sending bool
 }
 
-// announcePlacement passes the news of a copy here on. The caller holds the lock.
+// announcePlacement sends the placement of a copy of this entry to the other
+// entries, or in a large fleet to the request's coordinator. g.mu must be held.
 func (g *PoisonQuarantine) announcePlacement(placement wire.Placement) {
 	others := g.peers.Others()
 	if len(others) <= maxBroadcastPeers {
@@ -46,9 +50,10 @@
 	g.broadcastCopies(others, placement)
 }
 
-// home returns the entry that hears of every copy of the request, nil if that
-// is this one. All entries that know the same list find the same. While the list
-// names one that is lost, copies of its requests are not followed.
+// coordinator returns the entry that gets the placements of all copies of the
+// request, or nil if that is this entry. All entries that have the same list select
+// the same one by rendezvous hashing. While the list contains an entry that is lost,
+// the placements of its requests are not shared.
 func (g *PoisonQuarantine) coordinator(others []kv.Instance, fingerprint uint64) *kv.Instance {
 	var best *kv.Instance
 	most := rendezvous.Weight(fingerprint, rendezvous.Key(g.self))
@@ -60,9 +65,10 @@
 	return best
 }
 
-// relay tells every entry of a request that has two copies or more: the third
-// must follow them. One with a single copy at a time, as nearly all are, costs
-// its home two messages. The caller holds the lock.
+// broadcastCopies sends the placements of a request with two or more copies to
+// every entry, as the third copy must run at one of their endpoints. A request with
+// a single copy at a time, as nearly all are, costs its coordinator two messages.
+// g.mu must be held.
 func (g *PoisonQuarantine) broadcastCopies(others []kv.Instance, placement wire.Placement) {
 	id := poison.ID{Service: placement.Service, Fingerprint: placement.Fingerprint}
 	copies := g.registry.Placements(id)
@@ -85,7 +91,7 @@
 	return all
 }
 
-// post puts news into the peers' outboxes. The caller holds the lock.
+// post adds placements to the peers' outboxes. g.mu must be held.
 func (g *PoisonQuarantine) post(peers []kv.Instance, placements ...wire.Placement) {
 	for _, peer := range peers {
 		box := g.outboxes[peer.Address]
@@ -104,8 +110,8 @@
 	}
 }
 
-// sendPlacements sends one call after the other, each with all that came
-// meanwhile, until nothing is left.
+// sendPlacements sends the outbox of one peer until it is empty. The calls are made
+// one after the other, each with all placements queued meanwhile.
 func (g *PoisonQuarantine) sendPlacements(address string, box *outbox) {
 	for {
 		placements := g.drainOutbox(address, box)
@@ -114,7 +120,8 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
 		var none struct{}
-		// News that is lost binds nobody, or for PlacedFor at most.
+		// The placement of a started copy that is lost restricts no other copy; if the
+		// end of a copy is lost, its placement expires after PlacementTTL.
 		_ = g.peers.CallPeer(ctx, address, false, methodPlace, placements, &none)
 		cancel()
 		time.Sleep(placementSendDelay)
@@ -133,7 +140,7 @@
 	return placements
 }
 
-// Place takes in where copies of requests run through another entry.
+// Place records placements of copies that run through other entries.
 func (s *PoisonServer) Place(placements []wire.Placement, _ *struct{}) error {
 	g := s.quarantine
 	others := g.peers.Others()
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -25,18 +25,21 @@
 
 const (
 	plainPrefix = "/svc/"
-	// maxIdempotencyKey is the longest key a caller may choose, in bytes.
+	// maxIdempotencyKey is the maximum length of an idempotency key in bytes.
 	maxIdempotencyKey = 256
-	// maxTimeoutMs keeps a caller's timeout from overflowing; a day is beyond any class.
+	// maxTimeoutMs caps a caller's timeout at one day, so that it cannot overflow. No
+	// class has a longer deadline.
 	maxTimeoutMs = 24 * 60 * 60 * 1000
-	// prefixBytes of a prompt decide which engine may hold its cache.
+	// prefixBytes is the length of the prompt prefix that selects the engine which
+	// may have it in its cache.
 	prefixBytes      = 256
 	defaultMaxTokens = 256
-	// tokenSeconds is the first guess of engine time per token, for fair queueing.
+	// tokenSeconds is the initial estimate of engine time per token, used for fair
+	// queueing.
 	tokenSeconds = 0.01
 )
 
-// call is a caller's request, read and checked.
+// call is a caller's request after parsing and validation.
 type call struct {
 	req    wire.Request
 	class  decl.Class
@@ -44,7 +47,7 @@
 	prefix uint64
 }
 
-// findings collects the faults of a request, so that a caller learns all at once.
+// findings collects the errors of a request, so that the caller gets all at once.
 type findings struct {
 	status int
 	list   []string
@@ -57,14 +60,15 @@
 	f.list = append(f.list, fmt.Sprintf(format, args...))
 }
 
-// readCall reads a caller's request against the configuration in force.
+// readCall parses a caller's request and validates it against the configuration
+// in force.
 func readCall(ctx *fasthttp.RequestCtx, from *callerIndex, now time.Time) (call, *findings) {
 	var c call
 	f := &findings{}
 	deployment := from.deployment
 	principal, known := from.authenticate(ctx)
 	if !known {
-		f.add(fasthttp.StatusUnauthorized, "Authorization: a bearer key of a declared caller is needed")
+		f.add(fasthttp.StatusUnauthorized, "Authorization: a bearer key of a declared caller is required")
 		return c, f
 	}
 	body := append([]byte(nil), ctx.PostBody()...)
@@ -91,8 +95,8 @@
 	return c, f
 }
 
-// readTarget finds the service: by path for plain services, by the model's
-// name in the body for model services.
+// readTarget determines the service: from the path for plain services, from the
+// model name in the body for model services.
 func (c *call) readTarget(ctx *fasthttp.RequestCtx, f *findings) {
 	path := string(ctx.Path())
 	if rest, ok := strings.CutPrefix(path, plainPrefix); ok {
@@ -110,7 +114,7 @@
 		return
 	}
 	if c.req.Method != fasthttp.MethodPost {
-		f.add(fasthttp.StatusMethodNotAllowed, "%s takes POST", path)
+		f.add(fasthttp.StatusMethodNotAllowed, "%s requires POST", path)
 		return
 	}
 	c.readCompletion(path, f)
@@ -148,14 +152,14 @@
 
 func (c *call) checkService(service decl.Service, f *findings) {
 	if c.plain != (service.Kind == decl.KindPlain) {
-		f.add(fasthttp.StatusNotFound, "service %q is of kind %s and not reached by this path", service.Name, service.Kind)
+		f.add(fasthttp.StatusNotFound, "service %q is of kind %s and cannot be reached by this path", service.Name, service.Kind)
 	}
 	if service.MaxBodyBytes > 0 && len(c.req.Body) > service.MaxBodyBytes {
 		f.add(fasthttp.StatusRequestEntityTooLarge, "body: %d bytes, service %q takes %d", len(c.req.Body), service.Name, service.MaxBodyBytes)
 	}
 }
 
-// readClass takes the first declared class of the service that matches.
+// readClass selects the first declared class of the service that matches.
 func (c *call) readClass(deployment *decl.Deployment, f *findings) {
 	for _, class := range deployment.Classes {
 		if class.Service == c.req.Service && matches(class, c.req.Method, c.req.Path) {
@@ -187,7 +191,8 @@
 	return false
 }
 
-// readDeadline takes the sooner of the class's deadline and the caller's own.
+// readDeadline sets the remaining time from the class's deadline or the caller's,
+// whichever is earlier.
 func (c *call) readDeadline(ctx *fasthttp.RequestCtx, now time.Time, f *findings) {
 	remaining := c.class.Deadline
 	if text := ctx.Request.Header.Peek(headerTimeout); len(text) > 0 {
@@ -212,8 +217,8 @@
 	c.req.Remaining = remaining
 }
 
-// readIdempotencyKey names the request. The key is scoped to the caller, so
-// that no caller can read another's stored answer.
+// readIdempotencyKey sets the call ID from the idempotency key. The key is scoped
+// to the caller, so that no caller can read another's stored answer.
 func (c *call) readIdempotencyKey(ctx *fasthttp.RequestCtx, f *findings) {
 	key := string(ctx.Request.Header.Peek(headerIdempotencyKey))
 	if len(key) > maxIdempotencyKey {
@@ -221,7 +226,7 @@
 		return
 	}
 	if key == "" && !c.class.Idempotent && f.status == 0 {
-		f.add(fasthttp.StatusBadRequest, "%s is needed: requests of class %q may not be repeated without it", headerIdempotencyKey, c.class.Name)
+		f.add(fasthttp.StatusBadRequest, "%s is required: requests of class %q cannot be repeated safely without it", headerIdempotencyKey, c.class.Name)
 		return
 	}
 	if key == "" {
@@ -250,8 +255,8 @@
 	return ""
 }
 
-// fingerprint names what a request asks for, whatever its id: a caller's
-// resend of a request that crashed an endpoint may bear a new id.
+// fingerprint returns a hash of the request's content without its ID: a caller may
+// resend a request that crashed an endpoint under a new ID.
 func fingerprint(req wire.Request) uint64 {
 	d := xxhash.New()
 	for _, part := range []string{req.Service, req.Method, req.Path} {
--- a/internal/entry/retry.go
+++ b/internal/entry/retry.go
@@ -7,14 +7,15 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// visit is one attempt's outcome with where it was made.
+// attemptResult is the answer and the latency of one attempt.
 type attemptResult struct {
 	answer  wire.Answer
 	latency time.Duration
 }
 
-// runIdempotent runs a request that may be repeated: over several endpoints if
-// they fail, and hedged if the first is slower than the class usually is.
+// runIdempotent runs a request that may be repeated. It retries failed attempts at
+// other endpoints and hedges the first attempt if it is slower than is usual for
+// the class.
 func (e *Server) runIdempotent(ctx context.Context, c call) wire.Answer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -42,7 +43,7 @@
 	}
 }
 
-// attempts are the tries of one idempotent request.
+// attempts is the state of one idempotent request's attempts.
 type attempts struct {
 	entry    *Server
 	call     call
@@ -53,7 +54,8 @@
 	results  chan attemptResult
 }
 
-// launch starts an attempt on an endpoint not tried yet.
+// launch starts an attempt at an endpoint that was not tried yet. It returns false
+// if there is none or the request has reached maxAttempts.
 func (r *attempts) launch(ctx context.Context, hedge bool) bool {
 	if len(r.tried) >= maxAttempts {
 		return false
@@ -61,7 +63,7 @@
 	ep, ok := r.entry.deps.Picker.Pick(r.call.req.Service, r.call.req.Principal.Business, r.call.prefix, r.tried)
 	if !ok {
 		if len(r.tried) == 0 {
-			r.last = wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service can be reached"}
+			r.last = wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service is reachable"}
 		}
 		return false
 	}
@@ -77,7 +79,8 @@
 	return true
 }
 
-// settle takes an attempt's outcome and tells whether it is the final answer.
+// handleResult processes the result of an attempt and reports whether it is the
+// final answer. It starts another attempt if one is allowed.
 func (r *attempts) handleResult(ctx context.Context, v attemptResult) bool {
 	if v.answer.Outcome == wire.Answered {
 		r.entry.deps.Hedge.Observe(r.call.class.Name, v.latency)
@@ -97,9 +100,9 @@
 	return false
 }
 
-// mayRetry allows another attempt. One that the endpoint refused unseen costs
-// nothing; any other is paid from the business's budget, without which retries
-// would multiply an overload.
+// mayRetry reports whether another attempt is allowed. A retry of a request that
+// did not run is free; any other spends from the business's retry budget, without
+// which retries would multiply an overload.
 func (r *attempts) mayRetry(a wire.Answer) bool {
 	if a.Outcome == wire.NotRun {
 		return retryableElsewhere(a.Reason)
@@ -120,7 +123,7 @@
 	return wire.Answer{Outcome: wire.Unknown, Reason: wire.ReasonDeadline, Detail: "the deadline passed"}
 }
 
-// hedgeTimer fires after d, or never if d is 0.
+// hedgeTimer returns a timer that fires after d, or never if d is 0.
 func hedgeTimer(d time.Duration) *time.Timer {
 	if d > 0 {
 		return time.NewTimer(d)
--- a/internal/entry/retry_policy.go
+++ b/internal/entry/retry_policy.go
@@ -8,21 +8,23 @@
 	"siskinloom.example/siskinloom/internal/policy/retry"
 )
 
-// RetryPolicy runs the retry budget and the hedging policy under one lock. It
-// implements RetryBudget and Hedger.
+// RetryPolicy holds the retry budgets and the hedging policy. It implements
+// RetryBudget and Hedger and is safe for concurrent use.
 type RetryPolicy struct {
 	mu             sync.Mutex
 	budget         *retry.Budget
 	hedge          *retry.Hedge
-	hedgeQuantiles map[string]float64 // hedge quantile by class
+	hedgeQuantiles map[string]float64 // latency quantile after which to hedge, by class
 }
 
-// NewRetryPolicy returns budgets of default shares; Configure brings the declared ones.
+// NewRetryPolicy returns a policy with the default ratio for every business and
+// without hedging. Configure sets the declared values.
 func NewRetryPolicy() *RetryPolicy {
 	return &RetryPolicy{budget: retry.NewBudget(), hedge: retry.NewHedge(), hedgeQuantiles: map[string]float64{}}
 }
 
-// Configure puts a deployment's budgets and hedge quantiles in force.
+// Configure sets the retry ratios of the deployment's businesses and the hedge
+// quantiles of its classes.
 func (r *RetryPolicy) Configure(d decl.Deployment) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -17,18 +17,19 @@
 const (
 	// readWait is how long an agent holds a read while there are no tokens.
 	readWait = 2 * time.Second
-	// rolloutCoalesceDelay is how long an agent gathers a rollout's tokens. Nobody
-	// waits for each of them, and a read a token would be most of what a token
-	// costs; what is lost with an agent meanwhile is generated again.
+	// rolloutCoalesceDelay is how long an agent collects a rollout's tokens before it
+	// answers a read. Nobody waits for single tokens, and one read per token would be
+	// most of a token's cost. Tokens that are lost with an agent meanwhile are
+	// generated again.
 	rolloutCoalesceDelay = 250 * time.Millisecond
 )
 
-// runStream runs a completion to its end and hands its tokens to onTokens in
-// order, each once. A stream cut by the loss of its engine goes on at another
-// engine behind the last token that was handed on.
+// runStream runs a completion to its end and passes its tokens to onTokens in
+// order, each exactly once. If its engine is lost, the stream resumes at another
+// engine after the last token that was passed on.
 func (e *Server) runStream(ctx context.Context, c call, onTokens func(wire.ReadReply)) wire.Answer {
 	s := &streamRun{entry: e, call: c, onTokens: onTokens, tokens: tokens.Of(c.req.Resume.Tokens)}
-	last := wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service can be reached"}
+	last := wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service is reachable"}
 	for range maxAttempts {
 		ep, ok := s.pick()
 		if !ok || ctx.Err() != nil {
@@ -43,18 +44,19 @@
 	return s.finalAnswer(last)
 }
 
-// streamRun is one stream over the engines that it visits.
+// streamRun is the state of one stream over its attempts at different engines.
 type streamRun struct {
 	entry          *Server
 	call           call
 	onTokens       func(wire.ReadReply)
 	tried          []string
-	tokens         tokens.Text // handed on so far
+	tokens         tokens.Text // passed on so far
 	suspect        bool
 	freeResumeUsed bool
 }
 
-// pick takes the preferred endpoint first, then any that was not tried.
+// pick returns the preferred endpoint for the first attempt, and otherwise one that
+// was not tried yet.
 func (s *streamRun) pick() (Endpoint, bool) {
 	picker := s.entry.deps.Picker
 	if want := s.call.req.Prefer; want != "" && len(s.tried) == 0 {
@@ -65,8 +67,8 @@
 	return picker.Pick(s.call.req.Service, s.call.req.Principal.Business, s.call.prefix, s.tried)
 }
 
-// finalAnswer keeps a stream that has already delivered tokens from ending as
-// "not run" because its last engine refused it.
+// finalAnswer turns "not run" into "unknown" if the stream has delivered tokens:
+// only its last engine refused it.
 func (s *streamRun) finalAnswer(a wire.Answer) wire.Answer {
 	if a.Outcome == wire.NotRun && s.tokens.Len() > 0 {
 		a.Outcome = wire.Unknown
@@ -86,23 +88,24 @@
 	}
 	s.suspect = s.suspect || a.Reason == wire.ReasonCrashed
 	if !s.freeResumeUsed {
-		// The first resume is free: it runs only the rest of the stream. Were it
-		// paid from the budget, the loss of a failure domain, which cuts many
-		// streams at once, would leave those beyond the budget unanswered.
+		// The first resume is free, since it runs only the rest of the stream. If it
+		// were charged to the retry budget, the loss of a failure domain, which
+		// interrupts many streams at once, would leave the streams beyond the budget
+		// unanswered.
 		s.freeResumeUsed = true
 		return true
 	}
 	return s.entry.deps.Retries.Spend(s.call.req.Principal.Business)
 }
 
-// follow runs the stream at one endpoint, as its quarantine allows.
+// attempt runs the stream at one endpoint, subject to the quarantine.
 func (s *streamRun) attempt(ctx context.Context, ep Endpoint) wire.Answer {
 	return s.entry.runCopy(ctx, ep, s.call.req, false, func(ep Endpoint, req wire.Request) wire.Answer {
 		return s.attemptOnce(ctx, ep, req)
 	})
 }
 
-// attemptOnce starts the stream at one endpoint and reads it to its end there.
+// attemptOnce starts the stream at one endpoint and reads it to its end.
 func (s *streamRun) attemptOnce(ctx context.Context, ep Endpoint, req wire.Request) wire.Answer {
 	req = pinToAgent(ctx, ep, req)
 	req.Suspect = req.Suspect || s.suspect
@@ -115,15 +118,15 @@
 		if ctx.Err() != nil {
 			return s.entry.abandon(ep, req)
 		}
-		// Whether the start arrived is told by the first read.
+		// The first read shows whether the request arrived.
 	} else if !started.Accepted {
 		return started.Answer
 	}
 	return s.readAll(ctx, ep, req)
 }
 
-// readAll reads by offset, so that a read repeated on a new connection can
-// neither lose nor repeat a token.
+// readAll reads the stream to its end. It reads by offset, so that a read repeated
+// on a new connection neither loses nor repeats a token.
 func (s *streamRun) readAll(ctx context.Context, ep Endpoint, req wire.Request) wire.Answer {
 	for offset, lost := 0, 0; ; {
 		request := wire.ReadRequest{ID: req.ID, Offset: offset, Wait: readWait}
@@ -160,18 +163,19 @@
 		call = ep.CallFresh
 	}
 	if err := call(ctx, methodRead, request, &reply); err != nil {
-		// The answer may still come and be written into reply; a copy of it
-		// would be torn.
+		// The answer may still arrive and be written into reply concurrently, so
+		// reply must not be copied.
 		return wire.ReadReply{}, err
 	}
 	if reply.ID != request.ID || reply.Offset != request.Offset {
-		return wire.ReadReply{}, errors.New("entry: answer to another read")
+		return wire.ReadReply{}, errors.New("entry: answer belongs to another read")
 	}
 	return reply, nil
 }
 
-// serveStream serves a completion as server-sent events. It ends with [DONE]
-// or with an event that says what became of the request, never just a close.
+// serveStream serves a completion as server-sent events. The stream ends with
+// [DONE] or with an error event that states the outcome of the request, never with
+// a bare close of the connection.
 func (e *Server) serveStream(ctx *fasthttp.RequestCtx, c call) {
 	if e.deps.Quarantine.Blocked(c.req.Service, c.req.Fingerprint) {
 		problemOf(quarantinedAnswer()).write(ctx)
@@ -197,7 +201,7 @@
 	case reply := <-first:
 		e.writeStream(ctx, c, cancel, reply, rest, end)
 	case answer := <-end:
-		// Nothing was sent yet: the caller gets a whole answer with a status.
+		// No token was sent yet, so the caller gets a complete response with a status.
 		cancel()
 		select {
 		case reply := <-first:
@@ -209,8 +213,8 @@
 	}
 }
 
-// forwarder sends a stream's first tokens to one channel and all others to
-// another, until the context ends.
+// forwarder sends the first reply of a stream to one channel and all later ones to
+// another. After ctx ends it drops replies that nobody receives.
 type forwarder struct {
 	ctx     context.Context
 	first   chan<- wire.ReadReply
@@ -232,8 +236,8 @@
 	}
 }
 
-// finalAnswer keeps a stream whose last tokens came too late to be written from
-// ending as if it were whole: its caller would take a cut answer for complete.
+// finalAnswer turns "answered" into "unknown" if tokens were dropped at the
+// deadline. Otherwise the caller would take the truncated stream for complete.
 func (f *forwarder) finalAnswer(a wire.Answer) wire.Answer {
 	if f.dropped && a.Outcome == wire.Answered {
 		return wire.Answer{ID: a.ID, Outcome: wire.Unknown, Reason: wire.ReasonDeadline, Detail: "the deadline passed before the last tokens were written"}
@@ -266,7 +270,7 @@
 		for reply := range rest {
 			sink.tokens(reply)
 			if sink.err != nil {
-				// The caller has gone: nobody reads on, so the engine is freed.
+				// The caller has disconnected; cancelling frees the engine.
 				cancel()
 			}
 		}
@@ -274,7 +278,8 @@
 	})
 }
 
-// eventWriter writes server-sent events; its first error stands.
+// eventWriter writes server-sent events. After its first error it writes nothing
+// more.
 type eventWriter struct {
 	w    *bufio.Writer
 	call call
--- a/internal/entry/weights.go
+++ b/internal/entry/weights.go
@@ -18,50 +18,51 @@
 	"siskinloom.example/siskinloom/internal/rpcpool"
 )
 
-// announceRetryDelay is the pause before an announcement is written again.
+// announceRetryDelay is the delay before a failed announcement is retried.
 const announceRetryDelay = 100 * time.Millisecond
 
-// ErrUnknownFeed is returned for an announcement from a feed that the
-// configuration does not declare, or for another model than the feed's.
+// ErrUnknownFeed is returned for an announcement whose feed is not declared in the
+// configuration or has another model.
 var ErrUnknownFeed = errors.New("entry: no such feed for this model")
 
-// Instances reads the platform's lagging list of instances.
+// Instances reads the platform's list of instances, which may be outdated.
 type Instances interface {
 	Instances(ctx context.Context, deployment string) ([]kv.Instance, error)
 }
 
-// WeightsOptions sets up Weights.
+// WeightsOptions configures Weights.
 type WeightsOptions struct {
 	Store      kv.Store
 	Duties     DutyLeases
 	Config     Config
 	Instances  Instances
-	Dial       rpcpool.DialFunc // to agents; nil: plain TCP
+	Dial       rpcpool.DialFunc // dials agents; nil means plain TCP
 	Deployment string
 	Log        *logrus.Logger
-	// Rollout changes the parameters of the rollouts; nil keeps the defaults.
+	// Rollout adjusts the configuration of each rollout. Nil keeps the defaults.
 	Rollout func(*weights.Config)
 }
 
-// Weights takes word of new weight versions and, for each service whose weights
-// duty this entry holds, rolls them out. It is safe for concurrent use.
+// Weights records announcements of new weight versions and rolls them out for each
+// service whose weights duty this entry holds. It is safe for concurrent use.
 type Weights struct {
 	options WeightsOptions
 	agents  *rpcpool.Pool
 
 	mu       sync.Mutex
 	rollouts map[string]*serviceRollout // by service
-	ctx      context.Context            // of Run; nil before
+	ctx      context.Context            // context of Run; nil before Run
 }
 
 var _ VersionAnnouncer = (*Weights)(nil)
 
-// NewWeights returns weights that own no rollout until Run.
+// NewWeights returns a Weights that owns no rollout until Run is called.
 func NewWeights(o WeightsOptions) *Weights {
 	return &Weights{options: o, agents: rpcpool.New(o.Dial), rollouts: map[string]*serviceRollout{}}
 }
 
-// WeightDuties lists the duties that a deployment has for weights.
+// WeightDuties returns the names of a deployment's weights duties, one per model
+// service.
 func WeightDuties(d *decl.Deployment) []string {
 	var names []string
 	for _, s := range d.Services {
@@ -77,8 +78,9 @@
 }
 
 // Announce records that a version is in the weight store and returns the newest
-// one announced, which will be served. It returns once the record is known to
-// stand; until ctx ends an unknown write is settled by reading.
+// announced version, which will be served. It returns once the record is known to
+// be stored, and retries until ctx ends: after a write with an unknown outcome the
+// retry reads the record.
 func (w *Weights) Announce(ctx context.Context, deployment, feed, model string, version int64, adapter string) (int64, error) {
 	service, err := w.serviceOf(deployment, feed, model)
 	if err != nil {
@@ -112,8 +114,9 @@
 	return "", errors.Wrapf(ErrUnknownFeed, "feed %q, model %q", feed, model)
 }
 
-// raise tries once to have the record name at least the version. Repeating it
-// after an unknown outcome is harmless: a record that stands is not raised again.
+// raiseRecord makes one attempt to raise the recorded version to at least version.
+// A retry after an unknown outcome is idempotent: a record that already has the
+// version is not written again.
 func (w *Weights) raiseRecord(ctx context.Context, service string, key weights.Key, version int64) (int64, error) {
 	path := weightsKey(w.options.Deployment, service)
 	found, err := w.options.Store.Get(ctx, kv.UseWeights, path)
@@ -157,7 +160,7 @@
 	return record, errors.Wrap(err, r.Key)
 }
 
-// Run rolls weights out for the duties held until ctx ends.
+// Run rolls out weights for the duties that this entry holds, until ctx ends.
 func (w *Weights) Run(ctx context.Context) error {
 	w.mu.Lock()
 	w.ctx = ctx
@@ -167,8 +170,8 @@
 	return nil
 }
 
-// changed takes in a new standing to a duty. A lapsed lease ends nothing: agents
-// refuse the orders once a successor has raised the epoch.
+// onDutyChange handles a new lease state of a duty. A lapsed lease stops nothing:
+// agents refuse the orders once a successor has raised the epoch.
 func (w *Weights) onDutyChange(c duties.Change) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -187,8 +190,7 @@
 	}
 }
 
-// Progress tells how far the services' newest versions have come, for the
-// rollouts that this entry owns.
+// Progress returns the progress of the rollouts that this entry owns, by service.
 func (w *Weights) Progress() map[string][]weights.Progress {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/entry/weights_rollout.go
+++ b/internal/entry/weights_rollout.go
@@ -18,20 +18,23 @@
 const (
 	methodOrder = wire.AgentService + ".Order"
 
+	// rolloutStepInterval is the interval of the steps of a rollout.
 	rolloutStepInterval = 50 * time.Millisecond
-	// instanceListInterval is the time between readings of the instance list, which is no
-	// part of the key-value service and its call budget.
+	// instanceListInterval is the interval of reads of the instance list. The list is
+	// not part of the key-value service, so reads do not count towards its call budget.
 	instanceListInterval = 2 * time.Second
-	// watchRetryDelay is the pause before a broken watch is opened again.
+	// watchRetryDelay is the delay before an interrupted watch is reopened.
 	watchRetryDelay = time.Second
-	// orderReplyMargin is how much longer than an order's deadline its reply is waited for.
+	// orderReplyMargin is added to the remaining time of an order to get the timeout of
+	// the call.
 	orderReplyMargin = time.Second
-	// statusTimeout bounds the wait for a status, so that a silent connection is
-	// found soon.
+	// statusTimeout bounds a status order, so that a connection that does not answer
+	// is detected soon.
 	statusTimeout = 2 * time.Second
 )
 
-// serviceRollout runs the rollout of one service while this entry holds its duty.
+// serviceRollout runs the rollout of one service while this entry holds the
+// service's weights duty.
 type serviceRollout struct {
 	weights *Weights
 	service string
@@ -40,11 +43,11 @@
 
 	mu        sync.Mutex
 	rollout   *weights.Rollout
-	addresses map[string]string // of agents, by instance id
-	listed    []weights.Member  // Serving not filled in
-	down      map[string]bool   // agents that did not answer, or whose engine did not
-	done      map[weights.Key]int64
-	blocked   bool
+	addresses map[string]string     // of agents, by instance ID
+	listed    []weights.Member      // without Serving, which members sets
+	down      map[string]bool       // agents that did not answer their last order, or whose engine did not
+	done      map[weights.Key]int64 // newest version logged as complete
+	blocked   bool                  // as last logged
 }
 
 func (w *Weights) startRollout(service string, epoch int64) *serviceRollout {
@@ -76,7 +79,7 @@
 	return logrus.Fields{"service": r.service, "epoch": r.epoch}
 }
 
-// watch follows the record of announced versions.
+// watch reads the record of announced versions and watches it until ctx ends.
 func (r *serviceRollout) watch(ctx context.Context) {
 	store := r.weights.options.Store
 	path := weightsKey(r.weights.options.Deployment, r.service)
@@ -109,7 +112,8 @@
 	}
 }
 
-// list follows the instance list. When it cannot be read the last one stands.
+// pollInstances reads the instance list periodically. If a read fails, the last list
+// stays in use.
 func (r *serviceRollout) pollInstances(ctx context.Context) {
 	for ctx.Err() == nil {
 		all, err := r.weights.options.Instances.Instances(ctx, r.weights.options.Deployment)
@@ -159,7 +163,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if d == nil {
-		// Without a configuration the floor is not known, so nothing is ordered.
+		// Without a configuration the capacity floor is unknown, so no order is
+		// sent.
 		return nil, r.rollout.Deposed()
 	}
 	service, declared := findService(d, r.service)
@@ -182,8 +187,8 @@
 	return roles
 }
 
-// members returns the listed engines. One that an operator drained is no capacity
-// to keep and gets no weights until it is back.
+// members returns the listed engines. One that an operator drained does not count
+// towards the capacity and gets no weights until the drain ends.
 func (r *serviceRollout) members(drained []string) []weights.Member {
 	members := make([]weights.Member, len(r.listed))
 	for i, m := range r.listed {
@@ -194,8 +199,8 @@
 	return members
 }
 
-// note logs a version that has come to every engine, and a floor that lets no
-// engine load.
+// logProgress logs when a version has reached every engine and when the capacity
+// floor prevents every load.
 func (r *serviceRollout) logProgress(now time.Time) {
 	blocked := false
 	for _, p := range r.rollout.Progress(now) {
@@ -215,7 +220,7 @@
 	r.blocked = blocked
 }
 
-// logRoles logs once that every engine has the role it is to have.
+// logRoles logs once when every engine has its declared role.
 func (r *serviceRollout) logRoles(p weights.Progress) {
 	if p.Engines == 0 || p.Done < p.Engines {
 		delete(r.done, p.Key)
@@ -227,7 +232,7 @@
 	}
 }
 
-// give sends an order and feeds its reply back.
+// sendOrder sends an order and passes its reply to the rollout.
 func (r *serviceRollout) sendOrder(ctx context.Context, s weights.EngineOrder) {
 	limit := s.Order.Remaining + orderReplyMargin
 	if s.Order.Kind == wire.OrderStatus {
