--- a/internal/entry/claims_fakes_test.go
+++ b/internal/entry/claims_fakes_test.go
@@ -18,17 +18,17 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// fakeStore is the key-value service; what claims do not use panics.
+// fakeStore fakes the key-value service. Methods that claims do not use panic.
 type fakeStore struct {
 	kv.Store
 	mu       sync.Mutex
 	records  map[string]kv.Record
 	revision int64
 	down     bool          // calls fail without effect
-	applied  int           // so many writes take effect and lose their answers
-	dropped  int           // so many writes are lost on their way
-	gate     chan struct{} // writes wait for it to close; nil: they do not
-	reached  chan struct{} // gets a value for each write that waits
+	applied  int           // number of next writes that take effect and whose answers are lost
+	dropped  int           // number of next writes that are lost without effect
+	gate     chan struct{} // if not nil, writes wait until it is closed
+	reached  chan struct{} // receives a value for each write that waits
 }
 
 func newFakeStore() *fakeStore {
@@ -83,7 +83,7 @@
 	return swapped, current, nil
 }
 
-// holds tells whether any record contains text.
+// holds reports whether any record contains text.
 func (s *fakeStore) holds(text string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	return false
 }
 
-// fakeDuties is one entry's view of who holds every claim partition.
+// fakeDuties is one entry's view of the duties of all claim partitions.
 type fakeDuties struct {
 	mu      sync.Mutex
 	address string // of the holder
@@ -104,7 +104,7 @@
 	until   time.Time
 	fn      func(duties.Change)
 
-	refusePromises bool // promises nothing
+	refusePromises bool // Promise returns false
 }
 
 func (d *fakeDuties) KnownHolder(string) (string, int64, bool) {
@@ -144,28 +144,28 @@
 
 func (d *fakeDuties) Heard([]wire.Holder) {}
 
-// learn changes the view and tells the claims.
+// set changes the view and notifies the claims.
 func (d *fakeDuties) set(address string, epoch int64, mine bool, lease time.Duration) {
 	d.mu.Lock()
 	d.address, d.epoch, d.mine, d.until = address, epoch, mine, time.Now().Add(lease)
 	d.mu.Unlock()
-	standing := duties.NotHolder
+	state := duties.NotHolder
 	if mine {
-		standing = duties.Holder
+		state = duties.Holder
 	}
 	for _, name := range ClaimDuties() {
-		d.fn(duties.Change{Duty: name, Epoch: epoch, LeaseState: standing})
+		d.fn(duties.Change{Duty: name, Epoch: epoch, LeaseState: state})
 	}
 }
 
-// fakeEndpoint stands for agents and endpoints that ignore fences. It answers
-// with the number of the run.
+// fakeEndpoint fakes agents and endpoints that ignore fences. It answers with the
+// number of the run.
 type fakeEndpoint struct {
 	mu      sync.Mutex
-	runs    map[string]int // by call id
-	gate    chan struct{}  // requests wait for it before they run; nil: they do not
+	runs    map[string]int // by call ID
+	gate    chan struct{}  // if not nil, requests wait until it is closed before they run
 	reached chan struct{}
-	refuse  bool // refuses before it runs anything
+	refuse  bool // refuses requests without running them
 	fences  []wire.Fence
 }
 
@@ -200,14 +200,15 @@
 	duties  *fakeDuties
 }
 
-// fakeCluster is a few entries over one store and one endpoint.
+// fakeCluster is several entries that share one store and one endpoint. It
+// implements ClaimPeers.
 type fakeCluster struct {
 	store    *fakeStore
 	endpoint *fakeEndpoint
 	nodes    map[string]*fakeNode
 
 	mu          sync.Mutex
-	lostReplies int // so many forwards are served and lose their answers
+	lostReplies int // number of next calls that are served and whose answers are lost
 	silent      map[string]bool
 	forwards    int
 }
@@ -243,8 +244,8 @@
 	return c
 }
 
-// own makes the entry at address the owner, in every entry's view but that of
-// those named in stale.
+// own makes the entry at address the owner in the view of every entry except those
+// listed in stale.
 func (c *fakeCluster) own(address string, epoch int64, stale ...string) {
 	for _, n := range c.nodes {
 		if !strings.Contains(strings.Join(stale, " "), n.address) {
@@ -253,7 +254,7 @@
 	}
 }
 
-var errSilent = errors.New("connection is silent")
+var errSilent = errors.New("the connection does not answer")
 
 func (c *fakeCluster) serve(s *ClaimServer, args, reply any) error {
 	if told, ok := args.(wire.ClaimsTold); ok {
@@ -262,7 +263,7 @@
 	return s.Do(args.(wire.ClaimRequest), reply.(*wire.ClaimReply))
 }
 
-// CallPeer is the network between entries.
+// CallPeer implements ClaimPeers.
 func (c *fakeCluster) CallPeer(ctx context.Context, address string, _ bool, _ string, args, reply any) error {
 	c.mu.Lock()
 	c.forwards++
--- a/internal/entry/claims_handover.go
+++ b/internal/entry/claims_handover.go
@@ -146,20 +146,20 @@
 // sendToOwner sends one batch of results and reports whether the owner accepted
 // it.
 func (p *claimPartition) sendToOwner(batch []claims.SendResult) bool {
-	told := wire.ClaimsTold{Duty: p.duty}
+	report := wire.ClaimsTold{Duty: p.duty}
 	for _, t := range batch {
 		r := t.Result
 		r.Hold = max(0, time.Until(t.Hold))
-		told.Results = append(told.Results, r)
+		report.Results = append(report.Results, r)
 	}
 	p.mu.Lock()
 	if !p.machine.Owned() {
-		told.Running = p.machine.Running()
+		report.Running = p.machine.Running()
 	}
 	p.mu.Unlock()
 	address, _, mine := p.options.Duties.KnownHolder(p.duty)
 	if mine {
-		return p.receiveResults(told)
+		return p.receiveResults(report)
 	}
 	if address == "" {
 		return false
@@ -167,7 +167,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	var reply wire.ClaimsToldReply
-	if err := p.options.Peers.CallPeer(ctx, address, false, methodTell, told, &reply); err != nil {
+	if err := p.options.Peers.CallPeer(ctx, address, false, methodTell, report, &reply); err != nil {
 		return false
 	}
 	if !reply.Taken && reply.Holder.Address != "" {
@@ -178,21 +178,21 @@
 
 // receiveResults passes on results and running requests that a former owner or
 // an agent sent. It returns false if this entry is not the owner.
-func (p *claimPartition) receiveResults(told wire.ClaimsTold) bool {
+func (p *claimPartition) receiveResults(report wire.ClaimsTold) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.machine.Owned() {
 		return false
 	}
-	p.stepLocked(claims.ResultsReceived{Results: told.Results, Running: told.Running})
+	p.stepLocked(claims.ResultsReceived{Results: report.Results, Running: report.Running})
 	return true
 }
 
 // Tell receives results from a former owner of a partition.
-func (s *ClaimServer) Tell(told wire.ClaimsTold, reply *wire.ClaimsToldReply) error {
+func (s *ClaimServer) Tell(report wire.ClaimsTold, reply *wire.ClaimsToldReply) error {
 	for _, p := range s.claims.partitions {
-		if p.duty == told.Duty {
-			reply.Taken = p.receiveResults(told)
+		if p.duty == report.Duty {
+			reply.Taken = p.receiveResults(report)
 			reply.Holder = s.claims.holder(p)
 		}
 	}
@@ -205,18 +205,18 @@
 	if p.options.Agents == nil {
 		return
 	}
-	question := wire.ClaimsAsked{Duty: p.duty, Refs: a.Refs, Wait: a.Wait, MaxBody: a.MaxBody}
+	query := wire.ClaimsAsked{Duty: p.duty, Refs: a.Refs, Wait: a.Wait, MaxBody: a.MaxBody}
 	go p.options.Agents(func(agent Endpoint) {
 		p.count("claims.asked")
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), a.Wait+queryMargin)
 			defer cancel()
-			var told wire.ClaimsTold
-			if err := agent.Call(ctx, methodQueryClaims, question, &told); err != nil {
+			var report wire.ClaimsTold
+			if err := agent.Call(ctx, methodQueryClaims, query, &report); err != nil {
 				return
 			}
-			metrics.GetOrRegisterCounter("claims.adopted", p.options.Metrics).Inc(int64(len(told.Results)))
-			p.receiveResults(wire.ClaimsTold{Results: told.Results})
+			metrics.GetOrRegisterCounter("claims.adopted", p.options.Metrics).Inc(int64(len(report.Results)))
+			p.receiveResults(wire.ClaimsTold{Results: report.Results})
 		}()
 	})
 }
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -44,7 +44,7 @@
 		}()
 		return answers
 	}
-	// ask sends and waits.
+	// ask sends a request and waits for its answer.
 	ask := func(via, id string, deadline time.Duration) wire.Answer {
 		var answer wire.Answer
 		Eventually(send(via, id, deadline), testTimeout).Should(Receive(&answer))
@@ -73,8 +73,8 @@
 		Expect(cluster.endpoint.count("f1")).To(Equal(1))
 	})
 
-	// The caller loses patience and sends its filing again through another
-	// entry while the first one runs. Both wait for the one run.
+	// The caller resends its request through another entry while the first copy
+	// runs. Both wait for the same run.
 	It("joins a resend through another entry to the run in flight", func() {
 		gate := make(chan struct{})
 		cluster.endpoint.gate = gate
@@ -90,9 +90,9 @@
 		}
 	})
 
-	// The owner dies with the claim's write not yet sent. Nothing was claimed,
-	// so the caller's resend runs at the successor, once.
-	It("runs a resend once when its owner died before the write", func() {
+	// The owner crashes before it sends the write of the claim. Nothing was
+	// claimed, so the caller's resend runs once at the successor.
+	It("runs a resend once if its owner crashed before the write", func() {
 		gate := make(chan struct{})
 		cluster.store.set(func() { cluster.store.gate = gate })
 		send(a, "f1", testTimeout)
@@ -104,10 +104,11 @@
 		Consistently(func() int { return cluster.endpoint.count("f1") }, 200*time.Millisecond).Should(Equal(1))
 	})
 
-	// The owner dies, or is paused, after the claim is written. The successor
-	// cannot know whether it ran: "unknown". When the old owner wakes, its
-	// request reaches an endpoint that ignores fences. That is the only run.
-	It("never runs again what an old owner may have dispatched", func() {
+	// The owner crashes or is paused after the claim is written. The successor
+	// cannot know whether the request ran and answers "unknown". When the former
+	// owner resumes, its request reaches an endpoint that ignores fences. That is
+	// the only run.
+	It("never repeats a run that a former owner may have dispatched", func() {
 		gate := make(chan struct{})
 		cluster.endpoint.gate = gate
 		send(a, "f1", testTimeout)
@@ -122,9 +123,9 @@
 		Expect(cluster.endpoint.count("f1")).To(Equal(1))
 	})
 
-	// The owner was paused past its lease and does not know it. Its next
-	// commit fails on the successor's epoch; the call goes to the successor.
-	It("hands a paused owner's calls to its successor", func() {
+	// The owner was paused beyond its lease without noticing. Its next commit
+	// conflicts with the successor's epoch, and the call goes to the successor.
+	It("passes a paused owner's calls to its successor", func() {
 		cluster.own(b, 2, a)
 		match(answered("run 1"), ask(b, "f0", testTimeout))
 		first := send(a, "f1", testTimeout)
@@ -136,9 +137,9 @@
 		Expect(cluster.endpoint.fences[len(cluster.endpoint.fences)-1].Epoch).To(Equal(int64(2)))
 	})
 
-	// The answer to the claim's write is lost, after the write or with it.
-	// Until the outcome is read nothing is dispatched; then it is, once.
-	DescribeTable("settles a write whose answer was lost", func(applied, dropped int) {
+	// The write of the claim gets no answer, with or without having taken effect.
+	// The call is dispatched once, and only after the outcome was read.
+	DescribeTable("resolves a write with an unknown outcome", func(applied, dropped int) {
 		match(answered("run 1"), ask(a, "f0", testTimeout))
 		cluster.store.set(func() { cluster.store.applied, cluster.store.dropped = applied, dropped })
 		match(answered("run 1"), ask(a, "f1", testTimeout))
@@ -149,8 +150,8 @@
 		Entry("three times in a row", 2, 1),
 	)
 
-	Context("in an outage of the service", func() {
-		It("refuses as not run while the lease holds, and as unknown after", func() {
+	Context("in an outage of the key-value service", func() {
+		It("refuses as not run while the lease is valid, and as unknown afterwards", func() {
 			match(answered("run 1"), ask(a, "f0", testTimeout))
 			cluster.store.set(func() { cluster.store.down = true })
 			answer := ask(b, "f1", 2*time.Second)
@@ -163,7 +164,7 @@
 			Expect(cluster.endpoint.count("f2")).To(BeZero())
 		})
 
-		It("answers what was dispatched before, and records it afterwards", func() {
+		It("answers a request dispatched before, and records it afterwards", func() {
 			gate := make(chan struct{})
 			cluster.endpoint.gate = gate
 			first := send(b, "f1", testTimeout)
@@ -180,7 +181,7 @@
 			Expect(cluster.endpoint.count("f1")).To(Equal(1))
 		})
 
-		It("says unknown while a takeover cannot read, and replays once it can", func() {
+		It("answers unknown while a takeover cannot read, and replays once it can", func() {
 			match(answered("run 1"), ask(a, "f1", testTimeout))
 			Eventually(func() bool { return cluster.store.holds(`"s":"d"`) }, testTimeout).Should(BeTrue())
 			cluster.store.set(func() { cluster.store.down = true })
@@ -192,9 +193,10 @@
 		})
 	})
 
-	// A forward's answer is lost; the entry asks again. The first one may still
-	// be on its way, so that the owner's "not run" to the second is not final.
-	It("does not pass on a refusal while an earlier forward is open", func() {
+	// The answer to a forwarded call is lost and the entry forwards it again. The
+	// first one may still arrive at the owner, so the "not run" for the second is
+	// not final.
+	It("does not pass on a refusal while an earlier forward is unresolved", func() {
 		cluster.endpoint.refuse = true
 		cluster.lostReplies = 1
 		answer := ask(b, "f1", 8*time.Second)
@@ -203,7 +205,7 @@
 		Expect(ask(b, "f2", testTimeout).Outcome).To(Equal(wire.NotRun))
 	})
 
-	It("asks again when the connection to the owner is silent", func() {
+	It("forwards again if the owner does not answer", func() {
 		cluster.silent[a] = true
 		first := send(b, "f1", 3*time.Second)
 		Consistently(first, 50*time.Millisecond).ShouldNot(Receive())
@@ -213,9 +215,9 @@
 		match(answered("run 1"), answer)
 	})
 
-	// The owner stops gracefully with a call in flight. It answers and records
-	// it before it gives the duty up, and takes nothing new meanwhile.
-	It("finishes and records what it took before a graceful stop", func() {
+	// The owner stops gracefully with a call in flight. It answers and records the
+	// call before it releases the duty, and accepts no new call meanwhile.
+	It("finishes and records accepted calls in a graceful stop", func() {
 		gate := make(chan struct{})
 		cluster.endpoint.gate = gate
 		first := send(b, "f1", testTimeout)
@@ -238,24 +240,24 @@
 		Expect(cluster.endpoint.count("f1")).To(Equal(1))
 	})
 
-	It("dispatches a call without a key once, and claims nothing", func() {
+	It("dispatches a call without a key once, without a claim", func() {
 		call := newRequest("", "body")
 		call.Keyed = false
 		match(answered("run 1"), cluster.nodes[b].claims.Do(context.Background(), call, class, cluster.endpoint.dispatch))
 		Expect(cluster.forwards).To(BeZero())
 	})
 
-	// The lease still holds by this entry's clock, but the duty is being handed
-	// back: its next owner may run a repeat before this refusal is told.
-	It("refuses as unknown when the duty's keeper does not promise", func() {
+	// The lease is still valid by this entry's clock, but the duty is being handed
+	// back: its next owner may run a repeat before the caller gets this refusal.
+	It("refuses as unknown if the duty keeper does not promise", func() {
 		match(answered("run 1"), ask(a, "f0", testTimeout))
 		cluster.store.set(func() { cluster.store.down = true })
 		cluster.nodes[a].duties.refusePromises = true
 		match(unknown, ask(a, "f1", time.Second))
 	})
 
-	// The process is paused between the commit and the dispatch, for longer
-	// than the claim is kept. Its successor has forgotten the claim.
+	// The process is paused between the commit and the dispatch, for longer than
+	// the claim is kept, so that the claim has expired at its successor.
 	It("dispatches nothing after the deadline", func() {
 		answer := dispatchBeforeDeadline(context.Background(), newRequest("f1", "body"), time.Now(), cluster.endpoint.dispatch)
 		Expect(answer.Outcome).To(Equal(wire.NotRun))
--- a/internal/entry/quarantine_placement_test.go
+++ b/internal/entry/quarantine_placement_test.go
@@ -12,7 +12,7 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-var _ = Describe("PoisonGuard's choice of an endpoint", func() {
+var _ = Describe("PoisonQuarantine's choice of an endpoint", func() {
 	var quarantines map[string]*PoisonQuarantine
 	BeforeEach(func() { quarantines = newQuarantines("entry-1", "entry-2", "entry-3") })
 	admit := func(name string, v RequestCopy) string {
@@ -31,9 +31,9 @@
 	}
 
 	// A caller resends its request every 20 ms through another entry, and the
-	// first copy has not crashed yet. Every copy goes to that endpoint; of the
-	// hedges one may go elsewhere, since beside a slow copy it would be as slow.
-	It("sends copies of an unknown request where the first runs, but for one hedge", func() {
+	// first copy has not crashed yet. Every copy goes to the endpoint of the first,
+	// except for one hedge, which would be just as slow there.
+	It("sends copies of an unproven request to the endpoint of the first, except for one hedge", func() {
 		Expect(admit("entry-1", copyAt("agent-1"))).To(Equal("agent-1"))
 		Eventually(func() []string { return placed("entry-2") }, time.Minute).Should(Equal([]string{"agent-1"}))
 		Expect(admit("entry-2", copyAt("agent-2"))).To(Equal("agent-1"))
@@ -47,20 +47,21 @@
 		Expect(admit("entry-3", copyAt("agent-5"))).To(Equal("agent-5"))
 	})
 
-	// The first copy runs at an endpoint that leaves. A copy that waited for it
-	// until it is answered could come too late.
-	It("goes elsewhere after a while if the endpoint to follow takes no work", func() {
+	// The first copy runs at an endpoint that is leaving. A copy that waited for
+	// the first one's answer could miss its deadline.
+	It("uses another endpoint after followTimeout if that of the first copy gets no requests", func() {
 		Expect(admit("entry-1", copyAt("agent-1"))).To(Equal("agent-1"))
 		next := copyAt("agent-2")
 		next.Usable = func(string) bool { return false }
 		Expect(admit("entry-1", next)).To(Equal("agent-2"))
 	})
 
-	// In a fleet of hundreds the news of every request to every entry would be
-	// the larger part of their work. One entry hears of the first copy; the caller
-	// resends, a second copy begins elsewhere, and all entries know of both, so
-	// that the third crashes no third endpoint. The ends are known to all too.
-	It("tells one entry of the first copy, and all of the second", func() {
+	// In a fleet of hundreds, sending every placement to every entry would be most
+	// of the entries' work. Only the coordinator gets the placement of the first
+	// copy. When the caller resends and a second copy starts at another endpoint,
+	// all entries get both placements, so that the third copy crashes no third
+	// endpoint. The ends of the copies are sent to all entries too.
+	It("sends the first placement to one entry, and the second to all", func() {
 		var names []string
 		for i := range 40 {
 			names = append(names, fmt.Sprintf("entry-%02d", i))
@@ -77,7 +78,7 @@
 			}
 		}
 		coordinator := quarantines[names[0]].coordinator(quarantines[names[0]].peers.Others(), copyAt("").Fingerprint)
-		Expect(coordinator).NotTo(BeNil(), "the first entry is to be another than the coordinator")
+		Expect(coordinator).NotTo(BeNil(), "the first entry must not be the coordinator")
 		Expect(admit(names[0], copyAt("agent-1"))).To(Equal("agent-1"))
 		Eventually(known("agent-1"), time.Minute).Should(Equal(2))
 		Consistently(known("agent-1"), 100*time.Millisecond).Should(Equal(2))
@@ -89,9 +90,10 @@
 		Eventually(known(), time.Minute).Should(Equal(len(names)))
 	})
 
-	// The scheduler moves a sample to another engine, where it begins before its
-	// old copy has ended. Made to follow that, it would stay where it was.
-	It("leaves rollouts where the scheduler put them", func() {
+	// The scheduler moves a sample to another engine, where it starts before the
+	// old copy has ended. If it had to run at the old copy's engine, it could not
+	// move.
+	It("runs rollouts at the endpoint that the scheduler chose", func() {
 		rollout := copyAt("agent-1")
 		rollout.Rollout = true
 		Expect(admit("entry-1", rollout)).To(Equal("agent-1"))
@@ -100,9 +102,10 @@
 		Expect(placed("entry-1")).To(BeEmpty())
 	})
 
-	// Two endpoints crashed with the request in company, so nothing is proved.
-	// It is tried on these two only, and waits while neither may be given work.
-	It("runs a suspect that crashed two endpoints on no third", func() {
+	// Two endpoints crashed while the request ran among others, so that none of the
+	// requests is proven to be the cause. It may run only at these two endpoints,
+	// and waits while neither gets requests.
+	It("does not run a suspect that crashed two endpoints at a third", func() {
 		for _, endpoint := range []string{"agent-1", "agent-2"} {
 			quarantines["entry-1"].ReportCrash(crashAt(endpoint, 4))
 		}
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -20,11 +20,11 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// quarantinePeers connects quarantines to each other.
+// quarantinePeers connects the quarantines of several entries.
 type quarantinePeers struct {
 	self        string
 	quarantines map[string]*PoisonQuarantine
-	cut         map[string]bool // cannot be reached
+	cut         map[string]bool // entries that cannot be reached
 }
 
 func (p *quarantinePeers) Others() []kv.Instance {
@@ -63,7 +63,7 @@
 	id      string
 	mu      sync.Mutex
 	crashes int
-	alone   []bool // of each request with that body
+	alone   []bool // whether each request with that body was marked as suspect
 }
 
 func (f *crashingEndpoint) ID() string          { return f.id }
@@ -92,7 +92,7 @@
 	return rpc.ErrShutdown
 }
 
-// crashingPool picks endpoints in turn, those not tried first.
+// crashingPool picks the first endpoint that has not crashed and is not excluded.
 type crashingPool struct{ endpoints []*crashingEndpoint }
 
 func (p *crashingPool) Pick(_, _ string, _ uint64, exclude []string) (Endpoint, bool) {
@@ -121,7 +121,7 @@
 	return RequestCopy{Service: "tone", Fingerprint: 7, Endpoint: endpoint, Usable: func(string) bool { return true }}
 }
 
-var _ = Describe("PoisonGuard", func() {
+var _ = Describe("PoisonQuarantine", func() {
 	var quarantines map[string]*PoisonQuarantine
 	BeforeEach(func() { quarantines = newQuarantines("entry-1", "entry-2", "entry-3") })
 	enter := func(name string, wait time.Duration) (bool, wire.Answer, bool) {
@@ -131,9 +131,9 @@
 		return a.Alone, refusal, admitted
 	}
 
-	// The caller of a request that crashed its endpoint sends it again through
-	// another entry at once. That entry knows of the crash already.
-	It("tells the other entries before the caller hears of a crash", func() {
+	// The caller of a request that crashed its endpoint resends it at once through
+	// another entry. That entry must know of the crash already.
+	It("reports a crash to the other entries before the caller gets its answer", func() {
 		quarantines["entry-1"].ReportCrash(crashAt("agent-1", 4))
 		alone, _, admitted := enter("entry-2", time.Minute)
 		Expect(admitted).To(BeTrue())
@@ -147,7 +147,7 @@
 		}
 	})
 
-	It("runs a suspect through one entry at a time, and freely once answered", func() {
+	It("runs a suspect through one entry at a time, and without restriction once answered", func() {
 		quarantines["entry-1"].ReportCrash(crashAt("agent-1", 4))
 		_, _, admitted := enter("entry-2", time.Minute)
 		Expect(admitted).To(BeTrue())
@@ -162,7 +162,7 @@
 		Expect(alone).To(BeFalse())
 	})
 
-	It("lets an operator release a request on every entry, and a new entry learn", func() {
+	It("releases a request on every entry, and passes its quarantine on to a new entry", func() {
 		quarantines["entry-1"].ReportCrash(crashAt("agent-1", 1))
 		quarantines["entry-1"].ReportCrash(crashAt("agent-2", 1))
 		fresh := newQuarantines("entry-4")["entry-4"]
@@ -176,9 +176,9 @@
 		Expect(fresh.Blocked("tone", 7)).To(BeFalse())
 	})
 
-	// A caller's request crashes an endpoint in company. The entry retries it
-	// alone, it crashes the second, and no third one ever sees it: not by the
-	// retry, not by the caller's resend through another entry.
+	// A request crashes an endpoint while other requests run there. The entry
+	// retries it alone and it crashes a second endpoint. No third endpoint may get
+	// it, neither by a retry nor by a resend through another entry.
 	It("keeps a poison request from a third endpoint", func() {
 		pool := &crashingPool{}
 		for i := range 5 {
--- a/internal/entry/request_test.go
+++ b/internal/entry/request_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// parse reads a raw HTTP request as the server does.
+// parse parses a raw HTTP request as the server does.
 func parse(raw string) (*fasthttp.RequestCtx, error) {
 	ctx := &fasthttp.RequestCtx{}
 	err := ctx.Request.Read(bufio.NewReader(strings.NewReader(raw)))
@@ -60,8 +60,8 @@
 	return b.String()
 }
 
-var _ = Describe("reading a caller's request", func() {
-	It("takes class, principal and scoped id from a lookup", func() {
+var _ = Describe("readCall", func() {
+	It("reads class, principal and scoped ID of a lookup", func() {
 		c, faults := read(request("GET /svc/ledger/status/17", "Idempotency-Key: a\r\n", ""))
 		Expect(faults.list).To(BeEmpty())
 		Expect(c.class.Name).To(Equal("lookup"))
@@ -69,7 +69,7 @@
 		Expect(c.req.CallID).To(Equal("ledgerwise/desk/a"))
 		Expect(c.req.Path).To(Equal("/status/17"))
 	})
-	DescribeTable("refuses before any endpoint sees it",
+	DescribeTable("refuses an invalid request",
 		func(raw string, status int, finding string) {
 			_, faults := read(raw)
 			Expect(faults.status).To(Equal(status))
@@ -81,19 +81,19 @@
 		Entry("no class", request("GET /svc/ledger/none", "", ""), 404, "no request class"),
 		Entry("a model service by the plain path", request("GET /svc/tone/x", "", ""), 404, "kind model"),
 		Entry("a deadline in the past", request("GET /svc/ledger/status/1", "X-Request-Deadline: 2001-01-01T00:00:00Z\r\n", ""), 400, "in the past"),
-		Entry("a timeout of nothing", request("GET /svc/ledger/status/1", "X-Request-Timeout-Ms: 0\r\n", ""), 400, "in the past"),
+		Entry("a timeout of zero", request("GET /svc/ledger/status/1", "X-Request-Timeout-Ms: 0\r\n", ""), 400, "in the past"),
 		Entry("a bad timeout", request("GET /svc/ledger/status/1", "X-Request-Timeout-Ms: soon\r\n", ""), 400, "whole number"),
 		Entry("a sync without a key", request("POST /svc/ledger/sync", "", "x"), 400, "Idempotency-Key"),
 		Entry("an overlong key", request("POST /svc/ledger/sync", "Idempotency-Key: "+strings.Repeat("k", 257)+"\r\n", "x"), 400, "257 bytes"),
 		Entry("an oversized body", request("POST /svc/ledger/sync", "Idempotency-Key: a\r\n", strings.Repeat("x", 2000)), 413, "2000 bytes"),
-		Entry("a body that is no JSON", request("POST /v1/completions", "", "{"), 400, "body:"),
+		Entry("a body that is not JSON", request("POST /v1/completions", "", "{"), 400, "body:"),
 		Entry("no model", request("POST /v1/completions", "", `{"prompt":"p"}`), 400, "model is missing"),
 	)
-	It("reports every fault of a completion at once", func() {
+	It("reports every error of a completion at once", func() {
 		_, faults := read(request("POST /v1/completions", "", `{"max_tokens":-1}`))
 		Expect(faults.list).To(HaveLen(3))
 	})
-	It("gives a resend under another id the same fingerprint", func() {
+	It("gives a resend under another ID the same fingerprint", func() {
 		a, _ := read(request("POST /svc/ledger/sync", "Idempotency-Key: a\r\n", "same"))
 		b, _ := read(request("POST /svc/ledger/sync", "Idempotency-Key: b\r\n", "same"))
 		c, _ := read(request("POST /svc/ledger/sync", "Idempotency-Key: c\r\n", "other"))
@@ -102,8 +102,8 @@
 	})
 })
 
-// FuzzReadCall holds that no bytes of a caller make the reading panic, and
-// that a request without findings names a declared class with time left.
+// FuzzReadCall checks that no input makes readCall panic, and that a request
+// without findings has a declared class, remaining time and a call ID.
 func FuzzReadCall(f *testing.F) {
 	f.Add(request("GET /svc/ledger/status/17", "", ""))
 	f.Add(request("POST /svc/ledger/sync", "Idempotency-Key: a\r\n", "amount=3"))
@@ -115,7 +115,7 @@
 		}
 		c, faults := readCall(ctx, newCallerIndex(testDeployment()), time.Now())
 		if faults.status == 0 && (c.class.Name == "" || c.req.Remaining <= 0 || c.req.CallID == "") {
-			t.Fatalf("accepted without class, time or id: %+v", c.req)
+			t.Fatalf("accepted without class, remaining time or call ID: %+v", c.req)
 		}
 	})
 }
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -10,9 +10,9 @@
 )
 
 var _ = Describe("a stream that reaches its deadline", func() {
-	// The engine's last tokens and its end arrive just as the deadline passes,
-	// while the caller still reads earlier ones. The last tokens are dropped; if
-	// the stream then ended with [DONE], the caller would take it for whole.
+	// The engine's last tokens arrive just as the deadline passes, while the caller
+	// still reads earlier ones. The last tokens are dropped. If the stream then
+	// ended with [DONE], the caller would take it for complete.
 	It("does not end as answered when tokens were dropped", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		f := &forwarder{ctx: ctx, first: make(chan wire.ReadReply, 1), rest: make(chan wire.ReadReply)}
--- a/internal/entry/weights_test.go
+++ b/internal/entry/weights_test.go
@@ -27,14 +27,15 @@
 )
 
 const (
-	maxOrderTimeout    = 1500 * time.Millisecond // longest order in these specs
-	weightsTestTimeout = time.Minute             // longer than an engine is set aside
-	// restartable is where an engine listens that a spec starts again at the same
-	// port. No dial's own end takes a port of this address meanwhile.
+	maxOrderTimeout    = 1500 * time.Millisecond // maximum timeout of an order in these specs
+	weightsTestTimeout = time.Minute             // longer than the cooldown of an engine after failed loads
+	// restartable is the listen address of engines that a spec restarts at the same
+	// port. Outgoing connections use another local address, so they cannot take the
+	// port meanwhile.
 	restartable = "127.0.0.2:0"
 )
 
-// fakeDutyLeases hands the duty over as a spec says.
+// fakeDutyLeases reports the lease states that a spec sets.
 type fakeDutyLeases struct {
 	DutyLeases
 	mu sync.Mutex
@@ -61,7 +62,7 @@
 
 func (c fixedConfig) Current() *decl.Deployment { return c.deployment }
 
-// orderServer is the part of an agent's inner protocol that rollouts use.
+// orderServer serves the part of an agent's inner protocol that rollouts use.
 type orderServer struct{ orders *agent.Orders }
 
 func (s *orderServer) Order(o wire.Order, reply *wire.OrderReply) error {
@@ -74,7 +75,7 @@
 	return nil
 }
 
-var _ = Describe("weights", func() {
+var _ = Describe("Weights", func() {
 	var platform *standin.Platform
 	var address string
 	var engines []*standin.Engine
@@ -166,7 +167,7 @@
 		platform.SetInstances(instances)
 	})
 
-	It("bring an announced version to every engine, through a failed load", func() {
+	It("brings an announced version to every engine despite a failed load", func() {
 		w, holders := startEntry("a")
 		engines[2].FailLoads(1)
 		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
@@ -174,9 +175,9 @@
 		Eventually(versions).WithTimeout(weightsTestTimeout).Should(HaveEach(int64(2)))
 	})
 
-	// The key-value service goes away once the owner has read the announcement and
-	// before an engine has loaded it. Loads need no call of the service.
-	It("finish a rollout during an outage", func() {
+	// The key-value service fails after the owner has read the announcement and
+	// before an engine has loaded the version. Loads need no call to the service.
+	It("finishes a rollout during an outage", func() {
 		w, holders := startEntry("a")
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
 		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
@@ -187,7 +188,7 @@
 		Expect(w.Progress()["tone"]).To(HaveLen(1))
 	})
 
-	It("bring an adapter to every engine and leave the model's version", func() {
+	It("brings an adapter to every engine and keeps the model's version", func() {
 		w, holders := startEntry("a")
 		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 7, "polite")).To(Equal(int64(7)))
@@ -201,9 +202,9 @@
 		Expect(versions()).To(HaveEach(int64(1)))
 	})
 
-	// An engine crashes and comes back with the version that it starts with. Its
-	// agent lets the newest version through again, though it did so before.
-	It("bring a restarted engine back to the newest version", func() {
+	// An engine crashes and restarts with its initial version. Its agent must accept
+	// the order for the newest version again.
+	It("brings a restarted engine back to the newest version", func() {
 		w, holders := startEntry("a")
 		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
@@ -215,7 +216,7 @@
 		Eventually(versions).WithTimeout(weightsTestTimeout).Should(HaveEach(int64(2)))
 	})
 
-	It("pass over an engine that an operator drained", func() {
+	It("skips an engine that an operator drained", func() {
 		deployment.DrainInstances = []string{"3"}
 		w, holders := startEntry("a")
 		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
@@ -223,9 +224,9 @@
 		Eventually(versions).WithTimeout(weightsTestTimeout).Should(Equal([]int64{2, 2, 2, 1}))
 	})
 
-	// Operators declare roles; an engine fails its change once, another restarts
-	// and has lost its role, and the owner is replaced by a successor.
-	It("bring the engines to their declared roles and keep them there", func() {
+	// Operators declare roles. One engine fails its role change once, another
+	// restarts without its role, and a successor replaces the owner.
+	It("gives the engines their declared roles and restores them", func() {
 		deployment.Services[0].Roles = []string{"prefill:1", "decode:3"}
 		_, holders := startEntry("a")
 		_, next := startEntry("b")
@@ -248,26 +249,26 @@
 		Expect(versions()).To(HaveEach(int64(1)))
 	})
 
-	It("refuse a feed that is not declared", func() {
+	It("refuses a feed that is not declared", func() {
 		w, _ := startEntry("a")
 		_, err := w.Announce(ctx, "d", "other", "m", 2, "")
 		Expect(err).To(MatchError(ErrUnknownFeed))
 	})
 
-	// A trainer announces version 3 and the answer to the write is lost; another
-	// trainer's late word of version 2 comes after it. The caller of the first must
-	// not be told that it failed, and the second must not take it back.
-	It("settle a lost answer, and never announce a version below", func() {
+	// A trainer announces version 3 and the answer to the write is lost. Another
+	// trainer's late announcement of version 2 follows. The first call must not
+	// fail, and the second must not lower the version.
+	It("resolves a write with a lost answer, and never lowers the version", func() {
 		w, _ := startEntry("a")
 		platform.LoseNextAnswer(1)
 		Expect(w.Announce(ctx, "d", "drafts", "m", 3, "")).To(Equal(int64(3)))
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(3)))
 	})
 
-	// The owner loses its duty in the middle of a rollout and goes on, as it was
-	// paused and has not heard. Its successor has a newer version in force. The
-	// agents refuse the old epoch, so no engine goes back.
-	It("go on under a successor while the paused owner is refused", func() {
+	// The owner loses its duty during a rollout and continues, as it was paused and
+	// has not noticed. Its successor rolls out a newer version. The agents refuse
+	// the old epoch, so no engine goes back to an older version.
+	It("continues under a successor while the former owner is refused", func() {
 		old, oldDuties := startEntry("a")
 		next, nextDuties := startEntry("b")
 		oldDuties.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
