--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
 // Package agent is the runtime of the process beside one endpoint. The agent is
-// the only way to its endpoint: requests queue here, orders pass here, and what
-// became of a request is asked here.
+// the only client of its endpoint: it queues requests, passes weight orders on,
+// and answers what became of a request.
 package agent
 
 import (
@@ -28,18 +28,21 @@
 )
 
 const (
-	evictEvery = 5 * time.Second
-	probeEvery = time.Second
-	// probesToDown is how many probes in a row must fail before the endpoint is
-	// told as down; a single lost probe must not empty a failure domain.
-	probesToDown = 2
-	// linger keeps the inner protocol up after the last request of a graceful
-	// stop, so that readers of a stream fetch its end.
-	linger = time.Second
-	// listedFor outlasts the longest pause between two entries' reads of the
-	// list and the heartbeats that repeat it.
-	listedFor  = 2 * time.Minute
-	drainCheck = 50 * time.Millisecond
+	evictInterval = 5 * time.Second
+	probeInterval = time.Second
+	// probeFailureThreshold is how many consecutive probes must fail before the
+	// endpoint is reported as down. A single lost probe must not empty a
+	// failure domain.
+	probeFailureThreshold = 2
+	// shutdownDelay is how long a graceful stop keeps the inner protocol up
+	// after the last request, so that readers of a stream can fetch its end.
+	shutdownDelay = time.Second
+	// listedLeavingTTL is how long a heartbeat's statement that the list says
+	// this agent leaves stays in force. It is longer than the longest interval
+	// between two reads of the list by the entries and the heartbeats that
+	// repeat it.
+	listedLeavingTTL  = 2 * time.Minute
+	drainPollInterval = 50 * time.Millisecond
 )
 
 // Agent serves one endpoint.
@@ -50,27 +53,27 @@
 	incarnation string
 	started     time.Time
 
-	endpoint *endpoint
-	requests *requestTable
-	claims   *claimTable
-	queue    *Queue
-	fences   *fences
-	crashes  *crashes
-	orders   *OrderHandler
-	caches   *caches
-	conf     *confstate.Holder
-	inner    *tlsconf.Inner
-	traffic  *traffic.Meter
-	innerErr error        // of reading the files of inner; Run returns it
-	leaving  atomic.Bool  // a graceful stop has begun
-	listedAt atomic.Int64 // agent uptime at which an entry last told that the list says it leaves; 0: never
-	down     atomic.Bool
-	version  atomic.Int64 // weight version that the endpoint reported last
-	role     atomic.Value // string: the engine's role as last reported
+	endpoint        *endpointClient
+	requests        *requestTable
+	claims          *claimTable
+	queue           *Queue
+	fences          *fenceTable
+	crashes         *crashTracker
+	orders          *OrderHandler
+	cacheTransfers  *cacheTransfers
+	conf            *confstate.Holder
+	inner           *tlsconf.Inner
+	traffic         *traffic.Meter
+	innerErr        error        // from loading the certificate files of inner; returned by Run
+	leaving         atomic.Bool  // a graceful stop has begun
+	listedLeavingAt atomic.Int64 // agent uptime of the last heartbeat which said that the list says this agent leaves; 0: never
+	down            atomic.Bool
+	version         atomic.Int64 // weight version last reported by the endpoint
+	role            atomic.Value // string: the engine's role as last reported
 
 }
 
-// New prepares an agent; Run serves.
+// New returns an agent for the endpoint of the settings. Run serves it.
 func New(s settings.Settings, log *logrus.Logger, registry metrics.Registry) *Agent {
 	a := &Agent{
 		settings:    s,
@@ -78,16 +81,16 @@
 		metrics:     registry,
 		incarnation: ulid.Make().String(),
 		started:     time.Now(),
-		endpoint:    newEndpoint(s.Endpoint),
+		endpoint:    newEndpointClient(s.Endpoint),
 		requests:    newRequestTable(),
 		claims:      newClaimTable(),
 		queue:       NewQueue(s.Service, registry),
-		fences:      newFences(),
-		crashes:     newCrashes(s.ID),
+		fences:      newFenceTable(),
+		crashes:     newCrashTracker(s.ID),
 	}
 	a.traffic = traffic.NewMeter(registry)
 	a.inner, a.innerErr = tlsconf.NewInner(s.TLS)
-	a.caches = newCaches(a.endpoint, a.inner.Dial)
+	a.cacheTransfers = newCacheTransfers(a.endpoint, a.inner.Dial)
 	a.orders = NewOrderHandler(OrderHandlerOptions{
 		Incarnation: a.incarnation,
 		Endpoint:    s.Endpoint,
@@ -107,30 +110,30 @@
 	return a
 }
 
-// Configure puts a deployment's declaration in force for the requests queueing
-// here.
+// Configure applies a deployment's declaration to the request queue.
 func (a *Agent) Configure(d decl.Deployment) { a.queue.Configure(d) }
 
 func (a *Agent) uptime() time.Duration {
 	return time.Since(a.started)
 }
 
-// Ready tells whether the agent takes new requests.
+// Ready returns whether the agent accepts new requests.
 func (a *Agent) Ready() bool {
 	return !a.isLeaving() && !a.down.Load()
 }
 
-// isLeaving tells whether the agent takes no new requests, by its own stop or
-// because the platform's list says it leaves. The list may be wrong: unless
-// entries repeat its word, it is forgotten.
+// isLeaving returns whether the agent refuses new requests, either because of
+// its own stop or because the platform's list says that it leaves. The list may
+// be wrong, so the statement expires after listedLeavingTTL unless entries
+// repeat it.
 func (a *Agent) isLeaving() bool {
-	told := time.Duration(a.listedAt.Load())
-	return a.leaving.Load() || (told > 0 && a.uptime()-told < listedFor)
+	lastListed := time.Duration(a.listedLeavingAt.Load())
+	return a.leaving.Load() || (lastListed > 0 && a.uptime()-lastListed < listedLeavingTTL)
 }
 
-// Run serves until ctx ends, then stops gracefully: it announces that it
-// leaves, refuses new requests, and ends once those in flight have finished or
-// the stop timeout has passed.
+// Run serves until ctx is done and then stops gracefully: it announces that it
+// leaves, refuses new requests, and returns once the requests in flight have
+// finished or the stop timeout has passed.
 func (a *Agent) Run(ctx context.Context) error {
 	if a.innerErr != nil {
 		return errors.Wrap(a.innerErr, "agent")
@@ -142,7 +145,7 @@
 	return a.Serve(ctx, a.traffic.Listener(traffic.Inner, listener))
 }
 
-// Serve is Run on a listener of the caller's.
+// Serve is Run on the given listener.
 func (a *Agent) Serve(ctx context.Context, listener net.Listener) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(wire.AgentService, &rpcServer{a}); err != nil {
@@ -152,7 +155,7 @@
 	defer stop()
 	var group errgroup.Group
 	group.Go(func() error { return a.accept(background, listener, server) })
-	group.Go(func() error { return every(background, evictEvery, func() { a.evict(a.uptime()) }) })
+	group.Go(func() error { return runPeriodically(background, evictInterval, func() { a.evict(a.uptime()) }) })
 	group.Go(func() error { return a.probe(background) })
 	group.Go(func() error { return a.orders.ServeWeights(background) })
 	group.Go(func() error { return a.conf.Run(background) })
@@ -177,36 +180,37 @@
 	}
 }
 
-// drain refuses new requests and waits for those in flight.
+// drain refuses new requests and waits for those in flight, at most for the
+// stop timeout.
 func (a *Agent) drain() {
 	a.leaving.Store(true)
 	a.queue.Drain()
 	events.AgentLeaving.Log(a.log, logrus.Fields{"running": a.requests.running()})
 	end := time.Now().Add(a.settings.StopTimeout)
 	for a.requests.running() > 0 && time.Now().Before(end) {
-		time.Sleep(drainCheck)
+		time.Sleep(drainPollInterval)
 	}
-	time.Sleep(linger)
+	time.Sleep(shutdownDelay)
 }
 
-// probe watches the endpoint's health and weight version.
+// probe polls the endpoint's health, weight version and role.
 func (a *Agent) probe(ctx context.Context) error {
 	failed := 0
-	return every(ctx, probeEvery, func() {
+	return runPeriodically(ctx, probeInterval, func() {
 		if a.endpoint.alive() {
 			failed = 0
 		} else {
 			failed++
 		}
-		a.setDown(failed >= probesToDown)
+		a.setDown(failed >= probeFailureThreshold)
 		if ctx.Err() != nil {
-			return // a stopping process need not wait for a slow endpoint
+			return // a stopping process doesn't wait for a slow endpoint
 		}
-		asked := time.Now()
+		sentAt := time.Now()
 		if load, err := a.endpoint.load(); err == nil {
 			a.version.Store(load.WeightVersion)
 			a.role.Store(load.Role)
-			a.orders.RecordReport(load, asked)
+			a.orders.RecordReport(load, sentAt)
 		}
 	})
 }
@@ -222,7 +226,7 @@
 	event.Log(a.log, logrus.Fields{"endpoint": a.settings.Endpoint})
 }
 
-// load is what rides on every reply.
+// load returns the load that is sent with every reply.
 func (a *Agent) load() wire.Load {
 	load := a.queue.Load()
 	load.QueuedSeconds += a.orders.RemainingLoadTime().Seconds()
@@ -232,8 +236,9 @@
 	return load
 }
 
-// every calls fn at once and then in intervals until ctx ends.
-func every(ctx context.Context, interval time.Duration, fn func()) error {
+// runPeriodically calls fn immediately and then once per interval until ctx is
+// done.
+func runPeriodically(ctx context.Context, interval time.Duration, fn func()) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/internal/agent/chunks.go
+++ b/internal/agent/chunks.go
@@ -13,75 +13,77 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// keptVersions is how many versions of weights a data folder keeps: the one in
-// force, and the next.
-const keptVersions = 2
+// maxVersionsOnDisk is how many weight versions a data directory keeps: the one
+// in force and the next one.
+const maxVersionsOnDisk = 2
 
-// weightsFolder is the part of the data folder that holds weights.
-const weightsFolder = "weights"
+// weightsDirName is the subdirectory of the data directory that holds weights.
+const weightsDirName = "weights"
 
-// chunkTable holds chunks of weights for the engine and for other agents, in
-// the data folder if there is one and else in memory up to a limit, oldest
-// dropped first.
+// chunkTable stores chunks of weights for the engine and for other agents. It
+// stores them in the data directory if there is one, and otherwise in memory up
+// to a limit, evicting the oldest first.
 type chunkTable struct {
 	dir   string
 	limit int
 
-	mu       sync.Mutex
-	bytes    int
-	held     map[wire.ChunkRequest]*list.Element
-	order    *list.List             // of heldChunk, oldest first; memory only
-	versions map[string]heldVersion // by versionName
-	pinned   string                 // versionName of the one that the engine loads
-	folders  []string               // of the versions in the data folder, oldest first
-	arrived  chan struct{}          // closed and replaced by each new chunk
+	mu          sync.Mutex
+	bytes       int
+	inMemory    map[wire.ChunkRequest]*list.Element
+	order       *list.List                 // of memoryChunk, oldest first; memory only
+	verified    map[string]verifiedVersion // complete versions that match their digest, by versionName
+	pinned      string                     // versionName of the version that the engine loads
+	versionDirs []string                   // directories of the versions in the data directory, oldest first
+	chunkAdded  chan struct{}              // closed and replaced when a chunk is added
 }
 
-type heldChunk struct {
+type memoryChunk struct {
 	id   wire.ChunkRequest
 	data []byte
 }
 
 func newChunkTable(dir string, limit int) *chunkTable {
 	return &chunkTable{
-		dir:      dir,
-		limit:    limit,
-		held:     map[wire.ChunkRequest]*list.Element{},
-		order:    list.New(),
-		versions: map[string]heldVersion{},
-		folders:  foldersIn(dir),
-		arrived:  make(chan struct{}),
+		dir:         dir,
+		limit:       limit,
+		inMemory:    map[wire.ChunkRequest]*list.Element{},
+		order:       list.New(),
+		verified:    map[string]verifiedVersion{},
+		versionDirs: existingVersionDirs(dir),
+		chunkAdded:  make(chan struct{}),
 	}
 }
 
-// foldersIn returns the versions that an earlier run of the agent left in the
-// data folder, oldest first. Without it each restart would leave two behind.
-func foldersIn(dir string) []string {
+// existingVersionDirs returns the version directories that an earlier run of
+// the agent left in the data directory, oldest first. Without them, each
+// restart would leave two versions behind.
+func existingVersionDirs(dir string) []string {
 	if dir == "" {
 		return nil
 	}
-	found, _ := os.ReadDir(filepath.Join(dir, weightsFolder)) // none before the first fetch
-	type aged struct {
+	found, _ := os.ReadDir(filepath.Join(dir, weightsDirName)) // the directory doesn't exist before the first fetch
+	type versionDir struct {
 		path    string
-		changed time.Time
+		modTime time.Time
 	}
-	var all []aged
+	var all []versionDir
 	for _, f := range found {
 		if info, err := f.Info(); err == nil {
-			all = append(all, aged{path: filepath.Join(dir, weightsFolder, f.Name()), changed: info.ModTime()})
+			all = append(all, versionDir{path: filepath.Join(dir, weightsDirName, f.Name()), modTime: info.ModTime()})
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].changed.Before(all[j].changed) })
-	var folders []string
+	sort.Slice(all, func(i, j int) bool { return all[i].modTime.Before(all[j].modTime) })
+	var dirs []string
 	for _, a := range all {
-		folders = append(folders, a.path)
+		dirs = append(dirs, a.path)
 	}
-	return folders
+	return dirs
 }
 
-// fits tells whether a version of so many bytes can be held as a whole, beside
-// the one that the engine loads. Asked before the fetch: a version that finds no
-// room in the middle of it would be fetched for nothing, again and again.
+// fits returns whether a complete version of the given size can be stored
+// beside the one that the engine loads. It is called before the fetch: a
+// version that runs out of memory in the middle would be fetched in vain over
+// and over.
 func (t *chunkTable) fits(model string, version int64, bytes int) bool {
 	if t.dir != "" {
 		return true
@@ -94,119 +96,125 @@
 	return bytes <= t.limit
 }
 
+// pinnedBytes returns the size of the pinned version. The lock must be held.
 func (t *chunkTable) pinnedBytes() int {
 	n := 0
-	for id, element := range t.held {
+	for id, element := range t.inMemory {
 		if versionName(id.Model, id.Version) == t.pinned {
-			n += len(element.Value.(heldChunk).data)
+			n += len(element.Value.(memoryChunk).data)
 		}
 	}
 	return n
 }
 
-// folder returns where a version's chunks lie.
-func (t *chunkTable) folder(model string, version int64) string {
-	return filepath.Join(t.dir, weightsFolder, versionName(model, version))
+// versionDir returns the directory of a version's chunks.
+func (t *chunkTable) versionDir(model string, version int64) string {
+	return filepath.Join(t.dir, weightsDirName, versionName(model, version))
 }
 
+// put stores a chunk and wakes those who wait for one.
 func (t *chunkTable) put(id wire.ChunkRequest, data []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.dir != "" {
-		if err := t.write(id, data); err != nil {
+		if err := t.putOnDisk(id, data); err != nil {
 			return err
 		}
-	} else if err := t.keep(id, data); err != nil {
+	} else if err := t.putInMemory(id, data); err != nil {
 		return err
 	}
-	close(t.arrived)
-	t.arrived = make(chan struct{})
+	close(t.chunkAdded)
+	t.chunkAdded = make(chan struct{})
 	return nil
 }
 
-// keep holds a chunk in memory and drops the oldest of other versions for it.
-func (t *chunkTable) keep(id wire.ChunkRequest, data []byte) error {
-	if _, ok := t.held[id]; ok {
+// putInMemory stores a chunk in memory and evicts the oldest chunks of other
+// versions to make room. The pinned version is never evicted.
+func (t *chunkTable) putInMemory(id wire.ChunkRequest, data []byte) error {
+	if _, ok := t.inMemory[id]; ok {
 		return nil
 	}
-	for at := t.order.Front(); at != nil && t.bytes+len(data) > t.limit; {
-		oldest, next := at.Value.(heldChunk).id, at.Next()
+	for element := t.order.Front(); element != nil && t.bytes+len(data) > t.limit; {
+		oldest, next := element.Value.(memoryChunk).id, element.Next()
 		name := versionName(oldest.Model, oldest.Version)
 		if name != t.pinned && name != versionName(id.Model, id.Version) {
 			t.remove(oldest)
 		}
-		at = next
+		element = next
 	}
 	if t.bytes+len(data) > t.limit {
 		return errNoRoom
 	}
-	t.held[id] = t.order.PushBack(heldChunk{id: id, data: data})
+	t.inMemory[id] = t.order.PushBack(memoryChunk{id: id, data: data})
 	t.bytes += len(data)
 	return nil
 }
 
-// remove forgets a chunk in memory; its version is no longer whole.
+// remove deletes a chunk from memory. Its version is no longer complete.
 func (t *chunkTable) remove(id wire.ChunkRequest) {
-	element, ok := t.held[id]
+	element, ok := t.inMemory[id]
 	if !ok {
 		return
 	}
-	t.bytes -= len(element.Value.(heldChunk).data)
+	t.bytes -= len(element.Value.(memoryChunk).data)
 	t.order.Remove(element)
-	delete(t.held, id)
-	delete(t.versions, versionName(id.Model, id.Version))
+	delete(t.inMemory, id)
+	delete(t.verified, versionName(id.Model, id.Version))
 }
 
-// write puts a chunk into its folder under its final name in one step, so that
-// a crash leaves no half a chunk.
-func (t *chunkTable) write(id wire.ChunkRequest, data []byte) error {
-	folder := t.folder(id.Model, id.Version)
-	if err := os.MkdirAll(folder, 0o750); err != nil {
+// putOnDisk writes a chunk to its version's directory. It writes a temporary
+// file and renames it, so that a crash leaves no partial chunk.
+func (t *chunkTable) putOnDisk(id wire.ChunkRequest, data []byte) error {
+	dir := t.versionDir(id.Model, id.Version)
+	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return err
 	}
-	t.note(folder)
-	path := filepath.Join(folder, strconv.Itoa(id.Index))
+	t.addVersionDir(dir)
+	path := filepath.Join(dir, strconv.Itoa(id.Index))
 	if err := os.WriteFile(path+".part", data, 0o640); err != nil {
 		return err
 	}
 	return os.Rename(path+".part", path)
 }
 
-func (t *chunkTable) note(folder string) {
-	for _, known := range t.folders {
-		if known == folder {
+// addVersionDir records a version's directory and deletes the oldest ones past
+// maxVersionsOnDisk.
+func (t *chunkTable) addVersionDir(dir string) {
+	for _, known := range t.versionDirs {
+		if known == dir {
 			return
 		}
 	}
-	t.folders = append(t.folders, folder)
-	for len(t.folders) > keptVersions {
-		delete(t.versions, filepath.Base(t.folders[0]))
-		_ = os.RemoveAll(t.folders[0])
-		t.folders = t.folders[1:]
+	t.versionDirs = append(t.versionDirs, dir)
+	for len(t.versionDirs) > maxVersionsOnDisk {
+		delete(t.verified, filepath.Base(t.versionDirs[0]))
+		_ = os.RemoveAll(t.versionDirs[0])
+		t.versionDirs = t.versionDirs[1:]
 	}
 }
 
+// get returns a chunk if it is stored.
 func (t *chunkTable) get(id wire.ChunkRequest) ([]byte, bool) {
 	t.mu.Lock()
-	element, ok := t.held[id]
+	element, ok := t.inMemory[id]
 	t.mu.Unlock()
 	if ok {
-		return element.Value.(heldChunk).data, true
+		return element.Value.(memoryChunk).data, true
 	}
 	if t.dir == "" {
 		return nil, false
 	}
-	data, err := os.ReadFile(filepath.Join(t.folder(id.Model, id.Version), strconv.Itoa(id.Index)))
+	data, err := os.ReadFile(filepath.Join(t.versionDir(id.Model, id.Version), strconv.Itoa(id.Index)))
 	return data, err == nil
 }
 
-// wait returns a chunk, waiting for one that has not arrived yet.
-func (t *chunkTable) wait(ctx context.Context, id wire.ChunkRequest, longest time.Duration) ([]byte, bool) {
-	ctx, cancel := context.WithTimeout(ctx, longest)
+// wait returns a chunk, blocking until it is added or the timeout has passed.
+func (t *chunkTable) wait(ctx context.Context, id wire.ChunkRequest, timeout time.Duration) ([]byte, bool) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		t.mu.Lock()
-		arrived := t.arrived
+		added := t.chunkAdded
 		t.mu.Unlock()
 		if data, ok := t.get(id); ok {
 			return data, true
@@ -214,20 +222,20 @@
 		select {
 		case <-ctx.Done():
 			return nil, false
-		case <-arrived:
+		case <-added:
 		}
 	}
 }
 
-// drop forgets a version.
-func (t *chunkTable) drop(model string, version int64, chunks int) {
+// dropVersion deletes all chunks of a version.
+func (t *chunkTable) dropVersion(model string, version int64, chunks int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.versions, versionName(model, version))
+	delete(t.verified, versionName(model, version))
 	for i := range chunks {
 		t.remove(wire.ChunkRequest{Model: model, Version: version, Index: i})
 	}
 	if t.dir != "" {
-		_ = os.RemoveAll(t.folder(model, version))
+		_ = os.RemoveAll(t.versionDir(model, version))
 	}
 }
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -8,14 +8,17 @@
 )
 
 const (
-	// maxClaimsAsked bounds one question; more is not looked at.
-	maxClaimsAsked = 4096
-	// maxClaimWait bounds how long a question waits for what still runs.
+	// maxClaimsPerQuery limits how many claims of one query are looked up; the
+	// rest is ignored.
+	maxClaimsPerQuery = 4096
+	// maxClaimWait limits how long a query waits for requests that are still
+	// running.
 	maxClaimWait = 2 * time.Second
 )
 
-// claimTable finds the record of a request by its claim, for an owner that took
-// its partition over from one that was lost with the request in flight.
+// claimTable finds the record of a request by its claim. It serves an owner
+// that took a claim partition over from an owner that failed with the request
+// in flight.
 type claimTable struct {
 	mu      sync.Mutex
 	records map[wire.ClaimRef]*record
@@ -25,10 +28,10 @@
 	return &claimTable{records: map[wire.ClaimRef]*record{}}
 }
 
-// note remembers a request under its claim, if it bears one. Requests of one
-// claim that were refused give way to the one that is accepted last: another
-// is sent only once the one before provably did not run.
-func (t *claimTable) note(ref wire.ClaimRef, r *record) {
+// add records a request under its claim, if it has one. If requests of the same
+// claim were refused, the last accepted one replaces them: another is sent only
+// once the previous one provably did not run.
+func (t *claimTable) add(ref wire.ClaimRef, r *record) {
 	if ref.Epoch == 0 {
 		return
 	}
@@ -37,7 +40,8 @@
 	t.records[ref] = r
 }
 
-// evict forgets what the request table forgets.
+// evict removes the requests that finished before the limit, as the request
+// table does.
 func (t *claimTable) evict(limit time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,7 +52,7 @@
 	}
 }
 
-// evict forgets requests that finished before the horizon.
+// evict removes requests that finished before the horizon.
 func (a *Agent) evict(now time.Duration) {
 	a.requests.evict(now)
 	a.claims.evict(horizon(now))
@@ -58,7 +62,7 @@
 	found := map[wire.ClaimRef]*record{}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, ref := range refs[:min(len(refs), maxClaimsAsked)] {
+	for _, ref := range refs[:min(len(refs), maxClaimsPerQuery)] {
 		if r := t.records[ref]; r != nil {
 			found[ref] = r
 		}
@@ -66,25 +70,26 @@
 	return found
 }
 
-// Claims tells the answers of claimed requests that the endpoint answered here,
-// waiting for those that still run. It says nothing of others, and "not run" of
-// none: that this agent does not know a request proves nothing.
-func (s *rpcServer) Claims(ask wire.ClaimsAsked, reply *wire.ClaimsTold) error {
-	reply.Duty = ask.Duty
-	end := time.Now().Add(min(ask.Wait, maxClaimWait))
-	for ref, r := range s.a.claims.find(ask.Refs) {
+// Claims returns the answers of claimed requests that the endpoint answered
+// through this agent, waiting for those that are still running. It omits all
+// others and never reports "not run": that this agent doesn't know a request
+// proves nothing.
+func (s *rpcServer) Claims(query wire.ClaimsAsked, reply *wire.ClaimsTold) error {
+	reply.Duty = query.Duty
+	end := time.Now().Add(min(query.Wait, maxClaimWait))
+	for ref, r := range s.a.claims.find(query.Refs) {
 		answer, done := r.waitDone(max(0, time.Until(end)))
 		if !done || answer.Outcome != wire.Answered {
 			continue
 		}
-		told := wire.ClaimResult{Claim: ref, Outcome: wire.Answered}
-		if len(answer.Body) <= ask.MaxBody {
-			told.Kept = true
-			told.Status = answer.Status
-			told.ContentType = answer.ContentType
-			told.Body = answer.Body
+		result := wire.ClaimResult{Claim: ref, Outcome: wire.Answered}
+		if len(answer.Body) <= query.MaxBody {
+			result.Kept = true
+			result.Status = answer.Status
+			result.ContentType = answer.ContentType
+			result.Body = answer.Body
 		}
-		reply.Results = append(reply.Results, told)
+		reply.Results = append(reply.Results, result)
 	}
 	return nil
 }
--- a/internal/agent/crashes.go
+++ b/internal/agent/crashes.go
@@ -8,79 +8,81 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// crashes knows what ran when the endpoint crashed, and the requests that no
-// endpoint may run. It is safe for concurrent use.
-type crashes struct {
-	endpoint string // id of this agent
+// crashTracker records which requests ran when the endpoint crashed, and which
+// requests are in quarantine. It is safe for concurrent use.
+type crashTracker struct {
+	endpoint string // ID of this agent
 
-	mu       sync.Mutex
-	registry *poison.Registry
-	suspects []wire.Suspicion // not yet aged out
-	at       time.Time        // the last crash was noticed
-	batch    int              // different requests that ran at it
-	running  map[poison.ID]int
+	mu          sync.Mutex
+	registry    *poison.Registry
+	suspects    []wire.Suspicion // of crashes within suspicionTTL
+	lastCrashAt time.Time        // when the last crash was noticed
+	lastBatch   int              // distinct requests that ran during the last crash
+	running     map[poison.ID]int
 }
 
-func newCrashes(endpoint string) *crashes {
-	return &crashes{endpoint: endpoint, registry: poison.New(poison.DefaultConfig(), endpoint), running: map[poison.ID]int{}}
+func newCrashTracker(endpoint string) *crashTracker {
+	return &crashTracker{endpoint: endpoint, registry: poison.New(poison.DefaultConfig(), endpoint), running: map[poison.ID]int{}}
 }
 
-func idOf(req wire.Request) poison.ID {
+func poisonID(req wire.Request) poison.ID {
 	return poison.ID{Service: req.Service, Fingerprint: req.Fingerprint}
 }
 
-// begin counts a request that the endpoint is given now; end follows.
-func (c *crashes) begin(req wire.Request) {
+// begin records that a request is sent to the endpoint. A call of end must
+// follow.
+func (c *crashTracker) begin(req wire.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.running[idOf(req)]++
+	c.running[poisonID(req)]++
 }
 
-func (c *crashes) end(req wire.Request) {
+func (c *crashTracker) end(req wire.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	id := idOf(req)
+	id := poisonID(req)
 	if c.running[id]--; c.running[id] <= 0 {
 		delete(c.running, id)
 	}
 }
 
-// different counts the requests that run now, copies of one request once:
-// entries know a crash as a whole once they know as many fingerprints.
-func (c *crashes) different() int {
+// distinctRunning returns the number of distinct requests that are running.
+// Copies of one request count once, because entries consider a crash complete
+// once they know as many fingerprints as its batch.
+func (c *crashTracker) distinctRunning() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.running)
 }
 
-// note takes in that the endpoint broke off a request that began to run at
-// begun, while running different ones ran, and returns the crash. Every request
-// that was running breaks off by itself, a moment after the other; if each
-// counted what still ran, the last one would seem to have been alone.
-func (c *crashes) note(now, begun time.Time, req wire.Request, running int) wire.Suspicion {
+// recordCrash records that the endpoint broke off a request that started at
+// begun while the given number of distinct requests were running, and returns
+// the crash. The requests of one crash break off one after the other. If each
+// counted only what still runs, the last one would seem to have been alone.
+func (c *crashTracker) recordCrash(now, begun time.Time, req wire.Request, running int) wire.Suspicion {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.at.IsZero() || begun.After(c.at) {
-		c.at = now
-		c.batch = max(1, running)
+	if c.lastCrashAt.IsZero() || begun.After(c.lastCrashAt) {
+		c.lastCrashAt = now
+		c.lastBatch = max(1, running)
 	}
 	crash := wire.Suspicion{
 		Fingerprint: req.Fingerprint,
 		Service:     req.Service,
 		Endpoint:    c.endpoint,
-		Batch:       c.batch,
-		UnixMilli:   c.at.UnixMilli(),
-		Crash:       c.at.UnixNano(),
+		Batch:       c.lastBatch,
+		UnixMilli:   c.lastCrashAt.UnixMilli(),
+		Crash:       c.lastCrashAt.UnixNano(),
 	}
 	c.suspects = append(c.suspects, crash)
 	return crash
 }
 
-// recent lists the suspicions of the last minute, for heartbeats.
-func (c *crashes) recent(now time.Time) []wire.Suspicion {
+// recent returns the suspicions within suspicionTTL, for heartbeats.
+func (c *crashTracker) recent(now time.Time) []wire.Suspicion {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	limit := now.Add(-suspicionAge).UnixMilli()
+	limit := now.Add(-suspicionTTL).UnixMilli()
 	kept := c.suspects[:0]
 	for _, s := range c.suspects {
 		if s.UnixMilli >= limit {
@@ -91,18 +93,19 @@
 	return append([]wire.Suspicion(nil), kept...)
 }
 
-// learn takes in the quarantine of an entry and returns all that is known, so
-// that entries that start anew learn it from the agents.
-func (c *crashes) learn(now time.Time, entries []wire.QuarantineEntry) []wire.QuarantineEntry {
+// mergeQuarantine merges an entry's quarantine list and returns all known
+// entries of it, so that entries learn the quarantine from the agents after a
+// restart.
+func (c *crashTracker) mergeQuarantine(now time.Time, entries []wire.QuarantineEntry) []wire.QuarantineEntry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.registry.Merge(now, entries)
 	return c.registry.List(now)
 }
 
-// blocked tells whether the request is in quarantine.
-func (c *crashes) blocked(now time.Time, req wire.Request) bool {
+// isQuarantined returns whether the request is in quarantine.
+func (c *crashTracker) isQuarantined(now time.Time, req wire.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.registry.Verdict(now, idOf(req)) == poison.Blocked
+	return c.registry.Verdict(now, poisonID(req)) == poison.Blocked
 }
--- a/internal/agent/endpoint.go
+++ b/internal/agent/endpoint.go
@@ -19,45 +19,46 @@
 const (
 	dialTimeout  = 2 * time.Second
 	probeTimeout = 2 * time.Second
-	// streamIdle ends a stream whose endpoint is connected but silent, as a
-	// frozen engine is; without it the request would hang past its deadline.
-	streamIdle     = 15 * time.Second
-	orderTimeout   = 10 * time.Second
-	maxConns       = 4096
-	idleConnection = 5 * time.Second
-	maxAnswerBytes = 64 << 20
-	// finishCancelled is the engine's reason for ending a stream it was told to
-	// cancel.
+	// streamIdleTimeout ends a stream whose endpoint is connected but silent,
+	// as a frozen engine is. Without it, the request would hang past its
+	// deadline.
+	streamIdleTimeout = 15 * time.Second
+	orderTimeout      = 10 * time.Second
+	maxConns          = 4096
+	idleConnTimeout   = 5 * time.Second
+	maxAnswerBytes    = 64 << 20
+	// finishCancelled is the finish reason of a stream that the engine was told
+	// to cancel.
 	finishCancelled = "cancelled"
 )
 
-// errNotSent marks failures before the first byte of a request was sent; the
+// errNotSent reports that a request failed before its first byte was sent. The
 // endpoint certainly never saw it.
 var errNotSent = errors.New("agent: request was not sent")
 
-// endpoint is the client of the one endpoint beside this agent.
-type endpoint struct {
+// endpointClient is the client of the one endpoint beside this agent.
+type endpointClient struct {
 	addr    string
 	unary   *fasthttp.HostClient
 	streams *fasthttp.HostClient
 }
 
-func newEndpoint(addr string) *endpoint {
+func newEndpointClient(addr string) *endpointClient {
 	dial := func(addr string) (net.Conn, error) {
 		conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 		if err != nil {
 			return nil, errors.Wrap(errNotSent, err.Error())
 		}
-		return newKeptConn(conn), nil
+		return newStaleCheckConn(conn), nil
 	}
 	streamDial := func(addr string) (net.Conn, error) {
 		conn, err := dial(addr)
 		if err != nil {
 			return nil, err
 		}
-		return &idleConn{Conn: conn}, nil
+		return &readTimeoutConn{Conn: conn}, nil
 	}
-	return &endpoint{addr: addr, unary: newHostClient(addr, dial, false), streams: newHostClient(addr, streamDial, true)}
+	return &endpointClient{addr: addr, unary: newHostClient(addr, dial, false), streams: newHostClient(addr, streamDial, true)}
 }
 
 func newHostClient(addr string, dial fasthttp.DialFunc, stream bool) *fasthttp.HostClient {
@@ -65,29 +66,29 @@
 		Addr:                addr,
 		Dial:                dial,
 		MaxConns:            maxConns,
-		MaxIdleConnDuration: idleConnection,
+		MaxIdleConnDuration: idleConnTimeout,
 		MaxResponseBodySize: maxAnswerBytes,
 		StreamResponseBody:  stream,
-		// The library would repeat a request whose connection broke, and so run
-		// it twice; whether a repeat is safe is decided at the entry alone.
+		// By default the library retries a request whose connection broke, which
+		// could run it twice. Only the entry decides whether a retry is safe.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
 }
 
-// idleConn fails a read that waited longer than streamIdle.
-type idleConn struct{ net.Conn }
+// readTimeoutConn fails a read that blocks longer than streamIdleTimeout.
+type readTimeoutConn struct{ net.Conn }
 
-// Read reads with a deadline of its own.
-func (c *idleConn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(streamIdle)); err != nil {
+// Read sets a new deadline for each read.
+func (c *readTimeoutConn) Read(p []byte) (int, error) {
+	if err := c.SetReadDeadline(time.Now().Add(streamIdleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
 }
 
-// call runs a plain request to its end.
-func (e *endpoint) call(ctx context.Context, req wire.Request) wire.Answer {
+// call runs a unary request and returns its answer.
+func (e *endpointClient) call(ctx context.Context, req wire.Request) wire.Answer {
 	httpReq := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(httpReq)
 	httpResp := fasthttp.AcquireResponse()
@@ -101,8 +102,8 @@
 		httpReq.Header.Set("X-Fence", itoa(req.Fence.Epoch))
 	}
 	httpReq.SetBody(req.Body)
-	if err := e.unaryUntil(httpReq, httpResp, deadlineOf(ctx, req)); err != nil {
-		return failure(req, err)
+	if err := e.doUnary(httpReq, httpResp, requestDeadline(ctx, req)); err != nil {
+		return failureAnswer(req, err)
 	}
 	return wire.Answer{
 		ID:          req.ID,
@@ -113,16 +114,16 @@
 	}
 }
 
-func deadlineOf(ctx context.Context, req wire.Request) time.Time {
+func requestDeadline(ctx context.Context, req wire.Request) time.Time {
 	if deadline, ok := ctx.Deadline(); ok {
 		return deadline
 	}
 	return time.Now().Add(req.Remaining)
 }
 
-// failure turns a failed exchange into a truthful answer: not run only if no
-// byte of the request was sent.
-func failure(req wire.Request, err error) wire.Answer {
+// failureAnswer converts a failed exchange to an answer. The outcome is NotRun
+// only if no byte of the request was sent.
+func failureAnswer(req wire.Request, err error) wire.Answer {
 	a := wire.Answer{ID: req.ID, Outcome: wire.Unknown, Detail: err.Error()}
 	switch {
 	case errors.Is(err, errNotSent):
@@ -144,9 +145,9 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// stream runs a completion as server-sent events and hands each token to emit
-// with the weight version that the engine reported for it.
-func (e *endpoint) stream(ctx context.Context, req wire.Request, emit func(text string, version int64)) wire.Answer {
+// stream runs a completion as server-sent events. It calls emit with each token
+// and the weight version that the engine reported for it.
+func (e *endpointClient) stream(ctx context.Context, req wire.Request, emit func(text string, version int64)) wire.Answer {
 	body, err := streamBody(req)
 	if err != nil {
 		return wire.Answer{ID: req.ID, Outcome: wire.NotRun, Reason: wire.ReasonBadRequest, Detail: err.Error()}
@@ -159,8 +160,8 @@
 	httpReq.Header.SetMethod(fasthttp.MethodPost)
 	httpReq.Header.SetContentType("application/json")
 	httpReq.SetBody(body)
-	if err := e.beginStream(httpReq, httpResp); err != nil {
-		return failure(req, err)
+	if err := e.startStream(httpReq, httpResp); err != nil {
+		return failureAnswer(req, err)
 	}
 	if httpResp.StatusCode() != fasthttp.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(httpResp.BodyStream(), maxAnswerBytes))
@@ -171,22 +172,22 @@
 	defer stop()
 	finish, err := readEvents(httpResp.BodyStream(), emit)
 	if err != nil {
-		// Closing would read the rest; a broken stream has no rest.
+		// Without this, closing would try to read the rest of a broken stream.
 		httpResp.SetConnectionClose()
 	}
 	_ = httpResp.CloseBodyStream()
-	return streamEnd(ctx, req, finish, err)
+	return streamAnswer(ctx, req, finish, err)
 }
 
-// unaryUntil sends a plain request and reads its answer until the deadline.
-func (e *endpoint) unaryUntil(req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) error {
-	return doFresh(e.unary, func() error { return e.unary.DoDeadline(req, resp, deadline) })
+// doUnary sends a unary request and reads its answer until the deadline.
+func (e *endpointClient) doUnary(req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) error {
+	return retryOnStaleConn(e.unary, func() error { return e.unary.DoDeadline(req, resp, deadline) })
 }
 
-// beginStream sends a completion without a deadline of its own: the stream ends
-// by idleConn or by being cancelled.
-func (e *endpoint) beginStream(req *fasthttp.Request, resp *fasthttp.Response) error {
-	return doFresh(e.streams, func() error { return e.streams.Do(req, resp) })
+// startStream sends a completion without a deadline of its own. The stream ends
+// when it is cancelled or by the timeout of readTimeoutConn.
+func (e *endpointClient) startStream(req *fasthttp.Request, resp *fasthttp.Response) error {
+	return retryOnStaleConn(e.streams, func() error { return e.streams.Do(req, resp) })
 }
 
 func streamBody(req wire.Request) ([]byte, error) {
@@ -202,13 +203,13 @@
 	return json.Marshal(c)
 }
 
-func streamEnd(ctx context.Context, req wire.Request, finish string, err error) wire.Answer {
+func streamAnswer(ctx context.Context, req wire.Request, finish string, err error) wire.Answer {
 	a := wire.Answer{ID: req.ID, Outcome: wire.Answered, Status: fasthttp.StatusOK}
-	whole := err == nil && finish != "" && finish != finishCancelled
+	complete := err == nil && finish != "" && finish != finishCancelled
 	switch {
-	case whole:
-		// Also when it was told to stop meanwhile: a rollout taken for stopped
-		// here would run again and add tokens behind its end.
+	case complete:
+		// This applies even if it was cancelled meanwhile: a rollout treated as
+		// stopped would run again and append tokens after its end.
 		a.Detail = finish
 	case ctx.Err() != nil:
 		a.Outcome = wire.Unknown
@@ -217,7 +218,7 @@
 			a.Reason = wire.ReasonDeadline
 		}
 	case err != nil:
-		return failure(req, err)
+		return failureAnswer(req, err)
 	case finish == finishCancelled:
 		a.Outcome = wire.Unknown
 		a.Reason = wire.ReasonCancelled
@@ -225,8 +226,8 @@
 	return a
 }
 
-// readEvents reads server-sent events up to the explicit end. A stream that
-// closes before it is an error, never a short answer.
+// readEvents reads server-sent events up to the explicit end marker. A stream
+// that closes before it is an error, never a short answer.
 func readEvents(body io.Reader, emit func(string, int64)) (finish string, err error) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 64<<10), 4<<20)
@@ -258,14 +259,14 @@
 }
 
 // cancel tells the engine that nobody waits for a request any more.
-func (e *endpoint) cancel(id string) {
+func (e *endpointClient) cancel(id string) {
 	_, _, _ = e.post(engineapi.PathCancel, engineapi.CancelRequest{RequestID: id})
 }
 
-// load asks the engine for its own, lagging, report.
-func (e *endpoint) load() (engineapi.Load, error) {
+// load requests the engine's own load report, which may be out of date.
+func (e *endpointClient) load() (engineapi.Load, error) {
 	var load engineapi.Load
-	status, body, err := e.exchange(fasthttp.MethodGet, engineapi.PathLoad, nil, time.Now().Add(probeTimeout))
+	status, body, err := e.roundTrip(fasthttp.MethodGet, engineapi.PathLoad, nil, time.Now().Add(probeTimeout))
 	if err != nil {
 		return load, err
 	}
@@ -275,26 +276,26 @@
 	return load, json.Unmarshal(body, &load)
 }
 
-// alive tells whether the endpoint answers at all.
-func (e *endpoint) alive() bool {
-	status, _, err := e.exchange(fasthttp.MethodGet, engineapi.PathHealth, nil, time.Now().Add(probeTimeout))
+// alive returns whether the endpoint responds to a health check.
+func (e *endpointClient) alive() bool {
+	status, _, err := e.roundTrip(fasthttp.MethodGet, engineapi.PathHealth, nil, time.Now().Add(probeTimeout))
 	return err == nil && status < fasthttp.StatusInternalServerError
 }
 
-func (e *endpoint) post(path string, body any) (int, []byte, error) {
+func (e *endpointClient) post(path string, body any) (int, []byte, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return 0, nil, err
 	}
-	return e.postUntil(path, text, time.Now().Add(orderTimeout))
+	return e.postWithDeadline(path, text, time.Now().Add(orderTimeout))
 }
 
-func (e *endpoint) postUntil(path string, text []byte, deadline time.Time) (int, []byte, error) {
-	return e.exchange(fasthttp.MethodPost, path, text, deadline)
+func (e *endpointClient) postWithDeadline(path string, text []byte, deadline time.Time) (int, []byte, error) {
+	return e.roundTrip(fasthttp.MethodPost, path, text, deadline)
 }
 
-// exchange sends one request and returns its answer's status and body.
-func (e *endpoint) exchange(method, path string, body []byte, deadline time.Time) (int, []byte, error) {
+// roundTrip sends one request and returns the status and body of the response.
+func (e *endpointClient) roundTrip(method, path string, body []byte, deadline time.Time) (int, []byte, error) {
 	httpReq := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(httpReq)
 	httpResp := fasthttp.AcquireResponse()
@@ -303,7 +304,7 @@
 	httpReq.Header.SetMethod(method)
 	httpReq.Header.SetContentType("application/json")
 	httpReq.SetBody(body)
-	if err := e.unaryUntil(httpReq, httpResp, deadline); err != nil {
+	if err := e.doUnary(httpReq, httpResp, deadline); err != nil {
 		return 0, nil, err
 	}
 	return httpResp.StatusCode(), append([]byte(nil), httpResp.Body()...), nil
--- a/internal/agent/feed_share_test.go
+++ b/internal/agent/feed_share_test.go
@@ -13,10 +13,10 @@
 )
 
 var _ = Describe("feeds of one business at an agent", func() {
-	It("take turns by their declared shares", func() {
-		// Samples of two feeds, which different entries sent, wait for the only
-		// slot, the small feed's first. Of the twelve that get it first, nine are
-		// of the feed with three times the share.
+	It("get slots in proportion to their declared shares", func() {
+		// Samples of two feeds, sent by different entries, wait for the only slot,
+		// the small feed's first. Of the first twelve that get it, nine belong to
+		// the feed with three times the share.
 		q := admission.New(queueConfig(decl.Deployment{
 			Services: []decl.Service{{Name: "tone", Slots: 1}},
 			Feeds:    []decl.Feed{{Name: "small", Business: "b", Share: 1}, {Name: "large", Business: "b", Share: 3}},
--- a/internal/agent/fences.go
+++ b/internal/agent/fences.go
@@ -6,20 +6,20 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// fences keeps the highest epoch seen of every duty. A holder that was paused
-// past its lease still believes in its old epoch; its actions are refused here
-// even when the endpoint itself ignores fencing numbers.
-type fences struct {
+// fenceTable keeps the highest epoch seen of every duty. A holder that was
+// paused past the end of its lease still uses its old epoch. Its requests are
+// refused here, even if the endpoint itself ignores fencing tokens.
+type fenceTable struct {
 	mu     sync.Mutex
 	epochs map[string]int64
 }
 
-func newFences() *fences {
-	return &fences{epochs: map[string]int64{}}
+func newFenceTable() *fenceTable {
+	return &fenceTable{epochs: map[string]int64{}}
 }
 
-// pass notes a fence and tells whether it is current.
-func (f *fences) pass(fence wire.Fence) bool {
+// accept records a fence and returns whether it is current.
+func (f *fenceTable) accept(fence wire.Fence) bool {
 	if fence.Duty == "" {
 		return true
 	}
@@ -32,9 +32,9 @@
 	return true
 }
 
-// raise notes epochs heard on a heartbeat.
-func (f *fences) raise(all []wire.Fence) {
+// observe records epochs received with a heartbeat.
+func (f *fenceTable) observe(all []wire.Fence) {
 	for _, fence := range all {
-		f.pass(fence)
+		f.accept(fence)
 	}
 }
--- a/internal/agent/kvcache.go
+++ b/internal/agent/kvcache.go
@@ -20,12 +20,13 @@
 
 const (
 	methodExport = wire.AgentService + ".Export"
-	// cachePiece is how much of a KV cache one message carries, and, times
-	// maxExports, what exports keep of an agent's memory.
-	cachePiece = 4 << 20
-	maxExports = 4
-	// exportIdle ends an export whose next piece nobody asks for.
-	exportIdle = 5 * time.Second
+	// cachePieceBytes is how much of a KV cache one message carries. Exports
+	// hold at most maxExports times this much memory of an agent.
+	cachePieceBytes = 4 << 20
+	maxExports      = 4
+	// exportIdleTimeout ends an export if its next piece is not requested in
+	// time.
+	exportIdleTimeout = 5 * time.Second
 )
 
 var (
@@ -34,37 +35,39 @@
 	errPieceOrder = errors.New("agent: piece of a KV cache out of order")
 )
 
-// caches passes KV caches of running streams from engine to engine, piece by
-// piece, so that no agent holds a whole one. It is safe for concurrent use.
-type caches struct {
-	endpoint *endpoint
+// cacheTransfers transfers KV caches of running streams between engines piece
+// by piece, so that no agent holds a complete one. It is safe for concurrent
+// use.
+type cacheTransfers struct {
+	endpoint *endpointClient
 	peers    *rpcpool.Pool
 
 	mu      sync.Mutex
 	exports map[string]*export
 }
 
-// export is a KV cache on its way out of the engine.
+// export is a KV cache that is being read from the engine.
 type export struct {
-	mu      sync.Mutex
-	resp    *fasthttp.Response
-	version int64
-	next    int // piece
-	idle    *time.Timer
-	closed  bool
+	mu        sync.Mutex
+	resp      *fasthttp.Response
+	version   int64
+	nextPiece int
+	idleTimer *time.Timer
+	closed    bool
 }
 
-func newCaches(e *endpoint, dial rpcpool.DialFunc) *caches {
-	return &caches{endpoint: e, peers: rpcpool.New(dial), exports: map[string]*export{}}
+func newCacheTransfers(e *endpointClient, dial rpcpool.DialFunc) *cacheTransfers {
+	return &cacheTransfers{endpoint: e, peers: rpcpool.New(dial), exports: map[string]*export{}}
 }
 
-// Export gives the next piece of a stream's KV cache to another agent.
+// Export returns the next piece of a stream's KV cache to another agent.
 func (s *rpcServer) Export(req wire.ExportRequest, reply *wire.ExportReply) error {
-	*reply = s.a.caches.piece(req)
+	*reply = s.a.cacheTransfers.piece(req)
 	return nil
 }
 
-// Import fetches a KV cache from another agent for this agent's engine.
+// Import fetches a KV cache from another agent and passes it to this agent's
+// engine.
 func (s *rpcServer) Import(req wire.ImportRequest, reply *wire.ImportReply) error {
 	a := s.a
 	if a.isLeaving() || a.down.Load() {
@@ -73,7 +76,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), req.Remaining)
 	defer cancel()
-	version, bytes, err := a.caches.fetch(ctx, req)
+	version, bytes, err := a.cacheTransfers.fetch(ctx, req)
 	if err != nil {
 		events.CacheNotImported.Log(a.log, logrus.Fields{"request": req.Request, "source": req.Source, "error": err.Error()})
 		reply.Detail = err.Error()
@@ -83,15 +86,15 @@
 	return nil
 }
 
-// piece returns the piece asked for; any failure ends the export.
-func (c *caches) piece(req wire.ExportRequest) wire.ExportReply {
-	e, err := c.find(req)
+// piece returns the requested piece. Any failure ends the export.
+func (c *cacheTransfers) piece(req wire.ExportRequest) wire.ExportReply {
+	e, err := c.findOrStart(req)
 	if err != nil {
 		return wire.ExportReply{}
 	}
 	data, last, err := e.read(req.Piece)
 	if err != nil || last {
-		c.drop(req.Cache)
+		c.endExport(req.Cache)
 	}
 	if err != nil {
 		return wire.ExportReply{}
@@ -99,8 +102,9 @@
 	return wire.ExportReply{Found: true, Version: e.version, Last: last, Data: data}
 }
 
-// find returns an export under way; the first piece begins one.
-func (c *caches) find(req wire.ExportRequest) (*export, error) {
+// findOrStart returns a running export. A request for the first piece starts
+// one.
+func (c *cacheTransfers) findOrStart(req wire.ExportRequest) (*export, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e := c.exports[req.Cache]; e != nil {
@@ -110,9 +114,9 @@
 		return nil, errNoExport
 	}
 	e := &export{resp: fasthttp.AcquireResponse()}
-	e.mu.Lock() // until the engine has answered; other pieces wait
+	e.mu.Lock() // held until the engine has answered; other pieces wait
 	c.exports[req.Cache] = e
-	e.idle = time.AfterFunc(exportIdle, func() { c.drop(req.Cache) })
+	e.idleTimer = time.AfterFunc(exportIdleTimeout, func() { c.endExport(req.Cache) })
 	go func() {
 		defer e.mu.Unlock()
 		if err := c.endpoint.export(req.Request, e); err != nil {
@@ -122,7 +126,8 @@
 	return e, nil
 }
 
-func (c *caches) drop(cache string) {
+// endExport closes an export and removes it.
+func (c *cacheTransfers) endExport(cache string) {
 	c.mu.Lock()
 	e := c.exports[cache]
 	delete(c.exports, cache)
@@ -135,11 +140,11 @@
 func (e *export) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.idle.Stop()
+	e.idleTimer.Stop()
 	if e.resp == nil {
 		return
 	}
-	// Closing the stream of a broken or unread body would read on to its end.
+	// Without this, closing the stream of a broken or unread body would read it to its end.
 	e.resp.SetConnectionClose()
 	_ = e.resp.CloseBodyStream()
 	fasthttp.ReleaseResponse(e.resp)
@@ -147,25 +152,27 @@
 	e.closed = true
 }
 
+// read returns the given piece, which must be the next one.
 func (e *export) read(piece int) (data []byte, last bool, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
 		return nil, false, errNoExport
 	}
-	if piece != e.next {
+	if piece != e.nextPiece {
 		return nil, false, errPieceOrder
 	}
-	e.next++
-	e.idle.Reset(exportIdle)
+	e.nextPiece++
+	e.idleTimer.Reset(exportIdleTimeout)
 	return readPiece(e.resp.BodyStream())
 }
 
-// readPiece reads up to a piece; last is set at the body's proper end. Not
-// io.ReadFull: it has one error for that end and for a body that broke off, and
-// the cut cache of an engine that died would pass for a whole one.
+// readPiece reads up to cachePieceBytes; last is true at the proper end of the
+// body. It doesn't use io.ReadFull, which returns the same error for a proper
+// end and for a body that broke off: the truncated cache of an engine that died
+// would pass for a complete one.
 func readPiece(body io.Reader) (data []byte, last bool, err error) {
-	data = make([]byte, cachePiece)
+	data = make([]byte, cachePieceBytes)
 	for n := 0; n < len(data); {
 		read, err := body.Read(data[n:])
 		n += read
@@ -179,31 +186,33 @@
 	return data, false, nil
 }
 
-// fetch takes the pieces from the other agent and gives them to the engine as
-// they come. It returns the version and the size of the cache.
-func (c *caches) fetch(ctx context.Context, req wire.ImportRequest) (version, bytes int64, err error) {
+// fetch requests the pieces from the other agent and streams them to the
+// engine. It returns the weight version and the size of the cache.
+func (c *cacheTransfers) fetch(ctx context.Context, req wire.ImportRequest) (version, bytes int64, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	out, in := io.Pipe()
-	passed := make(chan struct{})
+	copied := make(chan struct{})
 	go func() {
-		defer close(passed)
+		defer close(copied)
 		var failed error
-		version, bytes, failed = c.pass(ctx, req, in)
-		_ = in.CloseWithError(failed) // nil: the end of the body
+		version, bytes, failed = c.copyPieces(ctx, req, in)
+		_ = in.CloseWithError(failed) // nil ends the body properly
 	}()
 	deadline, _ := ctx.Deadline()
 	err = c.endpoint.importCache(req.Cache, out, deadline)
 	cancel()
 	_ = out.CloseWithError(errNoImport)
-	<-passed
+	<-copied
 	return version, bytes, err
 }
 
-func (c *caches) pass(ctx context.Context, req wire.ImportRequest, to io.Writer) (version, bytes int64, err error) {
+// copyPieces requests all pieces of a cache in order and writes them to the
+// writer.
+func (c *cacheTransfers) copyPieces(ctx context.Context, req wire.ImportRequest, to io.Writer) (version, bytes int64, err error) {
 	for piece := 0; ; piece++ {
 		var reply wire.ExportReply
-		ask := wire.ExportRequest{Cache: req.Cache, Request: req.Request, Piece: piece}
-		if err := c.peers.Call(ctx, req.Source, methodExport, ask, &reply); err != nil {
+		request := wire.ExportRequest{Cache: req.Cache, Request: req.Request, Piece: piece}
+		if err := c.peers.Call(ctx, req.Source, methodExport, request, &reply); err != nil {
 			return version, bytes, err
 		}
 		if !reply.Found {
@@ -220,9 +229,9 @@
 	}
 }
 
-// export asks the engine for the KV cache of a running request; the body is
-// read piece by piece.
-func (e *endpoint) export(request string, into *export) error {
+// export requests the KV cache of a running request from the engine. The body
+// is then read piece by piece.
+func (e *endpointClient) export(request string, into *export) error {
 	httpReq := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(httpReq)
 	httpReq.SetRequestURI("http://" + e.addr + engineapi.PathExport + "?request_id=" + url.QueryEscape(request))
@@ -237,9 +246,9 @@
 	return errors.Wrap(err, "agent: version of a KV cache")
 }
 
-// importCache gives the engine a KV cache. A body that breaks off is refused by
-// the engine, as its chunked encoding has no end.
-func (e *endpoint) importCache(cache string, body io.Reader, deadline time.Time) error {
+// importCache sends a KV cache to the engine. The engine rejects a body that
+// breaks off, as the chunked encoding then has no end.
+func (e *endpointClient) importCache(cache string, body io.Reader, deadline time.Time) error {
 	httpReq := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(httpReq)
 	httpResp := fasthttp.AcquireResponse()
--- a/internal/agent/kvcache_test.go
+++ b/internal/agent/kvcache_test.go
@@ -19,7 +19,7 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// serveAgent runs an agent before an engine and returns its address.
+// serveAgent starts an agent for an engine and returns it with its address.
 func serveAgent(endpoint string) (*Agent, string) {
 	s := settings.Settings{ID: endpoint, Service: "tone", Endpoint: endpoint}
 	a := New(s, quietLogger(), metrics.NewRegistry())
@@ -42,7 +42,7 @@
 var _ = Describe("KV caches", func() {
 	prompt := strings.Repeat("a long account ", 700)
 
-	// begin starts a stream and returns once it has made tokens.
+	// begin starts a stream and returns its first tokens.
 	begin := func(a *Agent, id string, resume wire.Resume) []string {
 		body, err := json.Marshal(engineapi.CompletionRequest{Prompt: prompt, MaxTokens: 4000, Seed: 9})
 		Expect(err).NotTo(HaveOccurred())
@@ -58,7 +58,7 @@
 		Expect(reply.Tokens).NotTo(BeEmpty())
 		return reply.Tokens
 	}
-	take := func(a *Agent, source string) wire.ImportReply {
+	importCache := func(a *Agent, source string) wire.ImportReply {
 		var reply wire.ImportReply
 		Expect((&rpcServer{a}).Import(wire.ImportRequest{
 			Cache: "c", Source: source, Request: "first", Remaining: 30 * time.Second,
@@ -67,22 +67,22 @@
 	}
 	exports := func(a *Agent) func() int {
 		return func() int {
-			a.caches.mu.Lock()
-			defer a.caches.mu.Unlock()
-			return len(a.caches.exports)
+			a.cacheTransfers.mu.Lock()
+			defer a.cacheTransfers.mu.Unlock()
+			return len(a.cacheTransfers.exports)
 		}
 	}
 
-	It("go piece by piece to the engine that goes on, for that request alone", func() {
+	It("are transferred piece by piece to the engine that resumes the request, and used for this request only", func() {
 		_, one := startEngine(standin.EngineOptions{Version: 7, Step: 5 * time.Millisecond, KVBytes: 1000})
 		engine, two := startEngine(standin.EngineOptions{Version: 8, Step: 5 * time.Millisecond})
 		from, source := serveAgent(one)
 		to, _ := serveAgent(two)
 		tokens := begin(from, "first", wire.Resume{})
-		reply := take(to, source)
+		reply := importCache(to, source)
 		Expect(reply.Imported).To(BeTrue(), reply.Detail)
 		Expect(reply.Version).To(Equal(int64(7)))
-		Expect(reply.Bytes).To(BeNumerically(">", 2*cachePiece))
+		Expect(reply.Bytes).To(BeNumerically(">", 2*cachePieceBytes))
 		Eventually(exports(from)).Should(BeZero())
 		begin(to, "other", wire.Resume{})
 		begin(to, "second", wire.Resume{Tokens: tokens, Cache: "c"})
@@ -90,10 +90,10 @@
 		Expect(engine.Stats().Prefilled["other"]).To(Equal(len(prompt)))
 	})
 
-	It("are not taken from an engine that dies while it exports", func() {
-		// The engine sends a part of the cache and is gone. What came is not a
-		// whole cache, and the other engine must not keep it: the resumed stream
-		// would go on from a context that was never computed.
+	It("are not imported from an engine that dies during the export", func() {
+		// The engine sends a part of the cache and dies. The other engine must not
+		// keep this incomplete cache: the resumed stream would continue from a
+		// context that was never computed.
 		dying := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != engineapi.PathExport {
 				return
@@ -107,36 +107,36 @@
 		engine, two := startEngine(standin.EngineOptions{Version: 7})
 		from, source := serveAgent(dying.Listener.Addr().String())
 		to, _ := serveAgent(two)
-		Expect(take(to, source).Imported).To(BeFalse())
+		Expect(importCache(to, source).Imported).To(BeFalse())
 		begin(to, "second", wire.Resume{Cache: "c"})
 		Expect(engine.Stats().Prefilled["second"]).To(Equal(len(prompt)))
 		Eventually(exports(from)).Should(BeZero())
 	})
 
-	It("leave nothing behind when the engine that should go on refuses them", func() {
-		// The import ends at the first piece, and the export with it: the agent
-		// that exports is not told, and must not keep the engine's answer open.
+	It("leave no export open when the importing engine refuses them", func() {
+		// The import ends at the first piece. The exporting agent is not notified
+		// and must not keep the engine's response open.
 		_, one := startEngine(standin.EngineOptions{Version: 7, Step: 5 * time.Millisecond, KVBytes: 2000})
 		_, two := startEngine(standin.EngineOptions{Version: 7, RefuseImports: true})
 		from, source := serveAgent(one)
 		to, _ := serveAgent(two)
 		begin(from, "first", wire.Resume{})
-		Expect(take(to, source).Imported).To(BeFalse())
+		Expect(importCache(to, source).Imported).To(BeFalse())
 		Eventually(exports(from)).WithTimeout(30 * time.Second).Should(BeZero())
 	})
 
-	It("end when the agent that fetches one is lost", func() {
-		// Its successor asks for the next piece, or nobody does: without an end
-		// the few exports that may run at once would be used up for good.
+	It("end their export when the importing agent fails", func() {
+		// Nobody requests the next piece in order. Without a timeout, the few
+		// exports that may run concurrently would be used up permanently.
 		_, one := startEngine(standin.EngineOptions{Version: 7, Step: 5 * time.Millisecond, KVBytes: 1000})
 		from, _ := serveAgent(one)
 		begin(from, "first", wire.Resume{})
 		for _, cache := range []string{"a", "b", "c", "d"} {
-			Expect(from.caches.piece(wire.ExportRequest{Cache: cache, Request: "first"}).Found).To(BeTrue())
+			Expect(from.cacheTransfers.piece(wire.ExportRequest{Cache: cache, Request: "first"}).Found).To(BeTrue())
 		}
-		Expect(from.caches.piece(wire.ExportRequest{Cache: "e", Request: "first"}).Found).To(BeFalse(), "a fifth at once")
-		Expect(from.caches.piece(wire.ExportRequest{Cache: "a", Request: "first", Piece: 2}).Found).To(BeFalse(), "a piece was left out")
+		Expect(from.cacheTransfers.piece(wire.ExportRequest{Cache: "e", Request: "first"}).Found).To(BeFalse(), "a fifth concurrent export")
+		Expect(from.cacheTransfers.piece(wire.ExportRequest{Cache: "a", Request: "first", Piece: 2}).Found).To(BeFalse(), "a piece was skipped")
 		Eventually(exports(from)).WithTimeout(30 * time.Second).Should(BeZero())
-		Expect(from.caches.piece(wire.ExportRequest{Cache: "e", Request: "first"}).Found).To(BeTrue())
+		Expect(from.cacheTransfers.piece(wire.ExportRequest{Cache: "e", Request: "first"}).Found).To(BeTrue())
 	})
 })
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -21,42 +21,42 @@
 
 const (
 	// DefaultWeightsMemory is how many bytes of weights an agent without a data
-	// folder keeps for its engine and for other agents.
+	// directory stores for its engine and for other agents.
 	DefaultWeightsMemory = 1 << 30
 
-	storePause = 100 * time.Millisecond
+	storeRetryDelay = 100 * time.Millisecond
 )
 
-// OrderHandlerOptions are what the orders to one endpoint need.
+// OrderHandlerOptions configures an OrderHandler.
 type OrderHandlerOptions struct {
 	Incarnation     string // of this agent process
 	Endpoint        string // address of the engine
 	Store           platformpb.WeightStoreClient
 	Dial            rpcpool.DialFunc // to other agents; nil: plain TCP
-	DataDir         string           // empty: weights are kept in memory
+	DataDir         string           // empty: weights are stored in memory
 	MemoryBytes     int              // 0: DefaultWeightsMemory
-	MaxOrderTimeout time.Duration
+	MaxOrderTimeout time.Duration    // longest timeout of an order that changes the engine; 0: weights.MaxOrderTimeout
 	Log             *logrus.Logger
 	Metrics         metrics.Registry // nil: the default registry
 }
 
-// OrderHandler carries out a weights owner's orders at the endpoint, and passes chunks
-// of weights on to other agents. It is safe for concurrent use.
+// OrderHandler executes a weights owner's orders at the endpoint and serves
+// chunks of weights to other agents. It is safe for concurrent use.
 type OrderHandler struct {
-	endpoint *endpoint
+	endpoint *endpointClient
 	table    *chunkTable
 	fetcher  *fetcher
 	log      *logrus.Logger
 	metrics  metrics.Registry
 
-	mu      sync.Mutex
-	weights *weightsServer // nil: none runs
-	guard   *weights.OrderFilter
-	loading time.Time     // when the load in progress began; zero: none
-	took    time.Duration // of the last load
+	mu               sync.Mutex
+	weightsServer    *weightsServer // nil: not running
+	filter           *weights.OrderFilter
+	loadStartedAt    time.Time // when the load in progress started; zero: none
+	lastLoadDuration time.Duration
 }
 
-// NewOrderHandler returns the orders of an agent that starts now.
+// NewOrderHandler returns the order handler of an agent that starts now.
 func NewOrderHandler(o OrderHandlerOptions) *OrderHandler {
 	if o.MemoryBytes == 0 {
 		o.MemoryBytes = DefaultWeightsMemory
@@ -66,53 +66,54 @@
 	}
 	table := newChunkTable(o.DataDir, o.MemoryBytes)
 	return &OrderHandler{
-		endpoint: newEndpoint(o.Endpoint),
+		endpoint: newEndpointClient(o.Endpoint),
 		table:    table,
 		fetcher:  &fetcher{store: o.Store, table: table, peers: rpcpool.New(o.Dial)},
 		log:      o.Log,
 		metrics:  o.Metrics,
-		guard:    weights.NewOrderFilter(o.Incarnation, o.MaxOrderTimeout, time.Now()),
+		filter:   weights.NewOrderFilter(o.Incarnation, o.MaxOrderTimeout, time.Now()),
 	}
 }
 
-// ObserveFences notes epochs heard on a heartbeat.
+// ObserveFences records epochs received with a heartbeat.
 func (s *OrderHandler) ObserveFences(all []wire.Fence) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range all {
-		s.guard.ObserveFence(f)
+		s.filter.ObserveFence(f)
 	}
 }
 
-// RecordReport notes the engine's own report, asked for at the time asked.
-func (s *OrderHandler) RecordReport(load engineapi.Load, asked time.Time) {
-	taken := asked.Add(-time.Duration(load.AgeMilli) * time.Millisecond)
+// RecordReport records the engine's own report, which was requested at sentAt.
+func (s *OrderHandler) RecordReport(load engineapi.Load, sentAt time.Time) {
+	taken := sentAt.Add(-time.Duration(load.AgeMilli) * time.Millisecond)
 	versions := map[string]int64{"": load.WeightVersion}
 	for adapter, version := range load.Adapters {
 		versions[adapter] = version
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.guard.ReportRole(load.Role, taken)
-	s.guard.ReportVersions(versions, taken)
+	s.filter.ReportRole(load.Role, taken)
+	s.filter.ReportVersions(versions, taken)
 }
 
-// RemainingLoadTime returns how long the load in progress will probably last; 0 without one.
-// It counts as queued work, so that entries choose other endpoints meanwhile.
+// RemainingLoadTime returns the estimated remaining time of the load in
+// progress, or 0 if there is none. It counts as queued work, so that entries
+// prefer other endpoints meanwhile.
 func (s *OrderHandler) RemainingLoadTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.loading.IsZero() {
+	if s.loadStartedAt.IsZero() {
 		return 0
 	}
-	return max(s.took-time.Since(s.loading), time.Millisecond)
+	return max(s.lastLoadDuration-time.Since(s.loadStartedAt), time.Millisecond)
 }
 
-// Handle carries an order out, or says why not. A load goes on until the order's
-// deadline even if ctx ends before.
+// Handle executes an order or returns why it can't. A load continues until the
+// order's deadline even if ctx is done earlier.
 func (s *OrderHandler) Handle(ctx context.Context, o wire.Order) wire.OrderReply {
 	s.mu.Lock()
-	verdict := s.guard.Accept(o, time.Now())
+	verdict := s.filter.Accept(o, time.Now())
 	s.mu.Unlock()
 	if !verdict.Run {
 		return verdict.Reply
@@ -128,20 +129,20 @@
 	defer cancel()
 	began := time.Now()
 	if err := s.fetcher.prepare(ctx, o); err != nil {
-		s.count("fetch_failed")
-		events.WeightsFetchFailed.Log(s.log, fields(o, err))
+		s.incCounter("fetch_failed")
+		events.WeightsFetchFailed.Log(s.log, logFields(o, err))
 		return wire.OrderReply{Outcome: wire.NotRun, Reason: wire.ReasonLoadFailed, Detail: err.Error()}
 	}
 	metrics.GetOrRegisterTimer("weights.fetch", s.metrics).UpdateSince(began)
-	events.WeightsFetched.Log(s.log, fields(o, nil))
+	events.WeightsFetched.Log(s.log, logFields(o, nil))
 	return wire.OrderReply{Outcome: wire.Answered, Version: o.Version}
 }
 
-func (s *OrderHandler) count(name string) {
+func (s *OrderHandler) incCounter(name string) {
 	metrics.GetOrRegisterCounter("weights."+name, s.metrics).Inc(1)
 }
 
-func fields(o wire.Order, err error) logrus.Fields {
+func logFields(o wire.Order, err error) logrus.Fields {
 	f := logrus.Fields{"model": o.Model, "adapter": o.Adapter, "version": o.Version, "epoch": o.Fence.Epoch}
 	if o.Kind == wire.OrderRole {
 		f = logrus.Fields{"role": o.Role, "epoch": o.Fence.Epoch}
@@ -155,22 +156,22 @@
 func (s *OrderHandler) load(o wire.Order, deadline time.Time) wire.OrderReply {
 	began := time.Now()
 	s.mu.Lock()
-	s.loading = began
+	s.loadStartedAt = began
 	s.mu.Unlock()
-	result, reason, err := s.give(o, deadline)
+	result, reason, err := s.sendLoad(o, deadline)
 	s.mu.Lock()
 	now := time.Now()
-	reply := s.guard.Finish(result, now)
-	s.loading = time.Time{}
-	s.took = now.Sub(began)
+	reply := s.filter.Finish(result, now)
+	s.loadStartedAt = time.Time{}
+	s.lastLoadDuration = now.Sub(began)
 	s.mu.Unlock()
 	if err == nil {
 		metrics.GetOrRegisterTimer("weights.load", s.metrics).UpdateSince(began)
-		events.WeightsLoaded.Log(s.log, fields(o, nil))
+		events.WeightsLoaded.Log(s.log, logFields(o, nil))
 		return reply
 	}
-	s.count("load_failed")
-	events.WeightsLoadFailed.Log(s.log, fields(o, err))
+	s.incCounter("load_failed")
+	events.WeightsLoadFailed.Log(s.log, logFields(o, err))
 	reply.Detail = err.Error()
 	if reason != wire.ReasonNone {
 		reply.Reason = reason
@@ -178,17 +179,17 @@
 	return reply
 }
 
-// give hands a load to the engine and waits for its end.
-func (s *OrderHandler) give(o wire.Order, deadline time.Time) (weights.LoadResult, wire.Reason, error) {
+// sendLoad sends a load to the engine and waits until it ends.
+func (s *OrderHandler) sendLoad(o wire.Order, deadline time.Time) (weights.LoadResult, wire.Reason, error) {
 	s.mu.Lock()
-	due := s.guard.StillValid(time.Now())
+	valid := s.filter.StillValid(time.Now())
 	s.mu.Unlock()
-	if !due {
+	if !valid {
 		return weights.LoadFailed, wire.ReasonDeadline, errors.New("agent: the order's deadline has passed")
 	}
 	s.table.pin(weightsName(o.Model, o.Adapter), o.Version)
 	defer s.table.unpin()
-	status, body, err := s.endpoint.order(s.engineOrder(o, deadline), deadline)
+	status, body, err := s.endpoint.postOrder(s.engineOrder(o, deadline), deadline)
 	switch {
 	case errors.Is(err, errNotSent):
 		return weights.LoadFailed, wire.ReasonNoEndpoint, err
@@ -217,25 +218,26 @@
 		return order
 	}
 	order.Adapter = o.Adapter
-	s.sourceOf(o, &order)
+	s.setWeightsSource(o, &order)
 	return order
 }
 
-// order posts an order; errNotSent means that the engine never saw it.
-func (e *endpoint) order(o engineapi.Order, deadline time.Time) (int, []byte, error) {
+// postOrder posts an order. The error errNotSent means that the engine never
+// saw it.
+func (e *endpointClient) postOrder(o engineapi.Order, deadline time.Time) (int, []byte, error) {
 	text, err := json.Marshal(o)
 	if err != nil {
 		return 0, nil, errors.Wrap(errNotSent, err.Error())
 	}
-	return e.postUntil(engineapi.PathOrder, text, deadline)
+	return e.postWithDeadline(engineapi.PathOrder, text, deadline)
 }
 
-// Chunk gives a piece of weights to another agent, waiting a little for one that
-// is on its way.
+// Chunk returns a chunk of weights to another agent. If the chunk is not stored
+// yet, it waits at most weights.ChunkHoldTimeout for it.
 func (s *OrderHandler) Chunk(ctx context.Context, id wire.ChunkRequest) wire.ChunkReply {
 	data, found := s.table.wait(ctx, id, weights.ChunkHoldTimeout)
 	if found {
-		s.count("chunks_given")
+		s.incCounter("chunks_given")
 	}
 	return wire.ChunkReply{Found: found, Data: data}
 }
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	loopback = "127.0.0.1:0"
-	maxOrder = 1500 * time.Millisecond
+	loopback        = "127.0.0.1:0"
+	maxOrderTimeout = 1500 * time.Millisecond
 )
 
-// chunkServer is the part of an agent's inner protocol that passes chunks on.
+// chunkServer is the part of an agent's inner protocol that serves chunks.
 type chunkServer struct{ orders *agent.OrderHandler }
 
 func (s *chunkServer) Chunk(id wire.ChunkRequest, reply *wire.ChunkReply) error {
@@ -45,7 +45,7 @@
 	return listener.Addr().String()
 }
 
-var _ = Describe("orders", func() {
+var _ = Describe("OrderHandler", func() {
 	var platform *standin.Platform
 	var store platformpb.WeightStoreClient
 	var engine *standin.Engine
@@ -70,10 +70,10 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		return agent.NewOrderHandler(agent.OrderHandlerOptions{
-			Incarnation: incarnation, Endpoint: endpoint, Store: store, DataDir: dir, MaxOrderTimeout: maxOrder, Log: log,
+			Incarnation: incarnation, Endpoint: endpoint, Store: store, DataDir: dir, MaxOrderTimeout: maxOrderTimeout, Log: log,
 		})
 	}
-	settle := func(o *agent.OrderHandler, epoch int64) wire.Target {
+	waitUntilReady := func(o *agent.OrderHandler, epoch int64) wire.Target {
 		var reply wire.OrderReply
 		Eventually(func() wire.Outcome {
 			o.RecordReport(engineapi.Load{WeightVersion: engine.Version()}, time.Now())
@@ -85,26 +85,26 @@
 	swap := func(o *agent.OrderHandler, target wire.Target, epoch, version int64) wire.OrderReply {
 		return o.Handle(ctx, wire.Order{
 			ID: "o", Kind: wire.OrderSwap, Version: version, Target: target,
-			Fence: wire.Fence{Duty: "weights/s", Epoch: epoch}, Remaining: maxOrder,
+			Fence: wire.Fence{Duty: "weights/s", Epoch: epoch}, Remaining: maxOrderTimeout,
 		})
 	}
 
-	It("fetches from another agent, with the store only for what that one lacks", func() {
+	It("fetches chunks from another agent rather than from the store", func() {
 		first, second := start("a", ""), start("b", GinkgoT().TempDir())
 		prepare := wire.Order{Kind: wire.OrderPrepare, Model: "m", Version: 2, Remaining: 10 * time.Second}
 		Expect(first.Handle(ctx, prepare).Outcome).To(Equal(wire.Answered))
 		fetched := platform.Calls()["Chunk"]
 		Expect(fetched).To(Equal(4))
-		gone, err := net.Listen("tcp", loopback)
+		closed, err := net.Listen("tcp", loopback)
 		Expect(err).NotTo(HaveOccurred())
-		gone.Close()
-		prepare.Sources = []string{serveChunks(first), gone.Addr().String()}
+		closed.Close()
+		prepare.Sources = []string{serveChunks(first), closed.Addr().String()}
 		Expect(second.Handle(ctx, prepare).Outcome).To(Equal(wire.Answered))
 		Expect(platform.Calls()["Chunk"]).To(Equal(fetched))
 		Expect(second.Chunk(ctx, wire.ChunkRequest{Model: "m", Version: 2, Index: 3}).Found).To(BeTrue())
 	})
 
-	It("keeps two versions in the data folder over restarts", func() {
+	It("keeps two versions in the data directory across restarts", func() {
 		dir := GinkgoT().TempDir()
 		for version := int64(1); version <= 4; version++ {
 			prepare := wire.Order{Kind: wire.OrderPrepare, Model: "m", Version: version, Remaining: 10 * time.Second}
@@ -113,16 +113,16 @@
 		Expect(os.ReadDir(filepath.Join(dir, "weights"))).To(HaveLen(2))
 	})
 
-	// The owner's order reaches an agent that is then paused; the agent is
-	// replaced, and the successor lets version 3 through. When the old agent
-	// wakes, its engine would take version 2, as it ignores fencing numbers. The
-	// order is too old by then on the old agent's own clock.
-	It("lets no order of a replaced agent through after its successor's first", func() {
+	// The owner's order reaches an agent that is then paused and replaced, and
+	// the successor loads version 3. When the old agent resumes, its engine
+	// would load version 2, as it ignores fencing tokens. By then the order has
+	// expired by the old agent's own clock.
+	It("executes no order of a replaced agent after its successor's first one", func() {
 		old := start("old", "")
-		target := settle(old, 1)
+		target := waitUntilReady(old, 1)
 		successor := start("new", "")
 		Expect(swap(successor, target, 2, 3).Reason).To(Equal(wire.ReasonNotReady))
-		fresh := settle(successor, 2)
+		fresh := waitUntilReady(successor, 2)
 		Expect(swap(successor, fresh, 2, 3).Outcome).To(Equal(wire.Answered))
 		Expect(swap(old, target, 1, 2).Reason).To(Equal(wire.ReasonDeadline))
 		Expect(swap(successor, fresh, 1, 4).Reason).To(Equal(wire.ReasonStaleEpoch))
@@ -130,25 +130,25 @@
 		Expect(engine.Version()).To(Equal(int64(3)))
 	})
 
-	// There is no data folder. The engine reads what its agent prepared over HTTP
-	// and holds it against the digest before it serves it.
-	It("gives the engine a prepared version from memory", func() {
+	// There is no data directory. The engine reads over HTTP what its agent
+	// prepared and compares it with the digest before it serves it.
+	It("serves the engine a prepared version from memory", func() {
 		orders := start("a", "")
 		serving, cancel := context.WithCancel(ctx)
 		DeferCleanup(cancel)
 		go func() { _ = orders.ServeWeights(serving) }()
 		prepare := wire.Order{Kind: wire.OrderPrepare, Version: 2, Remaining: 10 * time.Second}
 		Expect(orders.Handle(ctx, prepare).Outcome).To(Equal(wire.Answered))
-		Expect(swap(orders, settle(orders, 1), 1, 2).Outcome).To(Equal(wire.Answered))
+		Expect(swap(orders, waitUntilReady(orders, 1), 1, 2).Outcome).To(Equal(wire.Answered))
 		Expect(engine.Version()).To(Equal(int64(2)))
 		Expect(engine.WeightsRead()).To(BeNumerically(">", 0))
 	})
 
-	It("tells a failed load and lets a second try through", func() {
+	It("reports a failed load and allows a second attempt", func() {
 		orders := start("a", "")
-		target := settle(orders, 1)
+		target := waitUntilReady(orders, 1)
 		engine.FailLoads(1)
 		Expect(swap(orders, target, 1, 2).Reason).To(Equal(wire.ReasonLoadFailed))
-		Expect(swap(orders, settle(orders, 1), 1, 2).Version).To(Equal(int64(2)))
+		Expect(swap(orders, waitUntilReady(orders, 1), 1, 2).Version).To(Equal(int64(2)))
 	})
 })
--- a/internal/agent/preempt_test.go
+++ b/internal/agent/preempt_test.go
@@ -18,11 +18,11 @@
 )
 
 var _ = Describe("preemption", func() {
-	It("resumes a rollout behind its last token", func() {
-		// A rollout holds the engine's only slot. Lookups come one after the
-		// other; for each the rollout is stopped, and goes on afterwards. The
-		// lookups are answered at once, and the rollout's tokens are those of
-		// an undisturbed run: none missing, none twice.
+	It("resumes a rollout after its last token", func() {
+		// A rollout holds the engine's only slot. Each of several lookups preempts
+		// it, and it resumes afterwards. The lookups are answered at once, and the
+		// rollout's tokens are those of an undisturbed run: none is missing or
+		// duplicated.
 		engine := standin.NewEngine(standin.EngineOptions{Model: "tone", Slots: 2, Step: 5 * time.Millisecond})
 		endpoint, err := engine.Start("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -65,15 +65,15 @@
 		Expect(engine.Stats().Runs["rollout"]).To(BeNumerically(">", 1))
 	})
 
-	It("keeps the answer of a rollout that finished as it was told to stop", func() {
-		// The engine sends the last token and the end; at the same moment a
-		// lookup has the rollout preempted. Taken for stopped, it would run
-		// again and add tokens behind its end.
+	It("keeps the answer of a rollout that finished while it was being cancelled", func() {
+		// The engine sends the last token and the end; at the same time a lookup
+		// preempts the rollout. If it counted as cancelled, it would run again and
+		// append tokens after its end.
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		answer := streamEnd(ctx, wire.Request{ID: "r"}, "stop", nil)
+		answer := streamAnswer(ctx, wire.Request{ID: "r"}, "stop", nil)
 		Expect(answer.Outcome).To(Equal(wire.Answered))
-		Expect(streamEnd(ctx, wire.Request{ID: "r"}, "cancelled", nil).Reason).To(Equal(wire.ReasonCancelled))
-		Expect(streamEnd(ctx, wire.Request{ID: "r"}, "", nil).Reason).To(Equal(wire.ReasonCancelled))
+		Expect(streamAnswer(ctx, wire.Request{ID: "r"}, "cancelled", nil).Reason).To(Equal(wire.ReasonCancelled))
+		Expect(streamAnswer(ctx, wire.Request{ID: "r"}, "", nil).Reason).To(Equal(wire.ReasonCancelled))
 	})
 })
--- a/internal/agent/prepare.go
+++ b/internal/agent/prepare.go
@@ -20,7 +20,8 @@
 const (
 	methodChunk = wire.AgentService + ".Chunk"
 
-	// maxChunkBytes is the largest chunk taken from the store.
+	// maxChunkBytes is the size of the largest chunk accepted from the weight
+	// store.
 	maxChunkBytes = 64 << 20
 )
 
@@ -30,15 +31,15 @@
 	errNoChunk       = errors.New("agent: source does not hold the chunk")
 )
 
-// fetcher brings a version's chunks to this agent.
+// fetcher fetches the chunks of weight versions to this agent.
 type fetcher struct {
 	store platformpb.WeightStoreClient
 	table *chunkTable
 	peers *rpcpool.Pool
 }
 
-// prepare fetches a version as the order says. Chunks already held are not
-// fetched again, so a repeated order costs nothing.
+// prepare fetches the version that the order names and verifies it. Chunks that
+// are already stored are not fetched again, so a repeated order costs nothing.
 func (f *fetcher) prepare(ctx context.Context, o wire.Order) error {
 	if f.store == nil {
 		return errNoStore
@@ -52,13 +53,13 @@
 		return errors.Errorf("agent: %d bytes of weights are more than this agent may hold", manifest.Bytes)
 	}
 	chunks := int(manifest.Chunks)
-	if err := f.fetch(ctx, model, o, chunks); err != nil {
+	if err := f.fetchChunks(ctx, model, o, chunks); err != nil {
 		return err
 	}
 	return f.verify(model, o.Version, chunks, manifest.Sha256)
 }
 
-// weightsName is an adapter's or a model's name in the weight store.
+// weightsName returns the name of a model or an adapter in the weight store.
 func weightsName(model, adapter string) string {
 	if adapter == "" {
 		return model
@@ -66,36 +67,37 @@
 	return model + "/" + adapter
 }
 
-// weightStore returns a client of the platform's weight store; its connection is
-// made when first used. The daemon has refused files that cannot be read.
+// weightStore returns a client of the platform's weight store, or nil if the
+// settings name no platform. It connects on first use. The daemon has already
+// rejected certificate files that can't be read.
 func weightStore(s settings.Settings) platformpb.WeightStoreClient {
 	if s.Platform == "" {
 		return nil
 	}
-	towards, err := tlsconf.Platform(s.PlatformTLS, s.Platform)
+	creds, err := tlsconf.Platform(s.PlatformTLS, s.Platform)
 	if err != nil {
 		return nil
 	}
-	conn, err := grpc.NewClient(s.Platform, grpc.WithTransportCredentials(towards))
+	conn, err := grpc.NewClient(s.Platform, grpc.WithTransportCredentials(creds))
 	if err != nil {
 		return nil
 	}
 	return platformpb.NewWeightStoreClient(conn)
 }
 
-type pieceEnd struct {
-	piece weights.ChunkSource
+type chunkResult struct {
+	chunk weights.ChunkSource
 	err   error
 }
 
-func (f *fetcher) fetch(ctx context.Context, model string, o wire.Order, chunks int) error {
+func (f *fetcher) fetchChunks(ctx context.Context, model string, o wire.Order, chunks int) error {
 	plan := weights.NewFetchPlan(chunks, o.Sources)
-	ends := make(chan pieceEnd)
+	results := make(chan chunkResult)
 	outstanding := 0
 	for {
-		for _, piece := range plan.Next() {
+		for _, chunk := range plan.Next() {
 			outstanding++
-			go func() { ends <- pieceEnd{piece: piece, err: f.piece(ctx, model, o.Version, piece)} }()
+			go func() { results <- chunkResult{chunk: chunk, err: f.fetchChunk(ctx, model, o.Version, chunk)} }()
 		}
 		if outstanding == 0 && !plan.Done() && ctx.Err() == nil {
 			return errors.Wrap(errNoChunk, "every source failed")
@@ -103,30 +105,30 @@
 		if outstanding == 0 {
 			return ctx.Err()
 		}
-		end := <-ends
+		result := <-results
 		outstanding--
 		switch {
-		case end.err == nil:
-			plan.MarkReceived(end.piece)
+		case result.err == nil:
+			plan.MarkReceived(result.chunk)
 		case ctx.Err() != nil:
-			// Left as asked: nothing more is started, the rest is only collected.
+			// The chunk stays pending: no more fetches start, the rest is only awaited.
 		default:
-			plan.MarkFailed(end.piece)
+			plan.MarkFailed(result.chunk)
 		}
 	}
 }
 
-func (f *fetcher) piece(ctx context.Context, model string, version int64, p weights.ChunkSource) error {
-	id := wire.ChunkRequest{Model: model, Version: version, Index: p.Index}
+func (f *fetcher) fetchChunk(ctx context.Context, model string, version int64, chunk weights.ChunkSource) error {
+	id := wire.ChunkRequest{Model: model, Version: version, Index: chunk.Index}
 	if _, held := f.table.get(id); held {
 		return nil
 	}
 	var data []byte
 	var err error
-	if p.Source == weights.StoreSource {
-		data, err = f.fromStore(ctx, id)
+	if chunk.Source == weights.StoreSource {
+		data, err = f.fetchFromStore(ctx, id)
 	} else {
-		data, err = f.fromPeer(ctx, p.Source, id)
+		data, err = f.fetchFromPeer(ctx, chunk.Source, id)
 	}
 	if err != nil {
 		return err
@@ -134,23 +136,24 @@
 	return f.table.put(id, data)
 }
 
-func (f *fetcher) fromStore(ctx context.Context, id wire.ChunkRequest) ([]byte, error) {
+func (f *fetcher) fetchFromStore(ctx context.Context, id wire.ChunkRequest) ([]byte, error) {
 	request := &platformpb.ChunkRequest{Model: id.Model, Version: id.Version, Index: int32(id.Index)}
 	reply, err := f.store.Chunk(ctx, request, grpc.MaxCallRecvMsgSize(maxChunkBytes))
 	if err != nil {
-		// A store at its limit is asked again soon by the plan; pausing here keeps
-		// that from becoming a storm.
+		// The plan soon retries a store that is at its limit. The delay limits
+		// the rate of these retries.
 		select {
 		case <-ctx.Done():
-		case <-time.After(storePause):
+		case <-time.After(storeRetryDelay):
 		}
 		return nil, err
 	}
 	return reply.Data, nil
 }
 
-// verify holds the chunks against the manifest's digest. A chunk that was cut or
-// changed on its way between agents would otherwise be served as weights.
+// verify compares the chunks with the manifest's digest and marks the version
+// as verified. Without it, a chunk that was truncated or corrupted on its way
+// between agents would be served as weights.
 func (f *fetcher) verify(model string, version int64, chunks int, want []byte) error {
 	digest := sha256.New()
 	for i := range chunks {
@@ -161,14 +164,14 @@
 		digest.Write(data)
 	}
 	if bytes.Equal(digest.Sum(nil), want) {
-		f.table.verified(heldVersion{model: model, version: version, chunks: chunks, digest: want})
+		f.table.markVerified(verifiedVersion{model: model, version: version, chunks: chunks, digest: want})
 		return nil
 	}
-	f.table.drop(model, version, chunks)
+	f.table.dropVersion(model, version, chunks)
 	return errWeightsDigest
 }
 
-func (f *fetcher) fromPeer(ctx context.Context, address string, id wire.ChunkRequest) ([]byte, error) {
+func (f *fetcher) fetchFromPeer(ctx context.Context, address string, id wire.ChunkRequest) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, weights.ChunkRequestTimeout)
 	defer cancel()
 	var reply wire.ChunkReply
--- a/internal/agent/queue.go
+++ b/internal/agent/queue.go
@@ -14,8 +14,8 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// ErrPreempted is the cause with which a rollout's context is cancelled when a
-// caller's request needs its slot.
+// ErrPreempted is the cancellation cause of a rollout's context if a caller's
+// request needs its slot.
 var ErrPreempted = errors.New("agent: preempted")
 
 const (
@@ -23,52 +23,52 @@
 	defaultQueueLimit = 1000
 )
 
-// Queue is where all requests for this agent's endpoint wait their turn. It is
-// safe for concurrent use; one endpoint is one shard with one lock.
+// Queue holds all requests for this agent's endpoint until they may run. It is
+// safe for concurrent use. One endpoint is one shard with one lock.
 type Queue struct {
 	service string
 	metrics *queueMetrics
 
-	mu       sync.Mutex
-	policy   *admission.Queue
-	limiter  *limit.Limiter
-	estimate *limit.Estimator
-	waiters  map[string]*waiter
-	timer    *time.Timer
-	idle     chan struct{} // closed once draining and empty
-	draining bool
+	mu        sync.Mutex
+	policy    *admission.Queue
+	limiter   *limit.Limiter
+	estimator *limit.Estimator
+	waiters   map[string]*waiter
+	timer     *time.Timer
+	drained   chan struct{} // closed once draining and empty
+	draining  bool
 }
 
-// waiter is the request behind an item of the policy.
+// waiter is the request behind an item of the admission policy.
 type waiter struct {
-	parent  context.Context
-	events  chan struct{} // signalled once per decision on the request
-	run     context.Context
-	cancel  context.CancelCauseFunc
-	refused *wire.Answer
-	usual   float64 // seconds it would hold a slot in the endpoint's usual state
-	since   time.Time
-	runs    int
+	parent       context.Context
+	events       chan struct{} // signalled once per decision on the request
+	runCtx       context.Context
+	cancel       context.CancelCauseFunc
+	refused      *wire.Answer
+	baselineCost float64 // seconds it holds a slot if the endpoint is not slow
+	startedAt    time.Time
+	runs         int
 }
 
-// NewQueue returns the queue of an endpoint of the service, with default sizes
-// until Configure brings the declared ones.
+// NewQueue returns the queue of an endpoint of the service. It uses default
+// sizes until Configure sets the declared ones.
 func NewQueue(service string, registry metrics.Registry) *Queue {
 	q := &Queue{
-		service:  service,
-		policy:   admission.New(admission.Config{Slots: defaultSlots, QueueLimit: defaultQueueLimit}),
-		limiter:  limit.New(limit.Config{Max: defaultSlots}),
-		estimate: limit.NewEstimator(),
-		waiters:  map[string]*waiter{},
-		idle:     make(chan struct{}),
+		service:   service,
+		policy:    admission.New(admission.Config{Slots: defaultSlots, QueueLimit: defaultQueueLimit}),
+		limiter:   limit.New(limit.Config{Max: defaultSlots}),
+		estimator: limit.NewEstimator(),
+		waiters:   map[string]*waiter{},
+		drained:   make(chan struct{}),
 	}
 	q.metrics = newQueueMetrics(registry, q)
 	q.timer = time.AfterFunc(time.Hour, q.tick)
 	return q
 }
 
-// Configure puts the deployment's slots, queue limit, weights and rates in
-// force. Waiting requests keep waiting.
+// Configure applies the deployment's slots, queue limit, weights and rates.
+// Requests that are already waiting keep waiting.
 func (q *Queue) Configure(d decl.Deployment) {
 	cfg := queueConfig(d, q.service)
 	q.mu.Lock()
@@ -78,24 +78,24 @@
 	q.apply(q.policy.SetSlots(time.Now(), q.limiter.Limit()))
 }
 
-// SetAgentCount tells over how many agents of the service an entry spreads its
-// requests; callers' rate limits are divided by it.
+// SetAgentCount sets the number of the service's agents over which an entry
+// spreads its requests. Callers' rate limits are divided by it.
 func (q *Queue) SetAgentCount(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.policy.SetAgentCount(time.Now(), n)
 }
 
-// Run waits until it is the request's turn and calls run, or answers NotRun at
-// once if the request cannot be served in time.
+// Run waits for a slot and calls run, or returns NotRun immediately if the
+// request can't be served in time.
 //
-// run's context ends with the request's own context, or with cause
-// ErrPreempted. A rollout stopped for that cause must answer with
-// ReasonCancelled, unless it was answered all the same; it then waits again,
-// and run is called again and resumes where it stopped.
+// The context passed to run ends with the request's own context, or with the
+// cause ErrPreempted. A rollout that stops for that cause must return
+// ReasonCancelled, unless it was answered anyway. It is then queued again, and
+// run is called again and resumes where it stopped.
 func (q *Queue) Run(ctx context.Context, req wire.Request, run func(ctx context.Context) wire.Answer) wire.Answer {
 	w := &waiter{parent: ctx, events: make(chan struct{}, 1)}
-	q.offer(req, w)
+	q.enqueue(req, w)
 	for {
 		select {
 		case <-w.events:
@@ -108,8 +108,8 @@
 		if w.refused != nil {
 			return *w.refused
 		}
-		answer := run(w.run)
-		preempted := context.Cause(w.run) == ErrPreempted && answer.Reason == wire.ReasonCancelled
+		answer := run(w.runCtx)
+		preempted := context.Cause(w.runCtx) == ErrPreempted && answer.Reason == wire.ReasonCancelled
 		w.cancel(nil)
 		if !q.finish(req, w, answer, preempted) {
 			answer.Load = q.Load()
@@ -137,8 +137,9 @@
 	}
 }
 
-// Drain begins the graceful stop: from now on requests are refused as leaving.
-// The channel is closed once everything taken before was answered.
+// Drain starts the graceful stop: new requests are refused with ReasonLeaving.
+// The returned channel is closed once everything accepted before has been
+// answered.
 func (q *Queue) Drain() <-chan struct{} {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -146,10 +147,10 @@
 		q.draining = true
 		q.apply(q.policy.Drain(time.Now()))
 	}
-	return q.idle
+	return q.drained
 }
 
-func (q *Queue) offer(req wire.Request, w *waiter) {
+func (q *Queue) enqueue(req wire.Request, w *waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
@@ -157,17 +158,17 @@
 		ID:        req.ID,
 		Principal: req.Principal,
 		Priority:  req.Priority,
-		Cost:      q.estimate.Cost(req.Class, req.Cost),
-		TailCost:  q.estimate.TailCost(req.Class, req.Cost),
+		Cost:      q.estimator.Cost(req.Class, req.Cost),
+		TailCost:  q.estimator.TailCost(req.Class, req.Cost),
 		Rollout:   req.Rollout,
 		Suspect:   req.Suspect,
 	}
 	if req.Remaining > 0 {
 		item.Deadline = now.Add(req.Remaining)
 	}
-	w.usual = q.estimate.BaselineCost(req.Class, req.Cost)
+	w.baselineCost = q.estimator.BaselineCost(req.Class, req.Cost)
 	if _, taken := q.waiters[req.ID]; taken {
-		// Not "not run": the request under this id may be running.
+		// Not NotRun: the request with this ID may be running.
 		w.refused = &wire.Answer{ID: req.ID, Outcome: wire.Unknown, Reason: wire.ReasonDuplicate, Load: q.load()}
 		w.events <- struct{}{}
 		return
@@ -176,8 +177,8 @@
 	q.apply(q.policy.Offer(now, item))
 }
 
-// finish reports the end of a run; it returns true if the request waits for
-// another one.
+// finish records the end of a run. It returns true if the request is queued for
+// another run.
 func (q *Queue) finish(req wire.Request, w *waiter, answer wire.Answer, preempted bool) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -186,36 +187,36 @@
 		q.apply(q.policy.Preempted(now, req.ID))
 		return true
 	}
-	took := now.Sub(w.since)
+	took := now.Sub(w.startedAt)
 	delete(q.waiters, req.ID)
 	running := q.policy.Load().Running
 	q.apply(q.policy.Done(now, req.ID))
-	q.learn(now, req, w, took, running, answer)
+	q.observe(now, req, w, took, running, answer)
 	return false
 }
 
-func (q *Queue) learn(now time.Time, req wire.Request, w *waiter, took time.Duration, running int, answer wire.Answer) {
+func (q *Queue) observe(now time.Time, req wire.Request, w *waiter, took time.Duration, running int, answer wire.Answer) {
 	if answer.Reason == wire.ReasonCancelled || w.runs > 1 {
-		return // the time of a part says nothing about the endpoint
+		return // the duration of a partial run says nothing about the endpoint
 	}
 	failed := answer.Outcome != wire.Answered || answer.Status == 429 || answer.Status == 503
-	if q.estimate.Known(req.Class) {
-		q.adapt(now, limit.Sample{Latency: took, Cost: w.usual, Running: running, Failed: failed})
+	if q.estimator.Known(req.Class) {
+		q.adaptLimit(now, limit.Sample{Latency: took, Cost: w.baselineCost, Running: running, Failed: failed})
 	}
 	if !failed {
-		q.estimate.Observe(req.Class, req.Cost, took.Seconds())
+		q.estimator.Observe(req.Class, req.Cost, took.Seconds())
 	}
 }
 
-func (q *Queue) adapt(now time.Time, sample limit.Sample) {
+func (q *Queue) adaptLimit(now time.Time, sample limit.Sample) {
 	before := q.limiter.Limit()
 	if after := q.limiter.Observe(now, sample); after != before {
 		q.apply(q.policy.SetSlots(now, after))
 	}
 }
 
-// abandon takes a waiting request whose caller gave up out of the queue; false
-// if it was decided on at the same moment.
+// abandon removes a waiting request whose caller gave up from the queue. It
+// returns false if the request was decided on concurrently.
 func (q *Queue) abandon(ctx context.Context, id string, w *waiter) (wire.Answer, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -225,7 +226,7 @@
 		return wire.Answer{}, false
 	}
 	delete(q.waiters, id)
-	q.checkIdle()
+	q.checkDrained()
 	answer := wire.Answer{ID: id, Outcome: wire.NotRun, Reason: wire.ReasonCancelled, Load: q.load()}
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		answer.Reason = wire.ReasonDeadline
@@ -242,7 +243,7 @@
 	q.apply(q.policy.Tick(time.Now()))
 }
 
-// apply carries out the policy's decisions. It is called with the lock held.
+// apply carries out the policy's decisions. The lock must be held.
 func (q *Queue) apply(actions []admission.Action) {
 	for _, a := range actions {
 		q.metrics.count(a)
@@ -252,8 +253,8 @@
 		}
 		switch a.Kind {
 		case admission.Start:
-			w.run, w.cancel = context.WithCancelCause(w.parent)
-			w.since = time.Now()
+			w.runCtx, w.cancel = context.WithCancelCause(w.parent)
+			w.startedAt = time.Now()
 			w.runs++
 			w.events <- struct{}{}
 		case admission.Preempt:
@@ -264,8 +265,8 @@
 			w.events <- struct{}{}
 		}
 	}
-	q.schedule()
-	q.checkIdle()
+	q.resetTimer()
+	q.checkDrained()
 }
 
 func (q *Queue) refusal(a admission.Action) *wire.Answer {
@@ -282,20 +283,20 @@
 	return answer
 }
 
-func (q *Queue) schedule() {
-	if at, some := q.policy.NextExpiry(); some {
+func (q *Queue) resetTimer() {
+	if at, ok := q.policy.NextExpiry(); ok {
 		q.timer.Reset(max(time.Until(at), 0) + time.Millisecond)
 	}
 }
 
-func (q *Queue) checkIdle() {
+func (q *Queue) checkDrained() {
 	if !q.draining || len(q.waiters) > 0 {
 		return
 	}
 	select {
-	case <-q.idle:
+	case <-q.drained:
 	default:
-		close(q.idle)
+		close(q.drained)
 	}
 }
 
--- a/internal/agent/queue_test.go
+++ b/internal/agent/queue_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "agent")
 }
 
-var _ = Describe("the queue", func() {
+var _ = Describe("Queue", func() {
 	var q *Queue
 	oneSlot := decl.Deployment{Services: []decl.Service{{Name: "s", Slots: 1, QueueLimit: 10}}}
 
@@ -27,7 +27,7 @@
 		q.Configure(oneSlot)
 	})
 
-	// hold runs a request that stays at the endpoint until release is closed.
+	// hold runs a request that keeps its slot until release is closed.
 	hold := func(id string) (release chan struct{}, answer chan wire.Answer) {
 		release, answer = make(chan struct{}), make(chan wire.Answer, 1)
 		begun := make(chan struct{})
@@ -43,8 +43,8 @@
 	}
 
 	It("preempts a rollout for a caller's request and runs it again", func() {
-		// The caller sees its answer although a rollout held the only slot; the
-		// rollout is stopped with ErrPreempted and run a second time.
+		// The caller gets its answer although a rollout held the only slot; the
+		// rollout is cancelled with ErrPreempted and run a second time.
 		runs := make(chan error, 4)
 		end := make(chan wire.Answer, 1)
 		go func() {
@@ -69,22 +69,22 @@
 		Eventually(end, "5s").Should(Receive(HaveField("Outcome", wire.Answered)))
 	})
 
-	It("answers not run at once when the deadline is out of reach", func() {
+	It("returns NotRun immediately if the deadline can't be met", func() {
 		release, _ := hold("running")
 		defer close(release)
-		// A class not yet known is taken to hold a slot for 50 ms.
+		// A request of an unknown class is estimated to hold a slot for 50 ms.
 		req := wire.Request{ID: "hopeless", Remaining: 40 * time.Millisecond}
 		answer := q.Run(context.Background(), req, func(context.Context) wire.Answer {
 			panic("a refused request ran")
 		})
 		Expect(answer.Outcome).To(Equal(wire.NotRun))
 		Expect(answer.Reason).To(Equal(wire.ReasonDeadline))
-		// Refused by the estimate and not by the time running out: a request
-		// that was let wait is told to come back.
+		// It is refused by the estimate and not by a timeout: a request that
+		// had to wait gets a RetryAfter.
 		Expect(answer.RetryAfter).To(BeZero())
 	})
 
-	It("answers not run to a waiting request whose caller gave up", func() {
+	It("returns NotRun for a waiting request whose caller gave up", func() {
 		release, _ := hold("running")
 		defer close(release)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -98,7 +98,7 @@
 		Expect(q.Load().Queued).To(Equal(0))
 	})
 
-	It("serves at a graceful stop what it took and refuses the rest", func() {
+	It("finishes accepted requests during a graceful stop and refuses new ones", func() {
 		release, answer := hold("running")
 		drained := q.Drain()
 		refused := q.Run(context.Background(), wire.Request{ID: "late"}, nil)
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -15,9 +15,9 @@
 	retention = 2 * time.Minute
 )
 
-// requestTable remembers the requests of this run of the agent, so that what
-// became of one can be asked on any connection. State is in shards, each under
-// its own lock.
+// requestTable remembers the requests of this incarnation of the agent, so that
+// their outcome can be queried on any connection. Its state is sharded, each
+// shard with its own lock.
 type requestTable struct {
 	shards [requestShards]requestShard
 }
@@ -27,11 +27,12 @@
 	records map[string]*record
 }
 
-// record is one request, a refusal in advance of one, or a finished one.
+// record is a running or finished request, or a refusal recorded in advance of
+// the request.
 type record struct {
-	mu   sync.Mutex
-	wake chan struct{} // closed on the next change; nil while nobody waits for it
-	end  chan struct{} // closed once done
+	mu      sync.Mutex
+	changed chan struct{} // closed on the next change; nil if nobody waits for it
+	doneCh  chan struct{} // closed once done
 
 	accepted time.Duration // agent uptime
 	cancel   func()
@@ -54,14 +55,15 @@
 	return &t.shards[xxhash.Sum64String(id)%requestShards]
 }
 
-// horizon is the uptime before which records may have been evicted.
+// horizon returns the uptime before which finished records may have been
+// evicted.
 func horizon(now time.Duration) time.Duration {
 	return now - retention
 }
 
-// accept enters a new request. It returns false with the standing record if
-// the id is known: the request is a repeat, or was refused in advance by a
-// settle call that overtook it.
+// accept adds a new request. It returns false with the existing record if the
+// ID is known: the request is a retry, or it was refused in advance by a settle
+// call that overtook it.
 func (t *requestTable) accept(id string, now time.Duration, cancel func()) (*record, bool) {
 	s := t.shard(id)
 	s.mu.Lock()
@@ -69,12 +71,12 @@
 	if r, known := s.records[id]; known {
 		return r, false
 	}
-	r := &record{accepted: now, cancel: cancel, end: make(chan struct{})}
+	r := &record{accepted: now, cancel: cancel, doneCh: make(chan struct{})}
 	s.records[id] = r
 	return r, true
 }
 
-// find returns the record of id, or nil.
+// find returns the record of the ID, or nil.
 func (t *requestTable) find(id string) *record {
 	s := t.shard(id)
 	s.mu.Lock()
@@ -82,9 +84,10 @@
 	return s.records[id]
 }
 
-// refuse enters a refusal for an id that was never seen. Without it a request
-// still under way could run after its caller was told "not run".
-func (t *requestTable) refuse(id string, now time.Duration) *record {
+// refuseInAdvance records a refusal for an ID that was never seen. Without it,
+// a request that is still on its way could run after its caller was told "not
+// run".
+func (t *requestTable) refuseInAdvance(id string, now time.Duration) *record {
 	r, fresh := t.accept(id, now, func() {})
 	if fresh {
 		r.finish(now, wire.Answer{ID: id, Outcome: wire.NotRun, Reason: wire.ReasonCancelled})
@@ -92,7 +95,7 @@
 	return r
 }
 
-// evict forgets what finished before the horizon.
+// evict removes requests that finished before the horizon.
 func (t *requestTable) evict(now time.Duration) {
 	limit := horizon(now)
 	for i := range t.shards {
@@ -107,7 +110,7 @@
 	}
 }
 
-// running counts the requests that have not finished.
+// running returns the number of requests that have not finished.
 func (t *requestTable) running() int {
 	n := 0
 	for i := range t.shards {
@@ -135,7 +138,7 @@
 	return r.done && r.finished < limit
 }
 
-// finish records the answer; the first one stands.
+// finish records the answer. Only the first call has an effect.
 func (r *record) finish(now time.Duration, a wire.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,12 +148,12 @@
 	r.done = true
 	r.finished = now
 	r.answer = a
-	close(r.end)
+	close(r.doneCh)
 	r.notify()
 }
 
-// add appends tokens of a stream.
-func (r *record) add(text string, version int64) {
+// appendToken appends a token of a stream with its weight version.
+func (r *record) appendToken(text string, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tokens = append(r.tokens, text)
@@ -158,22 +161,22 @@
 	r.notify()
 }
 
-// notify wakes every waiter. The caller holds the lock.
+// notify wakes every waiter. The lock must be held.
 func (r *record) notify() {
-	if r.wake != nil {
-		close(r.wake)
-		r.wake = nil
+	if r.changed != nil {
+		close(r.changed)
+		r.changed = nil
 	}
 }
 
-// allTokens returns the tokens of the stream so far.
+// allTokens returns a copy of the stream's tokens so far.
 func (r *record) allTokens() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.tokens...)
 }
 
-// waitDone waits until the request finished or wait passed.
+// waitDone waits until the request has finished or wait has passed.
 func (r *record) waitDone(wait time.Duration) (wire.Answer, bool) {
 	r.waitFor(wait, func() bool { return r.done })
 	r.mu.Lock()
@@ -181,16 +184,16 @@
 	return r.answer, r.done
 }
 
-// read returns the tokens from offset on, waiting for the first one and then,
-// for as long as gather, for more.
+// read returns the tokens from offset on. It waits for the first one and then
+// collects more for the duration of gather.
 func (r *record) read(offset int, wait, gather time.Duration) wire.ReadReply {
 	r.waitFor(wait, func() bool { return r.done || len(r.tokens) > offset })
 	if gather > 0 {
-		// Not by waitFor, which every token would wake.
+		// Not waitFor, which every token would wake.
 		timer := time.NewTimer(gather)
 		defer timer.Stop()
 		select {
-		case <-r.end:
+		case <-r.doneCh:
 		case <-timer.C:
 		}
 	}
@@ -208,23 +211,24 @@
 	return reply
 }
 
-// waitFor waits until ready, which is called under the lock, or until wait passed.
+// waitFor waits until ready returns true or wait has passed. It calls ready
+// with the lock held.
 func (r *record) waitFor(wait time.Duration, ready func() bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		r.mu.Lock()
 		ok := ready()
-		if r.wake == nil {
-			r.wake = make(chan struct{})
+		if r.changed == nil {
+			r.changed = make(chan struct{})
 		}
-		wake := r.wake
+		changed := r.changed
 		r.mu.Unlock()
 		if ok {
 			return
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-timer.C:
 			return
 		}
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -9,45 +9,46 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-var _ = Describe("reading a stream", func() {
-	const long = time.Minute
+var _ = Describe("record.read", func() {
+	const longWait = time.Minute
 
 	begin := func() *record {
 		r, _ := newRequestTable().accept("r", 0, func() {})
 		return r
 	}
 
-	// Processor time of entries and agents grows with every token. A read returns
-	// with the first token, so that a rollout, for whose single tokens nobody
-	// waits, costs a call between entry and agent for each of them.
-	It("gathers tokens after the first one", func() {
+	// Processor time of entries and agents grows with every token. If a read of
+	// a rollout's stream returned with the first token, each token would cost a
+	// call between entry and agent, although nobody waits for single tokens of
+	// a rollout.
+	It("collects more tokens after the first one", func() {
 		r := begin()
-		r.add("a", 1)
+		r.appendToken("a", 1)
 		got := make(chan wire.ReadReply, 1)
-		go func() { got <- r.read(0, long, 300*time.Millisecond) }()
+		go func() { got <- r.read(0, longWait, 300*time.Millisecond) }()
 		Consistently(got, "50ms").ShouldNot(Receive())
-		r.add("b", 2)
+		r.appendToken("b", 2)
 		Eventually(got, "20s").Should(Receive(And(
 			HaveField("Tokens", []string{"a", "b"}),
 			HaveField("Versions", []int64{1, 2}),
 		)))
 	})
 
-	It("gathers no longer than the stream goes on", func() {
+	It("stops collecting when the stream ends", func() {
 		r := begin()
-		r.add("a", 1)
+		r.appendToken("a", 1)
 		got := make(chan wire.ReadReply, 1)
-		go func() { got <- r.read(0, long, long) }()
+		go func() { got <- r.read(0, longWait, longWait) }()
 		r.finish(0, wire.Answer{ID: "r", Outcome: wire.Answered})
 		Eventually(got, "20s").Should(Receive(And(HaveField("Done", true), HaveField("Tokens", []string{"a"}))))
 	})
 
-	It("returns with the first token to callers who wait for it", func() {
+	It("returns with the first token if gather is zero", func() {
 		r := begin()
 		got := make(chan wire.ReadReply, 1)
-		go func() { got <- r.read(0, long, 0) }()
+		go func() { got <- r.read(0, longWait, 0) }()
 		Consistently(got, "50ms").ShouldNot(Receive())
-		r.add("a", 1)
+		r.appendToken("a", 1)
 		Eventually(got, "20s").Should(Receive(HaveField("Tokens", []string{"a"})))
 	})
 })
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -13,14 +13,14 @@
 
 const (
 	maxReadWait = 10 * time.Second
-	// suspicionAge is how long a crash is told on heartbeats.
-	suspicionAge = time.Minute
+	// suspicionTTL is how long a crash is reported on heartbeats.
+	suspicionTTL = time.Minute
 )
 
-// rpcServer is the agent's side of the inner protocol.
+// rpcServer implements the agent's side of the inner protocol.
 type rpcServer struct{ a *Agent }
 
-// Do runs a request to its end and replies with its answer.
+// Do runs a unary request and returns its answer.
 func (s *rpcServer) Do(req wire.Request, reply *wire.Answer) error {
 	*reply = s.a.do(req)
 	reply.ID = req.ID
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// Start begins a stream, which Read then follows.
+// Start starts a stream, whose tokens are then fetched with Read.
 func (s *rpcServer) Start(req wire.Request, reply *wire.Started) error {
 	if refusal, refused := s.a.refusal(req); refused {
 		reply.Answer = refusal
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Cancel ends a request whose answer nobody waits for.
+// Cancel cancels a request whose answer nobody waits for.
 func (s *rpcServer) Cancel(req wire.CancelRequest, _ *struct{}) error {
 	if r := s.a.requests.find(req.ID); r != nil {
 		r.cancel()
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Settle tells what became of a request. One that this run of the agent has
-// never seen is refused from now on.
+// Settle returns the outcome of a request. If this incarnation of the agent has
+// never seen the request, it is refused from now on.
 func (s *rpcServer) Settle(req wire.SettleRequest, reply *wire.Answer) error {
 	*reply = s.a.settle(req)
 	reply.ID = req.ID
@@ -79,13 +79,13 @@
 	return nil
 }
 
-// Heartbeat answers an entry's sign of life.
+// Heartbeat answers an entry's heartbeat.
 func (s *rpcServer) Heartbeat(req wire.HeartbeatRequest, reply *wire.HeartbeatReply) error {
 	a := s.a
-	a.fences.raise(req.Fences)
+	a.fences.observe(req.Fences)
 	a.orders.ObserveFences(req.Fences)
 	if req.ListedLeaving {
-		a.listedAt.Store(int64(a.uptime()))
+		a.listedLeavingAt.Store(int64(a.uptime()))
 	}
 	a.conf.Heard(context.Background(), config.Peer{ID: req.From, Domain: req.Domain}, req.Revisions, time.Time{})
 	reply.Revisions = a.conf.Revisions()
@@ -97,17 +97,18 @@
 	reply.Load = a.load()
 	reply.EngineRole, _ = a.role.Load().(string)
 	reply.Suspects = a.crashes.recent(time.Now())
-	reply.Quarantine = a.crashes.learn(time.Now(), req.Quarantine)
+	reply.Quarantine = a.crashes.mergeQuarantine(time.Now(), req.Quarantine)
 	reply.Ready = a.Ready()
 	return nil
 }
 
-// Configure takes in the configuration that an entry found this agent to lack.
+// Configure applies the configuration that an entry sent because this agent
+// lacks it.
 func (s *rpcServer) Configure(reply wire.ConfigReply, _ *struct{}) error {
 	return s.a.conf.Put(reply)
 }
 
-// Order carries out a weights owner's order at the endpoint.
+// Order executes a weights owner's order at the endpoint.
 func (s *rpcServer) Order(o wire.Order, reply *wire.OrderReply) error {
 	if s.a.leaving.Load() {
 		*reply = wire.OrderReply{Outcome: wire.NotRun, Reason: wire.ReasonLeaving}
@@ -125,13 +126,13 @@
 	return nil
 }
 
-// Chunk gives a piece of weights to another agent.
+// Chunk returns a chunk of weights to another agent.
 func (s *rpcServer) Chunk(id wire.ChunkRequest, reply *wire.ChunkReply) error {
 	*reply = s.a.orders.Chunk(context.Background(), id)
 	return nil
 }
 
-// refusal tells why a request may not start here, if it may not.
+// refusal returns why a request may not start here, and false if it may.
 func (a *Agent) refusal(req wire.Request) (wire.Answer, bool) {
 	refused := func(reason wire.Reason) (wire.Answer, bool) {
 		return wire.Answer{ID: req.ID, Outcome: wire.NotRun, Reason: reason}, true
@@ -139,22 +140,23 @@
 	if a.isLeaving() {
 		return refused(wire.ReasonLeaving)
 	}
-	if !a.holds(req.Target) {
+	if !a.remembers(req.Target) {
 		return refused(wire.ReasonNotReady)
 	}
-	if !a.fences.pass(req.Fence) {
+	if !a.fences.accept(req.Fence) {
 		return refused(wire.ReasonStaleEpoch)
 	}
-	if a.crashes.blocked(time.Now(), req) {
+	if a.crashes.isQuarantined(time.Now(), req) {
 		return refused(wire.ReasonQuarantined)
 	}
 	return wire.Answer{}, false
 }
 
-// holds tells whether this run of the agent remembers everything sent to the
-// target. Past the horizon a refusal given in advance may be forgotten, and a
-// request that comes that late could run after its caller was told "not run".
-func (a *Agent) holds(target wire.Target) bool {
+// remembers returns whether this incarnation of the agent remembers everything
+// that was sent to the target. Past the horizon, a refusal recorded in advance
+// may be evicted, and a request that arrives that late could run after its
+// caller was told "not run".
+func (a *Agent) remembers(target wire.Target) bool {
 	if target.Incarnation != a.incarnation {
 		return false
 	}
@@ -174,21 +176,21 @@
 	if !fresh {
 		return a.await(r, req.Remaining)
 	}
-	a.claims.note(req.Claim, r)
+	a.claims.add(req.Claim, r)
 	answer := a.queue.Run(ctx, req, func(ctx context.Context) wire.Answer {
-		return a.watchCrash(req, func() wire.Answer { return a.endpoint.call(ctx, req) })
+		return a.detectCrash(req, func() wire.Answer { return a.endpoint.call(ctx, req) })
 	})
 	r.finish(a.uptime(), answer)
 	return answer
 }
 
 func (a *Agent) runStream(ctx context.Context, req wire.Request, r *record) {
-	had := req.Resume.Tokens
+	resumeTokens := req.Resume.Tokens
 	answer := a.queue.Run(ctx, req, func(ctx context.Context) wire.Answer {
-		// After a preemption the engine goes on behind what was already read.
+		// After a preemption, the engine resumes after the tokens already read.
 		resumed := req
-		resumed.Resume.Tokens = append(append([]string(nil), had...), r.allTokens()...)
-		return a.watchCrash(req, func() wire.Answer { return a.endpoint.stream(ctx, resumed, r.add) })
+		resumed.Resume.Tokens = append(append([]string(nil), resumeTokens...), r.allTokens()...)
+		return a.detectCrash(req, func() wire.Answer { return a.endpoint.stream(ctx, resumed, r.appendToken) })
 	})
 	answer.ID = req.ID
 	r.finish(a.uptime(), answer)
@@ -210,15 +212,16 @@
 		}
 		return answer
 	}
-	if !a.holds(req.Target) {
+	if !a.remembers(req.Target) {
 		return wire.Answer{Outcome: wire.Unknown, Reason: wire.ReasonConnection, Detail: "the agent that had the request is gone"}
 	}
-	answer, _ := a.requests.refuse(req.ID, a.uptime()).waitDone(req.Wait)
+	answer, _ := a.requests.refuseInAdvance(req.ID, a.uptime()).waitDone(req.Wait)
 	return answer
 }
 
-// watchCrash runs a request at the endpoint and notes if that broke it off.
-func (a *Agent) watchCrash(req wire.Request, run func() wire.Answer) wire.Answer {
+// detectCrash runs a request at the endpoint and records a crash if the
+// endpoint broke the request off.
+func (a *Agent) detectCrash(req wire.Request, run func() wire.Answer) wire.Answer {
 	a.crashes.begin(req)
 	defer a.crashes.end(req)
 	begun := time.Now()
@@ -226,7 +229,7 @@
 	if answer.Reason != wire.ReasonCrashed {
 		return answer
 	}
-	crash := a.crashes.note(time.Now(), begun, req, a.crashes.different())
+	crash := a.crashes.recordCrash(time.Now(), begun, req, a.crashes.distinctRunning())
 	answer.Batch, answer.Crash = crash.Batch, crash.Crash
 	events.EndpointBroke.Log(a.log, logrus.Fields{"request": req.ID, "batch": answer.Batch, "detail": answer.Detail})
 	return answer
--- a/internal/agent/settle_test.go
+++ b/internal/agent/settle_test.go
@@ -16,11 +16,11 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// restartable is where an endpoint listens that a spec starts again at the same
-// port. No dial's own end takes a port of this address meanwhile.
-const restartable = "127.0.0.2:0"
+// restartableAddr is the listen address of an endpoint that a spec restarts on
+// the same port. No outgoing connection takes a port of this address meanwhile.
+const restartableAddr = "127.0.0.2:0"
 
-// fixture is an agent before a stand-in plain service.
+// fixture is an agent with a stand-in plain service as its endpoint.
 type fixture struct {
 	service *standin.Service
 	agent   *Agent
@@ -37,7 +37,7 @@
 
 func newFixture(latency time.Duration) *fixture {
 	f := &fixture{service: standin.NewService(standin.ServiceOptions{Name: "ledger", Latency: latency, Poison: "POISON"}), stopped: make(chan struct{})}
-	endpoint, err := f.service.Start(restartable)
+	endpoint, err := f.service.Start(restartableAddr)
 	Expect(err).NotTo(HaveOccurred())
 	s := settings.Settings{ID: "a1", Service: "ledger", Endpoint: endpoint, StopTimeout: 10 * time.Second}
 	f.agent = New(s, quietLogger(), metrics.NewRegistry())
@@ -81,9 +81,9 @@
 }
 
 var _ = Describe("settling a request", func() {
-	// The caller is told "not run" while its request is still under way on a
-	// connection that went silent. It arrives after the settle call; if it ran,
-	// the caller's repeat would be a second ledger sync.
+	// The caller is told "not run" while its request is still in flight on a
+	// connection that went silent. It arrives after the settle call. If it ran,
+	// the caller's retry would be a second ledger sync.
 	It("refuses a request that arrives after it was settled as not run", func() {
 		f := newFixture(0)
 		target := f.target()
@@ -91,8 +91,8 @@
 		Expect(f.do(f.sync("r1", target)).Outcome).To(Equal(wire.NotRun))
 		Expect(f.service.Stats().Effects).To(BeEmpty())
 	})
-	// The answer was lost with the connection. The caller learns the one
-	// answer that its request had, and the service has run it once.
+	// The answer was lost with the connection. Settle returns the request's
+	// only answer, and the service has run the request once.
 	It("returns the answer of a request that ran", func() {
 		f := newFixture(0)
 		target := f.target()
@@ -102,10 +102,10 @@
 		Expect(f.do(f.sync("r1", target)).Body).To(Equal(answer.Body))
 		Expect(f.service.Stats().Effects).To(Equal(map[string]int{"r1": 1}))
 	})
-	// The agent died with the request and a new one stands in its place. The new
-	// one has never seen the request, but its predecessor may have run it, so
-	// the caller must not be told "not run".
-	It("says unknown for a request sent to a predecessor", func() {
+	// The agent died with the request and was replaced. The new agent has never
+	// seen the request, but its predecessor may have run it, so the caller must
+	// not be told "not run".
+	It("returns Unknown for a request sent to a predecessor", func() {
 		f := newFixture(0)
 		gone := wire.Target{Incarnation: "predecessor", Uptime: time.Second}
 		Expect(f.settle("r1", gone).Outcome).To(Equal(wire.Unknown))
@@ -113,8 +113,8 @@
 		Expect(f.service.Stats().Effects).To(BeEmpty())
 	})
 	// The entry was paused for longer than the agent remembers requests. The
-	// request ran and was forgotten; "never seen" would be a false "not run".
-	It("says unknown past the time that requests are remembered", func() {
+	// request ran and was evicted, so "not run" would be wrong.
+	It("returns Unknown past the retention of requests", func() {
 		f := newFixture(0)
 		target := f.target()
 		Expect(f.do(f.sync("r1", target)).Outcome).To(Equal(wire.Answered))
@@ -123,8 +123,8 @@
 		Expect(f.settle("r1", target).Outcome).To(Equal(wire.Unknown))
 	})
 	// The endpoint crashes while it runs a request. Whether the request took
-	// effect is not known, and the crash is told with its batch.
-	It("says unknown when the endpoint crashes under a request", func() {
+	// effect is unknown, and the crash is reported with its batch.
+	It("returns Unknown when the endpoint crashes during a request", func() {
 		f := newFixture(0)
 		req := f.sync("r1", f.target())
 		req.Body = []byte("POISON")
@@ -133,19 +133,21 @@
 		Expect(answer.Reason).To(Equal(wire.ReasonCrashed))
 		Expect(answer.Batch).To(Equal(1))
 	})
-	// The endpoint is gone before the request is sent: no byte left the agent,
-	// so "not run" is true and the caller may repeat elsewhere. The probe's kept
-	// connection is found closed and does not count as a request that broke.
-	It("says not run when the endpoint cannot be reached", func() {
+	// The endpoint is down before the request is sent: no byte left the agent,
+	// so "not run" is true and the caller may retry elsewhere. The probe's
+	// pooled connection is found closed and doesn't count as a request that
+	// broke off.
+	It("returns NotRun when the endpoint is unreachable", func() {
 		f := newFixture(0)
 		target := f.target()
 		f.service.Crash()
 		Expect(f.do(f.sync("r1", target)).Outcome).To(Equal(wire.NotRun))
 	})
-	// The endpoint restarts between two requests and leaves the agent with kept
-	// connections that are closed. Whoever is next would be told "unknown", and
-	// be suspected of the crash; nothing of the request was sent, so it goes
-	// over a new connection and its caller sees an ordinary answer.
+	// The endpoint restarts between two requests and leaves the agent with
+	// closed connections in its pool. Without the check, the next caller would
+	// get "unknown" and its request would be suspected of the crash. As nothing
+	// of the request was sent, it goes over a new connection and its caller
+	// gets an ordinary answer.
 	It("answers the first request after the endpoint restarted", func() {
 		f := newFixture(0)
 		target := f.target()
@@ -156,8 +158,8 @@
 		Expect(f.do(f.sync("r2", target)).Outcome).To(Equal(wire.Answered))
 		Expect(f.service.Stats().Effects).To(Equal(map[string]int{"r1": 1, "r2": 1}))
 	})
-	// A holder of a claim partition was paused past its lease; its successor's
-	// epoch is known here, so the old holder's dispatch is refused.
+	// A holder of a claim partition was paused past the end of its lease. Its
+	// successor's epoch is known here, so the old holder's request is refused.
 	It("refuses an epoch lower than one it has seen", func() {
 		f := newFixture(0)
 		target := f.target()
@@ -172,10 +174,11 @@
 })
 
 var _ = Describe("a graceful stop", func() {
-	// The instance is taken out while a request runs. The request's caller gets
-	// its answer; requests that come after the announcement are refused unseen.
-	It("finishes what runs and takes nothing new", func() {
-		f := newFixture(linger + 500*time.Millisecond)
+	// The instance is removed while a request runs. The request's caller gets
+	// its answer, and requests that come after the announcement are refused
+	// without being run.
+	It("finishes running requests and accepts no new ones", func() {
+		f := newFixture(shutdownDelay + 500*time.Millisecond)
 		target := f.target()
 		running := make(chan wire.Answer, 1)
 		go func() {
@@ -189,7 +192,7 @@
 		Expect(late.Reason).To(Equal(wire.ReasonLeaving))
 		Expect(late.Outcome).To(Equal(wire.NotRun))
 		Expect((<-running).Outcome).To(Equal(wire.Answered))
-		Expect(f.stopped).NotTo(BeClosed(), "the process would have ended under the request")
+		Expect(f.stopped).NotTo(BeClosed(), "the process would have ended during the request")
 		Eventually(f.stopped).WithTimeout(time.Minute).Should(BeClosed())
 		Expect(f.service.Stats().Effects).To(Equal(map[string]int{"r1": 1}))
 	})
--- a/internal/agent/keptconn_test.go
+++ b/internal/agent/staleconn_test.go
@@ -8,11 +8,12 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a kept connection", func() {
-	// A request had a deadline, which the client left on the connection, and was
-	// answered. The next one comes after that deadline. Taken for closed, each
-	// connection would serve one request and every request pay for a new one.
-	It("is open after the deadline of the request before", func() {
+var _ = Describe("a pooled connection", func() {
+	// A request had a deadline, which the client left on the connection, and
+	// was answered. The next request comes after that deadline. If the
+	// connection were considered closed then, each connection would serve only
+	// one request.
+	It("is considered open after the deadline of the previous request", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer listener.Close()
@@ -23,7 +24,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer server.Close()
 
-		conn := newKeptConn(dialled)
+		conn := newStaleCheckConn(dialled)
 		_, err = server.Write([]byte("a"))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = conn.Read(make([]byte, 1))
--- a/internal/agent/tls_test.go
+++ b/internal/agent/tls_test.go
@@ -13,8 +13,8 @@
 )
 
 var _ = Describe("an agent whose certificates cannot be read", func() {
-	// The settings name certificates that are not there. An agent that served
-	// all the same would talk in plain text without anyone noticing.
+	// The settings name certificate files that don't exist. An agent that
+	// served anyway would use plain text without anyone noticing.
 	It("does not start", func() {
 		a := New(settings.Settings{
 			ID: "a", Deployment: "d", Service: "s", Inner: "127.0.0.1:0", Endpoint: "127.0.0.1:1", Platform: "127.0.0.1:1",
--- a/internal/agent/weights_http.go
+++ b/internal/agent/weights_http.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// weightsListen is where an agent without a data folder serves weights: the
-	// engine beside it is the only reader, and no other instance reaches it.
-	weightsListen = "127.0.0.1:0"
-	weightsPath   = "/weights/"
+	// weightsListenAddr is where an agent without a data directory serves
+	// weights. The engine beside it is the only reader; no other instance can
+	// reach it.
+	weightsListenAddr = "127.0.0.1:0"
+	weightsPath       = "/weights/"
 
 	// One engine reads a version at a time, over a few connections at most. A
-	// reader that stalls keeps a chunk in memory until the write times out.
-	weightsConns       = 8
-	weightsReadLimit   = 5 * time.Second
-	weightsWriteLimit  = 30 * time.Second
-	weightsRequestSize = 1 << 10
+	// reader that stalls keeps a chunk in memory until the write timeout.
+	maxWeightsConns        = 8
+	weightsReadTimeout     = 5 * time.Second
+	weightsWriteTimeout    = 30 * time.Second
+	maxWeightsRequestBytes = 1 << 10
 )
 
-// weightsServer gives the engine the chunks that its agent holds in memory.
+// weightsServer serves the engine the chunks that its agent holds in memory.
 type weightsServer struct {
 	table    *chunkTable
 	listener net.Listener
@@ -37,30 +38,30 @@
 }
 
 func newWeightsServer(table *chunkTable) (*weightsServer, error) {
-	listener, err := net.Listen("tcp4", weightsListen)
+	listener, err := net.Listen("tcp4", weightsListenAddr)
 	if err != nil {
 		return nil, errors.Wrap(err, "agent: weights")
 	}
 	s := &weightsServer{table: table, listener: listener}
 	s.server = &fasthttp.Server{
 		Handler:               s.handle,
-		Concurrency:           weightsConns,
+		Concurrency:           maxWeightsConns,
 		GetOnly:               true,
-		MaxRequestBodySize:    weightsRequestSize,
-		ReadTimeout:           weightsReadLimit,
-		WriteTimeout:          weightsWriteLimit,
+		MaxRequestBodySize:    maxWeightsRequestBytes,
+		ReadTimeout:           weightsReadTimeout,
+		WriteTimeout:          weightsWriteTimeout,
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
 	}
 	return s, nil
 }
 
-// url is the address before a chunk's index.
+// url returns a version's URL prefix, to which a chunk's index is appended.
 func (s *weightsServer) url(model string, version int64) string {
 	return "http://" + s.listener.Addr().String() + weightsPath + versionName(model, version) + "/"
 }
 
-// handle answers with a chunk of a version that is whole and matches its digest.
+// handle serves a chunk of a version that is complete and matches its digest.
 func (s *weightsServer) handle(ctx *fasthttp.RequestCtx) {
 	rest, ok := strings.CutPrefix(string(ctx.Path()), weightsPath)
 	name, index, found := strings.Cut(rest, "/")
@@ -78,8 +79,8 @@
 	ctx.Response.SetBodyRaw(data)
 }
 
-// ServeWeights gives the engine the weights held in memory until ctx ends. An
-// agent with a data folder has nothing to serve.
+// ServeWeights serves the weights held in memory to the engine until ctx is
+// done. It returns immediately if the agent has a data directory.
 func (s *OrderHandler) ServeWeights(ctx context.Context) error {
 	if s.table.dir != "" {
 		return nil
@@ -89,11 +90,11 @@
 		return err
 	}
 	s.mu.Lock()
-	s.weights = server
+	s.weightsServer = server
 	s.mu.Unlock()
 	stop := context.AfterFunc(ctx, func() {
 		_ = server.server.Shutdown()
-		_ = server.listener.Close() // also if Serve has not begun
+		_ = server.listener.Close() // needed if Serve has not started yet
 	})
 	defer stop()
 	err = server.server.Serve(server.listener)
@@ -103,22 +104,22 @@
 	return errors.Wrap(err, "agent: weights")
 }
 
-// sourceOf tells the engine where the version lies and how to check it. Neither
-// is told of a version that this agent does not hold whole: the engine would
-// fail in the middle of a load.
-func (s *OrderHandler) sourceOf(o wire.Order, order *engineapi.Order) {
+// setWeightsSource sets where the engine finds the version and the digest to
+// check it with. The URL and the digest are set only if this agent holds a
+// complete version: otherwise the engine would fail in the middle of a load.
+func (s *OrderHandler) setWeightsSource(o wire.Order, order *engineapi.Order) {
 	model := weightsName(o.Model, o.Adapter)
-	v, held := s.table.whole(model, o.Version)
+	v, held := s.table.findVerified(model, o.Version)
 	if held {
 		order.WeightsChunks = v.chunks
 		order.WeightsSHA256 = hex.EncodeToString(v.digest)
 	}
 	if s.table.dir != "" {
-		order.WeightsDir = s.table.folder(model, o.Version)
+		order.WeightsDir = s.table.versionDir(model, o.Version)
 		return
 	}
 	s.mu.Lock()
-	server := s.weights
+	server := s.weightsServer
 	s.mu.Unlock()
 	if held && server != nil {
 		order.WeightsURL = server.url(model, o.Version)
--- a/internal/agent/weights_http_test.go
+++ b/internal/agent/weights_http_test.go
@@ -38,7 +38,7 @@
 			Eventually(func() bool {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				return s.weights != nil
+				return s.weightsServer != nil
 			}).WithTimeout(time.Minute).Should(BeTrue())
 		}
 	}
@@ -47,8 +47,8 @@
 		data[0], data[1] = byte(version), byte(index)
 		return data
 	}
-	// hold puts a version of three chunks into the table, the last one changed if
-	// it is to be wrong, and holds it against its digest.
+	// hold puts a version of three chunks into the table, the last one
+	// corrupted if wrong is set, and verifies its digest.
 	hold := func(version int64, wrong bool) error {
 		digest := sha256.New()
 		for i := range 3 {
@@ -72,7 +72,7 @@
 		return status, body
 	}
 
-	It("are given chunk by chunk on loopback, with the digest to check them by", func() {
+	It("are served chunk by chunk on loopback, with the digest to verify them", func() {
 		start("", 10*chunkBytes)
 		Expect(hold(2, false)).To(Succeed())
 		o := order(2)
@@ -91,9 +91,10 @@
 		}
 	})
 
-	// A chunk was changed on its way between agents, and another version is only
-	// half here. An engine that read either would serve wrong weights.
-	It("are not given before the version is whole and matches its digest", func() {
+	// One version has a chunk that was corrupted on its way between agents, and
+	// another version is incomplete. An engine that read either would serve
+	// wrong weights.
+	It("are served only if the version is complete and matches its digest", func() {
 		start("", 10*chunkBytes)
 		Expect(hold(2, false)).To(Succeed())
 		url := order(2).WeightsURL
@@ -101,17 +102,17 @@
 		Expect(s.table.put(wire.ChunkRequest{Model: "m", Version: 4, Index: 0}, chunk(4, 0))).To(Succeed())
 		for _, version := range []int64{3, 4} {
 			Expect(order(version).WeightsURL).To(BeEmpty())
-			status, _ := get(s.weights.url("m", version) + "0")
+			status, _ := get(s.weightsServer.url("m", version) + "0")
 			Expect(status).To(Equal(fasthttp.StatusNotFound))
 		}
 		status, _ := get(url + "0")
 		Expect(status).To(Equal(fasthttp.StatusOK))
 	})
 
-	// The engine reads version 2 while the agent prepares version 3, and memory
-	// holds only one of them. Without the pin, version 2 would vanish under the
-	// engine's load.
-	It("stay while the engine loads them, and make room afterwards", func() {
+	// The engine reads version 2 while the agent prepares version 3, and the
+	// memory holds only one of them. Without the pin, version 2 would be
+	// evicted during the engine's load.
+	It("stay in memory while the engine loads them and are evictable afterwards", func() {
 		start("", 4*chunkBytes)
 		Expect(hold(2, false)).To(Succeed())
 		s.table.pin("m", 2)
@@ -127,7 +128,7 @@
 		Expect(order(3).WeightsURL).NotTo(BeEmpty())
 	})
 
-	It("are named by their folder where there is one", func() {
+	It("are passed as a directory if the agent has a data directory", func() {
 		start(GinkgoT().TempDir(), 0)
 		Expect(hold(2, false)).To(Succeed())
 		o := order(2)
