--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -148,11 +148,11 @@
 	}
 	e.peers = peers.New(peers.Options{
 		ID: p.settings.ID, Address: p.settings.Inner, Domain: p.settings.FailureDomain,
-		Deployment: p.settings.Deployment, Interval: p.settings.Heartbeat,
-		Dial:    peers.Dial(p.traffic.Dial(traffic.Peers, p.inner.Dial)),
-		Request: func(r *wire.HeartbeatRequest) { r.Quarantine = e.poison.List() },
-		Reply:   func(r *wire.HeartbeatReply) { r.Quarantine = e.poison.List() },
-		Told:    func(_ string, q []wire.QuarantineEntry) { e.poison.ApplyHeartbeat(nil, q) },
+		Deployment: p.settings.Deployment, HeartbeatInterval: p.settings.Heartbeat,
+		Dial:          peers.Dial(p.traffic.Dial(traffic.Peers, p.inner.Dial)),
+		ExtendRequest: func(r *wire.HeartbeatRequest) { r.Quarantine = e.poison.List() },
+		ExtendReply:   func(r *wire.HeartbeatReply) { r.Quarantine = e.poison.List() },
+		OnQuarantine:  func(_ string, q []wire.QuarantineEntry) { e.poison.ApplyHeartbeat(nil, q) },
 	})
 	e.poison = entry.NewPoisonQuarantine(p.settings.ID, e.peers, p.log)
 	e.holder = confstate.New(confstate.Options{
@@ -179,7 +179,7 @@
 	e.pool = pool.New(pool.Options{
 		Metrics: e.metrics,
 		ID:      p.settings.ID, Deployment: p.settings.Deployment, Domain: p.settings.FailureDomain,
-		Heartbeat: p.settings.Heartbeat, Lister: e.peers.Tap(e.lister), Log: p.log,
+		Heartbeat: p.settings.Heartbeat, Lister: e.peers.WrapLister(e.lister), Log: p.log,
 		Dial:    p.traffic.Dial(traffic.Agents, p.inner.Dial),
 		Request: e.toAgent, Reply: e.agentReplied,
 	})
@@ -221,7 +221,7 @@
 		Store:      e.store,
 		Duties:     e.keeper,
 		Config:     e,
-		Instances:  e.peers.Shared(),
+		Instances:  e.peers.CachedLister(),
 		Dial:       rpcpool.DialFunc(e.traffic.Dial(traffic.Agents, e.inner.Dial)),
 		Deployment: e.settings.Deployment,
 		Log:        e.log,
--- a/internal/peers/hang_test.go
+++ b/internal/peers/hang_test.go
@@ -21,7 +21,7 @@
 		frozen, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(frozen.Close)
-		p := peers.New(peers.Options{ID: "e1", Interval: interval})
+		p := peers.New(peers.Options{ID: "e1", HeartbeatInterval: interval})
 		ended := make(chan error, 1)
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
--- a/internal/peers/list.go
+++ b/internal/peers/list.go
@@ -15,9 +15,9 @@
 	Instances(ctx context.Context, deployment string) ([]kv.Instance, error)
 }
 
-// Tap returns a lister that passes each list it reads to Listed and Shared, so
+// WrapLister returns a lister that passes each list it reads to Listed and Shared, so
 // that one reader serves every part of the process.
-func (p *Peers) Tap(l Lister) Lister {
+func (p *Peers) WrapLister(l Lister) Lister {
 	return &tap{lister: l, peers: p}
 }
 
@@ -30,7 +30,7 @@
 func (t *tap) Instances(ctx context.Context, deployment string) ([]kv.Instance, error) {
 	list, err := t.lister.Instances(ctx, deployment)
 	if err == nil {
-		t.peers.Listed(list)
+		t.peers.ApplyList(list)
 		t.peers.keepList(list)
 	}
 	return list, err
@@ -42,11 +42,11 @@
 	p.list = list
 }
 
-// Shared returns a lister that gives the list as Tap read it last, without
+// CachedLister returns a lister that gives the list as Tap read it last, without
 // reading. A duty that read the list for itself every two seconds would take
 // some 80 KB a second at 1,670 instances, five times what control work may. The
 // list must not be changed.
-func (p *Peers) Shared() Lister { return shared{p} }
+func (p *Peers) CachedLister() Lister { return shared{p} }
 
 type shared struct{ peers *Peers }
 
--- a/internal/peers/list_test.go
+++ b/internal/peers/list_test.go
@@ -29,12 +29,12 @@
 		p := peers.New(peers.Options{ID: "e0"})
 		p.Attach(confstate.New(confstate.Options{Entry: true}), dutyrun.New(dutyrun.Options{}))
 		source := &counting{}
-		_, err := p.Shared().Instances(ctx, "d")
+		_, err := p.CachedLister().Instances(ctx, "d")
 		Expect(err).To(HaveOccurred(), "nothing was read yet: a list without instances would be wrong")
-		_, err = p.Tap(source).Instances(ctx, "d")
+		_, err = p.WrapLister(source).Instances(ctx, "d")
 		Expect(err).NotTo(HaveOccurred())
 		for range 10 {
-			list, err := p.Shared().Instances(ctx, "d")
+			list, err := p.CachedLister().Instances(ctx, "d")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(list).To(Equal([]kv.Instance{{ID: "a"}}))
 		}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -53,17 +53,17 @@
 // Options sets up Peers. Request, Reply and Heard may be nil; they are called
 // from many goroutines.
 type Options struct {
-	ID         string
-	Address    string // own inner address
-	Domain     string
-	Deployment string
-	Interval   time.Duration // between rounds of heartbeats
-	Dial       Dial          // nil: plain TCP
-	// Request and Reply add what this entry knows to the heartbeats it sends
+	ID                string
+	Address           string // own inner address
+	Domain            string
+	Deployment        string
+	HeartbeatInterval time.Duration // between rounds of heartbeats
+	Dial              Dial          // nil: plain TCP
+	// ExtendRequest and Reply add what this entry knows to the heartbeats it sends
 	// and answers; Told takes in what others say on theirs.
-	Request func(*wire.HeartbeatRequest)
-	Reply   func(*wire.HeartbeatReply)
-	Told    func(from string, quarantine []wire.QuarantineEntry)
+	ExtendRequest func(*wire.HeartbeatRequest)
+	ExtendReply   func(*wire.HeartbeatReply)
+	OnQuarantine  func(from string, quarantine []wire.QuarantineEntry)
 }
 
 // Peers is one entry's view of the others. It is safe for concurrent use.
@@ -96,7 +96,7 @@
 		kick:     make(chan struct{}, 1),
 		left:     map[string]bool{},
 		heardAt:  map[string]time.Time{},
-		silence:  gossip.NewFailureDetector(silentFor * o.Interval),
+		silence:  gossip.NewFailureDetector(silentFor * o.HeartbeatInterval),
 		partners: gossip.NewPartners(o.Domain),
 		rnd:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
@@ -106,11 +106,11 @@
 // force is told at once, not with the next round.
 func (p *Peers) Attach(conf *confstate.Holder, keeper *dutyrun.Keeper) {
 	p.conf, p.duties = conf, keeper
-	conf.OnApply(func(*decl.Deployment, int64) { p.Kick() })
+	conf.OnApply(func(*decl.Deployment, int64) { p.TriggerHeartbeats() })
 }
 
-// Kick begins a round of heartbeats now.
-func (p *Peers) Kick() {
+// TriggerHeartbeats begins a round of heartbeats now.
+func (p *Peers) TriggerHeartbeats() {
 	select {
 	case p.kick <- struct{}{}:
 	default:
@@ -122,11 +122,11 @@
 	p.mu.Lock()
 	p.leaving = true
 	p.mu.Unlock()
-	p.Kick()
+	p.TriggerHeartbeats()
 }
 
-// Listed takes in the platform's list.
-func (p *Peers) Listed(instances []kv.Instance) {
+// ApplyList takes in the platform's list.
+func (p *Peers) ApplyList(instances []kv.Instance) {
 	entries := []config.Peer{}
 	ids := map[string]bool{}
 	p.mu.Lock()
@@ -163,7 +163,7 @@
 	}
 	for _, i := range p.listed {
 		if i.ID != p.options.ID && !p.left[i.ID] && !p.silence.Dead(now, i.ID) {
-			alive := now.Sub(p.heardAt[i.ID]) < aliveFor*p.options.Interval
+			alive := now.Sub(p.heardAt[i.ID]) < aliveFor*p.options.HeartbeatInterval
 			all = append(all, duties.Member{ID: i.ID, Address: i.Address, Domain: i.FailureDomain, Alive: alive})
 		}
 	}
@@ -198,7 +198,7 @@
 		for _, peer := range p.choose() {
 			go p.beat(ctx, peer)
 		}
-		timer.Reset(p.options.Interval)
+		timer.Reset(p.options.HeartbeatInterval)
 	}
 }
 
@@ -256,15 +256,15 @@
 		Leaving:     leaving,
 		HoldersHash: holdersHash(p.duties.Holders()),
 	}
-	if p.options.Request != nil {
-		p.options.Request(&request)
+	if p.options.ExtendRequest != nil {
+		p.options.ExtendRequest(&request)
 	}
 	return request
 }
 
 func (p *Peers) told(from string, quarantine []wire.QuarantineEntry) {
-	if p.options.Told != nil && len(quarantine) > 0 {
-		p.options.Told(from, quarantine)
+	if p.options.OnQuarantine != nil && len(quarantine) > 0 {
+		p.options.OnQuarantine(from, quarantine)
 	}
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -58,7 +58,7 @@
 	store, err := kv.NewClient(kv.Options{Address: platform, Writer: self.ID, CallsPerSec: 200})
 	Expect(err).NotTo(HaveOccurred())
 	n := &node{Peers: peers.New(peers.Options{
-		ID: self.ID, Address: self.Address, Domain: self.FailureDomain, Deployment: "d", Interval: interval,
+		ID: self.ID, Address: self.Address, Domain: self.FailureDomain, Deployment: "d", HeartbeatInterval: interval,
 	})}
 	n.conf = confstate.New(confstate.Options{
 		Deployment: "d", Self: config.Peer{ID: self.ID, Domain: self.FailureDomain}, Entry: true,
@@ -70,7 +70,7 @@
 		Probe: n.Probe,
 	})
 	n.Attach(n.conf, n.duty)
-	n.Listed(list)
+	n.ApplyList(list)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 4)
 	go func() { done <- n.Run(ctx) }()
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -43,8 +43,8 @@
 	if holders := p.duties.Holders(); holdersHash(holders) != request.HoldersHash {
 		reply.Holders = holders
 	}
-	if p.options.Reply != nil {
-		p.options.Reply(reply)
+	if p.options.ExtendReply != nil {
+		p.options.ExtendReply(reply)
 	}
 	return nil
 }
