--- a/internal/agentless/mechanism/settings.go
+++ b/internal/agentless/mechanism/settings.go
@@ -26,7 +26,7 @@
 	for _, name := range s.List(keyWithout) {
 		m, err := Parse(name)
 		if err != nil {
-			s.Fault(keyWithout, "%v", err)
+			s.AddFinding(keyWithout, "%v", err)
 			continue
 		}
 		disabled = append(disabled, m)
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -148,7 +148,7 @@
 	}
 	e.peers = peers.New(peers.Options{
 		ID: p.settings.ID, Address: p.settings.Inner, Domain: p.settings.FailureDomain,
-		Deployment: p.settings.Deployment, Interval: p.settings.Heartbeat,
+		Deployment: p.settings.Deployment, Interval: p.settings.HeartbeatInterval,
 		Dial:    peers.Dial(p.traffic.Dial(traffic.Peers, p.inner.Dial)),
 		Request: func(r *wire.HeartbeatRequest) { r.Quarantine = e.poison.List() },
 		Reply:   func(r *wire.HeartbeatReply) { r.Quarantine = e.poison.List() },
@@ -179,7 +179,7 @@
 	e.pool = pool.New(pool.Options{
 		Metrics: e.metrics,
 		ID:      p.settings.ID, Deployment: p.settings.Deployment, Domain: p.settings.FailureDomain,
-		Heartbeat: p.settings.Heartbeat, Lister: e.peers.Tap(e.lister), Log: p.log,
+		Heartbeat: p.settings.HeartbeatInterval, Lister: e.peers.Tap(e.lister), Log: p.log,
 		Dial:    p.traffic.Dial(traffic.Agents, p.inner.Dial),
 		Request: e.toAgent, Reply: e.agentReplied,
 	})
@@ -323,7 +323,7 @@
 func (e *entryProcess) leave(ctx context.Context) {
 	e.peers.Leave()
 	e.handOver(ctx)
-	stay := time.After(e.settings.Heartbeat)
+	stay := time.After(e.settings.HeartbeatInterval)
 	ctx, cancel := context.WithTimeout(ctx, e.settings.StopTimeout)
 	defer cancel()
 	_ = e.claims.Drain(ctx)
--- a/internal/decl/check.go
+++ b/internal/decl/check.go
@@ -19,7 +19,7 @@
 	for _, c := range p.deployment.Callers {
 		p.checkReference("caller "+c.Name, "agency", c.Agency)
 		if c.RateLimit > 0 && c.Burst == 0 {
-			p.sections["caller "+c.Name].Fault("burst", "a rate limit wants a burst of at least 1")
+			p.sections["caller "+c.Name].AddFinding("burst", "a rate limit wants a burst of at least 1")
 		}
 	}
 	p.checkFeeds()
@@ -32,7 +32,7 @@
 		return false // reported as missing
 	}
 	if _, found := p.sections[kind+" "+name]; !found {
-		p.sections[id].Fault(kind, "no %s %q is declared", kind, name)
+		p.sections[id].AddFinding(kind, "no %s %q is declared", kind, name)
 		return false
 	}
 	return true
@@ -49,17 +49,17 @@
 		}
 		for _, pattern := range patterns {
 			if pattern != "*" && !matchPattern.MatchString(pattern) {
-				section.Fault("match", "%q is not METHOD /path", pattern)
+				section.AddFinding("match", "%q is not METHOD /path", pattern)
 			}
 			key := c.Service + " " + pattern
 			if other, clash := taken[key]; clash {
-				section.Fault("match", "class %q of service %q matches %s already", other, c.Service, pattern)
+				section.AddFinding("match", "class %q of service %q matches %s already", other, c.Service, pattern)
 			}
 			taken[key] = c.Name
 		}
 		// A hedge is a second run of the same request.
 		if !c.Idempotent && c.HedgeAt > 0 {
-			section.Fault("hedge_at", "only an idempotent class can be hedged")
+			section.AddFinding("hedge_at", "only an idempotent class can be hedged")
 		}
 	}
 }
@@ -71,23 +71,23 @@
 		section := p.sections[id]
 		p.checkReference(id, "business", f.Business)
 		if p.checkReference(id, "service", f.Service) && p.deployment.Service(f.Service).Kind != KindModel {
-			section.Fault("service", "%q is not of kind model", f.Service)
+			section.AddFinding("service", "%q is not of kind model", f.Service)
 		}
 		if f.Scorer != "" && p.deployment.Service(f.Scorer) == nil {
-			section.Fault("scorer", "no service %q is declared", f.Scorer)
+			section.AddFinding("scorer", "no service %q is declared", f.Scorer)
 		}
 		if f.WeightIdle == 0 && f.WeightStaleness == 0 {
-			section.Fault("weight_idle", "weight_idle and weight_staleness cannot both be 0")
+			section.AddFinding("weight_idle", "weight_idle and weight_staleness cannot both be 0")
 		}
 		if f.LotSize > f.GroupSize*f.GroupsPerStep {
-			section.Fault("lot_size", "%d is more than a step of %d samples", f.LotSize, f.GroupSize*f.GroupsPerStep)
+			section.AddFinding("lot_size", "%d is more than a step of %d samples", f.LotSize, f.GroupSize*f.GroupsPerStep)
 		}
 		if len(f.Prompts) == 0 {
-			section.Fault("prompt", "required")
+			section.AddFinding("prompt", "required")
 		}
 		shares[f.Service] += f.Share
 		if shares[f.Service] > 1+shareSlack {
-			section.Fault("share", "the feeds of service %q ask for %.3g of it", f.Service, shares[f.Service])
+			section.AddFinding("share", "the feeds of service %q ask for %.3g of it", f.Service, shares[f.Service])
 		}
 	}
 }
--- a/internal/decl/parse.go
+++ b/internal/decl/parse.go
@@ -62,7 +62,7 @@
 		if len(files) > 0 {
 			name = files[0].Name
 		}
-		p.findings.Add(inifile.Place{File: name}, "no [deployment] section")
+		p.findings.Add(inifile.Position{File: name}, "no [deployment] section")
 	}
 	p.check()
 	return &p.deployment, p.findings.List()
@@ -72,13 +72,13 @@
 	for _, s := range file.Sections() {
 		id := s.Kind + " " + s.Name
 		if earlier, taken := p.sections[id]; taken {
-			place := earlier.Place()
-			p.findings.Add(s.Place(), "%s stands already in %s:%d", id, place.File, place.Line)
+			place := earlier.Position()
+			p.findings.Add(s.Position(), "%s stands already in %s:%d", id, place.File, place.Line)
 			continue
 		}
 		p.sections[id] = s
 		if s.Kind != "deployment" && !namePattern.MatchString(s.Name) {
-			p.findings.Add(s.Place(), "[%s] wants a name of letters, digits, '.', '_' and '-'", s.Kind)
+			p.findings.Add(s.Position(), "[%s] wants a name of letters, digits, '.', '_' and '-'", s.Kind)
 		}
 		p.section(s)
 		s.ReportUnread()
@@ -113,7 +113,7 @@
 	case "operator":
 		d.Operators = append(d.Operators, Operator{Name: s.Name, KeySHA256: p.digest(s, "key_sha256")})
 	default:
-		p.findings.Add(s.Place(), "unknown kind of section: [%s]", s.Kind)
+		p.findings.Add(s.Position(), "unknown kind of section: [%s]", s.Kind)
 	}
 }
 
@@ -186,12 +186,12 @@
 		return ""
 	}
 	if !digestPattern.MatchString(value) {
-		s.Fault(key, "not the 64 lower-case hexadecimal digits of a SHA-256")
+		s.AddFinding(key, "not the 64 lower-case hexadecimal digits of a SHA-256")
 		return ""
 	}
 	id := s.Kind + " " + s.Name
 	if holder, taken := p.digests[value]; taken {
-		s.Fault(key, "is the key of %s already", holder)
+		s.AddFinding(key, "is the key of %s already", holder)
 	}
 	p.digests[value] = id
 	return value
--- a/internal/decl/roles.go
+++ b/internal/decl/roles.go
@@ -15,16 +15,16 @@
 func parseRoles(s *inifile.Section) []string {
 	texts := s.List(rolesKey)
 	if len(texts) > 0 && s.String("kind", "") != string(KindModel) {
-		s.Fault(rolesKey, "only engines of kind model have roles")
+		s.AddFinding(rolesKey, "only engines of kind model have roles")
 	}
 	seen := map[string]bool{}
 	for _, text := range texts {
 		role, ok := parseRole(text)
 		switch {
 		case !ok:
-			s.Fault(rolesKey, "%q is not a role with its share, such as decode:3", text)
+			s.AddFinding(rolesKey, "%q is not a role with its share, such as decode:3", text)
 		case seen[role.Name]:
-			s.Fault(rolesKey, "role %q stands twice", role.Name)
+			s.AddFinding(rolesKey, "role %q stands twice", role.Name)
 		}
 		seen[role.Name] = true
 	}
--- a/internal/entry/pool/pool.go
+++ b/internal/entry/pool/pool.go
@@ -79,7 +79,7 @@
 // New prepares a pool; Run fills it.
 func New(opts Options) *Pool {
 	if opts.Heartbeat <= 0 {
-		opts.Heartbeat = settings.DefaultHeartbeat
+		opts.Heartbeat = settings.DefaultHeartbeatInterval
 	}
 	if opts.Dial == nil {
 		opts.Dial = rpcconn.Dial
--- a/internal/inifile/findings.go
+++ b/internal/inifile/findings.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Place is where something stands in a file. Line 0 means the whole file.
-type Place struct {
+// Position is where something stands in a file. Line 0 means the whole file.
+type Position struct {
 	File string
 	Line int
 }
@@ -34,7 +34,7 @@
 }
 
 // Add records a fault.
-func (f *Findings) Add(at Place, format string, args ...any) {
+func (f *Findings) Add(at Position, format string, args ...any) {
 	f.list = append(f.list, Finding{File: at.File, Line: at.Line, Message: fmt.Sprintf(format, args...)})
 }
 
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -23,7 +23,7 @@
 func Read(path string, findings *Findings) *File {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		findings.Add(Place{File: path}, "%v", errors.Cause(err))
+		findings.Add(Position{File: path}, "%v", errors.Cause(err))
 		return &File{Name: path, findings: findings}
 	}
 	return Parse(path, text, findings)
@@ -43,7 +43,7 @@
 		SkipUnrecognizableLines:    true, // the index has reported them
 	}, text)
 	if err != nil {
-		findings.Add(Place{File: name}, "%v", err)
+		findings.Add(Position{File: name}, "%v", err)
 		return f
 	}
 	seen := map[string]int{}
@@ -82,7 +82,7 @@
 func (f *File) ReportUnread(known ...string) {
 	for _, s := range f.sections {
 		if !contains(known, s.header) {
-			f.findings.Add(s.Place(), "unknown section [%s]", s.header)
+			f.findings.Add(s.Position(), "unknown section [%s]", s.header)
 			continue
 		}
 		s.ReportUnread()
@@ -105,7 +105,7 @@
 
 func (f *File) reportStray(section *ini.Section, index lineIndex) {
 	for _, key := range section.Keys() {
-		place := Place{File: f.Name, Line: index.section("", 0).line(key.Name())}
+		place := Position{File: f.Name, Line: index.section("", 0).line(key.Name())}
 		f.findings.Add(place, "key %q stands before the first section", key.Name())
 	}
 }
@@ -115,7 +115,7 @@
 	kept := f.sections[:0]
 	for _, s := range f.sections {
 		if earlier, taken := first[s.header]; taken {
-			f.findings.Add(s.Place(), "section [%s] stands already on line %d", s.header, earlier.Place().Line)
+			f.findings.Add(s.Position(), "section [%s] stands already on line %d", s.header, earlier.Position().Line)
 			continue
 		}
 		first[s.header] = s
--- a/internal/inifile/lines.go
+++ b/internal/inifile/lines.go
@@ -44,7 +44,7 @@
 	inValue := false
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
-		at := Place{File: file, Line: i + 1}
+		at := Position{File: file, Line: i + 1}
 		if inValue {
 			inValue = !strings.Contains(line, multiline)
 			continue
--- a/internal/inifile/section.go
+++ b/internal/inifile/section.go
@@ -25,26 +25,26 @@
 	findings *Findings
 }
 
-// Place returns where the section's header stands.
-func (s *Section) Place() Place {
-	return Place{File: s.file, Line: s.lines.header}
+// Position returns where the section's header stands.
+func (s *Section) Position() Position {
+	return Position{File: s.file, Line: s.lines.header}
 }
 
-// KeyPlace returns where a key stands, or the header if it is absent.
-func (s *Section) KeyPlace(key string) Place {
-	return Place{File: s.file, Line: s.lines.line(key)}
+// KeyPosition returns where a key stands, or the header if it is absent.
+func (s *Section) KeyPosition(key string) Position {
+	return Position{File: s.file, Line: s.lines.line(key)}
 }
 
-// Fault adds a finding at a key.
-func (s *Section) Fault(key, format string, args ...any) {
-	s.findings.Add(s.KeyPlace(key), "[%s] %s: "+format, append([]any{s.header, key}, args...)...)
+// AddFinding adds a finding at a key.
+func (s *Section) AddFinding(key, format string, args ...any) {
+	s.findings.Add(s.KeyPosition(key), "[%s] %s: "+format, append([]any{s.header, key}, args...)...)
 }
 
 // ReportUnread adds a finding for every key that nothing asked for.
 func (s *Section) ReportUnread() {
 	for _, key := range s.section.Keys() {
 		if !s.read[key.Name()] {
-			s.Fault(key.Name(), "unknown key")
+			s.AddFinding(key.Name(), "unknown key")
 		}
 	}
 }
@@ -53,7 +53,7 @@
 func (s *Section) raw(key string) (string, bool) {
 	values := s.Repeated(key)
 	if len(values) > 1 {
-		s.findings.Add(Place{File: s.file, Line: s.lines.keys[key][1]}, "[%s] %s: duplicate key", s.header, key)
+		s.findings.Add(Position{File: s.file, Line: s.lines.keys[key][1]}, "[%s] %s: duplicate key", s.header, key)
 	}
 	if len(values) == 0 {
 		return "", false
@@ -84,7 +84,7 @@
 func (s *Section) Required(key string) string {
 	value := s.String(key, "")
 	if value == "" {
-		s.Fault(key, "required")
+		s.AddFinding(key, "required")
 	}
 	return value
 }
@@ -95,7 +95,7 @@
 	if contains(choices, value) {
 		return value
 	}
-	s.Fault(key, "%q is none of %s", value, strings.Join(choices, ", "))
+	s.AddFinding(key, "%q is none of %s", value, strings.Join(choices, ", "))
 	return absent
 }
 
@@ -119,11 +119,11 @@
 	}
 	n, err := strconv.Atoi(value)
 	if err != nil {
-		s.Fault(key, "%q is not a whole number", value)
+		s.AddFinding(key, "%q is not a whole number", value)
 		return absent
 	}
 	if n < least || n > most {
-		s.Fault(key, "%d is outside %d..%d", n, least, most)
+		s.AddFinding(key, "%d is outside %d..%d", n, least, most)
 		return absent
 	}
 	return n
@@ -137,11 +137,11 @@
 	}
 	n, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-		s.Fault(key, "%q is not a number", value)
+		s.AddFinding(key, "%q is not a number", value)
 		return absent
 	}
 	if n < least || n > most {
-		s.Fault(key, "%g is outside %g..%g", n, least, most)
+		s.AddFinding(key, "%g is outside %g..%g", n, least, most)
 		return absent
 	}
 	return n
@@ -155,11 +155,11 @@
 	}
 	d, err := time.ParseDuration(value)
 	if err != nil {
-		s.Fault(key, "%q is not a time span such as 250ms", value)
+		s.AddFinding(key, "%q is not a time span such as 250ms", value)
 		return absent
 	}
 	if d < least || d > most {
-		s.Fault(key, "%s is outside %s..%s", d, least, most)
+		s.AddFinding(key, "%s is outside %s..%s", d, least, most)
 		return absent
 	}
 	return d
@@ -173,7 +173,7 @@
 	}
 	b, err := strconv.ParseBool(value)
 	if err != nil {
-		s.Fault(key, "%q is neither true nor false", value)
+		s.AddFinding(key, "%q is neither true nor false", value)
 		return absent
 	}
 	return b
@@ -186,7 +186,7 @@
 		return ""
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		s.Fault(key, "%q is not ip:port with the IP as a number", value)
+		s.AddFinding(key, "%q is not ip:port with the IP as a number", value)
 		return ""
 	}
 	return value
@@ -196,7 +196,7 @@
 func (s *Section) RequiredAddr(key string) string {
 	if !s.section.HasKey(key) {
 		s.read[key] = true
-		s.Fault(key, "required")
+		s.AddFinding(key, "required")
 	}
 	return s.Addr(key)
 }
--- a/internal/lab/routing/fleet.go
+++ b/internal/lab/routing/fleet.go
@@ -21,7 +21,7 @@
 	queueLimit    = 400
 	meanService   = 0.05 // seconds
 	serviceSpread = 0.4  // sigma of the logarithm of service times
-	heartbeat     = settings.DefaultHeartbeat
+	heartbeat     = settings.DefaultHeartbeatInterval
 )
 
 // capacity is what the fleet can serve, in requests a second.
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -9,7 +9,7 @@
 // Defaults of settings that need not be given.
 const (
 	DefaultStopTimeout = 30 * time.Second
-	DefaultHeartbeat   = time.Second
+	DefaultHeartbeatInterval   = time.Second
 	DefaultCallsPerSec = 100
 )
 
@@ -40,7 +40,7 @@
 	decodeListen(file.Section("listen"), &s)
 	decodeEndpoint(file.Section("endpoint"), &s)
 	decodePlatform(file.Section("platform"), &s)
-	s.Heartbeat = file.Section("membership").Duration("heartbeat", DefaultHeartbeat, 10*time.Millisecond, maxSpan)
+	s.HeartbeatInterval = file.Section("membership").Duration("heartbeat", DefaultHeartbeatInterval, 10*time.Millisecond, maxSpan)
 	decodeTLS(file.Section("tls"), &s.TLS)
 	file.ReportUnread("process", "listen", "endpoint", "platform", "membership", "tls")
 	return s
@@ -80,7 +80,7 @@
 func refuse(section *inifile.Section, why string, keys ...string) {
 	for _, key := range keys {
 		if section.String(key, "") != "" {
-			section.Fault(key, "%s", why)
+			section.AddFinding(key, "%s", why)
 		}
 	}
 }
@@ -96,11 +96,11 @@
 	t.Key = section.String("key", "")
 	t.ServerName = section.String("server_name", "")
 	if (t.Cert == "") != (t.Key == "") {
-		section.Fault("cert", "cert and key go together")
+		section.AddFinding("cert", "cert and key go together")
 	}
 	for _, key := range []string{"cert", "key", "server_name"} {
 		if t.CA == "" && section.String(key, "") != "" {
-			section.Fault(key, "needs ca, without which the platform is spoken to without TLS")
+			section.AddFinding(key, "needs ca, without which the platform is spoken to without TLS")
 		}
 	}
 }
@@ -114,10 +114,10 @@
 	t.InnerKey = section.String("inner_key", "")
 	t.InnerCA = section.String("inner_ca", "")
 	if (t.CallerCert == "") != (t.CallerKey == "") {
-		section.Fault("caller_cert", "caller_cert and caller_key go together")
+		section.AddFinding("caller_cert", "caller_cert and caller_key go together")
 	}
 	inner := t.InnerCert != ""
 	if (t.InnerKey != "") != inner || (t.InnerCA != "") != inner {
-		section.Fault("inner_cert", "inner_cert, inner_key and inner_ca go together")
+		section.AddFinding("inner_cert", "inner_cert, inner_key and inner_ca go together")
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -34,7 +34,7 @@
 	Service  string // agents only
 	Endpoint string // agents only
 
-	Heartbeat   time.Duration // interval between heartbeats
+	HeartbeatInterval   time.Duration // interval between heartbeats
 	CallsPerSec float64       // this process's budget of key-value calls
 
 	TLS         TLS
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -36,7 +36,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Role).To(Equal(settings.RoleAgent))
 		Expect(s.Endpoint).To(Equal("127.0.0.1:9001"))
-		Expect(s.Heartbeat).To(Equal(time.Second))
+		Expect(s.HeartbeatInterval).To(Equal(time.Second))
 		Expect(s.StopTimeout).To(Equal(30 * time.Second))
 	})
 
