--- a/internal/agent/prepare.go
+++ b/internal/agent/prepare.go
@@ -72,7 +72,7 @@
 	if s.Platform == "" {
 		return nil
 	}
-	towards, err := tlsconf.Platform(s.PlatformTLS, s.Platform)
+	towards, err := tlsconf.PlatformCredentials(s.PlatformTLS, s.Platform)
 	if err != nil {
 		return nil
 	}
--- a/internal/bounds/bounds.go
+++ b/internal/bounds/bounds.go
@@ -29,7 +29,7 @@
 type Measurement struct {
 	Name  string // names the run, for selection on the command line
 	Run   func() ([]Figure, error)
-	Alone bool // counts what the whole process does, so that no other may run beside it
+	Exclusive bool // counts what the whole process does, so that no other may run beside it
 }
 
 // RunAll runs the measurements and returns their figures in the order given.
@@ -43,7 +43,7 @@
 		return errors.Wrap(err, all[i].Name)
 	}
 	for i, m := range all {
-		if !m.Alone {
+		if !m.Exclusive {
 			continue
 		}
 		if err := run(i); err != nil {
@@ -51,7 +51,7 @@
 		}
 	}
 	for i, m := range all {
-		if !m.Alone {
+		if !m.Exclusive {
 			group.Go(func() error { return run(i) })
 		}
 	}
--- a/internal/bounds/bounds_test.go
+++ b/internal/bounds/bounds_test.go
@@ -30,7 +30,7 @@
 	It("runs what must be alone by itself and keeps the order of the figures", func() {
 		var running, most atomic.Int32
 		run := func(name string, alone bool) bounds.Measurement {
-			return bounds.Measurement{Name: name, Alone: alone, Run: func() ([]bounds.Figure, error) {
+			return bounds.Measurement{Name: name, Exclusive: alone, Run: func() ([]bounds.Figure, error) {
 				now := running.Add(1)
 				defer running.Add(-1)
 				if alone {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	towards, err := tlsconf.Platform(s.PlatformTLS, s.Platform)
+	towards, err := tlsconf.PlatformCredentials(s.PlatformTLS, s.Platform)
 	if err != nil {
 		return err
 	}
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -98,7 +98,7 @@
 	Versions map[string]int64 // weight version by model
 }
 
-// SameStart tells whether both are one incarnation of one endpoint.
-func (e *Endpoint) SameStart(other *Endpoint) bool {
+// SameIncarnation tells whether both are one incarnation of one endpoint.
+func (e *Endpoint) SameIncarnation(other *Endpoint) bool {
 	return e.ID == other.ID && e.Born == other.Born && e.Address == other.Address
 }
--- a/internal/lab/routing/bounds.go
+++ b/internal/lab/routing/bounds.go
@@ -10,7 +10,7 @@
 		{Name: "callers.goodput", Run: goodput},
 		{Name: "callers.slow_engine", Run: slowEngine},
 		{Name: "callers.drain", Run: drain},
-		{Name: "route.allocs", Run: allocations, Alone: true},
+		{Name: "route.allocs", Run: allocations, Exclusive: true},
 		{Name: "route.hot_prefix", Run: hotShare},
 		{Name: "membership.fanout", Run: fanout},
 		{Name: "control.parts", Run: controlParts},
--- a/internal/policy/endpoints/endpoints.go
+++ b/internal/policy/endpoints/endpoints.go
@@ -125,7 +125,7 @@
 
 // Put adds or updates an endpoint as the platform lists it.
 func (s *Set) Put(e deployment.Endpoint) {
-	if known, found := s.byID[e.ID]; found && known.SameStart(&e) {
+	if known, found := s.byID[e.ID]; found && known.SameIncarnation(&e) {
 		known.Endpoint = e
 		return
 	}
--- a/internal/tlsconf/platform.go
+++ b/internal/tlsconf/platform.go
@@ -12,10 +12,10 @@
 	"siskinloom.example/siskinloom/internal/settings"
 )
 
-// Platform returns the credentials of connections to the platform at an
+// PlatformCredentials returns the credentials of connections to the platform at an
 // address. Without an authority in the settings they are plain; with one, a
 // platform that it has not signed for the server's name is not spoken to.
-func Platform(t settings.PlatformTLS, address string) (credentials.TransportCredentials, error) {
+func PlatformCredentials(t settings.PlatformTLS, address string) (credentials.TransportCredentials, error) {
 	if t.CA == "" {
 		return insecure.NewCredentials(), nil
 	}
--- a/internal/tlsconf/platform_test.go
+++ b/internal/tlsconf/platform_test.go
@@ -46,7 +46,7 @@
 
 	// reach makes one call of the platform with the client's files.
 	reach := func(t settings.PlatformTLS) error {
-		towards, err := tlsconf.Platform(t, address)
+		towards, err := tlsconf.PlatformCredentials(t, address)
 		Expect(err).NotTo(HaveOccurred())
 		store, err := kv.NewClient(kv.Options{Address: address, Writer: "e", CallsPerSec: 10, CallTimeout: 10 * time.Second,
 			Dial: []grpc.DialOption{grpc.WithTransportCredentials(towards)}})
@@ -79,7 +79,7 @@
 	})
 
 	It("takes a new authority and a new certificate without a restart", func() {
-		towards, err := tlsconf.Platform(ourFiles(), address)
+		towards, err := tlsconf.PlatformCredentials(ourFiles(), address)
 		Expect(err).NotTo(HaveOccurred())
 		handshake := func() error {
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -99,7 +99,7 @@
 
 	It("refuses to start with files that do not fit", func() {
 		Expect(os.WriteFile(client.InnerCA, []byte("nothing"), 0o600)).To(Succeed())
-		_, err := tlsconf.Platform(ourFiles(), address)
+		_, err := tlsconf.PlatformCredentials(ourFiles(), address)
 		Expect(err).To(MatchError(ContainSubstring("no certificate in")))
 	})
 })
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -91,7 +91,7 @@
 
 // ListenCaller listens for callers (HTTP1), or trainers and operators (HTTP2).
 func ListenCaller(t settings.TLS, address, protocol string) (net.Listener, error) {
-	config, err := Caller(t, protocol)
+	config, err := CallerConfig(t, protocol)
 	if err != nil {
 		return nil, err
 	}
@@ -102,9 +102,9 @@
 	return tls.NewListener(listener, config), nil
 }
 
-// Caller returns the configuration towards callers, trainers and operators;
+// CallerConfig returns the configuration towards callers, trainers and operators;
 // nil if TLS is off.
-func Caller(t settings.TLS, protocol string) (*tls.Config, error) {
+func CallerConfig(t settings.TLS, protocol string) (*tls.Config, error) {
 	if t.CallerCert == "" && t.CallerKey == "" {
 		return nil, nil
 	}
