--- a/internal/agentless/modelrun/modelrun.go
+++ b/internal/agentless/modelrun/modelrun.go
@@ -158,7 +158,7 @@
 func (r *Runner) nextOrders(service string, models []string, listed []directory.EndpointStatus) []modelplan.Order {
 	engines := make([]modelplan.Engine, len(listed))
 	for i, e := range listed {
-		engines[i] = modelplan.Engine{ID: e.ID, Born: e.Born, Leaving: e.Leaving, InFlight: e.InFlight, Slots: e.Slots, Versions: e.Versions}
+		engines[i] = modelplan.Engine{ID: e.ID, Born: e.StartedAtMillis, Leaving: e.Leaving, InFlight: e.InFlight, Slots: e.Slots, Versions: e.Versions}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,7 +193,7 @@
 func (r *Runner) sendOrder(ctx context.Context, service string, e *deployment.Endpoint, o modelplan.Order, term int64) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	key := engineKey{e.ID, e.Born}
+	key := engineKey{e.ID, e.StartedAtMillis}
 	expected, err := r.acceptedCount(ctx, e, key)
 	verdict := Refused
 	if err == nil {
--- a/internal/agentless/modelrun/modelrun_test.go
+++ b/internal/agentless/modelrun/modelrun_test.go
@@ -72,7 +72,7 @@
 		d.Declare(&deployment.Declaration{Version: 1,
 			Routes:   []deployment.Route{{Host: "h", Prefix: "/", SingleVersion: singleVersion, Backends: []deployment.Backend{{Service: "llm", Weight: 1}}}},
 			Services: map[string]deployment.Service{"llm": {Name: "llm", Models: []string{"m"}}}})
-		d.Put(deployment.Endpoint{ID: "e", Service: "llm", Address: "x:1", Born: 1, Versions: map[string]int64{"m": 1}})
+		d.Put(deployment.Endpoint{ID: "e", Service: "llm", Address: "x:1", StartedAtMillis: 1, Versions: map[string]int64{"m": 1}})
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		l := cluster.NewLeader(store, "live/duty/weights", "a", 0, 0, func() bool { return true }, func(bool, int64) {})
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -82,7 +82,7 @@
 	Routes    []Route
 	Services  map[string]Service
 	Limits    Limits
-	Keyed     bool // requests need a customer's key, but for public routes
+	RequireKeys     bool // requests need a customer's key, but for public routes
 	Customers []Customer
 }
 
@@ -94,11 +94,11 @@
 	Domain   string // failure domain
 	Slots    int
 	Leaving  bool
-	Born     int64            // Unix milliseconds of its start; tells incarnations of one ID apart
+	StartedAtMillis     int64            // Unix milliseconds of its start; tells incarnations of one ID apart
 	Versions map[string]int64 // weight version by model
 }
 
 // SameIncarnation tells whether both are one incarnation of one endpoint.
 func (e *Endpoint) SameIncarnation(other *Endpoint) bool {
-	return e.ID == other.ID && e.Born == other.Born && e.Address == other.Address
+	return e.ID == other.ID && e.StartedAtMillis == other.StartedAtMillis && e.Address == other.Address
 }
--- a/internal/policy/endpoints/endpoints_test.go
+++ b/internal/policy/endpoints/endpoints_test.go
@@ -16,7 +16,7 @@
 func newSet(n int) *endpoints.Set {
 	s := endpoints.NewSet("self")
 	for i := range n {
-		s.Put(deployment.Endpoint{ID: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: "a", Slots: 2, Born: 1, Versions: map[string]int64{"m": int64(i)}})
+		s.Put(deployment.Endpoint{ID: fmt.Sprintf("e%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: "a", Slots: 2, StartedAtMillis: 1, Versions: map[string]int64{"m": int64(i)}})
 	}
 	return s
 }
@@ -35,7 +35,7 @@
 
 	It("excludes leaving and tried endpoints and those with too old weights", func() {
 		s := newSet(3)
-		s.Put(deployment.Endpoint{ID: "e2", Address: "10.0.0.2:1", Slots: 2, Born: 1, Leaving: true, Versions: map[string]int64{"m": 2}})
+		s.Put(deployment.Endpoint{ID: "e2", Address: "10.0.0.2:1", Slots: 2, StartedAtMillis: 1, Leaving: true, Versions: map[string]int64{"m": 2}})
 		Expect(s.Pick(endpoints.Request{Now: start, Model: "m", MinVersion: 2})).To(BeNil())
 		Expect(s.Pick(endpoints.Request{Now: start, Model: "m", MinVersion: 1}).ID).To(Equal("e1"))
 		Expect(s.Pick(endpoints.Request{Now: start, Model: "m", Version: 0, Tried: []string{"e0", "e1"}})).To(BeNil())
@@ -109,7 +109,7 @@
 		for i := range entries {
 			s := endpoints.NewSet(fmt.Sprintf("entry-%d", i))
 			for k := range each {
-				s.Put(deployment.Endpoint{ID: fmt.Sprintf("e%d", k), Domain: "a", Slots: 6, Born: 1})
+				s.Put(deployment.Endpoint{ID: fmt.Sprintf("e%d", k), Domain: "a", Slots: 6, StartedAtMillis: 1})
 			}
 			first := ""
 			for range 3 {
@@ -151,7 +151,7 @@
 			return s.Pick(endpoints.Request{Now: start.Add(time.Duration(ms) * time.Millisecond), Model: model})
 		}
 		list := func(version int64) {
-			s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Domain: "a", Slots: 9, Born: 1, Versions: map[string]int64{"m": version, "n": 1}})
+			s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Domain: "a", Slots: 9, StartedAtMillis: 1, Versions: map[string]int64{"m": version, "n": 1}})
 		}
 		list(1)
 		e.MarkLoading(start, "m", 2)
@@ -192,20 +192,20 @@
 		// process, here that it is unreachable, does not apply to the new one.
 		s := newSet(1)
 		s.Pick(endpoints.Request{Now: start}).End(start, endpoints.Unreachable, 0, 0)
-		s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Slots: 2, Born: 2})
+		s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Slots: 2, StartedAtMillis: 2})
 		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).NotTo(BeNil())
 	})
 
 	It("keeps what it has learnt when only the listed data change", func() {
 		s := newSet(1)
 		s.Pick(endpoints.Request{Now: start}).End(start, endpoints.Unreachable, 0, 0)
-		s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Slots: 2, Born: 1, Versions: map[string]int64{"m": 9}})
+		s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Slots: 2, StartedAtMillis: 1, Versions: map[string]int64{"m": 9}})
 		Expect(s.Pick(endpoints.Request{Now: start, RequireFreeSlot: true})).To(BeNil())
 	})
 
 	It("prefers its own failure domain among equal endpoints", func() {
 		s := newSet(2)
-		s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Domain: "b", Slots: 2, Born: 1})
+		s.Put(deployment.Endpoint{ID: "e0", Address: "10.0.0.0:1", Domain: "b", Slots: 2, StartedAtMillis: 1})
 		Expect(s.Pick(endpoints.Request{Now: start, Domain: "a"}).ID).To(Equal("e1"))
 	})
 
--- a/internal/policy/routes/admit.go
+++ b/internal/policy/routes/admit.go
@@ -52,7 +52,7 @@
 }
 
 func (t *Table) admit(key string, public bool, priority int) Admission {
-	if !t.Declaration.Keyed {
+	if !t.Declaration.RequireKeys {
 		return Admission{Allowed: true, Priority: priority}
 	}
 	customer, known := t.customers.Owner(key)
--- a/internal/policy/routes/admit_test.go
+++ b/internal/policy/routes/admit_test.go
@@ -30,7 +30,7 @@
 var _ = Describe("Admission", func() {
 	first := 0
 	table := routes.NewTable(&deployment.Declaration{
-		Keyed: true,
+		RequireKeys: true,
 		Customers: []deployment.Customer{
 			{Name: "urgent", Keys: []keys.Digest{keys.Hash("u1"), keys.Hash("u2")}, Priority: &first},
 			{Name: "plain", Keys: []keys.Digest{keys.Hash("p1")}},
