--- a/internal/bounds/bounds.go
+++ b/internal/bounds/bounds.go
@@ -27,8 +27,8 @@
 
 // Measurement produces figures from one seeded run.
 type Measurement struct {
-	Name  string // names the run, for selection on the command line
-	Run   func() ([]Figure, error)
+	Name      string // names the run, for selection on the command line
+	Run       func() ([]Figure, error)
 	Exclusive bool // counts what the whole process does, so that no other may run beside it
 }
 
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -78,24 +78,24 @@
 
 // Declaration is one version of what the operator declared, in full.
 type Declaration struct {
-	Version   int64
-	Routes    []Route
-	Services  map[string]Service
-	Limits    Limits
-	RequireKeys     bool // requests need a customer's key, but for public routes
-	Customers []Customer
+	Version     int64
+	Routes      []Route
+	Services    map[string]Service
+	Limits      Limits
+	RequireKeys bool // requests need a customer's key, but for public routes
+	Customers   []Customer
 }
 
 // Endpoint is one instance of a service as the platform lists it.
 type Endpoint struct {
-	ID       string
-	Service  string
-	Address  string // ip:port
-	Domain   string // failure domain
-	Slots    int
-	Leaving  bool
-	StartedAtMillis     int64            // Unix milliseconds of its start; tells incarnations of one ID apart
-	Versions map[string]int64 // weight version by model
+	ID              string
+	Service         string
+	Address         string // ip:port
+	Domain          string // failure domain
+	Slots           int
+	Leaving         bool
+	StartedAtMillis int64            // Unix milliseconds of its start; tells incarnations of one ID apart
+	Versions        map[string]int64 // weight version by model
 }
 
 // SameIncarnation tells whether both are one incarnation of one endpoint.
