--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -6,17 +6,18 @@
 	"siskinloom.example/siskinloom/internal/inifile"
 )
 
-// Defaults of settings that need not be given.
+// Defaults of optional settings.
 const (
-	DefaultStopTimeout = 30 * time.Second
-	DefaultHeartbeatInterval   = time.Second
-	DefaultCallsPerSec = 100
+	DefaultStopTimeout       = 30 * time.Second
+	DefaultHeartbeatInterval = time.Second
+	DefaultCallsPerSec       = 100
 )
 
-const maxSpan = time.Hour
+// maxDuration is the longest duration that a setting may have.
+const maxDuration = time.Hour
 
-// Load reads the settings at path. The error is an *inifile.Error with every
-// finding, unknown keys and sections included.
+// Load reads the settings file at path. The error is an *inifile.Error that
+// lists every finding, including unknown keys and sections.
 func Load(path string) (Settings, error) {
 	var findings inifile.Findings
 	file := inifile.Read(path, &findings)
@@ -27,7 +28,7 @@
 	return s, findings.Err()
 }
 
-// Parse reads settings from text that is known as name in findings.
+// Parse reads settings from text. Findings refer to the text as name.
 func Parse(name string, text []byte) (Settings, error) {
 	var findings inifile.Findings
 	s := decode(inifile.Parse(name, text, &findings))
@@ -40,7 +41,7 @@
 	decodeListen(file.Section("listen"), &s)
 	decodeEndpoint(file.Section("endpoint"), &s)
 	decodePlatform(file.Section("platform"), &s)
-	s.HeartbeatInterval = file.Section("membership").Duration("heartbeat", DefaultHeartbeatInterval, 10*time.Millisecond, maxSpan)
+	s.HeartbeatInterval = file.Section("membership").Duration("heartbeat", DefaultHeartbeatInterval, 10*time.Millisecond, maxDuration)
 	decodeTLS(file.Section("tls"), &s.TLS)
 	file.ReportUnread("process", "listen", "endpoint", "platform", "membership", "tls")
 	return s
@@ -54,7 +55,7 @@
 	s.Region = section.String("region", "")
 	s.LogLevel = section.OneOf("log_level", "info", "error", "warning", "info", "debug")
 	s.DataDir = section.String("data_dir", "")
-	s.StopTimeout = section.Duration("stop_timeout", DefaultStopTimeout, 0, maxSpan)
+	s.StopTimeout = section.Duration("stop_timeout", DefaultStopTimeout, 0, maxDuration)
 }
 
 func decodeListen(section *inifile.Section, s *Settings) {
@@ -65,7 +66,7 @@
 		s.GRPC = section.RequiredAddr("grpc")
 		return
 	}
-	refuse(section, "only an entry has it", "http", "grpc")
+	rejectKeys(section, "only an entry has it", "http", "grpc")
 }
 
 func decodeEndpoint(section *inifile.Section, s *Settings) {
@@ -74,19 +75,21 @@
 		s.Endpoint = section.RequiredAddr("address")
 		return
 	}
-	refuse(section, "only an agent has it", "service", "address")
+	rejectKeys(section, "only an agent has it", "service", "address")
 }
 
-func refuse(section *inifile.Section, why string, keys ...string) {
+// rejectKeys adds a finding with the reason for each of the keys that is set.
+func rejectKeys(section *inifile.Section, reason string, keys ...string) {
 	for _, key := range keys {
 		if section.String(key, "") != "" {
-			section.AddFinding(key, "%s", why)
+			section.AddFinding(key, "%s", reason)
 		}
 	}
 }
 
-// decodePlatform refuses what means TLS without an authority to check the
-// platform by: such a process would talk to it in the clear.
+// decodePlatform reads the [platform] section. It rejects TLS settings without a
+// certificate authority, because TLS is off then and the process would send
+// plain text although its operator configured TLS.
 func decodePlatform(section *inifile.Section, s *Settings) {
 	s.Platform = section.RequiredAddr("address")
 	s.CallsPerSec = section.Float("calls_per_second", DefaultCallsPerSec, 0.1, 10000)
@@ -105,8 +108,9 @@
 	}
 }
 
-// decodeTLS refuses half a pair: a process that starts without the
-// certificate its operator meant it to have would talk in the clear.
+// decodeTLS reads the [tls] section. It rejects incomplete sets of files, because
+// a process without the certificate that its operator configured would send
+// plain text.
 func decodeTLS(section *inifile.Section, t *TLS) {
 	t.CallerCert = section.String("caller_cert", "")
 	t.CallerKey = section.String("caller_key", "")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,10 @@
-// Package settings reads a process's settings: the INI file that tells a
-// siskinloomd its role, addresses, failure domain and platform.
+// Package settings reads the settings of a siskinloomd process from its INI
+// file: its role, addresses, failure domain, platform and certificates.
 package settings
 
 import "time"
 
-// Role is what a process does.
+// Role is the kind of a process.
 type Role string
 
 // The roles of siskinloomd.
@@ -13,45 +13,45 @@
 	RoleAgent Role = "agent"
 )
 
-// Settings are one process's settings. Addresses are "ip:port" with the IP as
-// a number.
+// Settings are the settings of one process. Addresses have the form "ip:port"
+// with a literal IP address, not a host name.
 type Settings struct {
 	Role          Role
-	ID            string // instance id, unique in the deployment
+	ID            string // instance ID, unique in the deployment
 	Deployment    string
 	FailureDomain string
 	Region        string
 	LogLevel      string
-	DataDir       string // empty: the instance keeps nothing
+	DataDir       string // empty: the instance stores nothing on disk
 	StopTimeout   time.Duration
 
-	Inner    string // inner protocol, entries and agents
-	HTTP     string // callers; entries only
-	GRPC     string // operators and trainers; entries only
-	Metrics  string // metrics, health and readiness
-	Platform string // key-value service, instance list, weight store
+	Inner    string // address of the inner protocol between entries and agents
+	HTTP     string // address for callers; entries only
+	GRPC     string // address for operators and trainers; entries only
+	Metrics  string // address of metrics, health and readiness
+	Platform string // address of the key-value service, the instance list and the weight store
 
-	Service  string // agents only
-	Endpoint string // agents only
+	Service  string // service of the endpoint; agents only
+	Endpoint string // address of the endpoint; agents only
 
-	HeartbeatInterval   time.Duration // interval between heartbeats
-	CallsPerSec float64       // this process's budget of key-value calls
+	HeartbeatInterval time.Duration // interval between two heartbeats
+	CallsPerSec       float64       // limit of this process's key-value calls per second
 
 	TLS         TLS
 	PlatformTLS PlatformTLS
 }
 
-// PlatformTLS names the files for connections to the platform; all empty turns
-// TLS off.
+// PlatformTLS holds the paths of the files for connections to the platform. TLS
+// is off if all are empty.
 type PlatformTLS struct {
-	CA         string // that signs the platform's certificate
-	Cert, Key  string // presented to the platform; empty: none
-	ServerName string // in the platform's certificate; empty: the IP of its address
+	CA         string // authority that signs the platform's certificate
+	Cert, Key  string // client certificate presented to the platform; empty: none
+	ServerName string // name in the platform's certificate; empty: the IP of its address
 }
 
-// TLS names the files of certificates and keys; all empty turns TLS off.
+// TLS holds the paths of certificate and key files. TLS is off if all are empty.
 type TLS struct {
-	CallerCert, CallerKey string // towards callers, trainers and operators
-	InnerCert, InnerKey   string // this process's own, presented to its peers
-	InnerCA               string // that signs every peer of the deployment
+	CallerCert, CallerKey string // presented to callers, trainers and operators
+	InnerCert, InnerKey   string // this process's certificate, presented to its peers
+	InnerCA               string // authority that signs the certificates of all peers of the deployment
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,7 +15,7 @@
 	RunSpecs(t, "settings")
 }
 
-const agent = `[process]
+const agentINI = `[process]
 role = agent
 id = agent-1
 deployment = ledgerwise
@@ -31,8 +31,8 @@
 `
 
 var _ = Describe("Parse", func() {
-	It("reads an agent's settings and fills in the defaults", func() {
-		s, err := settings.Parse("agent.ini", []byte(agent))
+	It("reads an agent's settings and applies the defaults", func() {
+		s, err := settings.Parse("agent.ini", []byte(agentINI))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Role).To(Equal(settings.RoleAgent))
 		Expect(s.Endpoint).To(Equal("127.0.0.1:9001"))
@@ -40,7 +40,7 @@
 		Expect(s.StopTimeout).To(Equal(30 * time.Second))
 	})
 
-	It("reports what an entry lacks, what it may not have and half a TLS pair", func() {
+	It("reports missing keys, keys of the other role and an incomplete TLS section", func() {
 		text := "[process]\nrole = entry\nid = e\ndeployment = d\nfailure_domain = z\n[listen]\ninner = entry:1\nmetrics = 127.0.0.1:1\nhttp = 127.0.0.1:2\n" +
 			"[endpoint]\nservice = s\n[platform]\naddress = 127.0.0.1:3\n[tls]\ninner_cert = a.pem\ncolour = red\n"
 		_, err := settings.Parse("entry.ini", []byte(text))
@@ -51,11 +51,11 @@
 entry.ini:16: [tls] colour: unknown key`))
 	})
 
-	It("reads the platform's TLS, and refuses what would leave it off", func() {
-		s, err := settings.Parse("agent.ini", []byte(agent+"ca = ca.pem\ncert = c.pem\nkey = k.pem\nserver_name = platform\n"))
+	It("reads the platform's TLS settings and rejects settings that would leave TLS off", func() {
+		s, err := settings.Parse("agent.ini", []byte(agentINI+"ca = ca.pem\ncert = c.pem\nkey = k.pem\nserver_name = platform\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.PlatformTLS).To(Equal(settings.PlatformTLS{CA: "ca.pem", Cert: "c.pem", Key: "k.pem", ServerName: "platform"}))
-		_, err = settings.Parse("agent.ini", []byte(agent+"cert = c.pem\nserver_name = platform\n"))
+		_, err = settings.Parse("agent.ini", []byte(agentINI+"cert = c.pem\nserver_name = platform\n"))
 		Expect(err).To(MatchError(`agent.ini:14: [platform] cert: cert and key go together
 agent.ini:14: [platform] cert: needs ca, without which the platform is spoken to without TLS
 agent.ini:15: [platform] server_name: needs ca, without which the platform is spoken to without TLS`))
