--- a/internal/inifile/findings.go
+++ b/internal/inifile/findings.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// Position is where something stands in a file. Line 0 means the whole file.
+// Position is a line of a file. Line 0 means the whole file.
 type Position struct {
 	File string
 	Line int
 }
 
-// Finding is one fault with its place.
+// Finding is one error in a file with its position.
 type Finding struct {
 	File    string
 	Line    int
@@ -27,18 +27,18 @@
 	return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Message)
 }
 
-// Findings collects faults so that they can be reported together. The zero
-// value is ready for use.
+// Findings collects errors so that they can be reported together. The zero value
+// is ready for use.
 type Findings struct {
 	list []Finding
 }
 
-// Add records a fault.
-func (f *Findings) Add(at Position, format string, args ...any) {
-	f.list = append(f.list, Finding{File: at.File, Line: at.Line, Message: fmt.Sprintf(format, args...)})
+// Add adds a finding at a position.
+func (f *Findings) Add(position Position, format string, args ...any) {
+	f.list = append(f.list, Finding{File: position.File, Line: position.Line, Message: fmt.Sprintf(format, args...)})
 }
 
-// List returns the findings sorted by place.
+// List returns the findings sorted by file and line.
 func (f *Findings) List() []Finding {
 	sorted := append([]Finding(nil), f.list...)
 	sort.SliceStable(sorted, func(i, j int) bool {
@@ -50,7 +50,7 @@
 	return sorted
 }
 
-// Err returns nil if there are no findings, or else an Error with all of them.
+// Err returns an *Error with all findings, or nil if there are none.
 func (f *Findings) Err() error {
 	if len(f.list) == 0 {
 		return nil
@@ -58,12 +58,12 @@
 	return &Error{Findings: f.List()}
 }
 
-// Error is every finding of a set of files as one error, a line each.
+// Error is an error that lists all findings in a set of files.
 type Error struct {
 	Findings []Finding
 }
 
-// Error returns the findings, one a line.
+// Error returns the findings, one per line.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Findings))
 	for i, finding := range e.Findings {
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,6 +1,5 @@
-// Package inifile reads INI files so that every fault can be reported with its
-// file and line. The parsing is gopkg.in/ini.v1's; this package adds the places
-// and the collecting of findings.
+// Package inifile reads INI files and reports every error with its file and line.
+// It parses with gopkg.in/ini.v1 and adds line numbers and a list of findings.
 package inifile
 
 import (
@@ -11,15 +10,15 @@
 	"gopkg.in/ini.v1"
 )
 
-// File is one parsed file.
+// File is a parsed INI file.
 type File struct {
 	Name     string
 	sections []*Section
 	findings *Findings
 }
 
-// Read parses the file at path. Faults, an unreadable file included, go to
-// findings.
+// Read parses the file at path. It adds errors to findings, also if the file
+// cannot be read.
 func Read(path string, findings *Findings) *File {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -29,7 +28,7 @@
 	return Parse(path, text, findings)
 }
 
-// Parse parses text, which is known as name in findings.
+// Parse parses text. Findings refer to the text as name.
 func Parse(name string, text []byte, findings *Findings) *File {
 	f := &File{Name: name, findings: findings}
 	index := indexLines(name, string(text), findings)
@@ -40,34 +39,34 @@
 		IgnoreContinuation:         true,
 		IgnoreInlineComment:        true,
 		KeyValueDelimiters:         "=",
-		SkipUnrecognizableLines:    true, // the index has reported them
+		SkipUnrecognizableLines:    true, // indexLines has reported them
 	}, text)
 	if err != nil {
 		findings.Add(Position{File: name}, "%v", err)
 		return f
 	}
-	seen := map[string]int{}
+	counts := map[string]int{}
 	for _, section := range parsed.Sections() {
 		if section.Name() == ini.DefaultSection {
-			f.reportStray(section, index)
+			f.reportKeysOutsideSections(section, index)
 			continue
 		}
-		nth := seen[section.Name()]
-		seen[section.Name()]++
-		f.sections = append(f.sections, f.newSection(section, index.section(section.Name(), nth)))
+		occurrence := counts[section.Name()]
+		counts[section.Name()]++
+		f.sections = append(f.sections, f.newSection(section, index.section(section.Name(), occurrence)))
 	}
 	f.reportDuplicates()
 	return f
 }
 
-// Sections returns the sections in the file's order, without those that bear a
-// name taken by an earlier one.
+// Sections returns the sections in the order of the file, without those whose
+// header repeats an earlier one.
 func (f *File) Sections() []*Section {
 	return f.sections
 }
 
-// Section returns the first section of the given name, or an empty one that
-// stands at the file's start.
+// Section returns the section with the given header. If there is none, it returns
+// an empty section positioned at line 1.
 func (f *File) Section(name string) *Section {
 	for _, s := range f.sections {
 		if s.header == name {
@@ -77,8 +76,9 @@
 	return f.newSection(ini.Empty().Section(name), sectionLines{header: 1})
 }
 
-// ReportUnread adds a finding for every section outside of known and for every
-// key of the other sections that nothing asked for. It is called last.
+// ReportUnread adds a finding for every section whose header is not in known, and
+// for every key of the other sections that was not read. It must be called after
+// all keys have been read.
 func (f *File) ReportUnread(known ...string) {
 	for _, s := range f.sections {
 		if !contains(known, s.header) {
@@ -103,25 +103,25 @@
 	}
 }
 
-func (f *File) reportStray(section *ini.Section, index lineIndex) {
+func (f *File) reportKeysOutsideSections(section *ini.Section, index lineIndex) {
 	for _, key := range section.Keys() {
-		place := Position{File: f.Name, Line: index.section("", 0).line(key.Name())}
-		f.findings.Add(place, "key %q stands before the first section", key.Name())
+		position := Position{File: f.Name, Line: index.section("", 0).line(key.Name())}
+		f.findings.Add(position, "key %q stands before the first section", key.Name())
 	}
 }
 
 func (f *File) reportDuplicates() {
-	first := map[string]*Section{}
-	kept := f.sections[:0]
+	firstByHeader := map[string]*Section{}
+	unique := f.sections[:0]
 	for _, s := range f.sections {
-		if earlier, taken := first[s.header]; taken {
+		if earlier, duplicate := firstByHeader[s.header]; duplicate {
 			f.findings.Add(s.Position(), "section [%s] stands already on line %d", s.header, earlier.Position().Line)
 			continue
 		}
-		first[s.header] = s
-		kept = append(kept, s)
+		firstByHeader[s.header] = s
+		unique = append(unique, s)
 	}
-	f.sections = kept
+	f.sections = unique
 }
 
 func contains(list []string, s string) bool {
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("Parse", func() {
-	It("reads typed keys, repeated keys and values with marks of comments", func() {
+	It("reads typed keys, repeated keys and values that contain comment characters", func() {
 		var findings inifile.Findings
 		file := inifile.Parse("a.ini", []byte("; note\n[service ledger]\nslots = 4\nwait=250ms\nshare = 0.5\nfencing = true\n"+
 			"match = GET /a, POST /b\nprompt = one; two # three\nprompt = four\naddress = 127.0.0.1:80\n"), &findings)
@@ -34,7 +34,7 @@
 		Expect(findings.Err()).NotTo(HaveOccurred())
 	})
 
-	It("reports every fault together, each with its place", func() {
+	It("reports all errors together, each with its line", func() {
 		var findings inifile.Findings
 		file := inifile.Parse("a.ini", []byte("stray = 1\n[x]\nn = many\nn = 2\nhost = localhost:80\nodd = 1\njunk\n[y]\n[x]\n"), &findings)
 		s := file.Section("x")
--- a/internal/inifile/lines.go
+++ b/internal/inifile/lines.go
@@ -2,16 +2,17 @@
 
 import "strings"
 
+// multiline delimits values of several lines.
 const multiline = `"""`
 
-// sectionLines are the line numbers of one section.
+// sectionLines holds the line numbers of a section's header and keys.
 type sectionLines struct {
 	header int
 	keys   map[string][]int
 }
 
-// line returns the first line of a key, or the section's for a key that is
-// not there.
+// line returns the first line of a key, or the line of the header if the section
+// lacks the key.
 func (s sectionLines) line(key string) int {
 	if lines := s.keys[key]; len(lines) > 0 {
 		return lines[0]
@@ -19,34 +20,34 @@
 	return s.header
 }
 
-// lineIndex holds the sections of a file by name, each in order of appearance.
-// The keys before the first section are under the empty name.
+// lineIndex maps headers to the sections with that header, in the order of the
+// file. Keys before the first section are under the empty header.
 type lineIndex map[string][]sectionLines
 
-func (x lineIndex) section(name string, nth int) sectionLines {
-	if nth < len(x[name]) {
-		return x[name][nth]
+func (x lineIndex) section(name string, occurrence int) sectionLines {
+	if occurrence < len(x[name]) {
+		return x[name][occurrence]
 	}
 	return sectionLines{}
 }
 
-func (x lineIndex) begin(name string, line int) sectionLines {
+func (x lineIndex) add(name string, line int) sectionLines {
 	s := sectionLines{header: line, keys: map[string][]int{}}
 	x[name] = append(x[name], s)
 	return s
 }
 
-// indexLines notes where sections and keys stand, which the parser does not
-// tell, and reports lines that are neither, which the parser would skip.
+// indexLines returns the line numbers of sections and keys, which the parser does
+// not provide. It reports lines that are neither, which the parser skips.
 func indexLines(file, text string, findings *Findings) lineIndex {
 	index := lineIndex{}
-	current := index.begin("", 1)
-	inValue := false
+	current := index.add("", 1)
+	inMultiline := false
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
-		at := Position{File: file, Line: i + 1}
-		if inValue {
-			inValue = !strings.Contains(line, multiline)
+		position := Position{File: file, Line: i + 1}
+		if inMultiline {
+			inMultiline = !strings.Contains(line, multiline)
 			continue
 		}
 		key, value, isKey := strings.Cut(line, "=")
@@ -55,16 +56,16 @@
 		case line[0] == '[':
 			name, _, closed := strings.Cut(line[1:], "]")
 			if !closed {
-				findings.Add(at, "section without closing bracket")
+				findings.Add(position, "section without closing bracket")
 			}
-			current = index.begin(strings.TrimSpace(name), at.Line)
+			current = index.add(strings.TrimSpace(name), position.Line)
 		case isKey:
 			key = strings.TrimSpace(key)
-			current.keys[key] = append(current.keys[key], at.Line)
+			current.keys[key] = append(current.keys[key], position.Line)
 			value = strings.TrimSpace(value)
-			inValue = strings.HasPrefix(value, multiline) && !strings.Contains(value[len(multiline):], multiline)
+			inMultiline = strings.HasPrefix(value, multiline) && !strings.Contains(value[len(multiline):], multiline)
 		default:
-			findings.Add(at, "neither a section, a key nor a comment: %q", line)
+			findings.Add(position, "neither a section, a key nor a comment: %q", line)
 		}
 	}
 	return index
--- a/internal/inifile/section.go
+++ b/internal/inifile/section.go
@@ -10,9 +10,9 @@
 	"gopkg.in/ini.v1"
 )
 
-// Section is one section, whose keys are read by type. A key that is absent
-// gives the default; a value that cannot be read gives the default and a
-// finding.
+// Section is a section of an INI file with typed accessors for its keys. An
+// accessor returns the default if the key is absent. If the value is invalid, it
+// adds a finding and returns the default.
 type Section struct {
 	Kind string // first word of the header: "service" of [service ledger]
 	Name string // the rest: "ledger"
@@ -25,22 +25,23 @@
 	findings *Findings
 }
 
-// Position returns where the section's header stands.
+// Position returns the position of the section's header.
 func (s *Section) Position() Position {
 	return Position{File: s.file, Line: s.lines.header}
 }
 
-// KeyPosition returns where a key stands, or the header if it is absent.
+// KeyPosition returns the position of a key, or of the header if the key is
+// absent.
 func (s *Section) KeyPosition(key string) Position {
 	return Position{File: s.file, Line: s.lines.line(key)}
 }
 
-// AddFinding adds a finding at a key.
+// AddFinding adds a finding at the position of a key.
 func (s *Section) AddFinding(key, format string, args ...any) {
 	s.findings.Add(s.KeyPosition(key), "[%s] %s: "+format, append([]any{s.header, key}, args...)...)
 }
 
-// ReportUnread adds a finding for every key that nothing asked for.
+// ReportUnread adds a finding for every key that was not read.
 func (s *Section) ReportUnread() {
 	for _, key := range s.section.Keys() {
 		if !s.read[key.Name()] {
@@ -49,7 +50,8 @@
 	}
 }
 
-// raw returns the value of a key that may stand only once.
+// raw returns the value of a key and whether the key is present. It reports a key
+// that is given more than once.
 func (s *Section) raw(key string) (string, bool) {
 	values := s.Repeated(key)
 	if len(values) > 1 {
@@ -61,7 +63,7 @@
 	return strings.TrimSpace(values[0]), true
 }
 
-// Repeated returns the values of a key that may stand several times, one per
+// Repeated returns the values of a key that may be given several times, once per
 // line.
 func (s *Section) Repeated(key string) []string {
 	s.read[key] = true
@@ -71,16 +73,16 @@
 	return s.section.Key(key).ValueWithShadows()
 }
 
-// String reads text.
-func (s *Section) String(key, absent string) string {
+// String returns a text value.
+func (s *Section) String(key, defaultValue string) string {
 	value, found := s.raw(key)
 	if !found {
-		return absent
+		return defaultValue
 	}
 	return value
 }
 
-// Required reads text that must not be empty.
+// Required returns a text value that must not be empty.
 func (s *Section) Required(key string) string {
 	value := s.String(key, "")
 	if value == "" {
@@ -89,17 +91,17 @@
 	return value
 }
 
-// OneOf reads text that must be one of the choices.
-func (s *Section) OneOf(key, absent string, choices ...string) string {
-	value := s.String(key, absent)
+// OneOf returns a text value that must be one of the choices.
+func (s *Section) OneOf(key, defaultValue string, choices ...string) string {
+	value := s.String(key, defaultValue)
 	if contains(choices, value) {
 		return value
 	}
 	s.AddFinding(key, "%q is none of %s", value, strings.Join(choices, ", "))
-	return absent
+	return defaultValue
 }
 
-// List reads comma-separated text.
+// List returns the items of a comma-separated value.
 func (s *Section) List(key string) []string {
 	value, _ := s.raw(key)
 	var list []string
@@ -111,75 +113,76 @@
 	return list
 }
 
-// Int reads a whole number between least and most, both included.
-func (s *Section) Int(key string, absent, least, most int) int {
+// Int returns an integer from minValue to maxValue, both included.
+func (s *Section) Int(key string, defaultValue, minValue, maxValue int) int {
 	value, found := s.raw(key)
 	if !found {
-		return absent
+		return defaultValue
 	}
 	n, err := strconv.Atoi(value)
 	if err != nil {
 		s.AddFinding(key, "%q is not a whole number", value)
-		return absent
+		return defaultValue
 	}
-	if n < least || n > most {
-		s.AddFinding(key, "%d is outside %d..%d", n, least, most)
-		return absent
+	if n < minValue || n > maxValue {
+		s.AddFinding(key, "%d is outside %d..%d", n, minValue, maxValue)
+		return defaultValue
 	}
 	return n
 }
 
-// Float reads a finite number between least and most, both included.
-func (s *Section) Float(key string, absent, least, most float64) float64 {
+// Float returns a finite number from minValue to maxValue, both included.
+func (s *Section) Float(key string, defaultValue, minValue, maxValue float64) float64 {
 	value, found := s.raw(key)
 	if !found {
-		return absent
+		return defaultValue
 	}
 	n, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
 		s.AddFinding(key, "%q is not a number", value)
-		return absent
+		return defaultValue
 	}
-	if n < least || n > most {
-		s.AddFinding(key, "%g is outside %g..%g", n, least, most)
-		return absent
+	if n < minValue || n > maxValue {
+		s.AddFinding(key, "%g is outside %g..%g", n, minValue, maxValue)
+		return defaultValue
 	}
 	return n
 }
 
-// Duration reads a time span such as "250ms", between least and most.
-func (s *Section) Duration(key string, absent, least, most time.Duration) time.Duration {
+// Duration returns a duration such as "250ms", from minValue to maxValue.
+func (s *Section) Duration(key string, defaultValue, minValue, maxValue time.Duration) time.Duration {
 	value, found := s.raw(key)
 	if !found {
-		return absent
+		return defaultValue
 	}
 	d, err := time.ParseDuration(value)
 	if err != nil {
 		s.AddFinding(key, "%q is not a time span such as 250ms", value)
-		return absent
+		return defaultValue
 	}
-	if d < least || d > most {
-		s.AddFinding(key, "%s is outside %s..%s", d, least, most)
-		return absent
+	if d < minValue || d > maxValue {
+		s.AddFinding(key, "%s is outside %s..%s", d, minValue, maxValue)
+		return defaultValue
 	}
 	return d
 }
 
-// Bool reads true or false.
-func (s *Section) Bool(key string, absent bool) bool {
+// Bool returns a boolean value.
+func (s *Section) Bool(key string, defaultValue bool) bool {
 	value, found := s.raw(key)
 	if !found {
-		return absent
+		return defaultValue
 	}
 	b, err := strconv.ParseBool(value)
 	if err != nil {
 		s.AddFinding(key, "%q is neither true nor false", value)
-		return absent
+		return defaultValue
 	}
 	return b
 }
 
-// Addr reads "ip:port" with the IP as a number; empty if absent.
+// Addr returns an address of the form "ip:port" with a literal IP address, or an
+// empty string if the key is absent.
 func (s *Section) Addr(key string) string {
 	value, found := s.raw(key)
 	if !found || value == "" {
@@ -192,7 +195,7 @@
 	return value
 }
 
-// RequiredAddr reads an address that must be there.
+// RequiredAddr returns an address like Addr and reports an absent key.
 func (s *Section) RequiredAddr(key string) string {
 	if !s.section.HasKey(key) {
 		s.read[key] = true
