--- a/internal/agent/prepare.go
+++ b/internal/agent/prepare.go
@@ -74,7 +74,7 @@
 	if s.Platform == "" {
 		return nil
 	}
-	creds, err := tlsconf.Platform(s.PlatformTLS, s.Platform)
+	creds, err := tlsconf.PlatformCredentials(s.PlatformTLS, s.Platform)
 	if err != nil {
 		return nil
 	}
