--- a/cmd/siskinstand/main.go
+++ b/cmd/siskinstand/main.go
@@ -64,8 +64,8 @@
 	f.StringVar(&key, "tls-key", "", "file of its key")
 	f.StringVar(&clientCA, "tls-client-ca", "", "authority that has to have signed each client's certificate")
 	f.Float64Var(&o.CallsPerSecond, "calls", 0, "key-value calls per second; 0: no limit")
-	f.DurationVar(&o.ListLag, "list-lag", 0, "age of the instance list")
-	f.IntVar(&o.StoreRate, "store-rate", 0, "weight store's bytes per second; 0: no limit")
+	f.DurationVar(&o.InstanceListLag, "list-lag", 0, "age of the instance list")
+	f.IntVar(&o.WeightStoreRate, "store-rate", 0, "weight store's bytes per second; 0: no limit")
 	f.IntVar(&o.VersionBytes, "version-bytes", 0, "size of a version's weights; 0: 1 MiB")
 	f.IntVar(&o.ChunkBytes, "chunk-bytes", 0, "size of a chunk; 0: 256 KiB")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) (err error) {
@@ -75,7 +75,7 @@
 		p := standin.NewPlatform(o)
 		defer p.Close()
 		if control != "" {
-			if _, err := p.Control(control); err != nil {
+			if _, err := p.StartControl(control); err != nil {
 				return err
 			}
 		}
@@ -111,16 +111,16 @@
 	f.StringVar(&o.Model, "model", "", "model served")
 	f.Int64Var(&o.Version, "version", 1, "weight version at start")
 	f.IntVar(&o.Slots, "slots", 8, "requests in the batch")
-	f.DurationVar(&o.Step, "step", 0, "time of a step with an empty batch; 0: 1ms")
-	f.DurationVar(&o.StepPerRequest, "step-per-request", 0, "time that each request adds to a step")
-	f.DurationVar(&o.LoadLag, "load-lag", 0, "age of the load report")
-	f.DurationVar(&o.CacheLag, "cache-lag", 0, "age of the cache events")
-	f.IntVar(&o.CacheGap, "cache-gap", 0, "lose every such cache event; 0: none")
+	f.DurationVar(&o.StepTime, "step", 0, "time of a step with an empty batch; 0: 1ms")
+	f.DurationVar(&o.StepTimePerRequest, "step-per-request", 0, "time that each request adds to a step")
+	f.DurationVar(&o.LoadReportLag, "load-lag", 0, "age of the load report")
+	f.DurationVar(&o.CacheEventLag, "cache-lag", 0, "age of the cache events")
+	f.IntVar(&o.CacheEventDropInterval, "cache-gap", 0, "lose every such cache event; 0: none")
 	f.IntVar(&o.CachePrefixes, "cache-prefixes", 0, "prompt prefixes kept; 0: 64")
 	f.BoolVar(&o.Fencing, "fencing", false, "refuse orders with an old fencing number")
-	f.DurationVar(&o.LoadVersion, "load-version", 0, "time that loading a version takes")
+	f.DurationVar(&o.LoadTime, "load-version", 0, "time that loading a version takes")
 	f.IntVar(&o.FailLoads, "fail-loads", 0, "loads that fail before one succeeds")
-	f.StringVar(&o.Poison, "poison", "POISON", "text in a prompt that crashes the engine; empty: none")
+	f.StringVar(&o.PoisonText, "poison", "POISON", "text in a prompt that crashes the engine; empty: none")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		return serve(cmd, standin.NewEngine(o), address)
 	}
@@ -136,7 +136,7 @@
 	f.StringVar(&o.Name, "name", "service", "name in the answers")
 	f.DurationVar(&o.Latency, "latency", 0, "time of each call")
 	f.BoolVar(&o.Scorer, "scorer", false, "answer with a score")
-	f.StringVar(&o.Poison, "poison", "POISON", "text in a body that crashes the service; empty: none")
+	f.StringVar(&o.PoisonText, "poison", "POISON", "text in a body that crashes the service; empty: none")
 	f.StringVar(&effects, "effects", "", "file that gets a line per effect; empty: none")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if effects != "" {
@@ -145,7 +145,7 @@
 				return err
 			}
 			defer file.Close()
-			o.Effects = file
+			o.EffectLog = file
 		}
 		return serve(cmd, standin.NewService(o), address)
 	}
@@ -162,9 +162,9 @@
 	f.StringVar(&o.Feed, "feed", "", "feed")
 	f.StringVar(&o.Model, "model", "", "model trained")
 	f.Int64Var(&o.Version, "version", 1, "weight version at start")
-	f.Int64Var(&o.Bound, "bound", 0, "staleness bound in versions")
+	f.Int64Var(&o.StalenessBound, "bound", 0, "staleness bound in versions")
 	f.DurationVar(&o.TrainTime, "train-time", 0, "time of a training step")
-	f.IntVar(&o.AnnounceEvery, "announce-every", 1, "steps between announced versions")
+	f.IntVar(&o.AnnounceInterval, "announce-every", 1, "steps between announced versions")
 	_ = cmd.MarkFlagRequired("entries")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		t, err := standin.NewTrainer(o)
--- a/internal/agent/kvcache_test.go
+++ b/internal/agent/kvcache_test.go
@@ -74,8 +74,8 @@
 	}
 
 	It("are transferred piece by piece to the engine that resumes the request, and used for this request only", func() {
-		_, one := startEngine(standin.EngineOptions{Version: 7, Step: 5 * time.Millisecond, KVBytes: 1000})
-		engine, two := startEngine(standin.EngineOptions{Version: 8, Step: 5 * time.Millisecond})
+		_, one := startEngine(standin.EngineOptions{Version: 7, StepTime: 5 * time.Millisecond, KVBytes: 1000})
+		engine, two := startEngine(standin.EngineOptions{Version: 8, StepTime: 5 * time.Millisecond})
 		from, source := serveAgent(one)
 		to, _ := serveAgent(two)
 		tokens := begin(from, "first", wire.Resume{})
@@ -116,7 +116,7 @@
 	It("leave no export open when the importing engine refuses them", func() {
 		// The import ends at the first piece. The exporting agent is not notified
 		// and must not keep the engine's response open.
-		_, one := startEngine(standin.EngineOptions{Version: 7, Step: 5 * time.Millisecond, KVBytes: 2000})
+		_, one := startEngine(standin.EngineOptions{Version: 7, StepTime: 5 * time.Millisecond, KVBytes: 2000})
 		_, two := startEngine(standin.EngineOptions{Version: 7, RefuseImports: true})
 		from, source := serveAgent(one)
 		to, _ := serveAgent(two)
@@ -128,7 +128,7 @@
 	It("end their export when the importing agent fails", func() {
 		// Nobody requests the next piece in order. Without a timeout, the few
 		// exports that may run concurrently would be used up permanently.
-		_, one := startEngine(standin.EngineOptions{Version: 7, Step: 5 * time.Millisecond, KVBytes: 1000})
+		_, one := startEngine(standin.EngineOptions{Version: 7, StepTime: 5 * time.Millisecond, KVBytes: 1000})
 		from, _ := serveAgent(one)
 		begin(from, "first", wire.Resume{})
 		for _, cache := range []string{"a", "b", "c", "d"} {
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -60,7 +60,7 @@
 		conn, err := grpc.NewClient(address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		Expect(err).NotTo(HaveOccurred())
 		store = platformpb.NewWeightStoreClient(conn)
-		engine = standin.NewEngine(standin.EngineOptions{Version: 1, LoadVersion: 50 * time.Millisecond})
+		engine = standin.NewEngine(standin.EngineOptions{Version: 1, LoadTime: 50 * time.Millisecond})
 		endpoint, err = engine.Start(loopback)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(engine.Crash)
--- a/internal/agent/preempt_test.go
+++ b/internal/agent/preempt_test.go
@@ -23,7 +23,7 @@
 		// it, and it resumes afterwards. The lookups are answered at once, and the
 		// rollout's tokens are those of an undisturbed run: none is missing or
 		// duplicated.
-		engine := standin.NewEngine(standin.EngineOptions{Model: "tone", Slots: 2, Step: 5 * time.Millisecond})
+		engine := standin.NewEngine(standin.EngineOptions{Model: "tone", Slots: 2, StepTime: 5 * time.Millisecond})
 		endpoint, err := engine.Start("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer engine.Crash()
@@ -59,7 +59,7 @@
 			}
 		}
 		Expect(reads).To(BeNumerically(">", 6), "the rollout was preempted at least once")
-		Expect(tokens).To(HaveLen(standin.Length("a long answer", 3, 400)))
+		Expect(tokens).To(HaveLen(standin.TokenCount("a long answer", 3, 400)))
 		_, err = standin.CheckText("a long answer", 3, strings.Join(tokens, ""))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(engine.Stats().Runs["rollout"]).To(BeNumerically(">", 1))
--- a/internal/agent/settle_test.go
+++ b/internal/agent/settle_test.go
@@ -36,7 +36,7 @@
 }
 
 func newFixture(latency time.Duration) *fixture {
-	f := &fixture{service: standin.NewService(standin.ServiceOptions{Name: "ledger", Latency: latency, Poison: "POISON"}), stopped: make(chan struct{})}
+	f := &fixture{service: standin.NewService(standin.ServiceOptions{Name: "ledger", Latency: latency, PoisonText: "POISON"}), stopped: make(chan struct{})}
 	endpoint, err := f.service.Start(restartableAddr)
 	Expect(err).NotTo(HaveOccurred())
 	s := settings.Settings{ID: "a1", Service: "ledger", Endpoint: endpoint, StopTimeout: 10 * time.Second}
--- a/internal/agentless/batchrun/batchrun_test.go
+++ b/internal/agentless/batchrun/batchrun_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("a batch job", func() {
-	var store *standin.Shared
+	var store *standin.TransactionalStore
 	var llm *engines
 	var a, b *process
 
@@ -48,7 +48,7 @@
 		_, err := readAll(a.desk, "j")
 		Expect(err).To(MatchError(batchrun.ErrNoJob))
 
-		losing := &answerLosingStore{Shared: store}
+		losing := &answerLosingStore{TransactionalStore: store}
 		c := newProcess("c", losing, llm)
 		c.members = a.members
 		c.desk.Members = a.members
--- a/internal/agentless/batchrun/copies_test.go
+++ b/internal/agentless/batchrun/copies_test.go
@@ -18,13 +18,13 @@
 var _ = Describe("copies of partial texts", func() {
 	const firstEvents, allEvents = 40, 44 // events of each text before the pause, and in total
 	var llm *engines
-	var store *standin.Shared
+	var store *standin.TransactionalStore
 	var processes []*process
 
 	// start starts processes that send copies to each other.
 	wrap := func(p *process) {} // changes a process before it is started
 	start := func(names ...string) {
-		store = standin.NewShared()
+		store = standin.NewTransactionalStore()
 		llm = &engines{sent: map[string]int{}, length: allEvents, pause: firstEvents, hold: make(chan struct{})}
 		processes = nil
 		for _, name := range names {
--- a/internal/agentless/batchrun/fakes_test.go
+++ b/internal/agentless/batchrun/fakes_test.go
@@ -275,7 +275,7 @@
 }
 
 // answerLosingStore is a store whose answers to commits are always lost.
-type answerLosingStore struct{ *standin.Shared }
+type answerLosingStore struct{ *standin.TransactionalStore }
 
 func (m *answerLosingStore) Commit(context.Context, kv.Transaction) (kv.Committed, error) {
 	return kv.Committed{}, kv.ErrUnknown
--- a/internal/agentless/batchrun/frontend_test.go
+++ b/internal/agentless/batchrun/frontend_test.go
@@ -19,7 +19,7 @@
 		// is being written.
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		d := &Frontend{Store: standin.NewShared(), Log: log}
+		d := &Frontend{Store: standin.NewTransactionalStore(), Log: log}
 		d.remember("j", jobRecord{Owner: "w", Ended: true})
 		var calls sync.WaitGroup
 		for range 100 {
--- a/internal/agentless/batchrun/helpers_test.go
+++ b/internal/agentless/batchrun/helpers_test.go
@@ -70,8 +70,8 @@
 }
 
 // startPair starts two processes that know each other.
-func startPair() (store *standin.Shared, llm *engines, a, b *process) {
-	store = standin.NewShared()
+func startPair() (store *standin.TransactionalStore, llm *engines, a, b *process) {
+	store = standin.NewTransactionalStore()
 	llm = &engines{sent: map[string]int{}}
 	a = newProcess("a", store, llm).run()
 	b = newProcess("b", store, llm).run()
--- a/internal/agentless/batchrun/hub_test.go
+++ b/internal/agentless/batchrun/hub_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("reads via a worker in the same failure domain", func() {
-	var store *standin.Shared
+	var store *standin.TransactionalStore
 	var far, near, entry *process
 	var llm *engines
 
@@ -25,7 +25,7 @@
 	}
 
 	BeforeEach(func() {
-		store = standin.NewShared()
+		store = standin.NewTransactionalStore()
 		llm = &engines{sent: map[string]int{}}
 		far = inDomain("a", true, newProcess("far", store, llm)).run()
 		Eventually(func() int { return len(far.members.Live()) }).WithTimeout(eventuallyTimeout).Should(Equal(1))
--- a/internal/agentless/batchrun/loads_test.go
+++ b/internal/agentless/batchrun/loads_test.go
@@ -17,7 +17,7 @@
 		// One of two owners has a job whose runs pause in the middle. It sends the other one
 		// its requests in flight, and once the job is ended, that there are none.
 		llm := &engines{sent: map[string]int{}, hold: make(chan struct{})}
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		sent := make(chan batchrun.LoadArgs, 1000)
 		p := newProcess("a", store, llm)
 		p.owner.Directory.Declare(withModels(p.owner.Directory.Table().Declaration))
--- a/internal/agentless/batchrun/mover_test.go
+++ b/internal/agentless/batchrun/mover_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("the owner of a batch job", func() {
-	var store *standin.Shared
+	var store *standin.TransactionalStore
 	var llm *engines
 	var a, b *process
 
@@ -158,11 +158,11 @@
 		entry.desk.Members = other.members
 		entry.desk.Peers = rpcpool.New(func(context.Context, string) (net.Conn, error) { return nil, errors.New("cut off") })
 		withoutWatch := func(do func() error) {
-			store.SetDeaf(true)
+			store.StallWatches(true)
 			ExpectWithOffset(1, do()).To(Succeed())
 			time.Sleep(200 * time.Millisecond) // the watch polls and gets no change
 			store.DropHistory()
-			store.SetDeaf(false)
+			store.StallWatches(false)
 		}
 		const soon = 12 * time.Second // a watch with a long timeout got the change after 20 s
 		llm.hold = make(chan struct{})
--- a/internal/agentless/batchrun/results_test.go
+++ b/internal/agentless/batchrun/results_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("the results of a batch job", func() {
-	var store *standin.Shared
+	var store *standin.TransactionalStore
 	var llm *engines
 	var a, b *process
 
--- a/internal/agentless/batchrun/standby_test.go
+++ b/internal/agentless/batchrun/standby_test.go
@@ -39,7 +39,7 @@
 }
 
 var _ = Describe("the standby of a job", func() {
-	var store *standin.Shared
+	var store *standin.TransactionalStore
 	var llm *engines
 	var processes []*process
 	var release func()
@@ -85,7 +85,7 @@
 	owns := func(p *process) func() int { return func() int { return len(p.owner.Jobs()) } }
 
 	BeforeEach(func() {
-		store, processes = standin.NewShared(), nil
+		store, processes = standin.NewTransactionalStore(), nil
 		hold := make(chan struct{})
 		llm = &engines{sent: map[string]int{}, hold: hold}
 		var released atomic.Bool
--- a/internal/agentless/batchrun/sweep_test.go
+++ b/internal/agentless/batchrun/sweep_test.go
@@ -15,7 +15,7 @@
 
 var _ = Describe("the sweeper", func() {
 	It("removes all keys of an old job and none of a recent one", func() {
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		now := time.Unix(10_000, 0)
--- a/internal/agentless/cluster/cluster_test.go
+++ b/internal/agentless/cluster/cluster_test.go
@@ -60,7 +60,7 @@
 	return copied
 }
 
-func put(s *standin.Shared, key, value string) {
+func put(s *standin.TransactionalStore, key, value string) {
 	_, err := s.Commit(context.Background(), kv.Transaction{Puts: []kv.Put{{Key: key, Value: []byte(value)}}})
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
 }
@@ -83,7 +83,7 @@
 
 var _ = Describe("Follower", func() {
 	It("reports a listing of several pages, then changes and deletions", func() {
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		for _, k := range []string{"p/a", "p/b", "p/c", "p/d", "q/x"} {
 			put(store, k, "1")
 		}
@@ -98,7 +98,7 @@
 	It("reports changes under the sub-topic's prefix to the sub-topic as well", func() {
 		// A relay watches the assignments of all owners for the other processes, which
 		// include its own.
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		put(store, "p/self/a", "1")
 		put(store, "p/other/a", "1")
 		whole, part := &view{}, &view{}
@@ -121,14 +121,14 @@
 		// The store does not notify waiting watches of a change and drops its history.
 		// No later change answers the watch either. The declaration that was written
 		// must take effect nevertheless.
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		put(store, "p/a", "1")
 		put(store, "p/gone", "1")
 		v := &view{}
 		start((&cluster.Follower{Store: store, Topic: v.topic("p/")}).Run)
 		Eventually(v.snapshot).WithTimeout(patience).Should(HaveLen(2))
 		Eventually(func() int { return store.Count("watch") }).WithTimeout(patience).Should(BeNumerically(">", 0))
-		store.SetDeaf(true)
+		store.StallWatches(true)
 		put(store, "p/a", "2")
 		store.Revoke("p/gone")
 		store.DropHistory()
@@ -136,7 +136,7 @@
 	})
 
 	It("continues after an outage with the changes made meanwhile", func() {
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		put(store, "p/a", "1")
 		v := &view{}
 		var mu sync.Mutex
@@ -188,7 +188,7 @@
 }
 
 var _ = Describe("updates from relays", func() {
-	var store *standin.Shared
+	var store *standin.TransactionalStore
 	var members *cluster.Members
 	var v *view
 	var mu sync.Mutex
@@ -217,7 +217,7 @@
 	}
 
 	BeforeEach(func() {
-		store, members, v, sources, firstStart = standin.NewShared(), cluster.NewMembers(), &view{}, nil, false
+		store, members, v, sources, firstStart = standin.NewTransactionalStore(), cluster.NewMembers(), &view{}, nil, false
 		topic = v.topic("p/")
 		put(store, "p/a", "1")
 	})
--- a/internal/agentless/cluster/leader_test.go
+++ b/internal/agentless/cluster/leader_test.go
@@ -23,7 +23,7 @@
 	}
 
 	It("has one holder at a time, and its successor gets a higher term", func() {
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		first := lead(store, "a", 0)
 		Eventually(acts(first)).WithTimeout(patience).Should(BeTrue())
 		second := lead(store, "b", 0)
@@ -40,7 +40,7 @@
 		// The process was killed and restarts after a second. The lease of its
 		// predecessor has not expired yet. Waiting for that, and then for the delay
 		// between two holders, left engines without new weights for 6 s.
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		_, _, err := store.GrantLease(context.Background(), time.Hour)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = store.Commit(context.Background(), kv.Transaction{Puts: []kv.Put{{Key: "live/duty/x", Value: []byte("a"), Lease: 1}}})
@@ -49,7 +49,7 @@
 	})
 
 	It("does not confirm the term after the store deleted the duty's key", func() {
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		l := lead(store, "a", 0)
 		Eventually(acts(l)).WithTimeout(patience).Should(BeTrue())
 		term, _ := l.Term(time.Now())
@@ -62,7 +62,7 @@
 	})
 
 	It("may not act while the store does not confirm the duty", func() {
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		l := lead(store, "a", 0)
 		Eventually(acts(l)).WithTimeout(patience).Should(BeTrue())
 		store.SetDown(true)
@@ -72,7 +72,7 @@
 	})
 
 	It("waits before the first act when another holder may just have acted", func() {
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		Consistently(acts(lead(store, "b", time.Hour))).WithTimeout(time.Second).Should(BeFalse())
 	})
 })
--- a/internal/agentless/cluster/members_test.go
+++ b/internal/agentless/cluster/members_test.go
@@ -15,7 +15,7 @@
 	It("registers again when the store deleted the key without notice", func() {
 		// The lease and its renewals are fine, but the key is gone. Other processes
 		// would move this process's jobs and never give it new ones.
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		members := cluster.NewMembers()
 		r := cluster.NewRegistrar(store, cluster.Member{Name: "self", Worker: true}, time.Hour, members, silent())
 		start((&cluster.Follower{Store: store, Topic: r.Topic()}).Run)
@@ -31,7 +31,7 @@
 		// The key exists under this process's lease; only the answer was lost. If the
 		// process took that for a failure, it would register again and let its first
 		// key expire.
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		r := cluster.NewRegistrar(store, cluster.Member{Name: "self"}, time.Hour, cluster.NewMembers(), silent())
 		store.LoseAnswers(1)
 		start(r.Run)
@@ -40,7 +40,7 @@
 	})
 
 	It("lists workers that are not leaving as owners, and other members only if there are none", func() {
-		store := standin.NewShared()
+		store := standin.NewTransactionalStore()
 		members := cluster.NewMembers()
 		r := cluster.NewRegistrar(store, cluster.Member{Name: "w", Worker: true}, time.Hour, members, silent())
 		entry := cluster.NewRegistrar(store, cluster.Member{Name: "entry"}, time.Hour, cluster.NewMembers(), silent())
--- a/internal/agentless/modelrun/modelrun_test.go
+++ b/internal/agentless/modelrun/modelrun_test.go
@@ -62,7 +62,7 @@
 }
 
 var _ = Describe("weight orders", func() {
-	var store *standin.Shared
+	var store *standin.TransactionalStore
 	var e *engine
 	var singleVersion bool
 
@@ -90,7 +90,7 @@
 	}
 
 	BeforeEach(func() {
-		store, e, singleVersion = standin.NewShared(), &engine{}, false
+		store, e, singleVersion = standin.NewTransactionalStore(), &engine{}, false
 	})
 
 	It("carry the term and the number of orders that the engine has accepted", func() {
--- a/internal/agentless/storepath/storepath_test.go
+++ b/internal/agentless/storepath/storepath_test.go
@@ -114,11 +114,11 @@
 
 var _ = Describe("Store with peers", func() {
 	var ctx context.Context
-	var store *standin.Shared
+	var store *standin.TransactionalStore
 	BeforeEach(func() {
 		limited, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
-		ctx, store = limited, standin.NewShared()
+		ctx, store = limited, standin.NewTransactionalStore()
 	})
 
 	It("renews a lease while this process gets no answers from the store", func() {
--- a/internal/agentless/usagerun/usagerun_test.go
+++ b/internal/agentless/usagerun/usagerun_test.go
@@ -96,14 +96,14 @@
 
 // testSystem is a process that counts requests, and workers that may report them.
 type testSystem struct {
-	store   *standin.Shared
+	store   *standin.TransactionalStore
 	members *cluster.Members
 	counter *usagerun.Counter
 	biller  *fakeBiller
 }
 
 func newTestSystem() *testSystem {
-	s := &testSystem{store: standin.NewShared(), members: cluster.NewMembers(), counter: usagerun.NewCounter(config), biller: &fakeBiller{}}
+	s := &testSystem{store: standin.NewTransactionalStore(), members: cluster.NewMembers(), counter: usagerun.NewCounter(config), biller: &fakeBiller{}}
 	entry := cluster.Member{Name: "entry", Address: "127.0.0.1:1", Boot: time.Now().UnixNano()}
 	registrar := s.list(entry)
 	follower := &cluster.Follower{Store: s.store, Topic: registrar.Topic()}
--- a/internal/confstate/confstate_test.go
+++ b/internal/confstate/confstate_test.go
@@ -160,7 +160,7 @@
 			defer mu.Unlock()
 			told = append(told, revision)
 		})
-		f.platform.LoseNextAnswer(1)
+		f.platform.LoseAnswers(1)
 		result, err := f.change(1, 1, "two", 2)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.Verdict).To(Equal(config.Accepted))
@@ -181,7 +181,7 @@
 	// change, so the entries, which hear each other, go on with what they hold;
 	// one that hears nobody stops.
 	It("goes on in an outage, but not an entry that is cut off", func() {
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		f.cutOff[2].Store(true)
 		Eventually(f.holders[2].Ready).WithTimeout(wait).Should(BeFalse())
 		Consistently(f.holders[0].Ready).WithTimeout(2 * time.Second).Should(BeTrue())
--- a/internal/dutyrun/keeper_test.go
+++ b/internal/dutyrun/keeper_test.go
@@ -120,7 +120,7 @@
 	}
 
 	It("gives each duty to one entry, also when an answer is lost", func() {
-		platform.LoseNextAnswer(3)
+		platform.LoseAnswers(3)
 		Eventually(heldOnce).WithTimeout(20 * time.Second).Should(Equal(len(names)))
 	})
 
@@ -145,9 +145,9 @@
 	// such; when it returns, each duty has one holder again, under a higher epoch.
 	It("lets every lease lapse in an outage and takes the duties again after it", func() {
 		Eventually(heldOnce).WithTimeout(20 * time.Second).Should(Equal(len(names)))
-		platform.Outage(true)
+		platform.SetDown(true)
 		Eventually(heldOnce).WithTimeout(20 * time.Second).Should(BeZero())
-		platform.Outage(false)
+		platform.SetDown(false)
 		Eventually(heldOnce).WithTimeout(20 * time.Second).Should(Equal(len(names)))
 		_, epochs := held()
 		Expect(epochs).To(BeNumerically(">=", 2*len(names)))
--- a/internal/entry/claimtest/claims_test.go
+++ b/internal/entry/claimtest/claims_test.go
@@ -270,7 +270,7 @@
 	It("answers repeats through every entry, also when the platform loses answers", func() {
 		for i := range 6 {
 			if i%2 == 1 {
-				platform.LoseNextAnswer(1)
+				platform.LoseAnswers(1)
 			}
 			for _, p := range processes {
 				expectAnswer(ask(p, fmt.Sprint("sync-", i), patience))
@@ -339,11 +339,11 @@
 			}
 			return values.String()
 		}, patience).Should(ContainSubstring(`"s":"d"`))
-		platform.Outage(true)
+		platform.SetDown(true)
 		answer := ask(processes[1], "during", 600*time.Millisecond)
 		Expect(answer.Outcome).NotTo(Equal(wire.Answered))
 		Expect(ledger.count("during")).To(BeZero())
-		platform.Outage(false)
+		platform.SetDown(false)
 		Eventually(func() wire.Outcome { return ask(processes[2], "during", 5*time.Second).Outcome }, patience).Should(Equal(wire.Answered))
 		Expect(ledger.count("during")).To(Equal(1))
 		expectAnswer(ask(processes[2], "before", patience))
--- a/internal/entry/pool/cache_test.go
+++ b/internal/entry/pool/cache_test.go
@@ -23,7 +23,7 @@
 
 // startEngineHost starts an engine with its agent.
 func startEngineHost(ctx context.Context, id string) (*standin.Engine, kv.Instance) {
-	engine := standin.NewEngine(standin.EngineOptions{Version: 4, Step: 5 * time.Millisecond})
+	engine := standin.NewEngine(standin.EngineOptions{Version: 4, StepTime: 5 * time.Millisecond})
 	endpoint, err := engine.Start("127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(engine.Crash)
--- a/internal/entry/weights_test.go
+++ b/internal/entry/weights_test.go
@@ -86,7 +86,7 @@
 	log.SetOutput(io.Discard)
 
 	startAgent := func(id int) *platformpb.Instance {
-		engine := standin.NewEngine(standin.EngineOptions{Version: 1, LoadVersion: 20 * time.Millisecond})
+		engine := standin.NewEngine(standin.EngineOptions{Version: 1, LoadTime: 20 * time.Millisecond})
 		endpoint, err := engine.Start(restartable)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(engine.Crash)
@@ -182,7 +182,7 @@
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
 		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Eventually(func() int { return len(w.Progress()["tone"]) }).WithTimeout(weightsTestTimeout).Should(Equal(1))
-		platform.Outage(true)
+		platform.SetDown(true)
 		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Lapsed})
 		Eventually(versions).WithTimeout(weightsTestTimeout).Should(HaveEach(int64(2)))
 		Expect(w.Progress()["tone"]).To(HaveLen(1))
@@ -260,7 +260,7 @@
 	// fail, and the second must not lower the version.
 	It("resolves a write with a lost answer, and never lowers the version", func() {
 		w, _ := startEntry("a")
-		platform.LoseNextAnswer(1)
+		platform.LoseAnswers(1)
 		Expect(w.Announce(ctx, "d", "drafts", "m", 3, "")).To(Equal(int64(3)))
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(3)))
 	})
--- a/internal/feedrun/fakes_test.go
+++ b/internal/feedrun/fakes_test.go
@@ -128,7 +128,7 @@
 		return wire.Answer{Outcome: wire.Unknown, Reason: wire.ReasonCrashed}
 	}
 	id := req.CallID + "#" + string(rune('a'+n%26))
-	length := standin.Length(c.Prompt, c.Seed, c.MaxTokens)
+	length := standin.TokenCount(c.Prompt, c.Seed, c.MaxTokens)
 	done := len(req.Resume.Tokens)
 	for position := done; position < length; position++ {
 		select {
@@ -289,7 +289,7 @@
 func (c *cluster) train() *standin.Trainer {
 	t, err := standin.NewTrainer(standin.TrainerOptions{
 		Entries: c.addresses(), Key: trainerKey, Deployment: deployment, Feed: feed,
-		Model: "tone", Version: 1, Bound: 2, TrainTime: 20 * time.Millisecond,
+		Model: "tone", Version: 1, StalenessBound: 2, TrainTime: 20 * time.Millisecond,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/lab/demo/feeds_test.go
+++ b/internal/lab/demo/feeds_test.go
@@ -25,7 +25,7 @@
 	}
 	trainer, err := standin.NewTrainer(standin.TrainerOptions{
 		Entries: entries, Key: plans[0].trainerKey, Deployment: s.Deployment, Feed: s.Feed,
-		Model: plans[0].weights, Version: 1, Bound: int64(plans[0].bound), TrainTime: trainTime,
+		Model: plans[0].weights, Version: 1, StalenessBound: int64(plans[0].bound), TrainTime: trainTime,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/lab/demo/load.go
+++ b/internal/lab/demo/load.go
@@ -264,7 +264,7 @@
 	if err != nil {
 		return err
 	}
-	if want := standin.Length(o.prompt, o.seed, maxTokens); len(versions) != want {
+	if want := standin.TokenCount(o.prompt, o.seed, maxTokens); len(versions) != want {
 		return errors.Errorf("%d tokens of %d", len(versions), want)
 	}
 	if fmt.Sprint(versions) != fmt.Sprint(labels) {
--- a/internal/lab/path/samples.go
+++ b/internal/lab/path/samples.go
@@ -108,7 +108,7 @@
 	go func() { _ = feeds.Run(ctx) }()
 	trainer, err := standin.NewTrainer(standin.TrainerOptions{
 		Entries: []string{listener.Addr().String()}, Key: callerKey, Deployment: s.deployment.Name, Feed: sampleFeed,
-		Version: 1, Bound: looseBound, AnnounceEvery: looseBound,
+		Version: 1, StalenessBound: looseBound, AnnounceInterval: looseBound,
 	})
 	if err != nil {
 		return feedResult{}, err
--- a/internal/lab/path/streams.go
+++ b/internal/lab/path/streams.go
@@ -76,7 +76,7 @@
 
 // startEngine runs an engine with a slot for each stream.
 func startEngine() (backend, error) {
-	engine := standin.NewEngine(standin.EngineOptions{Model: service, Version: 1, Slots: streams, Step: engineStep})
+	engine := standin.NewEngine(standin.EngineOptions{Model: service, Version: 1, Slots: streams, StepTime: engineStep})
 	endpoint, err := engine.Start("127.0.0.1:0")
 	return backend{service: service, kind: decl.KindModel, endpoint: endpoint, crash: engine.Crash}, errors.Wrap(err, "path")
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -161,7 +161,7 @@
 
 	It("serves status in an outage and says that a change was not accepted", func() {
 		apply(0, "one", example())
-		platform.Outage(true)
+		platform.SetDown(true)
 		answer, err := client.Status(withKey(demoKey), &operatorpb.StatusRequest{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Revision).To(Equal(int64(1)))
--- a/internal/operator/refused_test.go
+++ b/internal/operator/refused_test.go
@@ -149,10 +149,10 @@
 	// The platform is away: what is tried meanwhile is refused, and is in the
 	// trail once the platform is back.
 	It("keeps what was tried in an outage", func() {
-		platform.Outage(true)
+		platform.SetDown(true)
 		Expect(apply(demoKey, 1, "away", edited(example(), "300ms", "400ms")).Outcome).To(Equal(operatorpb.ApplyOutcome_APPLY_OUTCOME_REFUSED))
 		time.Sleep(2 * time.Second) // a write is tried and fails
-		platform.Outage(false)
+		platform.SetDown(false)
 		Eventually(listed("refused")).WithTimeout(auditWait).Should(ConsistOf(
 			"demo apply away: refused, the platform's service is not available x1"))
 	})
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -8,9 +8,9 @@
 	"siskinloom.example/siskinloom/internal/engineapi"
 )
 
-// PrefixChars is how much of a prompt the engine's cache events identify: they
+// PrefixBytes is how much of a prompt the engine's cache events identify: they
 // carry the xxhash of so many first bytes.
-const PrefixChars = 128
+const PrefixBytes = 128
 
 const defaultCachePrefixes = 64
 
@@ -37,7 +37,7 @@
 }
 
 func prefixOf(prompt string) uint64 {
-	return xxhash.Sum64String(prompt[:min(len(prompt), PrefixChars)])
+	return xxhash.Sum64String(prompt[:min(len(prompt), PrefixBytes)])
 }
 
 // use looks a prompt up, keeps it, and returns how many bytes need prefill.
@@ -45,7 +45,7 @@
 	key := prefixOf(prompt)
 	cached := c.touch(key)
 	if cached {
-		return max(0, len(prompt)-PrefixChars) / 4 // most of the rest is cached too
+		return max(0, len(prompt)-PrefixBytes) / 4 // most of the rest is cached too
 	}
 	c.tell(key, true, now)
 	if len(c.used) > c.limit {
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -9,10 +9,10 @@
 	"siskinloom.example/siskinloom/api/platformpb"
 )
 
-// Control serves the platform's switches over HTTP on its own address, for use
+// StartControl serves the platform's switches over HTTP on its own address, for use
 // from another process, and returns the address bound:
 // POST /outage?on=1, /lose?n=1, /slow?ms=5, /instances (JSON list); GET /stats.
-func (p *Platform) Control(address string) (string, error) {
+func (p *Platform) StartControl(address string) (string, error) {
 	l, err := listen(address)
 	if err != nil {
 		return "", err
@@ -26,11 +26,11 @@
 	args := ctx.QueryArgs()
 	switch string(ctx.Path()) {
 	case "/outage":
-		p.Outage(args.GetBool("on"))
+		p.SetDown(args.GetBool("on"))
 	case "/lose":
-		p.LoseNextAnswer(args.GetUintOrZero("n"))
+		p.LoseAnswers(args.GetUintOrZero("n"))
 	case "/slow":
-		p.Slow(time.Duration(args.GetUintOrZero("ms")) * time.Millisecond)
+		p.SetCallDelay(time.Duration(args.GetUintOrZero("ms")) * time.Millisecond)
 	case "/instances":
 		p.controlInstances(ctx)
 	case PathStats:
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -25,22 +25,22 @@
 // EngineOptions describes a batching engine. Zero values give a fast engine
 // without lag or faults.
 type EngineOptions struct {
-	Model          string
-	Version        int64
-	Slots          int           // requests in the batch at most; 0: 8
-	Step           time.Duration // of an empty batch; 0: 1 ms
-	StepPerRequest time.Duration // added by each request in the batch
-	LoadLag        time.Duration // age of the load report
-	CacheLag       time.Duration // age of the cache events
-	CacheGap       int           // every such cache event is lost; 0: none
-	CachePrefixes  int           // prompt prefixes kept; 0: 64
-	Fencing        bool          // refuse orders with an old fencing number
-	LoadVersion    time.Duration // time that loading a version takes
-	FailLoads      int           // loads that fail before one succeeds
-	KVBytes        int           // of KV cache for each byte of context; 0: 1
-	RefuseImports  bool          // take no KV cache
-	Poison         string        // a prompt with this text crashes the engine; empty: none
-	OnCrash        func()        // called once the connections are cut
+	Model                  string
+	Version                int64
+	Slots                  int           // requests in the batch at most; 0: 8
+	StepTime               time.Duration // of an empty batch; 0: 1 ms
+	StepTimePerRequest     time.Duration // added by each request in the batch
+	LoadReportLag          time.Duration // age of the load report
+	CacheEventLag          time.Duration // age of the cache events
+	CacheEventDropInterval int           // every such cache event is lost; 0: none
+	CachePrefixes          int           // prompt prefixes kept; 0: 64
+	Fencing                bool          // refuse orders with an old fencing number
+	LoadTime               time.Duration // time that loading a version takes
+	FailLoads              int           // loads that fail before one succeeds
+	KVBytes                int           // of KV cache for each byte of context; 0: 1
+	RefuseImports          bool          // take no KV cache
+	PoisonText             string        // a prompt with this text crashes the engine; empty: none
+	OnCrash                func()        // called once the connections are cut
 }
 
 type generation struct {
@@ -91,8 +91,8 @@
 	if o.Slots == 0 {
 		o.Slots = 8
 	}
-	if o.Step == 0 {
-		o.Step = time.Millisecond
+	if o.StepTime == 0 {
+		o.StepTime = time.Millisecond
 	}
 	e := &Engine{
 		options:   o,
@@ -102,7 +102,7 @@
 		runs:      map[string]int{},
 		fences:    map[string]int64{},
 		failLoads: o.FailLoads,
-		cache:     newPrefixCache(o.CachePrefixes, o.CacheGap),
+		cache:     newPrefixCache(o.CachePrefixes, o.CacheEventDropInterval),
 		imports:   newImportedCaches(),
 		prefilled: map[string]int{},
 	}
@@ -146,13 +146,13 @@
 	e.version = e.options.Version
 	e.adapters = map[string]int64{}
 	e.role = ""
-	e.cache = newPrefixCache(e.options.CachePrefixes, e.options.CacheGap)
+	e.cache = newPrefixCache(e.options.CachePrefixes, e.options.CacheEventDropInterval)
 	e.imports = newImportedCaches()
 	e.mu.Unlock()
 }
 
-// Silence drops everything the engine writes to the connections open now.
-func (e *Engine) Silence() {
+// BlackholeConnections drops everything the engine writes to the connections open now.
+func (e *Engine) BlackholeConnections() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listener.silence()
@@ -182,7 +182,7 @@
 	defer e.mu.Unlock()
 	e.sample()
 	if e.loading > 0 {
-		return e.options.Step
+		return e.options.StepTime
 	}
 	e.admit()
 	still := e.running[:0]
@@ -192,7 +192,7 @@
 		}
 	}
 	e.running = still
-	return e.options.Step + time.Duration(len(e.running))*e.options.StepPerRequest
+	return e.options.StepTime + time.Duration(len(e.running))*e.options.StepTimePerRequest
 }
 
 // admit fills the batch by priority, then arrival.
@@ -282,7 +282,7 @@
 		request:  r,
 		arrived:  e.arrivals,
 		position: len(r.Resume),
-		length:   Length(r.Prompt, r.Seed, r.MaxTokens),
+		length:   TokenCount(r.Prompt, r.Seed, r.MaxTokens),
 	}
 	g.events = make(chan engineapi.Completion, max(0, g.length-g.position)+1)
 	e.waiting = append(e.waiting, g)
@@ -321,7 +321,7 @@
 		Adapters:      maps.Clone(e.adapters),
 		Role:          e.role,
 	}})
-	for len(e.loads) > 1 && now.Sub(e.loads[1].at) >= e.options.LoadLag {
+	for len(e.loads) > 1 && now.Sub(e.loads[1].at) >= e.options.LoadReportLag {
 		e.loads = e.loads[1:]
 	}
 }
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -85,7 +85,7 @@
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	if e.options.Poison != "" && strings.Contains(r.Prompt, e.options.Poison) {
+	if e.options.PoisonText != "" && strings.Contains(r.Prompt, e.options.PoisonText) {
 		e.Crash()
 		if e.options.OnCrash != nil {
 			e.options.OnCrash()
@@ -150,7 +150,7 @@
 func (e *Engine) handleCacheEvents(ctx *fasthttp.RequestCtx) {
 	after, _ := ctx.QueryArgs().GetUint("after")
 	e.mu.Lock()
-	found := e.cache.after(int64(after), e.options.CacheLag, time.Now())
+	found := e.cache.after(int64(after), e.options.CacheEventLag, time.Now())
 	e.mu.Unlock()
 	reply(ctx, fasthttp.StatusOK, found)
 }
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -48,7 +48,7 @@
 	e.mu.Lock()
 	e.loading++
 	e.mu.Unlock()
-	took := e.options.LoadVersion
+	took := e.options.LoadTime
 	deadline := time.Duration(o.DeadlineMilli) * time.Millisecond
 	late := deadline > 0 && took > deadline
 	if late {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -17,12 +17,12 @@
 
 // PlatformOptions sets the platform's limits. Zero values lift them.
 type PlatformOptions struct {
-	CallsPerSecond float64       // key-value calls; more get ResourceExhausted
-	ListLag        time.Duration // age of the instance list that callers see
-	StoreRate      int           // bytes per second of the whole weight store
-	VersionBytes   int           // size of each version's weights; 0: 1 MiB
-	ChunkBytes     int           // 0: 256 KiB
-	TLS            *tls.Config   // nil: plain
+	CallsPerSecond  float64       // key-value calls; more get ResourceExhausted
+	InstanceListLag time.Duration // age of the instance list that callers see
+	WeightStoreRate int           // bytes per second of the whole weight store
+	VersionBytes    int           // size of each version's weights; 0: 1 MiB
+	ChunkBytes      int           // 0: 256 KiB
+	TLS             *tls.Config   // nil: plain
 }
 
 // Platform serves the key-value service, the instance list and the weight
@@ -38,7 +38,7 @@
 // NewPlatform returns a platform that does not listen yet.
 func NewPlatform(o PlatformOptions) *Platform {
 	f := newFaults(o.CallsPerSecond)
-	p := &Platform{faults: f, keys: newKeyValue(f), instances: &instanceList{lag: o.ListLag}}
+	p := &Platform{faults: f, keys: newKeyValue(f), instances: &instanceList{lag: o.InstanceListLag}}
 	options := []grpc.ServerOption{grpc.UnaryInterceptor(f.unary), grpc.StreamInterceptor(f.stream)}
 	if o.TLS != nil {
 		options = append(options, grpc.Creds(credentials.NewTLS(o.TLS)))
@@ -71,18 +71,18 @@
 	p.server.Stop()
 }
 
-// Outage makes every key-value call fail, and breaks watches, while on.
-func (p *Platform) Outage(on bool) { p.faults.setOutage(on) }
+// SetDown makes every key-value call fail, and breaks watches, while on.
+func (p *Platform) SetDown(on bool) { p.faults.setOutage(on) }
 
-// Slow delays each key-value call.
-func (p *Platform) Slow(d time.Duration) {
+// SetCallDelay delays each key-value call.
+func (p *Platform) SetCallDelay(d time.Duration) {
 	p.faults.mu.Lock()
 	defer p.faults.mu.Unlock()
 	p.faults.slow = d
 }
 
-// LoseNextAnswer loses the answers of the next n writes after they took effect.
-func (p *Platform) LoseNextAnswer(n int) {
+// LoseAnswers loses the answers of the next n writes after they took effect.
+func (p *Platform) LoseAnswers(n int) {
 	p.faults.mu.Lock()
 	defer p.faults.mu.Unlock()
 	p.faults.lose = n
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -15,12 +15,12 @@
 
 // ServiceOptions describes a plain service.
 type ServiceOptions struct {
-	Name    string
-	Latency time.Duration
-	Scorer  bool   // answer {"score": x}
-	Poison  string // a body with this text crashes the service; empty: none
-	OnCrash func()
-	Effects io.Writer // gets a line per effect, for counts that outlive a kill; nil: none
+	Name       string
+	Latency    time.Duration
+	Scorer     bool   // answer {"score": x}
+	PoisonText string // a body with this text crashes the service; empty: none
+	OnCrash    func()
+	EffectLog  io.Writer // gets a line per effect, for counts that outlive a kill; nil: none
 }
 
 // ServiceStats counts effects by business operation: the body's field
@@ -79,8 +79,8 @@
 	s.listener.cut()
 }
 
-// Silence drops everything the service writes to the connections open now.
-func (s *Service) Silence() {
+// BlackholeConnections drops everything the service writes to the connections open now.
+func (s *Service) BlackholeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listener.silence()
@@ -106,12 +106,12 @@
 	if !ctx.IsGet() {
 		s.mu.Lock()
 		s.effects[operation]++
-		if s.options.Effects != nil {
-			fmt.Fprintln(s.options.Effects, operation)
+		if s.options.EffectLog != nil {
+			fmt.Fprintln(s.options.EffectLog, operation)
 		}
 		s.mu.Unlock()
 	}
-	if s.options.Poison != "" && strings.Contains(body, s.options.Poison) {
+	if s.options.PoisonText != "" && strings.Contains(body, s.options.PoisonText) {
 		s.Crash()
 		if s.options.OnCrash != nil {
 			s.options.OnCrash()
--- a/internal/standin/shared.go
+++ b/internal/standin/shared.go
@@ -12,9 +12,9 @@
 	"siskinloom.example/siskinloom/internal/kv"
 )
 
-// Shared is a key-value service in memory that speaks kv.Shared and misbehaves
+// TransactionalStore is a key-value service in memory that speaks kv.TransactionalStore and misbehaves
 // on demand. It is safe for concurrent use.
-type Shared struct {
+type TransactionalStore struct {
 	mu       sync.Mutex
 	revision int64
 	oldest   int64 // watches from before it get ErrHistoryGone
@@ -31,34 +31,34 @@
 	Calls map[string]int
 }
 
-// NewShared returns an empty service.
-func NewShared() *Shared {
-	return &Shared{revision: 1, records: map[string]kv.Record{}, leases: map[kv.LeaseID]time.Time{}, news: make(chan struct{}), Calls: map[string]int{}}
+// NewTransactionalStore returns an empty service.
+func NewTransactionalStore() *TransactionalStore {
+	return &TransactionalStore{revision: 1, records: map[string]kv.Record{}, leases: map[kv.LeaseID]time.Time{}, news: make(chan struct{}), Calls: map[string]int{}}
 }
 
 // SetDown has the service refuse every call, or serve again.
-func (s *Shared) SetDown(down bool) {
+func (s *TransactionalStore) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
 // LoseAnswers has the next n commits take effect without an answer.
-func (s *Shared) LoseAnswers(n int) {
+func (s *TransactionalStore) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lose = n
 }
 
-// SetDeaf keeps watches that wait from hearing changes.
-func (s *Shared) SetDeaf(deaf bool) {
+// StallWatches keeps watches that wait from hearing changes.
+func (s *TransactionalStore) StallWatches(deaf bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deaf = deaf
 }
 
 // DropHistory forgets all changes so far.
-func (s *Shared) DropHistory() {
+func (s *TransactionalStore) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
@@ -66,7 +66,7 @@
 }
 
 // Revoke takes a key away without a word to its writer.
-func (s *Shared) Revoke(key string) {
+func (s *TransactionalStore) Revoke(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -75,13 +75,13 @@
 }
 
 // Count returns how many calls of a kind were made.
-func (s *Shared) Count(kind string) int {
+func (s *TransactionalStore) Count(kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Calls[kind]
 }
 
-func (s *Shared) begin(kind string) error {
+func (s *TransactionalStore) begin(kind string) error {
 	s.Calls[kind]++
 	if s.down {
 		return errors.Wrap(kv.ErrUnavailable, kind)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func (s *Shared) expire() {
+func (s *TransactionalStore) expire() {
 	for id, until := range s.leases {
 		if time.Now().After(until) {
 			s.endLease(id)
@@ -98,7 +98,7 @@
 	}
 }
 
-func (s *Shared) endLease(id kv.LeaseID) {
+func (s *TransactionalStore) endLease(id kv.LeaseID) {
 	delete(s.leases, id)
 	s.revision++
 	for key, r := range s.records {
@@ -109,7 +109,7 @@
 	s.wake()
 }
 
-func (s *Shared) remove(key string) {
+func (s *TransactionalStore) remove(key string) {
 	if _, found := s.records[key]; !found {
 		return
 	}
@@ -117,13 +117,13 @@
 	s.history = append(s.history, kv.Change{Record: kv.Record{Key: key, Revision: s.revision}, Deleted: true})
 }
 
-func (s *Shared) wake() {
+func (s *TransactionalStore) wake() {
 	close(s.news)
 	s.news = make(chan struct{})
 }
 
 // Read implements kv.Shared.
-func (s *Shared) Read(_ context.Context, key string) (kv.Record, error) {
+func (s *TransactionalStore) Read(_ context.Context, key string) (kv.Record, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("read"); err != nil {
@@ -140,7 +140,7 @@
 const pageRecords = 3
 
 // ReadPage implements kv.Shared.
-func (s *Shared) ReadPage(_ context.Context, prefix, after string) (kv.Page, error) {
+func (s *TransactionalStore) ReadPage(_ context.Context, prefix, after string) (kv.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("page"); err != nil {
@@ -160,7 +160,7 @@
 }
 
 // Await implements kv.Shared.
-func (s *Shared) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
+func (s *TransactionalStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	waited := false
@@ -198,7 +198,7 @@
 }
 
 // Commit implements kv.Shared.
-func (s *Shared) Commit(_ context.Context, t kv.Transaction) (kv.Committed, error) {
+func (s *TransactionalStore) Commit(_ context.Context, t kv.Transaction) (kv.Committed, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("commit"); err != nil {
@@ -212,7 +212,7 @@
 	return committed, err
 }
 
-func (s *Shared) apply(t kv.Transaction) (kv.Committed, error) {
+func (s *TransactionalStore) apply(t kv.Transaction) (kv.Committed, error) {
 	for _, e := range t.Expect {
 		if s.records[e.Key].Revision != e.Revision {
 			return kv.Committed{}, nil
@@ -237,7 +237,7 @@
 }
 
 // GrantLease implements kv.Shared.
-func (s *Shared) GrantLease(_ context.Context, ttl time.Duration) (kv.LeaseID, time.Duration, error) {
+func (s *TransactionalStore) GrantLease(_ context.Context, ttl time.Duration) (kv.LeaseID, time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("lease"); err != nil {
@@ -249,7 +249,7 @@
 }
 
 // KeepLease implements kv.Shared.
-func (s *Shared) KeepLease(_ context.Context, id kv.LeaseID) error {
+func (s *TransactionalStore) KeepLease(_ context.Context, id kv.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("keep"); err != nil {
@@ -263,7 +263,7 @@
 }
 
 // RevokeLease implements kv.Shared.
-func (s *Shared) RevokeLease(_ context.Context, id kv.LeaseID) error {
+func (s *TransactionalStore) RevokeLease(_ context.Context, id kv.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin("revoke"); err != nil {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -57,7 +57,7 @@
 	})
 
 	It("loses an answer after the write took effect, and refuses all in an outage", func() {
-		platform.LoseNextAnswer(1)
+		platform.LoseAnswers(1)
 		_, err := keys.CompareAndSwap(ctx, &platformpb.CompareAndSwapRequest{Key: "a", Value: []byte("x")})
 		Expect(status.Code(err)).To(Equal(codes.Unavailable))
 		got, err := keys.Get(ctx, &platformpb.GetRequest{Key: "a"})
@@ -66,7 +66,7 @@
 		again, err := keys.CompareAndSwap(ctx, &platformpb.CompareAndSwapRequest{Key: "a", Value: []byte("y")})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again.Swapped).To(BeFalse())
-		platform.Outage(true)
+		platform.SetDown(true)
 		_, err = keys.Get(ctx, &platformpb.GetRequest{Key: "a"})
 		Expect(status.Code(err)).To(Equal(codes.Unavailable))
 	})
@@ -97,7 +97,7 @@
 	}
 
 	It("labels each token of a stream that a swap cuts, and resumes elsewhere", func() {
-		engine, address := start(standin.EngineOptions{Version: 1, Step: 5 * time.Millisecond})
+		engine, address := start(standin.EngineOptions{Version: 1, StepTime: 5 * time.Millisecond})
 		request := engineapi.CompletionRequest{Prompt: "p", Seed: 3, MaxTokens: 200, Stream: true, RequestID: "r"}
 		encoded, _ := json.Marshal(request)
 		answer, err := http.Post("http://"+address+engineapi.PathCompletions, "application/json", bytes.NewReader(encoded))
@@ -121,7 +121,7 @@
 				post(address, engineapi.PathOrder, engineapi.Order{Kind: "swap", Version: 2})
 			}
 		}
-		Expect(tokens).To(HaveLen(standin.Length("p", 3, 200)))
+		Expect(tokens).To(HaveLen(standin.TokenCount("p", 3, 200)))
 		Expect(standin.CheckText("p", 3, strings.Join(tokens, ""))).To(Equal(versions))
 		Expect(versions).To(ContainElements(int64(1), int64(2)))
 		Expect(engine.Stats().Runs).To(HaveKeyWithValue("r", 1))
@@ -147,7 +147,7 @@
 	})
 
 	It("crashes on a poison request", func() {
-		_, address := start(standin.EngineOptions{Poison: "POISON"})
+		_, address := start(standin.EngineOptions{PoisonText: "POISON"})
 		encoded, _ := json.Marshal(engineapi.CompletionRequest{Prompt: "a POISON b"})
 		_, err := http.Post("http://"+address+engineapi.PathCompletions, "application/json", bytes.NewReader(encoded))
 		Expect(err).To(HaveOccurred())
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -35,8 +35,8 @@
 	if s.chunk == 0 {
 		s.chunk = defaultChunkBytes
 	}
-	if o.StoreRate > 0 {
-		s.limit = rate.NewLimiter(rate.Limit(o.StoreRate), s.chunk)
+	if o.WeightStoreRate > 0 {
+		s.limit = rate.NewLimiter(rate.Limit(o.WeightStoreRate), s.chunk)
 	}
 	return s
 }
--- a/internal/standin/text.go
+++ b/internal/standin/text.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrText is returned for a text that is not what the engine made for the prompt.
-var ErrText = errors.New("standin: text does not belong to the prompt")
+// ErrTextMismatch is returned for a text that is not what the engine made for the prompt.
+var ErrTextMismatch = errors.New("standin: text does not belong to the prompt")
 
 // Token returns the token at a position: its hash binds it to prompt, seed and
 // position, its suffix names the version that produced it. So a cut, mixed-up
@@ -20,9 +20,9 @@
 	return fmt.Sprintf(" %04x.%d", sum&0xffff, version)
 }
 
-// Length returns how many tokens the engine makes for a prompt: long-tailed,
+// TokenCount returns how many tokens the engine makes for a prompt: long-tailed,
 // from 4 up to limit; 0 stands for a limit of 64.
-func Length(prompt string, seed int64, limit int) int {
+func TokenCount(prompt string, seed int64, limit int) int {
 	if limit <= 0 {
 		limit = 64
 	}
@@ -40,7 +40,7 @@
 	}
 	for i, word := range strings.Fields(text) {
 		if Token(prompt, seed, i, versions[i]) != " "+word {
-			return nil, errors.Wrapf(ErrText, "token %d", i)
+			return nil, errors.Wrapf(ErrTextMismatch, "token %d", i)
 		}
 	}
 	return versions, nil
@@ -53,7 +53,7 @@
 		_, suffix, _ := strings.Cut(word, ".")
 		version, err := strconv.ParseInt(suffix, 10, 64)
 		if err != nil {
-			return nil, errors.Wrapf(ErrText, "token %d", i)
+			return nil, errors.Wrapf(ErrTextMismatch, "token %d", i)
 		}
 		versions = append(versions, version)
 	}
--- a/internal/standin/trainer.go
+++ b/internal/standin/trainer.go
@@ -25,15 +25,15 @@
 
 // TrainerOptions describes a trainer of one feed.
 type TrainerOptions struct {
-	Entries       []string // addresses; the next is tried when one fails
-	Key           string   // sent as "authorization: Bearer KEY"
-	Deployment    string
-	Feed          string
-	Model         string
-	Version       int64
-	Bound         int64 // staleness bound, to count what breaks it
-	TrainTime     time.Duration
-	AnnounceEvery int // steps from one announced version to the next; 0: 1
+	Entries          []string // addresses; the next is tried when one fails
+	Key              string   // sent as "authorization: Bearer KEY"
+	Deployment       string
+	Feed             string
+	Model            string
+	Version          int64
+	StalenessBound   int64 // staleness bound, to count what breaks it
+	TrainTime        time.Duration
+	AnnounceInterval int // steps from one announced version to the next; 0: 1
 }
 
 // TrainerReport is what a trainer measured.
@@ -72,9 +72,9 @@
 // NewTrainer returns a trainer; connections are made when first used.
 func NewTrainer(o TrainerOptions) (*Trainer, error) {
 	t := &Trainer{options: o, seen: map[string]bool{}}
-	t.client = handover.NewClient(handover.Position{}, o.Bound)
+	t.client = handover.NewClient(handover.Position{}, o.StalenessBound)
 	t.report.Version = o.Version
-	t.options.AnnounceEvery = max(1, o.AnnounceEvery)
+	t.options.AnnounceInterval = max(1, o.AnnounceInterval)
 	for _, address := range o.Entries {
 		conn, err := grpc.NewClient(address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
@@ -213,7 +213,7 @@
 	stale := t.report.Version - oldest
 	t.staleness += stale
 	t.report.StalenessMax = max(t.report.StalenessMax, stale)
-	if stale > t.options.Bound {
+	if stale > t.options.StalenessBound {
 		t.report.Stale++
 	}
 }
@@ -246,7 +246,7 @@
 		r.Steps++
 		r.TrainSeconds += t.options.TrainTime.Seconds()
 		r.Version++
-		if r.Steps%t.options.AnnounceEvery == 0 {
+		if r.Steps%t.options.AnnounceInterval == 0 {
 			announce = r.Version
 		}
 	})
