--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -8,57 +8,57 @@
 	"siskinloom.example/siskinloom/internal/engineapi"
 )
 
-// PrefixBytes is how much of a prompt the engine's cache events identify: they
-// carry the xxhash of so many first bytes.
+// PrefixBytes is the number of first bytes of a prompt whose xxhash identifies it in
+// the engine's cache events.
 const PrefixBytes = 128
 
-const defaultCachePrefixes = 64
+const defaultMaxCachedPrefixes = 64
 
 type cacheEvent struct {
 	at    time.Time
 	event engineapi.CacheEvent
 }
 
-// prefixCache keeps the most recently used prompt prefixes. The engine's lock
-// guards it.
+// prefixCache keeps the most recently used prompt prefixes. The engine's mutex must
+// be held to use it.
 type prefixCache struct {
-	limit    int
-	gap      int
-	used     []uint64 // least recently used first
-	sequence int64
-	events   []cacheEvent
+	limit        int
+	dropInterval int
+	used         []uint64 // least recently used first
+	sequence     int64
+	events       []cacheEvent
 }
 
-func newPrefixCache(limit, gap int) *prefixCache {
+func newPrefixCache(limit, dropInterval int) *prefixCache {
 	if limit == 0 {
-		limit = defaultCachePrefixes
+		limit = defaultMaxCachedPrefixes
 	}
-	return &prefixCache{limit: limit, gap: gap}
+	return &prefixCache{limit: limit, dropInterval: dropInterval}
 }
 
 func prefixOf(prompt string) uint64 {
 	return xxhash.Sum64String(prompt[:min(len(prompt), PrefixBytes)])
 }
 
-// use looks a prompt up, keeps it, and returns how many bytes need prefill.
+// use records the use of a prompt and returns how many of its bytes need prefill.
 func (c *prefixCache) use(prompt string, now time.Time) int {
 	key := prefixOf(prompt)
 	cached := c.touch(key)
 	if cached {
-		return max(0, len(prompt)-PrefixBytes) / 4 // most of the rest is cached too
+		return max(0, len(prompt)-PrefixBytes) / 4 // most of the remaining prompt is cached too
 	}
-	c.tell(key, true, now)
+	c.addEvent(key, true, now)
 	if len(c.used) > c.limit {
-		c.tell(c.used[0], false, now)
+		c.addEvent(c.used[0], false, now)
 		c.used = c.used[1:]
 	}
 	return len(prompt)
 }
 
-// touch makes key the most recently used and tells whether it was there.
+// touch marks key as the most recently used one and reports whether it was cached.
 func (c *prefixCache) touch(key uint64) bool {
-	for i, have := range c.used {
-		if have == key {
+	for i, cached := range c.used {
+		if cached == key {
 			c.used = append(append(c.used[:i:i], c.used[i+1:]...), key)
 			return true
 		}
@@ -67,16 +67,16 @@
 	return false
 }
 
-func (c *prefixCache) tell(key uint64, stored bool, now time.Time) {
+func (c *prefixCache) addEvent(key uint64, stored bool, now time.Time) {
 	c.sequence++
-	if c.gap > 0 && c.sequence%int64(c.gap) == 0 {
+	if c.dropInterval > 0 && c.sequence%int64(c.dropInterval) == 0 {
 		return
 	}
 	event := engineapi.CacheEvent{Sequence: c.sequence, Prefix: key, Stored: stored}
 	c.events = append(c.events, cacheEvent{at: now, event: event})
 }
 
-// after returns the events past a sequence number that are at least lag old.
+// after returns the events after a sequence number whose age is at least lag.
 func (c *prefixCache) after(sequence int64, lag time.Duration, now time.Time) []engineapi.CacheEvent {
 	found := []engineapi.CacheEvent{}
 	for _, e := range c.events {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -12,46 +12,48 @@
 	"siskinloom.example/siskinloom/internal/engineapi"
 )
 
-// prefillChars is how much prompt text one step of prefill takes in.
-const prefillChars = 512
+// prefillBytesPerStep is the number of context bytes that one step of prefill
+// processes.
+const prefillBytesPerStep = 512
 
-// finish reasons of a choice.
+// Finish reasons of a choice.
 const (
 	finishStop      = "stop"
 	finishLength    = "length"
 	finishCancelled = "cancelled"
 )
 
-// EngineOptions describes a batching engine. Zero values give a fast engine
-// without lag or faults.
+// EngineOptions configures a batching engine. Zero values give a fast engine without
+// lag or faults.
 type EngineOptions struct {
 	Model                  string
 	Version                int64
-	Slots                  int           // requests in the batch at most; 0: 8
-	StepTime               time.Duration // of an empty batch; 0: 1 ms
-	StepTimePerRequest     time.Duration // added by each request in the batch
+	Slots                  int           // largest number of requests in the batch; 0 means 8
+	StepTime               time.Duration // duration of a step with an empty batch; 0 means 1 ms
+	StepTimePerRequest     time.Duration // added to the duration for each request in the batch
 	LoadReportLag          time.Duration // age of the load report
 	CacheEventLag          time.Duration // age of the cache events
-	CacheEventDropInterval int           // every such cache event is lost; 0: none
-	CachePrefixes          int           // prompt prefixes kept; 0: 64
+	CacheEventDropInterval int           // every n-th cache event is lost; 0 for none
+	CachePrefixes          int           // largest number of cached prompt prefixes; 0 means 64
 	Fencing                bool          // refuse orders with an old fencing number
 	LoadTime               time.Duration // time that loading a version takes
-	FailLoads              int           // loads that fail before one succeeds
-	KVBytes                int           // of KV cache for each byte of context; 0: 1
-	RefuseImports          bool          // take no KV cache
-	PoisonText             string        // a prompt with this text crashes the engine; empty: none
-	OnCrash                func()        // called once the connections are cut
+	FailLoads              int           // number of loads that fail before one succeeds
+	KVBytes                int           // size of the KV cache for each byte of context; 0 means 1
+	RefuseImports          bool          // refuse to import KV caches
+	PoisonText             string        // a prompt that contains it crashes the engine; empty for none
+	OnCrash                func()        // called after the connections were closed
 }
 
+// generation is the state of one request.
 type generation struct {
-	request  engineapi.CompletionRequest
-	arrived  int64
-	prefill  int // steps before the first token
-	position int // of the next token
-	length   int
-	segments []engineapi.Segment
-	made     strings.Builder           // text since the request came
-	events   chan engineapi.Completion // closed after the last
+	request   engineapi.CompletionRequest
+	arrived   int64
+	prefill   int // remaining prefill steps before the first token
+	position  int // position of the next token
+	length    int
+	segments  []engineapi.Segment
+	generated strings.Builder           // text generated since the request arrived
+	events    chan engineapi.Completion // closed after the last event
 }
 
 // Engine is a batching engine. It is safe for concurrent use.
@@ -65,19 +67,19 @@
 	adapters map[string]int64
 	role     string
 
-	weightsRead int // bytes, from the agent
-	loading     int // version loads in progress; no token is made meanwhile
+	weightsRead int // bytes read from the agent
+	loading     int // number of version loads in progress; no tokens are generated meanwhile
 	arrivals    int64
 	waiting     []*generation
 	running     []*generation
-	runs        map[string]int // generations begun by request id
-	versions    []int64        // in the order they came into force
+	runs        map[string]int // generations started, by request ID
+	versions    []int64        // in the order in which they took effect
 	fences      map[string]int64
 	failLoads   int
-	loads       []loadSample // oldest first, for the lagging report
+	loads       []loadSample // oldest first, for the delayed load report
 	cache       *prefixCache
 	imports     *importedCaches
-	prefilled   map[string]int // bytes of context computed, by request id
+	prefilled   map[string]int // bytes of context computed, by request ID
 	stopped     chan struct{}
 }
 
@@ -86,7 +88,7 @@
 	load engineapi.Load
 }
 
-// NewEngine returns an engine that does not listen yet.
+// NewEngine returns an engine that doesn't listen yet.
 func NewEngine(o EngineOptions) *Engine {
 	if o.Slots == 0 {
 		o.Slots = 8
@@ -110,9 +112,9 @@
 	return e
 }
 
-// Start listens on address and returns the one bound. A crashed engine may be
-// started again: its cache, requests, fences and loaded weights are gone, its
-// counts stay.
+// Start listens on address and returns the bound address. A crashed engine can be
+// started again. It has lost its cache, requests, fences and loaded weights, and
+// keeps its counts.
 func (e *Engine) Start(address string) (string, error) {
 	l, err := listen(address)
 	if err != nil {
@@ -128,14 +130,14 @@
 	return l.Addr().String(), nil
 }
 
-// Crash cuts every connection and drops every request at once.
+// Crash closes every connection and drops every request at once.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	if e.listener == nil {
 		e.mu.Unlock()
 		return
 	}
-	e.listener.cut()
+	e.listener.closeAll()
 	e.listener = nil
 	close(e.stopped)
 	for _, g := range append(e.running, e.waiting...) {
@@ -151,11 +153,11 @@
 	e.mu.Unlock()
 }
 
-// BlackholeConnections drops everything the engine writes to the connections open now.
+// BlackholeConnections discards all further writes to the open connections.
 func (e *Engine) BlackholeConnections() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.listener.silence()
+	e.listener.blackhole()
 }
 
 // FailLoads makes the next n version loads fail.
@@ -175,27 +177,27 @@
 	}
 }
 
-// step makes one token for each request in the batch and returns the time the
-// next step takes.
+// step generates one token for each request in the batch and returns the duration of
+// the next step.
 func (e *Engine) step() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.sample()
+	e.recordLoad()
 	if e.loading > 0 {
 		return e.options.StepTime
 	}
 	e.admit()
-	still := e.running[:0]
+	unfinished := e.running[:0]
 	for _, g := range e.running {
 		if e.advance(g) {
-			still = append(still, g)
+			unfinished = append(unfinished, g)
 		}
 	}
-	e.running = still
+	e.running = unfinished
 	return e.options.StepTime + time.Duration(len(e.running))*e.options.StepTimePerRequest
 }
 
-// admit fills the batch by priority, then arrival.
+// admit fills the batch in the order of priority, then of arrival.
 func (e *Engine) admit() {
 	sort.SliceStable(e.waiting, func(i, j int) bool {
 		a, b := e.waiting[i], e.waiting[j]
@@ -209,12 +211,12 @@
 		e.waiting = e.waiting[1:]
 		compute := e.contextToCompute(g.request)
 		e.prefilled[g.request.RequestID] += compute
-		g.prefill = compute / prefillChars
+		g.prefill = compute / prefillBytesPerStep
 		e.running = append(e.running, g)
 	}
 }
 
-// advance makes one token and tells whether the request goes on.
+// advance generates one token and reports whether the request is unfinished.
 func (e *Engine) advance(g *generation) bool {
 	if g.prefill > 0 {
 		g.prefill--
@@ -225,7 +227,7 @@
 		return false
 	}
 	text := Token(g.request.Prompt, g.request.Seed, g.position, e.version)
-	g.made.WriteString(text)
+	g.generated.WriteString(text)
 	g.segments = extend(g.segments, e.version, g.position)
 	g.position++
 	g.events <- e.event(g, text, 1)
@@ -240,6 +242,7 @@
 	return false
 }
 
+// extend adds a token of the version at the position to the segments.
 func extend(segments []engineapi.Segment, version int64, position int) []engineapi.Segment {
 	last := len(segments) - 1
 	if last >= 0 && segments[last].Version == version {
@@ -268,8 +271,8 @@
 	close(g.events)
 }
 
-// submit queues a request. The channel holds every event there can be, so that
-// the batch never waits for a slow reader.
+// submit queues a request. The channel has room for all events of the request, so
+// that the batch never waits for a slow reader.
 func (e *Engine) submit(r engineapi.CompletionRequest) (*generation, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -289,29 +292,29 @@
 	return g, true
 }
 
-// cancel ends a request's generations and tells whether there were any.
+// cancel ends the matching generations and reports whether there were any.
 func (e *Engine) cancel(match func(*generation) bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	found := false
-	keep := func(all []*generation) []*generation {
-		var rest []*generation
+	removeMatching := func(all []*generation) []*generation {
+		var remaining []*generation
 		for _, g := range all {
 			if !match(g) {
-				rest = append(rest, g)
+				remaining = append(remaining, g)
 				continue
 			}
 			found = true
 			e.finish(g, finishCancelled)
 		}
-		return rest
+		return remaining
 	}
-	e.waiting = keep(e.waiting)
-	e.running = keep(e.running)
+	e.waiting = removeMatching(e.waiting)
+	e.running = removeMatching(e.running)
 	return found
 }
 
-func (e *Engine) sample() {
+func (e *Engine) recordLoad() {
 	now := time.Now()
 	e.loads = append(e.loads, loadSample{at: now, load: engineapi.Load{
 		Running:       len(e.running),
--- a/internal/standin/engine_cache.go
+++ b/internal/standin/engine_cache.go
@@ -11,13 +11,14 @@
 	"siskinloom.example/siskinloom/internal/engineapi"
 )
 
-// maxImports is how many imported KV caches an engine keeps.
+// maxImports is the largest number of imported KV caches that an engine keeps.
 const maxImports = 16
 
-// importedCaches keeps imported KV caches until the request that each is for.
-// Another request must not go on from one: it may be of other weights.
+// importedCaches keeps each imported KV cache until the request that it was
+// imported for. No other request may use it, as it may have been computed with
+// other weights.
 type importedCaches struct {
-	contexts map[string]string // prompt and tokens, by cache id
+	contexts map[string]string // prompt and tokens, by cache ID
 	order    []string          // oldest first
 }
 
@@ -34,16 +35,17 @@
 	}
 }
 
-// take returns how many of the context's first bytes an imported cache covers.
+// take removes the cache with the ID and returns how many of the first bytes of
+// context it covers.
 func (c *importedCaches) take(id, context string) int {
-	held, found := c.contexts[id]
+	cached, found := c.contexts[id]
 	delete(c.contexts, id)
 	switch {
 	case !found:
 		return 0
-	case strings.HasPrefix(context, held):
-		return len(held)
-	case strings.HasPrefix(held, context):
+	case strings.HasPrefix(context, cached):
+		return len(cached)
+	case strings.HasPrefix(cached, context):
 		return len(context)
 	default:
 		return 0
@@ -59,8 +61,8 @@
 	return e.cache.use(context, time.Now())
 }
 
-// handleExport gives the KV cache of a running request: its context, padded to
-// the size that a cache would have.
+// handleExport returns the KV cache of a running request: its context, padded to
+// the size that a real cache would have.
 func (e *Engine) handleExport(ctx *fasthttp.RequestCtx) {
 	id := string(ctx.QueryArgs().Peek("request_id"))
 	e.mu.Lock()
@@ -69,7 +71,7 @@
 		if g.request.RequestID != id {
 			continue
 		}
-		context := g.request.Prompt + strings.Join(g.request.Resume, "") + g.made.String()
+		context := g.request.Prompt + strings.Join(g.request.Resume, "") + g.generated.String()
 		ctx.Response.Header.Set(engineapi.HeaderVersion, strconv.FormatInt(e.version, 10))
 		ctx.SetBody(append([]byte(context), make([]byte, len(context)*max(0, e.options.KVBytes-1))...))
 		return
@@ -77,7 +79,7 @@
 	ctx.SetStatusCode(fasthttp.StatusNotFound)
 }
 
-// handleImport keeps the cache for the request that names it.
+// handleImport keeps the cache for the request that names its ID.
 func (e *Engine) handleImport(ctx *fasthttp.RequestCtx) {
 	if e.options.RefuseImports {
 		ctx.SetStatusCode(fasthttp.StatusInsufficientStorage)
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -13,18 +13,18 @@
 	"siskinloom.example/siskinloom/internal/engineapi"
 )
 
-// PathStats is where engines and plain services tell their counts.
+// PathStats is the path at which engines and plain services serve their counts.
 const PathStats = "/stats"
 
-// EngineStats are an engine's counts.
+// EngineStats holds the counts of an engine.
 type EngineStats struct {
-	Runs     map[string]int `json:"runs"`     // generations begun, by request id
-	Versions []int64        `json:"versions"` // in the order they came into force
+	Runs     map[string]int `json:"runs"`     // generations started, by request ID
+	Versions []int64        `json:"versions"` // in the order in which they took effect
 
-	Prefilled map[string]int `json:"prefilled"` // bytes of context computed, by request id
+	Prefilled map[string]int `json:"prefilled"` // bytes of context computed, by request ID
 }
 
-// Stats returns the engine's counts.
+// Stats returns the counts of the engine.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -34,7 +34,7 @@
 func (e *Engine) handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case engineapi.PathCompletions:
-		e.complete(ctx)
+		e.handleCompletion(ctx)
 	case engineapi.PathHealth:
 		ctx.SetStatusCode(fasthttp.StatusOK)
 	case engineapi.PathLoad:
@@ -66,18 +66,19 @@
 	ctx.SetBody(encoded)
 }
 
-// read decodes the request's body, answering 400 if it can't.
-func read(ctx *fasthttp.RequestCtx, into any) bool {
-	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
+// decode decodes the body of a request into v. It replies with status 400 and
+// returns false if that fails.
+func decode(ctx *fasthttp.RequestCtx, v any) bool {
+	if err := json.Unmarshal(ctx.PostBody(), v); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-func (e *Engine) complete(ctx *fasthttp.RequestCtx) {
+func (e *Engine) handleCompletion(ctx *fasthttp.RequestCtx) {
 	var r engineapi.CompletionRequest
-	if !read(ctx, &r) {
+	if !decode(ctx, &r) {
 		return
 	}
 	g, ok := e.submit(r)
@@ -96,16 +97,17 @@
 		e.stream(ctx, g)
 		return
 	}
-	whole, ok := gather(g)
+	answer, ok := collect(g)
 	if !ok {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	reply(ctx, fasthttp.StatusOK, whole)
+	reply(ctx, fasthttp.StatusOK, answer)
 }
 
-// gather joins a generation's events; false if the engine crashed meanwhile.
-func gather(g *generation) (engineapi.Completion, bool) {
+// collect joins the events of a generation. It returns false if the engine crashed
+// before the last event.
+func collect(g *generation) (engineapi.Completion, bool) {
 	var text strings.Builder
 	tokens := 0
 	for event := range g.events {
@@ -139,7 +141,7 @@
 
 func (e *Engine) handleCancel(ctx *fasthttp.RequestCtx) {
 	var r engineapi.CancelRequest
-	if !read(ctx, &r) {
+	if !decode(ctx, &r) {
 		return
 	}
 	if !e.cancel(func(g *generation) bool { return g.request.RequestID == r.RequestID }) {
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -12,17 +12,17 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// chunkTimeout bounds the reading of one chunk from the agent.
+// chunkTimeout limits the reading of one chunk from the agent.
 const chunkTimeout = 10 * time.Second
 
-// handleOrder carries an order out in its request. Loads are not put in order:
-// of two at once, the one that ends last stands, whatever its version.
+// handleOrder carries out an order before it replies. Concurrent loads are not
+// ordered: the one that ends last takes effect, whatever its version.
 func (e *Engine) handleOrder(ctx *fasthttp.RequestCtx) {
 	var o engineapi.Order
-	if !read(ctx, &o) {
+	if !decode(ctx, &o) {
 		return
 	}
-	if !e.passFence(o) {
+	if !e.checkFence(o) {
 		reply(ctx, fasthttp.StatusConflict, engineapi.OrderResult{Version: e.Version(), Detail: "old fencing number"})
 		return
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-func (e *Engine) passFence(o engineapi.Order) bool {
+func (e *Engine) checkFence(o engineapi.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.options.Fencing && o.Fence < e.fences[o.FenceDuty] {
@@ -48,18 +48,18 @@
 	e.mu.Lock()
 	e.loading++
 	e.mu.Unlock()
-	took := e.options.LoadTime
+	duration := e.options.LoadTime
 	deadline := time.Duration(o.DeadlineMilli) * time.Millisecond
-	late := deadline > 0 && took > deadline
-	if late {
-		took = deadline
+	timedOut := deadline > 0 && duration > deadline
+	if timedOut {
+		duration = deadline
 	}
-	time.Sleep(took)
-	read, unread := readWeights(o)
+	time.Sleep(duration)
+	bytesRead, mismatch := readWeights(o)
 	e.mu.Lock()
-	e.weightsRead += read
+	e.weightsRead += bytesRead
 	e.loading--
-	failed := late || unread || e.failLoads > 0 || e.listener == nil
+	failed := timedOut || mismatch || e.failLoads > 0 || e.listener == nil
 	e.failLoads = max(0, e.failLoads-1)
 	if !failed {
 		e.apply(o)
@@ -72,9 +72,10 @@
 	reply(ctx, fasthttp.StatusOK, engineapi.OrderResult{Version: o.Version})
 }
 
-// readWeights reads a version from its agent, if that gives it, and tells how
-// many bytes there were and whether they are not what was announced.
-func readWeights(o engineapi.Order) (bytes int, wrong bool) {
+// readWeights reads a version from the agent, if the order names a URL. It returns
+// the number of bytes read, and whether reading failed or the digest differs from
+// the announced one.
+func readWeights(o engineapi.Order) (bytes int, mismatch bool) {
 	if o.WeightsURL == "" {
 		return 0, false
 	}
@@ -110,21 +111,21 @@
 	e.versions = append(e.versions, o.Version)
 }
 
-// Version returns the weight version in force.
+// Version returns the weight version that the engine generates with.
 func (e *Engine) Version() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.version
 }
 
-// Adapter returns an adapter's version; 0 if it was never loaded.
+// Adapter returns the version of an adapter, 0 if it was never loaded.
 func (e *Engine) Adapter(name string) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.adapters[name]
 }
 
-// Role returns the role last ordered; empty if none was.
+// Role returns the role that was ordered last, empty if none was.
 func (e *Engine) Role() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -15,22 +15,23 @@
 
 const keyValuePrefix = "/siskinloom.platform.v1.KeyValue/"
 
-// faults switches the key-value service's faults and counts calls.
+// faults holds the faults of the key-value service that are switched on, and counts
+// calls.
 type faults struct {
-	budget *rate.Limiter // nil: none
+	limiter *rate.Limiter // nil for no limit
 
-	mu     sync.Mutex
-	outage bool
-	start  chan struct{} // closed when an outage starts
-	slow   time.Duration
-	lose   int
-	calls  map[string]int
+	mu            sync.Mutex
+	outage        bool
+	started       chan struct{} // closed when an outage starts
+	callDelay     time.Duration
+	answersToLose int
+	calls         map[string]int
 }
 
 func newFaults(callsPerSecond float64) *faults {
-	f := &faults{start: make(chan struct{}), calls: map[string]int{}}
+	f := &faults{started: make(chan struct{}), calls: map[string]int{}}
 	if callsPerSecond > 0 {
-		f.budget = rate.NewLimiter(rate.Limit(callsPerSecond), max(1, int(callsPerSecond)))
+		f.limiter = rate.NewLimiter(rate.Limit(callsPerSecond), max(1, int(callsPerSecond)))
 	}
 	return f
 }
@@ -39,36 +40,37 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if on && !f.outage {
-		close(f.start)
+		close(f.started)
 	}
 	if !on && f.outage {
-		f.start = make(chan struct{})
+		f.started = make(chan struct{})
 	}
 	f.outage = on
 }
 
-// broken returns a channel that is closed while an outage lasts.
-func (f *faults) broken() <-chan struct{} {
+// outageStarted returns a channel that is closed while an outage lasts.
+func (f *faults) outageStarted() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.start
+	return f.started
 }
 
-func (f *faults) takeLoss() bool {
+// loseAnswer reports whether the answer of this write is lost.
+func (f *faults) loseAnswer() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lose == 0 {
+	if f.answersToLose == 0 {
 		return false
 	}
-	f.lose--
+	f.answersToLose--
 	return true
 }
 
-// admit counts a call and applies outage, slowness and call budget.
+// admit counts a call and applies outage, delay and call budget to it.
 func (f *faults) admit(ctx context.Context, method string) error {
 	f.mu.Lock()
 	f.calls[path.Base(method)]++
-	outage, slow := f.outage, f.slow
+	outage, callDelay := f.outage, f.callDelay
 	f.mu.Unlock()
 	if !strings.HasPrefix(method, keyValuePrefix) {
 		return nil
@@ -76,13 +78,13 @@
 	if outage {
 		return status.Error(codes.Unavailable, "outage")
 	}
-	if f.budget != nil && !f.budget.Allow() {
-		return status.Error(codes.ResourceExhausted, "call budget")
+	if f.limiter != nil && !f.limiter.Allow() {
+		return status.Error(codes.ResourceExhausted, "call budget exhausted")
 	}
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(slow):
+	case <-time.After(callDelay):
 		return nil
 	}
 }
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -15,15 +15,15 @@
 	"siskinloom.example/siskinloom/internal/kv"
 )
 
-const leaseSweep = 20 * time.Millisecond
+const leaseSweepInterval = 20 * time.Millisecond
 
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
-// keyValue is the key-value service's state. A deleted key keeps the revision
-// of its deletion, so that a watch learns of it.
+// keyValue is the state of the key-value service. It keeps the revision of the
+// deletion of each deleted key, so that watches can report it.
 type keyValue struct {
 	platformpb.UnimplementedKeyValueServer
 	faults *faults
@@ -33,7 +33,7 @@
 	records  map[string]*platformpb.Record
 	deleted  map[string]int64
 	leases   map[int64]*lease
-	changed  chan struct{} // closed and replaced by each change
+	changed  chan struct{} // closed and replaced on each change
 }
 
 func newKeyValue(f *faults) *keyValue {
@@ -65,8 +65,8 @@
 	return &platformpb.ListResponse{Records: s.since(r.Prefix, 0), Revision: s.revision}, nil
 }
 
-// since returns what changed under prefix after the revision, sorted by key;
-// deletions only for a revision above 0.
+// since returns the records under prefix that changed after the revision, sorted by
+// key. It includes deletions only if the revision is above 0.
 func (s *keyValue) since(prefix string, revision int64) []*platformpb.Record {
 	var found []*platformpb.Record
 	for key, record := range s.records {
@@ -89,15 +89,15 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.current(r.Key)
-	if now.Revision != r.ExpectedRevision {
-		return &platformpb.CompareAndSwapResponse{Current: now}, nil
+	record := s.current(r.Key)
+	if record.Revision != r.ExpectedRevision {
+		return &platformpb.CompareAndSwapResponse{Current: record}, nil
 	}
 	if _, ok := s.leases[r.LeaseId]; r.LeaseId != 0 && !ok {
 		return nil, status.Error(codes.NotFound, "lease not found")
 	}
 	s.put(r)
-	if s.faults.takeLoss() {
+	if s.faults.loseAnswer() {
 		return nil, status.Error(codes.Unavailable, "answer lost")
 	}
 	return &platformpb.CompareAndSwapResponse{Swapped: true, Current: s.current(r.Key)}, nil
@@ -113,7 +113,7 @@
 	s.records[r.Key] = &platformpb.Record{
 		Key: r.Key, Value: r.Value, Revision: s.revision, LeaseId: r.LeaseId,
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
 func (s *keyValue) remove(key string) {
@@ -123,10 +123,10 @@
 	s.revision++
 	delete(s.records, key)
 	s.deleted[key] = s.revision
-	s.wake()
+	s.notifyWatches()
 }
 
-func (s *keyValue) wake() {
+func (s *keyValue) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -154,11 +154,11 @@
 func (s *keyValue) RevokeLease(_ context.Context, r *platformpb.LeaseRequest) (*platformpb.LeaseResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.end(r.LeaseId)
+	s.endLease(r.LeaseId)
 	return &platformpb.LeaseResponse{LeaseId: r.LeaseId}, nil
 }
 
-func (s *keyValue) end(id int64) {
+func (s *keyValue) endLease(id int64) {
 	delete(s.leases, id)
 	for key, record := range s.records {
 		if record.LeaseId == id {
@@ -167,26 +167,27 @@
 	}
 }
 
-// sweep ends lapsed leases until ctx is done. Leases lapse in an outage too.
-func (s *keyValue) sweep(ctx context.Context) {
-	ticker := time.NewTicker(leaseSweep)
+// expireLeasesUntil ends expired leases until ctx is done. Leases expire during an
+// outage too.
+func (s *keyValue) expireLeasesUntil(ctx context.Context) {
+	ticker := time.NewTicker(leaseSweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			s.lapse(now)
+			s.expireLeases(now)
 		}
 	}
 }
 
-func (s *keyValue) lapse(now time.Time) {
+func (s *keyValue) expireLeases(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, held := range s.leases {
 		if now.After(held.expires) {
-			s.end(id)
+			s.endLease(id)
 		}
 	}
 }
@@ -206,7 +207,7 @@
 		select {
 		case <-stream.Context().Done():
 			return stream.Context().Err()
-		case <-s.faults.broken():
+		case <-s.faults.outageStarted():
 			return status.Error(codes.Unavailable, "outage")
 		case <-changed:
 		}
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// listener remembers its connections, so that a crash can cut them and a fault
-// can silence them while new ones work.
+// listener tracks its connections, so that a crash can close them all and a fault
+// can discard what is written to them while new connections work.
 type listener struct {
 	net.Listener
 	mu    sync.Mutex
@@ -16,8 +16,8 @@
 
 type conn struct {
 	net.Conn
-	from   *listener
-	silent atomic.Bool
+	owner      *listener
+	blackholed atomic.Bool
 }
 
 func listen(address string) (*listener, error) {
@@ -33,14 +33,14 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: accepted, from: l}
+	c := &conn{Conn: accepted, owner: l}
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
 	l.mu.Unlock()
 	return c, nil
 }
 
-func (l *listener) all() []*conn {
+func (l *listener) connections() []*conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var open []*conn
@@ -50,11 +50,11 @@
 	return open
 }
 
-// cut closes the listener and every connection. Close alone waits for a reader
-// to let go of the connection; a crash does not, so the write side goes first.
-func (l *listener) cut() {
+// closeAll closes the listener and every connection. It closes the write side first,
+// because Close waits until a reader releases the connection, and a crash doesn't.
+func (l *listener) closeAll() {
 	_ = l.Close()
-	for _, c := range l.all() {
+	for _, c := range l.connections() {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
 			_ = tcp.CloseWrite()
 		}
@@ -62,24 +62,24 @@
 	}
 }
 
-func (l *listener) silence() {
-	for _, c := range l.all() {
-		c.silent.Store(true)
+func (l *listener) blackhole() {
+	for _, c := range l.connections() {
+		c.blackholed.Store(true)
 	}
 }
 
-// Write drops what is written to a silenced connection.
+// Write discards p if the connection is blackholed.
 func (c *conn) Write(p []byte) (int, error) {
-	if c.silent.Load() {
+	if c.blackholed.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and removes it from its listener.
 func (c *conn) Close() error {
-	c.from.mu.Lock()
-	delete(c.from.conns, c)
-	c.from.mu.Unlock()
+	c.owner.mu.Lock()
+	delete(c.owner.conns, c)
+	c.owner.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -15,14 +15,15 @@
 	"siskinloom.example/siskinloom/api/platformpb"
 )
 
-// PlatformOptions sets the platform's limits. Zero values lift them.
+// PlatformOptions sets the limits of the platform. A zero value means no limit or
+// the default.
 type PlatformOptions struct {
-	CallsPerSecond  float64       // key-value calls; more get ResourceExhausted
-	InstanceListLag time.Duration // age of the instance list that callers see
-	WeightStoreRate int           // bytes per second of the whole weight store
-	VersionBytes    int           // size of each version's weights; 0: 1 MiB
-	ChunkBytes      int           // 0: 256 KiB
-	TLS             *tls.Config   // nil: plain
+	CallsPerSecond  float64       // key-value calls; calls above it fail with ResourceExhausted
+	InstanceListLag time.Duration // age of the instance list that callers get
+	WeightStoreRate int           // bytes per second, for all readers of the weight store together
+	VersionBytes    int           // size of the weights of each version; 0 means 1 MiB
+	ChunkBytes      int           // 0 means 256 KiB
+	TLS             *tls.Config   // nil means no TLS
 }
 
 // Platform serves the key-value service, the instance list and the weight
@@ -35,7 +36,7 @@
 	stop      context.CancelFunc
 }
 
-// NewPlatform returns a platform that does not listen yet.
+// NewPlatform returns a platform that doesn't listen yet.
 func NewPlatform(o PlatformOptions) *Platform {
 	f := newFaults(o.CallsPerSecond)
 	p := &Platform{faults: f, keys: newKeyValue(f), instances: &instanceList{lag: o.InstanceListLag}}
@@ -50,7 +51,7 @@
 	return p
 }
 
-// Start listens on address, such as "127.0.0.1:0", and returns the one bound.
+// Start listens on address, such as "127.0.0.1:0", and returns the bound address.
 func (p *Platform) Start(address string) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -58,12 +59,12 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
-	go p.keys.sweep(ctx)
+	go p.keys.expireLeasesUntil(ctx)
 	go func() { _ = p.server.Serve(l) }()
 	return l.Addr().String(), nil
 }
 
-// Close stops serving at once.
+// Close stops the servers at once, without waiting for running calls.
 func (p *Platform) Close() {
 	if p.stop != nil {
 		p.stop()
@@ -71,31 +72,33 @@
 	p.server.Stop()
 }
 
-// SetDown makes every key-value call fail, and breaks watches, while on.
+// SetDown makes every key-value call fail and breaks the open watches, or ends the
+// outage.
 func (p *Platform) SetDown(on bool) { p.faults.setOutage(on) }
 
-// SetCallDelay delays each key-value call.
+// SetCallDelay sets the delay of each key-value call.
 func (p *Platform) SetCallDelay(d time.Duration) {
 	p.faults.mu.Lock()
 	defer p.faults.mu.Unlock()
-	p.faults.slow = d
+	p.faults.callDelay = d
 }
 
-// LoseAnswers loses the answers of the next n writes after they took effect.
+// LoseAnswers makes the next n writes take effect without an answer.
 func (p *Platform) LoseAnswers(n int) {
 	p.faults.mu.Lock()
 	defer p.faults.mu.Unlock()
-	p.faults.lose = n
+	p.faults.answersToLose = n
 }
 
-// Calls returns the number of calls by method name, refused ones included.
+// Calls returns the number of calls by method name, including refused ones.
 func (p *Platform) Calls() map[string]int {
 	p.faults.mu.Lock()
 	defer p.faults.mu.Unlock()
 	return maps.Clone(p.faults.calls)
 }
 
-// SetInstances replaces the instance list; callers see it after the lag.
+// SetInstances replaces the instance list. Callers see the new list after
+// InstanceListLag.
 func (p *Platform) SetInstances(all []*platformpb.Instance) { p.instances.set(all) }
 
 type listing struct {
@@ -107,24 +110,24 @@
 	platformpb.UnimplementedInstancesServer
 	lag time.Duration
 
-	mu   sync.Mutex
-	past []listing // oldest first
+	mu      sync.Mutex
+	history []listing // oldest first
 }
 
 func (l *instanceList) set(all []*platformpb.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.past = append(l.past, listing{at: time.Now(), instances: all})
+	l.history = append(l.history, listing{at: time.Now(), instances: all})
 }
 
-// ListInstances returns the list as it was the lag ago. The deployment is not
-// looked at: one stand-in serves one deployment.
+// ListInstances returns the list as of lag ago. It ignores the deployment of the
+// request, as one platform serves one deployment.
 func (l *instanceList) ListInstances(context.Context, *platformpb.ListInstancesRequest) (*platformpb.ListInstancesResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	seen := time.Now().Add(-l.lag)
 	answer := &platformpb.ListInstancesResponse{}
-	for _, entry := range l.past {
+	for _, entry := range l.history {
 		if !entry.at.After(seen) {
 			answer.Instances = entry.instances
 		}
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -13,18 +13,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ServiceOptions describes a plain service.
+// ServiceOptions configures a plain service.
 type ServiceOptions struct {
 	Name       string
 	Latency    time.Duration
 	Scorer     bool   // answer {"score": x}
-	PoisonText string // a body with this text crashes the service; empty: none
+	PoisonText string // a body that contains it crashes the service; empty for none
 	OnCrash    func()
-	EffectLog  io.Writer // gets a line per effect, for counts that outlive a kill; nil: none
+	EffectLog  io.Writer // gets a line for each effect, for counts that survive a kill of the process; may be nil
 }
 
-// ServiceStats counts effects by business operation: the body's field
-// "operation", else the Idempotency-Key header.
+// ServiceStats holds the number of effects by business operation, which is the
+// field "operation" of the body or else the Idempotency-Key header.
 type ServiceStats struct {
 	Effects map[string]int `json:"effects"`
 }
@@ -40,8 +40,8 @@
 	Score float64 `json:"score"`
 }
 
-// Service is a plain service such as a ledger. Every call but GET has an
-// effect, each time it runs. It is safe for concurrent use.
+// Service is a plain service such as a ledger. Every call except GET has an effect
+// each time it runs. It is safe for concurrent use.
 type Service struct {
 	options ServiceOptions
 	server  *fasthttp.Server
@@ -51,15 +51,15 @@
 	effects  map[string]int
 }
 
-// NewService returns a service that does not listen yet.
+// NewService returns a service that doesn't listen yet.
 func NewService(o ServiceOptions) *Service {
 	s := &Service{options: o, effects: map[string]int{}}
 	s.server = &fasthttp.Server{Handler: s.handle}
 	return s
 }
 
-// Start listens on address and returns the one bound. A crashed service may be
-// started again; its counts stay.
+// Start listens on address and returns the bound address. A crashed service can be
+// started again and keeps its counts.
 func (s *Service) Start(address string) (string, error) {
 	l, err := listen(address)
 	if err != nil {
@@ -72,21 +72,21 @@
 	return l.Addr().String(), nil
 }
 
-// Crash cuts every connection.
+// Crash closes every connection.
 func (s *Service) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listener.cut()
+	s.listener.closeAll()
 }
 
-// BlackholeConnections drops everything the service writes to the connections open now.
+// BlackholeConnections discards all further writes to the open connections.
 func (s *Service) BlackholeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listener.silence()
+	s.listener.blackhole()
 }
 
-// Stats returns the service's counts.
+// Stats returns the counts of the service.
 func (s *Service) Stats() ServiceStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +128,7 @@
 	})
 }
 
-// BodyHash is the echo of a request's body in its answer.
+// BodyHash returns the hash of a request's body that the service puts into its answer.
 func BodyHash(body string) string { return fmt.Sprintf("%016x", xxhash.Sum64String(body)) }
 
 func operationOf(ctx *fasthttp.RequestCtx) string {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -36,9 +36,9 @@
 	answer, err := http.Post("http://"+address+path, "application/json", bytes.NewReader(encoded))
 	Expect(err).NotTo(HaveOccurred())
 	defer answer.Body.Close()
-	read, err := io.ReadAll(answer.Body)
+	content, err := io.ReadAll(answer.Body)
 	Expect(err).NotTo(HaveOccurred())
-	return answer.StatusCode, read
+	return answer.StatusCode, content
 }
 
 var _ = Describe("the platform", func() {
@@ -56,22 +56,22 @@
 		DeferCleanup(platform.Close)
 	})
 
-	It("loses an answer after the write took effect, and refuses all in an outage", func() {
+	It("loses the answer of a write that took effect, and refuses all calls during an outage", func() {
 		platform.LoseAnswers(1)
 		_, err := keys.CompareAndSwap(ctx, &platformpb.CompareAndSwapRequest{Key: "a", Value: []byte("x")})
 		Expect(status.Code(err)).To(Equal(codes.Unavailable))
 		got, err := keys.Get(ctx, &platformpb.GetRequest{Key: "a"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.Record.Value).To(Equal([]byte("x")))
-		again, err := keys.CompareAndSwap(ctx, &platformpb.CompareAndSwapRequest{Key: "a", Value: []byte("y")})
+		repeated, err := keys.CompareAndSwap(ctx, &platformpb.CompareAndSwapRequest{Key: "a", Value: []byte("y")})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(again.Swapped).To(BeFalse())
+		Expect(repeated.Swapped).To(BeFalse())
 		platform.SetDown(true)
 		_, err = keys.Get(ctx, &platformpb.GetRequest{Key: "a"})
 		Expect(status.Code(err)).To(Equal(codes.Unavailable))
 	})
 
-	It("tells a watch that a lapsed lease took its key along", func() {
+	It("reports to a watch that the key of an expired lease was deleted", func() {
 		granted, err := keys.GrantLease(ctx, &platformpb.GrantLeaseRequest{TtlMs: 100})
 		Expect(err).NotTo(HaveOccurred())
 		watch, err := keys.Watch(ctx, &platformpb.WatchRequest{Prefix: "k/"})
@@ -96,7 +96,7 @@
 		return engine, address
 	}
 
-	It("labels each token of a stream that a swap cuts, and resumes elsewhere", func() {
+	It("labels each token of a stream during which the weights are swapped, and resumes at another engine", func() {
 		engine, address := start(standin.EngineOptions{Version: 1, StepTime: 5 * time.Millisecond})
 		request := engineapi.CompletionRequest{Prompt: "p", Seed: 3, MaxTokens: 200, Stream: true, RequestID: "r"}
 		encoded, _ := json.Marshal(request)
@@ -126,17 +126,17 @@
 		Expect(versions).To(ContainElements(int64(1), int64(2)))
 		Expect(engine.Stats().Runs).To(HaveKeyWithValue("r", 1))
 
-		_, other := start(standin.EngineOptions{Version: 2})
+		_, otherAddress := start(standin.EngineOptions{Version: 2})
 		request.Stream, request.Resume = false, tokens[:4]
-		_, body := post(other, engineapi.PathCompletions, request)
+		_, body := post(otherAddress, engineapi.PathCompletions, request)
 		var rest engineapi.Completion
 		Expect(json.Unmarshal(body, &rest)).To(Succeed())
-		whole := strings.Join(tokens[:4], "") + rest.Choices[0].Text
-		Expect(standin.CheckText("p", 3, whole)).To(HaveLen(len(tokens)))
+		text := strings.Join(tokens[:4], "") + rest.Choices[0].Text
+		Expect(standin.CheckText("p", 3, text)).To(HaveLen(len(tokens)))
 		Expect(rest.Segments).To(Equal([]engineapi.Segment{{Version: 2, From: 4, To: len(tokens)}}))
 	})
 
-	It("refuses an old fencing number only if it looks at them", func() {
+	It("refuses an old fencing number only if fencing is enabled", func() {
 		for _, fencing := range []bool{true, false} {
 			engine, address := start(standin.EngineOptions{Fencing: fencing})
 			post(address, engineapi.PathOrder, engineapi.Order{Kind: "swap", Version: 5, FenceDuty: "d", Fence: 2})
@@ -146,7 +146,7 @@
 		}
 	})
 
-	It("crashes on a poison request", func() {
+	It("crashes on a request with the poison text", func() {
 		_, address := start(standin.EngineOptions{PoisonText: "POISON"})
 		encoded, _ := json.Marshal(engineapi.CompletionRequest{Prompt: "a POISON b"})
 		_, err := http.Post("http://"+address+engineapi.PathCompletions, "application/json", bytes.NewReader(encoded))
@@ -157,7 +157,7 @@
 })
 
 var _ = Describe("the plain service", func() {
-	It("counts what a business operation did twice", func() {
+	It("counts two effects if a business operation runs twice", func() {
 		service := standin.NewService(standin.ServiceOptions{Name: "ledger"})
 		address, err := service.Start(anyPort)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/standin/text.go
+++ b/internal/standin/text.go
@@ -9,19 +9,20 @@
 	"github.com/pkg/errors"
 )
 
-// ErrTextMismatch is returned for a text that is not what the engine made for the prompt.
+// ErrTextMismatch is returned for a text that the engine didn't generate for the
+// prompt.
 var ErrTextMismatch = errors.New("standin: text does not belong to the prompt")
 
-// Token returns the token at a position: its hash binds it to prompt, seed and
-// position, its suffix names the version that produced it. So a cut, mixed-up
-// or mislabelled answer shows in the text itself.
+// Token returns the token at a position. Its hash depends on prompt, seed and
+// position, and its suffix names the weight version that generated it, so a
+// truncated, mixed-up or mislabelled answer is visible in the text itself.
 func Token(prompt string, seed int64, position int, version int64) string {
 	sum := xxhash.Sum64String(fmt.Sprintf("%s|%d|%d", prompt, seed, position))
 	return fmt.Sprintf(" %04x.%d", sum&0xffff, version)
 }
 
-// TokenCount returns how many tokens the engine makes for a prompt: long-tailed,
-// from 4 up to limit; 0 stands for a limit of 64.
+// TokenCount returns the number of tokens that the engine generates for a prompt.
+// It has a long-tailed distribution from 4 to limit; a limit of 0 means 64.
 func TokenCount(prompt string, seed int64, limit int) int {
 	if limit <= 0 {
 		limit = 64
@@ -31,8 +32,8 @@
 	return min(limit, 3+int(float64(limit)*0.1/draw+1))
 }
 
-// CheckText returns the version of each token of a whole text, from its first
-// position on, or ErrText.
+// CheckText returns the version of each token of a complete text, or
+// ErrTextMismatch.
 func CheckText(prompt string, seed int64, text string) ([]int64, error) {
 	versions, err := textVersions(text)
 	if err != nil {
@@ -46,7 +47,7 @@
 	return versions, nil
 }
 
-// textVersions returns the versions that the tokens name.
+// textVersions returns the versions named by the suffixes of the tokens.
 func textVersions(text string) ([]int64, error) {
 	var versions []int64
 	for i, word := range strings.Fields(text) {
--- a/internal/standin/trainer.go
+++ b/internal/standin/trainer.go
@@ -18,46 +18,46 @@
 )
 
 const (
-	pullWait   = 500 * time.Millisecond
-	pullLimit  = 3 * time.Second
-	retryPause = 50 * time.Millisecond
+	pullWaitTime = 500 * time.Millisecond
+	callTimeout  = 3 * time.Second
+	retryDelay   = 50 * time.Millisecond
 )
 
-// TrainerOptions describes a trainer of one feed.
+// TrainerOptions configures a trainer of one feed.
 type TrainerOptions struct {
-	Entries          []string // addresses; the next is tried when one fails
+	Entries          []string // addresses; after a failed call the next one is used
 	Key              string   // sent as "authorization: Bearer KEY"
 	Deployment       string
 	Feed             string
 	Model            string
 	Version          int64
-	StalenessBound   int64 // staleness bound, to count what breaks it
+	StalenessBound   int64 // in versions; samples beyond it are counted as stale
 	TrainTime        time.Duration
-	AnnounceInterval int // steps from one announced version to the next; 0: 1
+	AnnounceInterval int // number of steps between announced versions; 0 means 1
 }
 
-// TrainerReport is what a trainer measured.
+// TrainerReport holds the measurements of a trainer.
 type TrainerReport struct {
 	Lots          int     `json:"lots"`
 	Samples       int     `json:"samples"`
 	Tokens        int     `json:"tokens"`
 	Steps         int     `json:"steps"`
 	Version       int64   `json:"version"`
-	IdleSeconds   float64 `json:"idle_seconds"` // waiting for samples
+	IdleSeconds   float64 `json:"idle_seconds"` // time spent waiting for samples
 	TrainSeconds  float64 `json:"train_seconds"`
-	StalenessMean float64 `json:"staleness_mean"` // in versions, of each sample's oldest segment
+	StalenessMean float64 `json:"staleness_mean"` // mean over the samples, in versions, of the oldest segment's staleness
 	StalenessMax  int64   `json:"staleness_max"`
-	Stale         int     `json:"stale"` // beyond the bound
+	Stale         int     `json:"stale"` // number of samples beyond the staleness bound
 	Duplicates    int     `json:"duplicates"`
 	Mislabelled   int     `json:"mislabelled"`
-	Failed        int     `json:"failed"` // handed over as not to be made
+	Failed        int     `json:"failed"` // number of samples delivered as permanently failed
 	PullErrors    int     `json:"pull_errors"`
-	Refused       string  `json:"refused,omitempty"` // why an entry refused this trainer for good
-	Announced     int64   `json:"announced"`         // newest version an entry has taken
+	Refused       string  `json:"refused,omitempty"` // reason why an entry permanently refused this trainer
+	Announced     int64   `json:"announced"`         // newest version that an entry accepted
 }
 
-// Trainer pulls lots, checks and counts them, and announces versions. Run it
-// once; Report may be called from elsewhere meanwhile.
+// Trainer pulls lots, checks and counts their samples, and announces versions. Run
+// may be called once; Report may be called concurrently with it.
 type Trainer struct {
 	options TrainerOptions
 	entries []trainerpb.TrainerClient
@@ -66,10 +66,10 @@
 
 	mu        sync.Mutex
 	report    TrainerReport
-	staleness int64 // sum over the samples
+	staleness int64 // sum over the samples, in versions
 }
 
-// NewTrainer returns a trainer; connections are made when first used.
+// NewTrainer returns a trainer. Connections are made on first use.
 func NewTrainer(o TrainerOptions) (*Trainer, error) {
 	t := &Trainer{options: o, seen: map[string]bool{}}
 	t.client = handover.NewClient(handover.Position{}, o.StalenessBound)
@@ -85,7 +85,7 @@
 	return t, nil
 }
 
-// Report returns what was measured so far.
+// Report returns the measurements so far.
 func (t *Trainer) Report() TrainerReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,7 +96,7 @@
 	return r
 }
 
-// Run pulls and trains until ctx ends.
+// Run pulls lots and trains on them until ctx is done.
 func (t *Trainer) Run(ctx context.Context) {
 	ctx = metadata.AppendToOutgoingContext(ctx, "authorization", "Bearer "+t.options.Key)
 	idleSince := time.Now()
@@ -105,10 +105,10 @@
 		if err != nil {
 			attempt++
 			t.count(func(r *TrainerReport) { r.PullErrors++ })
-			sleep(ctx, retryPause)
+			sleep(ctx, retryDelay)
 			continue
 		}
-		if !t.take(lot) {
+		if !t.accept(lot) {
 			continue
 		}
 		t.count(func(r *TrainerReport) { r.IdleSeconds += time.Since(idleSince).Seconds() })
@@ -132,7 +132,7 @@
 }
 
 func (t *Trainer) pull(ctx context.Context, attempt int) (*trainerpb.PullResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, pullLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	pull := t.client.Pull(t.Report().Version)
 	request := &trainerpb.PullRequest{
@@ -141,7 +141,7 @@
 		Cursor:        pull.Cursor,
 		WeightVersion: pull.Version,
 		PullToken:     pull.Token,
-		WaitMs:        int32(pullWait.Milliseconds()),
+		WaitMs:        int32(pullWaitTime.Milliseconds()),
 		Restarted:     pull.Restarted,
 	}
 	for _, held := range pull.Unrecorded {
@@ -161,9 +161,9 @@
 	return answer, err
 }
 
-// take counts a lot, unless the client settles that it is not to be trained on,
-// and tells whether a step is complete with it.
-func (t *Trainer) take(lot *trainerpb.PullResponse) bool {
+// accept counts a lot, unless the client decides that it must not be trained on,
+// and reports whether the lot completes a step.
+func (t *Trainer) accept(lot *trainerpb.PullResponse) bool {
 	answer := handover.Answer{
 		Cursor: lot.Cursor, Token: lot.PullToken, Recorded: lot.RecordedCursor,
 		Step: lot.Step, StepComplete: lot.StepComplete,
@@ -218,7 +218,7 @@
 	}
 }
 
-// labelled holds the segments against the versions that the text itself names.
+// labelled reports whether the segments name the same versions as the text itself.
 func labelled(s *trainerpb.Sample) bool {
 	versions, err := textVersions(s.Text)
 	if err != nil || len(versions) == 0 {
@@ -255,11 +255,12 @@
 	}
 }
 
-// announce repeats until an entry takes the version or a newer one was taken.
+// announce retries until an entry accepts the version or a newer version has been
+// accepted.
 func (t *Trainer) announce(ctx context.Context, version int64) {
 	for attempt := 0; ctx.Err() == nil && t.Report().Announced < version; attempt++ {
-		call, cancel := context.WithTimeout(ctx, pullLimit)
-		_, err := t.entries[attempt%len(t.entries)].Announce(call, &trainerpb.AnnounceRequest{
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		_, err := t.entries[attempt%len(t.entries)].Announce(callCtx, &trainerpb.AnnounceRequest{
 			Deployment: t.options.Deployment, Feed: t.options.Feed, Model: t.options.Model, Version: version,
 		})
 		cancel()
@@ -267,6 +268,6 @@
 			t.count(func(r *TrainerReport) { r.Announced = max(r.Announced, version) })
 			return
 		}
-		sleep(ctx, retryPause)
+		sleep(ctx, retryDelay)
 	}
 }
--- a/internal/standin/shared.go
+++ b/internal/standin/transactional_store.go
@@ -12,52 +12,52 @@
 	"siskinloom.example/siskinloom/internal/kv"
 )
 
-// TransactionalStore is a key-value service in memory that speaks kv.TransactionalStore and misbehaves
-// on demand. It is safe for concurrent use.
+// TransactionalStore is an in-memory implementation of kv.TransactionalStore with
+// switchable faults. It is safe for concurrent use.
 type TransactionalStore struct {
 	mu       sync.Mutex
 	revision int64
-	oldest   int64 // watches from before it get ErrHistoryGone
+	oldest   int64 // watches from an earlier revision get ErrHistoryGone
 	records  map[string]kv.Record
 	history  []kv.Change
 	leases   map[kv.LeaseID]time.Time
-	news     chan struct{}
+	changed  chan struct{}
 	nextID   kv.LeaseID
 
-	down bool
-	deaf bool
-	lose int // commits whose answer is lost, from now on
+	down           bool
+	watchesStalled bool
+	answersToLose  int // number of next commits whose answer is lost
 	// Calls counts calls by kind.
 	Calls map[string]int
 }
 
-// NewTransactionalStore returns an empty service.
+// NewTransactionalStore returns an empty store.
 func NewTransactionalStore() *TransactionalStore {
-	return &TransactionalStore{revision: 1, records: map[string]kv.Record{}, leases: map[kv.LeaseID]time.Time{}, news: make(chan struct{}), Calls: map[string]int{}}
+	return &TransactionalStore{revision: 1, records: map[string]kv.Record{}, leases: map[kv.LeaseID]time.Time{}, changed: make(chan struct{}), Calls: map[string]int{}}
 }
 
-// SetDown has the service refuse every call, or serve again.
+// SetDown makes the store refuse every call, or serve again.
 func (s *TransactionalStore) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// LoseAnswers has the next n commits take effect without an answer.
+// LoseAnswers makes the next n commits take effect without an answer.
 func (s *TransactionalStore) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.answersToLose = n
 }
 
-// StallWatches keeps watches that wait from hearing changes.
-func (s *TransactionalStore) StallWatches(deaf bool) {
+// StallWatches sets whether waiting watches get no changes.
+func (s *TransactionalStore) StallWatches(watchesStalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = deaf
+	s.watchesStalled = watchesStalled
 }
 
-// DropHistory forgets all changes so far.
+// DropHistory discards all changes so far.
 func (s *TransactionalStore) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,23 +65,23 @@
 	s.oldest = s.revision
 }
 
-// Revoke takes a key away without a word to its writer.
+// Revoke deletes a key without notifying its writer.
 func (s *TransactionalStore) Revoke(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	s.remove(key)
-	s.wake()
+	s.notifyWatches()
 }
 
-// Count returns how many calls of a kind were made.
+// Count returns the number of calls of a kind.
 func (s *TransactionalStore) Count(kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Calls[kind]
 }
 
-func (s *TransactionalStore) begin(kind string) error {
+func (s *TransactionalStore) startCall(kind string) error {
 	s.Calls[kind]++
 	if s.down {
 		return errors.Wrap(kv.ErrUnavailable, kind)
@@ -106,7 +106,7 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
 func (s *TransactionalStore) remove(key string) {
@@ -117,16 +117,16 @@
 	s.history = append(s.history, kv.Change{Record: kv.Record{Key: key, Revision: s.revision}, Deleted: true})
 }
 
-func (s *TransactionalStore) wake() {
-	close(s.news)
-	s.news = make(chan struct{})
+func (s *TransactionalStore) notifyWatches() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Read implements kv.Shared.
+// Read implements kv.TransactionalStore.
 func (s *TransactionalStore) Read(_ context.Context, key string) (kv.Record, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin("read"); err != nil {
+	if err := s.startCall("read"); err != nil {
 		return kv.Record{}, err
 	}
 	r, found := s.records[key]
@@ -136,14 +136,14 @@
 	return r, nil
 }
 
-// pageRecords is small, so that tests read by page.
-const pageRecords = 3
+// maxPageRecords is small, so that tests read several pages.
+const maxPageRecords = 3
 
-// ReadPage implements kv.Shared.
+// ReadPage implements kv.TransactionalStore.
 func (s *TransactionalStore) ReadPage(_ context.Context, prefix, after string) (kv.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin("page"); err != nil {
+	if err := s.startCall("page"); err != nil {
 		return kv.Page{}, err
 	}
 	page := kv.Page{AsOf: s.revision}
@@ -153,42 +153,42 @@
 		}
 	}
 	sort.Slice(page.Records, func(i, j int) bool { return page.Records[i].Key < page.Records[j].Key })
-	if len(page.Records) > pageRecords {
-		page.Records, page.Truncated = page.Records[:pageRecords], true
+	if len(page.Records) > maxPageRecords {
+		page.Records, page.Truncated = page.Records[:maxPageRecords], true
 	}
 	return page, nil
 }
 
-// Await implements kv.Shared.
+// Await implements kv.TransactionalStore.
 func (s *TransactionalStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	waited := false
 	for {
 		s.mu.Lock()
-		if err := s.begin("watch"); err != nil {
+		if err := s.startCall("watch"); err != nil {
 			s.mu.Unlock()
 			return kv.Changes{}, err
 		}
-		deaf := s.deaf && waited
-		if after < s.oldest && !deaf {
+		watchesStalled := s.watchesStalled && waited
+		if after < s.oldest && !watchesStalled {
 			s.mu.Unlock()
 			return kv.Changes{}, kv.ErrHistoryGone
 		}
 		changes := kv.Changes{AsOf: s.revision}
 		for _, c := range s.history {
-			if c.Record.Revision > after && strings.HasPrefix(c.Record.Key, prefix) && !deaf {
+			if c.Record.Revision > after && strings.HasPrefix(c.Record.Key, prefix) && !watchesStalled {
 				changes.Changes = append(changes.Changes, c)
 			}
 		}
-		news := s.news
+		changed := s.changed
 		s.mu.Unlock()
 		if len(changes.Changes) > 0 {
 			return changes, nil
 		}
 		waited = true
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
 			return kv.Changes{AsOf: after}, nil
 		case <-ctx.Done():
@@ -197,16 +197,16 @@
 	}
 }
 
-// Commit implements kv.Shared.
+// Commit implements kv.TransactionalStore.
 func (s *TransactionalStore) Commit(_ context.Context, t kv.Transaction) (kv.Committed, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin("commit"); err != nil {
+	if err := s.startCall("commit"); err != nil {
 		return kv.Committed{}, err
 	}
 	committed, err := s.apply(t)
-	if s.lose > 0 {
-		s.lose--
+	if s.answersToLose > 0 {
+		s.answersToLose--
 		return kv.Committed{}, errors.Wrap(kv.ErrUnknown, "answer lost")
 	}
 	return committed, err
@@ -232,15 +232,15 @@
 	for _, key := range t.Remove {
 		s.remove(key)
 	}
-	s.wake()
+	s.notifyWatches()
 	return kv.Committed{Done: true, Revision: s.revision}, nil
 }
 
-// GrantLease implements kv.Shared.
+// GrantLease implements kv.TransactionalStore.
 func (s *TransactionalStore) GrantLease(_ context.Context, ttl time.Duration) (kv.LeaseID, time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin("lease"); err != nil {
+	if err := s.startCall("lease"); err != nil {
 		return 0, 0, err
 	}
 	s.nextID++
@@ -248,11 +248,11 @@
 	return s.nextID, ttl, nil
 }
 
-// KeepLease implements kv.Shared.
+// KeepLease implements kv.TransactionalStore.
 func (s *TransactionalStore) KeepLease(_ context.Context, id kv.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin("keep"); err != nil {
+	if err := s.startCall("keep"); err != nil {
 		return err
 	}
 	if _, found := s.leases[id]; !found {
@@ -262,11 +262,11 @@
 	return nil
 }
 
-// RevokeLease implements kv.Shared.
+// RevokeLease implements kv.TransactionalStore.
 func (s *TransactionalStore) RevokeLease(_ context.Context, id kv.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin("revoke"); err != nil {
+	if err := s.startCall("revoke"); err != nil {
 		return err
 	}
 	if _, found := s.leases[id]; !found {
