--- a/internal/entry/claimtest/claims_test.go
+++ b/internal/entry/claimtest/claims_test.go
@@ -1,5 +1,5 @@
-// Package claimtest holds the tests of claims over real duties, clients of the
-// platform and TCP connections; the platform is a stand-in.
+// Package claimtest tests entry.Claims with real duties, platform clients and TCP
+// connections, against a stand-in of the platform.
 package claimtest
 
 import (
@@ -32,17 +32,18 @@
 
 func TestClaims(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "claims over the platform's stand-in")
+	RunSpecs(t, "claims with a stand-in of the platform")
 }
 
-// ledgerEndpoint answers with the number of the run. It ignores fences.
+// ledgerEndpoint fakes the endpoint of a ledger service. It answers with the number
+// of the run and ignores fences.
 type ledgerEndpoint struct {
 	mu      sync.Mutex
 	runs    map[string]int
-	gate    chan struct{} // requests wait for it; nil: they do not
+	gate    chan struct{} // if not nil, requests wait until it is closed
 	reached chan struct{}
-	told    []wire.ClaimResult // what its agent remembers
-	asked   int
+	results []wire.ClaimResult // results that its agent remembers
+	queries int                // queries that its agent got
 }
 
 func (l *ledgerEndpoint) dispatch(_ context.Context, call wire.Request) wire.Answer {
@@ -57,11 +58,11 @@
 	defer l.mu.Unlock()
 	l.runs[call.CallID]++
 	body := fmt.Appendf(nil, "run %d", l.runs[call.CallID])
-	l.told = append(l.told, wire.ClaimResult{Claim: call.Claim, Outcome: wire.Answered, Kept: true, Status: 200, Body: body})
+	l.results = append(l.results, wire.ClaimResult{Claim: call.Claim, Outcome: wire.Answered, Kept: true, Status: 200, Body: body})
 	return wire.Answer{Outcome: wire.Answered, Status: 200, Body: body}
 }
 
-// ledgerAgent is the ledger's agent as a successor asks it.
+// ledgerAgent is the ledger's agent, which a successor queries.
 type ledgerAgent struct{ *ledgerEndpoint }
 
 // ID implements entry.Endpoint.
@@ -70,12 +71,12 @@
 // Target implements entry.Endpoint.
 func (l ledgerAgent) Target() wire.Target { return wire.Target{} }
 
-// Call answers the question for claims with all that ran.
+// Call answers a query for claims with the results of all runs.
 func (l ledgerAgent) Call(_ context.Context, _ string, _, reply any) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked++
-	reply.(*wire.ClaimsTold).Results = l.told
+	l.queries++
+	reply.(*wire.ClaimsTold).Results = l.results
 	return nil
 }
 
@@ -90,8 +91,8 @@
 	return l.runs[id]
 }
 
-// claimProcess is the part of an entry that claims: its client of the
-// platform, its duties and its claims, reached over TCP.
+// claimProcess is the part of an entry that runs claims: its platform client, its
+// duties and its claims, which are reached over TCP.
 type claimProcess struct {
 	self     duties.Member
 	store    *kv.Client
@@ -101,7 +102,7 @@
 	stop     context.CancelFunc
 }
 
-// CallPeer implements entry.ClaimPeers with a connection per call.
+// CallPeer implements entry.ClaimPeers. It opens a connection per call.
 func (p *claimProcess) CallPeer(ctx context.Context, address string, _ bool, method string, args, reply any) error {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -128,22 +129,22 @@
 	}
 }
 
-// crash ends the process at once: it hears and says nothing more.
+// crash stops the process at once: it receives and sends nothing any more.
 func (p *claimProcess) crash() {
 	p.stop()
 	_ = p.listener.Close()
 	_ = p.store.Close()
 }
 
-var _ = Describe("Claims over the platform's stand-in", func() {
-	const patience = 30 * time.Second
+var _ = Describe("Claims with a stand-in of the platform", func() {
+	const testTimeout = 30 * time.Second
 	var (
-		platform  *standin.Platform
-		address   string
-		ledger    *ledgerEndpoint
-		processes []*claimProcess
-		members   atomic.Pointer[[]duties.Member]
-		remembers bool // the ledger's agent answers successors
+		platform       *standin.Platform
+		address        string
+		ledger         *ledgerEndpoint
+		processes      []*claimProcess
+		members        atomic.Pointer[[]duties.Member]
+		agentRemembers bool // the ledger's agent answers queries of successors
 	)
 	config := duties.Config{
 		TTL: time.Second, Margin: 100 * time.Millisecond, RenewInterval: 300 * time.Millisecond,
@@ -175,7 +176,7 @@
 			Store: store, Duties: p.keeper, Peers: p, Dispatch: ledger.dispatch,
 			Deployment: "test", Instance: self.ID, Log: log, Metrics: metrics.NewRegistry(),
 			Agents: func(fn func(entry.Endpoint)) {
-				if remembers {
+				if agentRemembers {
 					fn(ledgerAgent{ledger})
 				}
 			},
@@ -205,7 +206,7 @@
 		DeferCleanup(platform.Close)
 		ledger = &ledgerEndpoint{runs: map[string]int{}, reached: make(chan struct{}, 100)}
 		processes = nil
-		remembers = false
+		agentRemembers = false
 		var listeners []net.Listener
 		var all []duties.Member
 		for i := range 3 {
@@ -224,7 +225,7 @@
 			}
 		})
 		for _, duty := range entry.ClaimDuties() {
-			Eventually(func() bool { return owner(duty) != nil }, patience).Should(BeTrue())
+			Eventually(func() bool { return owner(duty) != nil }, testTimeout).Should(BeTrue())
 		}
 	})
 
@@ -241,7 +242,7 @@
 	ask := func(via *claimProcess, id string, limit time.Duration) wire.Answer {
 		GinkgoHelper()
 		var answer wire.Answer
-		Eventually(send(via, id, limit), patience).Should(Receive(&answer))
+		Eventually(send(via, id, limit), testTimeout).Should(Receive(&answer))
 		return answer
 	}
 	expectAnswer := func(a wire.Answer) {
@@ -249,17 +250,17 @@
 		Expect(a.Outcome).To(Equal(wire.Answered), a.Detail)
 		Expect(string(a.Body)).To(Equal("run 1"))
 	}
-	others := func(than *claimProcess) []*claimProcess {
+	others := func(excluded *claimProcess) []*claimProcess {
 		var all []*claimProcess
 		for _, p := range processes {
-			if p != than {
+			if p != excluded {
 				all = append(all, p)
 			}
 		}
 		return all
 	}
 
-	unlist := func(leaving *claimProcess) {
+	removeMember := func(leaving *claimProcess) {
 		var left []duties.Member
 		for _, p := range others(leaving) {
 			left = append(left, p.self)
@@ -267,67 +268,67 @@
 		members.Store(&left)
 	}
 
-	It("answers repeats through every entry, also when the platform loses answers", func() {
+	It("answers repeats through every entry, also if answers of the platform are lost", func() {
 		for i := range 6 {
 			if i%2 == 1 {
 				platform.LoseNextAnswer(1)
 			}
 			for _, p := range processes {
-				expectAnswer(ask(p, fmt.Sprint("sync-", i), patience))
+				expectAnswer(ask(p, fmt.Sprint("sync-", i), testTimeout))
 			}
 		}
 	})
 
-	// The billing service's sync runs when the owner of its claim is lost. It
-	// asks again through another entry: "unknown", and no second run, also
-	// when the first reaches its endpoint afterwards.
-	It("runs a sync once when its owner is lost in the middle", func() {
+	// A sync of the billing service is in flight when the owner of its claim
+	// crashes. A repeat through another entry gets "unknown", and there is no second
+	// run, also if the first one reaches its endpoint afterwards.
+	It("runs a sync once if the owner crashes while it is in flight", func() {
 		gate := make(chan struct{})
 		ledger.gate = gate
 		partition := claims.NewKey("billing", "sync").Partition(claims.DefaultPartitions)
-		lost := owner(wire.ClaimDuty(partition))
-		first := send(others(lost)[0], "sync", 2*time.Second)
-		Eventually(ledger.reached, patience).Should(Receive())
-		lost.crash()
+		crashed := owner(wire.ClaimDuty(partition))
+		first := send(others(crashed)[0], "sync", 2*time.Second)
+		Eventually(ledger.reached, testTimeout).Should(Receive())
+		crashed.crash()
 		var again wire.Answer
 		Eventually(func() wire.Reason {
-			again = ask(others(lost)[1], "sync", 3*time.Second)
+			again = ask(others(crashed)[1], "sync", 3*time.Second)
 			return again.Reason
-		}, patience).Should(Equal(wire.ReasonUnsettled))
+		}, testTimeout).Should(Equal(wire.ReasonUnsettled))
 		Expect(again.Outcome).To(Equal(wire.Unknown))
 		close(gate)
-		Eventually(first, patience).Should(Receive())
-		Eventually(func() int { return ledger.count("sync") }, patience).Should(Equal(1))
+		Eventually(first, testTimeout).Should(Receive())
+		Eventually(func() int { return ledger.count("sync") }, testTimeout).Should(Equal(1))
 		Consistently(func() int { return ledger.count("sync") }, 300*time.Millisecond).Should(Equal(1))
 	})
 
-	// The owner is lost after the sync ran and before its answer was recorded.
-	// The agent remembers it: a repeat gets that answer and not "unknown".
-	It("adopts from the agent the answer that a lost owner did not record", func() {
-		remembers = true
+	// The owner crashes before it has recorded the answer of a sync that ran. The
+	// agent remembers the answer, so a repeat gets it instead of "unknown".
+	It("adopts from the agent the answer that a crashed owner did not record", func() {
+		agentRemembers = true
 		gate := make(chan struct{})
 		ledger.gate = gate
 		partition := claims.NewKey("billing", "sync").Partition(claims.DefaultPartitions)
-		lost := owner(wire.ClaimDuty(partition))
-		send(others(lost)[0], "sync", 2*time.Second)
-		Eventually(ledger.reached, patience).Should(Receive())
-		lost.crash()
+		crashed := owner(wire.ClaimDuty(partition))
+		send(others(crashed)[0], "sync", 2*time.Second)
+		Eventually(ledger.reached, testTimeout).Should(Receive())
+		crashed.crash()
 		close(gate)
-		Eventually(func() int { return ledger.count("sync") }, patience).Should(Equal(1))
+		Eventually(func() int { return ledger.count("sync") }, testTimeout).Should(Equal(1))
 		var again wire.Answer
 		Eventually(func() wire.Outcome {
-			again = ask(others(lost)[1], "sync", 3*time.Second)
+			again = ask(others(crashed)[1], "sync", 3*time.Second)
 			return again.Outcome
-		}, patience).Should(Equal(wire.Answered))
+		}, testTimeout).Should(Equal(wire.Answered))
 		expectAnswer(again)
 		Expect(ledger.count("sync")).To(Equal(1))
 		ledger.mu.Lock()
 		defer ledger.mu.Unlock()
-		Expect(ledger.asked).To(BeNumerically("<=", claims.DefaultPartitions))
+		Expect(ledger.queries).To(BeNumerically("<=", claims.DefaultPartitions))
 	})
 
-	It("refuses in an outage, runs nothing, and serves the same key afterwards", func() {
-		expectAnswer(ask(processes[0], "before", patience))
+	It("refuses in an outage without running the request, and serves the same key afterwards", func() {
+		expectAnswer(ask(processes[0], "before", testTimeout))
 		Eventually(func() string {
 			all, err := processes[0].store.List(context.Background(), kv.UseClaim, wire.ClaimDutyPrefix)
 			if err != nil {
@@ -338,63 +339,63 @@
 				values.Write(r.Value)
 			}
 			return values.String()
-		}, patience).Should(ContainSubstring(`"s":"d"`))
+		}, testTimeout).Should(ContainSubstring(`"s":"d"`))
 		platform.Outage(true)
 		answer := ask(processes[1], "during", 600*time.Millisecond)
 		Expect(answer.Outcome).NotTo(Equal(wire.Answered))
 		Expect(ledger.count("during")).To(BeZero())
 		platform.Outage(false)
-		Eventually(func() wire.Outcome { return ask(processes[2], "during", 5*time.Second).Outcome }, patience).Should(Equal(wire.Answered))
+		Eventually(func() wire.Outcome { return ask(processes[2], "during", 5*time.Second).Outcome }, testTimeout).Should(Equal(wire.Answered))
 		Expect(ledger.count("during")).To(Equal(1))
-		expectAnswer(ask(processes[2], "before", patience))
+		expectAnswer(ask(processes[2], "before", testTimeout))
 	})
 
-	// The owner stops as planned while a sync runs for longer than the hand-over
-	// takes. It gives its duty up at once and goes on with the sync; a repeat
-	// through another entry waits at the successor for the result. Before, the
-	// duty waited for the slowest run, or the repeat was "unknown".
-	It("hands the result of what runs at a planned stop to the successor", func() {
+	// The owner stops as planned while a sync runs for longer than the handover
+	// takes. It releases its duty at once and finishes the sync; a repeat through
+	// another entry waits at the successor for the result. The fault: the release
+	// of the duty waited for the slowest run, or the repeat got "unknown".
+	It("sends the results of requests in flight at a planned stop to the successor", func() {
 		gate := make(chan struct{})
 		ledger.gate = gate
 		partition := claims.NewKey("billing", "sync").Partition(claims.DefaultPartitions)
 		leaving := owner(wire.ClaimDuty(partition))
-		first := send(others(leaving)[0], "sync", patience)
-		Eventually(ledger.reached, patience).Should(Receive())
-		unlist(leaving)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		first := send(others(leaving)[0], "sync", testTimeout)
+		Eventually(ledger.reached, testTimeout).Should(Receive())
+		removeMember(leaving)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		Expect(leaving.claims.Close(ctx)).To(Succeed())
 		Expect(leaving.keeper.Stop(ctx)).To(Succeed())
 		drained := make(chan error, 1)
 		go func() { drained <- leaving.claims.Drain(ctx) }()
-		Eventually(func() *claimProcess { return owner(wire.ClaimDuty(partition)) }, patience).ShouldNot(BeNil())
-		again := send(others(leaving)[1], "sync", patience)
+		Eventually(func() *claimProcess { return owner(wire.ClaimDuty(partition)) }, testTimeout).ShouldNot(BeNil())
+		again := send(others(leaving)[1], "sync", testTimeout)
 		Consistently(again, 2500*time.Millisecond).ShouldNot(Receive())
 		close(gate)
 		for _, answers := range []<-chan wire.Answer{first, again} {
 			var answer wire.Answer
-			Eventually(answers, patience).Should(Receive(&answer))
+			Eventually(answers, testTimeout).Should(Receive(&answer))
 			expectAnswer(answer)
 		}
-		Eventually(drained, patience).Should(Receive(BeNil()))
+		Eventually(drained, testTimeout).Should(Receive(BeNil()))
 		leaving.crash()
-		expectAnswer(ask(others(leaving)[0], "sync", patience))
+		expectAnswer(ask(others(leaving)[0], "sync", testTimeout))
 		Expect(ledger.count("sync")).To(Equal(1))
 	})
 
-	It("replays through the others after a planned stop", func() {
+	It("replays answers through the other entries after a planned stop", func() {
 		for i := range 4 {
-			expectAnswer(ask(processes[0], fmt.Sprint("sync-", i), patience))
+			expectAnswer(ask(processes[0], fmt.Sprint("sync-", i), testTimeout))
 		}
 		leaving := owner(wire.ClaimDuty(0))
-		unlist(leaving)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		removeMember(leaving)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		Expect(leaving.claims.Drain(ctx)).To(Succeed())
 		Expect(leaving.keeper.Stop(ctx)).To(Succeed())
 		leaving.crash()
 		for i := range 4 {
-			expectAnswer(ask(others(leaving)[0], fmt.Sprint("sync-", i), patience))
+			expectAnswer(ask(others(leaving)[0], fmt.Sprint("sync-", i), testTimeout))
 		}
 	})
 })
