--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -199,12 +199,12 @@
 
 func (e *entryProcess) wireServer() {
 	e.server = entry.New(e.settings, e.log, e.metrics, entry.Dependencies{
-		Config:     e,
-		Picker:     e.pool,
-		Claimer:    claimer{e},
-		Quarantine: e.poison,
-		Retries:    e.retries,
-		Hedge:      e.retries,
+		Config:      e,
+		Picker:      e.pool,
+		Claimer:     claimer{e},
+		Quarantine:  e.poison,
+		RetryBudget: e.retries,
+		Hedger:      e.retries,
 	})
 	e.claims = entry.NewClaims(entry.ClaimsOptions{
 		Store:      e.store,
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -45,8 +45,8 @@
 	Instance   string
 	Log        *logrus.Logger
 	Metrics    metrics.Registry
-	// Config adjusts the configuration of each partition. Nil keeps the defaults.
-	Config func(*claims.Config)
+	// AdjustConfig adjusts the configuration of each partition. Nil keeps the defaults.
+	AdjustConfig func(*claims.Config)
 }
 
 // Claims runs non-idempotent requests at most once. It runs the partitions that
--- a/internal/entry/claims_fakes_test.go
+++ b/internal/entry/claims_fakes_test.go
@@ -233,7 +233,7 @@
 			Instance:   address,
 			Log:        log,
 			Metrics:    metrics.NewRegistry(),
-			Config: func(config *claims.Config) {
+			AdjustConfig: func(config *claims.Config) {
 				config.CommitInterval = 5 * time.Millisecond
 				config.RetryDelay = 10 * time.Millisecond
 				config.ReplyMargin = 600 * time.Millisecond
--- a/internal/entry/claims_partition.go
+++ b/internal/entry/claims_partition.go
@@ -53,8 +53,8 @@
 
 func newClaimPartition(o ClaimsOptions, duty string) *claimPartition {
 	config := claims.DefaultConfig(duty+"/"+o.Deployment, duty, o.Instance)
-	if o.Config != nil {
-		o.Config(&config)
+	if o.AdjustConfig != nil {
+		o.AdjustConfig(&config)
 	}
 	p := &claimPartition{
 		options: o,
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -107,12 +107,12 @@
 
 // Dependencies are the components that a Server uses.
 type Dependencies struct {
-	Config     Config
-	Picker     Picker
-	Claimer    Claimer
-	Quarantine Quarantine
-	Retries    RetryBudget
-	Hedge      Hedger
+	Config      Config
+	Picker      Picker
+	Claimer     Claimer
+	Quarantine  Quarantine
+	RetryBudget RetryBudget
+	Hedger      Hedger
 }
 
 // Hedger decides when to hedge an idempotent request with a second attempt.
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -17,7 +17,7 @@
 	if e.deps.Quarantine.Blocked(req.Service, req.Fingerprint) {
 		return quarantinedAnswer()
 	}
-	e.deps.Retries.Earn(req.Principal.Business)
+	e.deps.RetryBudget.Earn(req.Principal.Business)
 	return e.runStream(ctx, call{req: req}, onTokens)
 }
 
@@ -40,7 +40,7 @@
 	if e.deps.Quarantine.Blocked(req.Service, req.Fingerprint) {
 		return quarantinedAnswer()
 	}
-	e.deps.Retries.Earn(req.Principal.Business)
+	e.deps.RetryBudget.Earn(req.Principal.Business)
 	c := call{req: req, plain: true, class: decl.Class{Name: req.Class, Service: req.Service, Idempotent: req.Idempotent}}
 	if req.Idempotent {
 		return e.runIdempotent(ctx, c)
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -114,7 +114,7 @@
 	if !once && e.deps.Quarantine.Blocked(c.req.Service, c.req.Fingerprint) {
 		return quarantinedAnswer()
 	}
-	e.deps.Retries.Earn(c.req.Principal.Business)
+	e.deps.RetryBudget.Earn(c.req.Principal.Business)
 	if !c.plain {
 		return e.complete(ctx, c)
 	}
--- a/internal/entry/pool/cache_test.go
+++ b/internal/entry/pool/cache_test.go
@@ -47,7 +47,7 @@
 		instances.set(one, two)
 		p := pool.New(pool.Options{ID: "entry-1", Deployment: "d", Lister: instances, Heartbeat: 500 * time.Millisecond, Log: quiet()})
 		go func() { _ = p.Run(ctx) }()
-		server := entry.New(settings.Settings{}, quiet(), metrics.NewRegistry(), entry.Dependencies{Picker: p, Quarantine: noQuarantine{}, Retries: noRetries{}})
+		server := entry.New(settings.Settings{}, quiet(), metrics.NewRegistry(), entry.Dependencies{Picker: p, Quarantine: noQuarantine{}, RetryBudget: noRetries{}})
 		Eventually(func() int { return len(p.Engines("tone")) }, "20s").Should(Equal(2))
 		addresses := map[string]string{}
 		for _, e := range p.Engines("tone") {
--- a/internal/entry/pool/pool_test.go
+++ b/internal/entry/pool/pool_test.go
@@ -114,7 +114,7 @@
 
 	begin := func() {
 		p = start("entry-1")
-		server = entry.New(settings.Settings{}, quiet(), metrics.NewRegistry(), entry.Dependencies{Picker: p, Quarantine: noQuarantine{}, Retries: noRetries{}})
+		server = entry.New(settings.Settings{}, quiet(), metrics.NewRegistry(), entry.Dependencies{Picker: p, Quarantine: noQuarantine{}, RetryBudget: noRetries{}})
 	}
 
 	usable := func(p *pool.Pool) func() int {
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -192,7 +192,7 @@
 		}
 		send := func(name, body string) wire.Answer {
 			server := New(settings.Settings{}, quarantines[name].log, metrics.NewRegistry(), Dependencies{
-				Picker: pool, Quarantine: quarantines[name], Retries: unlimitedRetries{}, Hedge: unlimitedRetries{},
+				Picker: pool, Quarantine: quarantines[name], RetryBudget: unlimitedRetries{}, Hedger: unlimitedRetries{},
 			})
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
--- a/internal/entry/retry.go
+++ b/internal/entry/retry.go
@@ -23,7 +23,7 @@
 	if !r.launch(ctx, false) {
 		return r.last
 	}
-	hedge := hedgeTimer(e.deps.Hedge.Delay(c.class.Name))
+	hedge := hedgeTimer(e.deps.Hedger.Delay(c.class.Name))
 	defer hedge.Stop()
 	for {
 		select {
@@ -83,7 +83,7 @@
 // final answer. It starts another attempt if one is allowed.
 func (r *attempts) handleResult(ctx context.Context, v attemptResult) bool {
 	if v.answer.Outcome == wire.Answered {
-		r.entry.deps.Hedge.Observe(r.call.class.Name, v.latency)
+		r.entry.deps.Hedger.Observe(r.call.class.Name, v.latency)
 		return true
 	}
 	r.last = v.answer
@@ -110,11 +110,11 @@
 	if a.Reason == wire.ReasonDeadline {
 		return false
 	}
-	return r.entry.deps.Retries.Spend(r.call.req.Principal.Business)
+	return r.entry.deps.RetryBudget.Spend(r.call.req.Principal.Business)
 }
 
 func (r *attempts) launchHedge(ctx context.Context) {
-	if r.entry.deps.Retries.Spend(r.call.req.Principal.Business) {
+	if r.entry.deps.RetryBudget.Spend(r.call.req.Principal.Business) {
 		r.launch(ctx, true)
 	}
 }
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -95,7 +95,7 @@
 		s.freeResumeUsed = true
 		return true
 	}
-	return s.entry.deps.Retries.Spend(s.call.req.Principal.Business)
+	return s.entry.deps.RetryBudget.Spend(s.call.req.Principal.Business)
 }
 
 // attempt runs the stream at one endpoint, subject to the quarantine.
@@ -189,7 +189,7 @@
 	e.active.Add(1)
 	go func() {
 		defer e.active.Add(-1)
-		e.deps.Retries.Earn(c.req.Principal.Business)
+		e.deps.RetryBudget.Earn(c.req.Principal.Business)
 		f := &forwarder{ctx: callCtx, first: first, rest: rest}
 		answer := f.finalAnswer(e.runStream(callCtx, c, f.forward))
 		answer.RetryAfter = defaultRetryAfter(answer)
--- a/internal/entry/weights.go
+++ b/internal/entry/weights.go
@@ -39,8 +39,8 @@
 	Dial       rpcpool.DialFunc // dials agents; nil means plain TCP
 	Deployment string
 	Log        *logrus.Logger
-	// Rollout adjusts the configuration of each rollout. Nil keeps the defaults.
-	Rollout func(*weights.Config)
+	// AdjustConfig adjusts the configuration of each rollout. Nil keeps the defaults.
+	AdjustConfig func(*weights.Config)
 }
 
 // Weights records announcements of new weight versions and rolls them out for each
--- a/internal/entry/weights_rollout.go
+++ b/internal/entry/weights_rollout.go
@@ -54,8 +54,8 @@
 	config := weights.DefaultConfig()
 	config.Duty = weights.Duty(service)
 	config.Epoch = epoch
-	if w.options.Rollout != nil {
-		w.options.Rollout(&config)
+	if w.options.AdjustConfig != nil {
+		w.options.AdjustConfig(&config)
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
 	r := &serviceRollout{
--- a/internal/entry/weights_test.go
+++ b/internal/entry/weights_test.go
@@ -128,7 +128,7 @@
 		holders := &fakeDutyLeases{}
 		w := NewWeights(WeightsOptions{
 			Store: store, Duties: holders, Config: fixedConfig{deployment}, Instances: lister, Deployment: "d", Log: log,
-			Rollout: func(c *weights.Config) {
+			AdjustConfig: func(c *weights.Config) {
 				c.LoadTimeout, c.MaxTargetAge = maxOrderTimeout*3/4, maxOrderTimeout/4
 				c.RecheckInterval = 300 * time.Millisecond
 			},
--- a/internal/lab/path/path.go
+++ b/internal/lab/path/path.go
@@ -192,7 +192,7 @@
 	group.Go(func() error { return p.Run(ctx) })
 	retries := entry.NewRetryPolicy()
 	e := entry.New(settings.Settings{}, log, metrics.NewRegistry(), entry.Dependencies{
-		Config: config{d}, Picker: p, Quarantine: clean{}, Retries: retries, Hedge: retries,
+		Config: config{d}, Picker: p, Quarantine: clean{}, RetryBudget: retries, Hedger: retries,
 	})
 	group.Go(func() error { return e.ServeHTTP(ctx, front) })
 	s := &site{endpoint: all[0].endpoint, entry: front.Addr().String(), server: e, pool: p, deployment: d, log: log, stop: func() {
