--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -46,7 +46,7 @@
 // endpoint, and has a suspect run with no other request beside it.
 func (e *Server) runCopy(ctx context.Context, ep Endpoint, req wire.Request, hedge bool, run func(Endpoint, wire.Request) wire.Answer) wire.Answer {
 	found := map[string]Endpoint{ep.ID(): ep}
-	v := RequestCopy{
+	c := RequestCopy{
 		Service:     req.Service,
 		Fingerprint: req.Fingerprint,
 		Endpoint:    ep.ID(),
@@ -60,7 +60,7 @@
 			return ok
 		},
 	}
-	admission, refusal, admitted := e.deps.Quarantine.StartCopy(ctx, v)
+	admission, refusal, admitted := e.deps.Quarantine.StartCopy(ctx, c)
 	if !admitted {
 		return refusal
 	}
@@ -68,7 +68,7 @@
 	req.Suspect = req.Suspect || admission.Alone
 	answer := run(ep, req)
 	e.reportCrash(ep, req, answer)
-	e.deps.Quarantine.EndCopy(v, admission.Endpoint, answer.Outcome == wire.Answered)
+	e.deps.Quarantine.EndCopy(c, admission.Endpoint, answer.Outcome == wire.Answered)
 	return answer
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -73,12 +73,12 @@
 	Blocked(service string, fingerprint uint64) bool
 	// StartCopy admits one copy of the request to an endpoint. If admitted is true,
 	// EndCopy must be called; otherwise refusal is the answer to the request.
-	StartCopy(ctx context.Context, v RequestCopy) (a Admission, refusal wire.Answer, admitted bool)
+	StartCopy(ctx context.Context, c RequestCopy) (a Admission, refusal wire.Answer, admitted bool)
 	// ReportCrash records a crash while the request ran. It must be called before
 	// EndCopy.
 	ReportCrash(s wire.Suspicion)
 	// EndCopy ends a copy that was admitted to the endpoint.
-	EndCopy(v RequestCopy, endpoint string, answered bool)
+	EndCopy(c RequestCopy, endpoint string, answered bool)
 }
 
 // RequestCopy is a copy of a request that is to run at an endpoint.
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -30,8 +30,9 @@
 	followTimeout = 500 * time.Millisecond
 )
 
-// PoisonPeers reaches the other entries.
+// PoisonPeers lists and calls the other entries.
 type PoisonPeers interface {
+	// Others returns the known entries except this one.
 	Others() []kv.Instance
 	ClaimPeers
 }
@@ -65,31 +66,31 @@
 }
 
 // Blocked reports whether the request must not run at any endpoint.
-func (g *PoisonQuarantine) Blocked(service string, fingerprint uint64) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.verdict(poison.ID{Service: service, Fingerprint: fingerprint}) == poison.Blocked
+func (q *PoisonQuarantine) Blocked(service string, fingerprint uint64) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.verdict(poison.ID{Service: service, Fingerprint: fingerprint}) == poison.Blocked
 }
 
-func (g *PoisonQuarantine) verdict(id poison.ID) poison.Verdict {
-	return g.registry.Verdict(time.Now(), id)
+func (q *PoisonQuarantine) verdict(id poison.ID) poison.Verdict {
+	return q.registry.Verdict(time.Now(), id)
 }
 
 // StartCopy admits one copy of the request to an endpoint. If admitted is true,
 // EndCopy must be called; otherwise refusal is the answer to the request. A suspect
 // waits while any entry runs a copy of it, and a copy that may run only at certain
 // endpoints waits while none of them is usable.
-func (g *PoisonQuarantine) StartCopy(ctx context.Context, v RequestCopy) (a Admission, refusal wire.Answer, admitted bool) {
+func (q *PoisonQuarantine) StartCopy(ctx context.Context, c RequestCopy) (a Admission, refusal wire.Answer, admitted bool) {
 	since := time.Now()
 	for {
-		v.waited = time.Since(since)
-		switch g.tryStart(v, &a) {
+		c.waited = time.Since(since)
+		switch q.tryStart(c, &a) {
 		case admittedCopy:
 			return a, wire.Answer{}, true
 		case blockedRequest:
 			return a, quarantinedAnswer(), false
 		case suspectRequest:
-			if g.startSuspect(ctx, v, &a) {
+			if q.startSuspect(ctx, c, &a) {
 				return a, wire.Answer{}, true
 			}
 		}
@@ -111,32 +112,32 @@
 )
 
 // tryStart starts a copy unless the request is blocked or a suspect.
-func (g *PoisonQuarantine) tryStart(v RequestCopy, a *Admission) admitResult {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	switch g.verdict(requestID(v)) {
+func (q *PoisonQuarantine) tryStart(c RequestCopy, a *Admission) admitResult {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	switch q.verdict(requestID(c)) {
 	case poison.Blocked:
 		return blockedRequest
 	case poison.Alone:
 		return suspectRequest
 	}
-	if !g.startAtAllowed(v, a) {
+	if !q.startAtAllowed(c, a) {
 		return noUsableEndpoint
 	}
 	return admittedCopy
 }
 
 // startAtAllowed starts the copy at an endpoint where it may run and announces the
-// placement. g.mu must be held.
-func (g *PoisonQuarantine) startAtAllowed(v RequestCopy, a *Admission) bool {
+// placement. q.mu must be held.
+func (q *PoisonQuarantine) startAtAllowed(c RequestCopy, a *Admission) bool {
 	now := time.Now()
-	endpoint, ok := g.chooseEndpoint(now, v)
+	endpoint, ok := q.chooseEndpoint(now, c)
 	if !ok {
 		return false
 	}
 	a.Endpoint = endpoint
-	if placement, ok := g.registry.StartCopy(now, requestID(v), v.placementEndpoint(endpoint)); ok {
-		g.announcePlacement(placement)
+	if placement, ok := q.registry.StartCopy(now, requestID(c), c.placementEndpoint(endpoint)); ok {
+		q.announcePlacement(placement)
 	}
 	return true
 }
@@ -144,53 +145,54 @@
 // chooseEndpoint returns the preferred endpoint if the copy may run there, and
 // otherwise another allowed one. A hedge may use a second endpoint, since at the
 // slow endpoint of the first attempt it would be just as slow.
-func (g *PoisonQuarantine) chooseEndpoint(now time.Time, v RequestCopy) (string, bool) {
-	id := requestID(v)
-	allowed, exclusive := g.registry.AllowedEndpoints(now, id)
-	unrestricted := g.verdict(id) == poison.Unrestricted
+func (q *PoisonQuarantine) chooseEndpoint(now time.Time, c RequestCopy) (string, bool) {
+	id := requestID(c)
+	allowed, exclusive := q.registry.AllowedEndpoints(now, id)
+	unrestricted := q.verdict(id) == poison.Unrestricted
 	switch {
-	case len(allowed) == 0 || slices.Contains(allowed, v.Endpoint):
-		return v.Endpoint, true
-	case unrestricted && (v.Rollout || v.Hedge && len(allowed) == 1):
-		return v.Endpoint, true
+	case len(allowed) == 0 || slices.Contains(allowed, c.Endpoint):
+		return c.Endpoint, true
+	case unrestricted && (c.Rollout || c.Hedge && len(allowed) == 1):
+		return c.Endpoint, true
 	}
 	for _, endpoint := range allowed {
-		if v.Usable(endpoint) {
+		if c.Usable(endpoint) {
 			return endpoint, true
 		}
 	}
-	return v.Endpoint, !exclusive && v.waited > followTimeout
+	return c.Endpoint, !exclusive && c.waited > followTimeout
 }
 
-func requestID(v RequestCopy) poison.ID {
-	return poison.ID{Service: v.Service, Fingerprint: v.Fingerprint}
+// requestID returns the key of the request in the registry.
+func requestID(c RequestCopy) poison.ID {
+	return poison.ID{Service: c.Service, Fingerprint: c.Fingerprint}
 }
 
 // placementEndpoint returns the endpoint to register as the copy's placement, which
 // later copies have to use, or "" for a rollout. A sample that the scheduler moves
 // starts at its new engine before the old copy has ended, so that a registered
 // placement would prevent the move.
-func (v RequestCopy) placementEndpoint(endpoint string) string {
-	if v.Rollout {
+func (c RequestCopy) placementEndpoint(endpoint string) string {
+	if c.Rollout {
 		return ""
 	}
 	return endpoint
 }
 
 // startSuspect starts a copy of a suspect unless any entry runs one already.
-func (g *PoisonQuarantine) startSuspect(ctx context.Context, v RequestCopy, a *Admission) bool {
-	id := requestID(v)
-	g.mu.Lock()
-	reserved := g.registry.Reserve(id)
-	g.mu.Unlock()
+func (q *PoisonQuarantine) startSuspect(ctx context.Context, c RequestCopy, a *Admission) bool {
+	id := requestID(c)
+	q.mu.Lock()
+	reserved := q.registry.Reserve(id)
+	q.mu.Unlock()
 	if !reserved {
 		return false
 	}
-	busy := g.exchangeWithAll(ctx, id)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if busy || g.verdict(id) != poison.Alone || !g.registry.Reserved(id) || !g.startAtAllowed(v, a) {
-		g.registry.CancelReservation(id)
+	busy := q.exchangeWithAll(ctx, id)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if busy || q.verdict(id) != poison.Alone || !q.registry.Reserved(id) || !q.startAtAllowed(c, a) {
+		q.registry.CancelReservation(id)
 		return false
 	}
 	a.Alone = true
@@ -199,37 +201,39 @@
 
 // EndCopy ends a copy that StartCopy admitted. After a crash ReportCrash must be
 // called first, so that no peer finds the request neither running nor suspect.
-func (g *PoisonQuarantine) EndCopy(v RequestCopy, endpoint string, answered bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if placement, ok := g.registry.EndCopy(time.Now(), requestID(v), v.placementEndpoint(endpoint), answered); ok {
-		g.announcePlacement(placement)
+func (q *PoisonQuarantine) EndCopy(c RequestCopy, endpoint string, answered bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if placement, ok := q.registry.EndCopy(time.Now(), requestID(c), c.placementEndpoint(endpoint), answered); ok {
+		q.announcePlacement(placement)
 	}
 }
 
 // ReportCrash records a crash while the request ran. It returns once every
 // reachable peer knows of the crash. The caller gets its answer only after that, so
 // that a resend through another entry does not arrive there before the suspicion.
-func (g *PoisonQuarantine) ReportCrash(s wire.Suspicion) {
-	g.merge([]wire.Suspicion{s}, nil)
-	g.exchangeWithAll(context.Background(), poison.ID{})
+func (q *PoisonQuarantine) ReportCrash(s wire.Suspicion) {
+	q.merge([]wire.Suspicion{s}, nil)
+	q.exchangeWithAll(context.Background(), poison.ID{})
 }
 
 // ApplyHeartbeat merges the suspicions and quarantine entries of a heartbeat.
-func (g *PoisonQuarantine) ApplyHeartbeat(suspicions []wire.Suspicion, entries []wire.QuarantineEntry) {
+func (q *PoisonQuarantine) ApplyHeartbeat(suspicions []wire.Suspicion, entries []wire.QuarantineEntry) {
 	if len(suspicions) > 0 || len(entries) > 0 {
-		g.merge(suspicions, entries)
+		q.merge(suspicions, entries)
 	}
 }
 
-func (g *PoisonQuarantine) merge(suspicions []wire.Suspicion, entries []wire.QuarantineEntry) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// merge adds suspicions and quarantine entries to the registry and logs requests
+// that this puts in quarantine.
+func (q *PoisonQuarantine) merge(suspicions []wire.Suspicion, entries []wire.QuarantineEntry) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	now := time.Now()
-	g.registry.Merge(now, entries)
+	q.registry.Merge(now, entries)
 	for _, s := range suspicions {
-		if g.registry.RecordCrash(now, s) {
-			events.RequestQuarantined.Log(g.log, logrus.Fields{
+		if q.registry.RecordCrash(now, s) {
+			events.RequestQuarantined.Log(q.log, logrus.Fields{
 				"service":     s.Service,
 				"fingerprint": fmt.Sprintf("%016x", s.Fingerprint),
 				"endpoint":    s.Endpoint,
@@ -240,20 +244,20 @@
 
 // List returns the quarantine entries, for heartbeats and operators. Released
 // entries are included until they expire.
-func (g *PoisonQuarantine) List() []wire.QuarantineEntry {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.registry.List(time.Now())
+func (q *PoisonQuarantine) List() []wire.QuarantineEntry {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.registry.List(time.Now())
 }
 
 // Release lets a request run again through every entry and reports whether it was
 // in quarantine.
-func (g *PoisonQuarantine) Release(fingerprint uint64) bool {
-	g.mu.Lock()
-	released := g.registry.Release(time.Now(), fingerprint)
-	g.mu.Unlock()
+func (q *PoisonQuarantine) Release(fingerprint uint64) bool {
+	q.mu.Lock()
+	released := q.registry.Release(time.Now(), fingerprint)
+	q.mu.Unlock()
 	if released {
-		g.exchangeWithAll(context.Background(), poison.ID{})
+		q.exchangeWithAll(context.Background(), poison.ID{})
 	}
 	return released
 }
@@ -261,13 +265,13 @@
 // exchangeWithAll exchanges suspicions and quarantine entries with every other
 // entry and reports whether one of them runs the request. A peer that cannot be
 // reached is assumed to be gone.
-func (g *PoisonQuarantine) exchangeWithAll(ctx context.Context, id poison.ID) bool {
-	request := g.newExchange(id)
+func (q *PoisonQuarantine) exchangeWithAll(ctx context.Context, id poison.ID) bool {
+	request := q.newExchange(id)
 	busy := make(chan bool, 1)
 	var group errgroup.Group
-	for _, peer := range g.peers.Others() {
+	for _, peer := range q.peers.Others() {
 		group.Go(func() error {
-			if g.exchangeWith(ctx, peer.Address, request) {
+			if q.exchangeWith(ctx, peer.Address, request) {
 				select {
 				case busy <- true:
 				default:
@@ -280,28 +284,28 @@
 	return len(busy) > 0
 }
 
-func (g *PoisonQuarantine) newExchange(id poison.ID) wire.PoisonExchange {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (q *PoisonQuarantine) newExchange(id poison.ID) wire.PoisonExchange {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	return wire.PoisonExchange{
-		From:        g.self,
+		From:        q.self,
 		Service:     id.Service,
 		Fingerprint: id.Fingerprint,
-		Suspects:    g.registry.Suspicions(),
-		Quarantine:  g.registry.List(time.Now()),
+		Suspects:    q.registry.Suspicions(),
+		Quarantine:  q.registry.List(time.Now()),
 	}
 }
 
 // exchangeWith calls one peer, and once more over a new connection if the first call
 // fails. It reports whether the peer runs the request.
-func (g *PoisonQuarantine) exchangeWith(ctx context.Context, address string, request wire.PoisonExchange) bool {
+func (q *PoisonQuarantine) exchangeWith(ctx context.Context, address string, request wire.PoisonExchange) bool {
 	for _, fresh := range []bool{false, true} {
 		limited, cancel := context.WithTimeout(ctx, exchangeTimeout)
 		var reply wire.PoisonExchange
-		err := g.peers.CallPeer(limited, address, fresh, methodExchange, request, &reply)
+		err := q.peers.CallPeer(limited, address, fresh, methodExchange, request, &reply)
 		cancel()
 		if err == nil {
-			g.merge(reply.Suspects, reply.Quarantine)
+			q.merge(reply.Suspects, reply.Quarantine)
 			return reply.Busy
 		}
 		if errors.Is(err, ErrNotSent) {
@@ -316,17 +320,17 @@
 type PoisonServer struct{ quarantine *PoisonQuarantine }
 
 // Server returns the net/rpc service of the quarantine.
-func (g *PoisonQuarantine) Server() *PoisonServer { return &PoisonServer{quarantine: g} }
+func (q *PoisonQuarantine) Server() *PoisonServer { return &PoisonServer{quarantine: q} }
 
 // Exchange merges the suspicions and quarantine entries of another entry and returns
 // those of this one.
 func (s *PoisonServer) Exchange(request wire.PoisonExchange, reply *wire.PoisonExchange) error {
-	g := s.quarantine
-	g.merge(request.Suspects, request.Quarantine)
+	q := s.quarantine
+	q.merge(request.Suspects, request.Quarantine)
 	id := poison.ID{Service: request.Service, Fingerprint: request.Fingerprint}
-	*reply = g.newExchange(id)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	reply.Busy = id != poison.ID{} && g.registry.Busy(id, request.From)
+	*reply = q.newExchange(id)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	reply.Busy = id != poison.ID{} && q.registry.Busy(id, request.From)
 	return nil
 }
--- a/internal/entry/quarantine_placement.go
+++ b/internal/entry/quarantine_placement.go
@@ -36,27 +36,27 @@
 }
 
 // announcePlacement sends the placement of a copy of this entry to the other
-// entries, or in a large fleet to the request's coordinator. g.mu must be held.
-func (g *PoisonQuarantine) announcePlacement(placement wire.Placement) {
-	others := g.peers.Others()
+// entries, or in a large fleet to the request's coordinator. q.mu must be held.
+func (q *PoisonQuarantine) announcePlacement(placement wire.Placement) {
+	others := q.peers.Others()
 	if len(others) <= maxBroadcastPeers {
-		g.post(others, placement)
+		q.post(others, placement)
 		return
 	}
-	if coordinator := g.coordinator(others, placement.Fingerprint); coordinator != nil {
-		g.post([]kv.Instance{*coordinator}, placement)
+	if coordinator := q.coordinator(others, placement.Fingerprint); coordinator != nil {
+		q.post([]kv.Instance{*coordinator}, placement)
 		return
 	}
-	g.broadcastCopies(others, placement)
+	q.broadcastCopies(others, placement)
 }
 
 // coordinator returns the entry that gets the placements of all copies of the
 // request, or nil if that is this entry. All entries that have the same list select
 // the same one by rendezvous hashing. While the list contains an entry that is lost,
 // the placements of its requests are not shared.
-func (g *PoisonQuarantine) coordinator(others []kv.Instance, fingerprint uint64) *kv.Instance {
+func (q *PoisonQuarantine) coordinator(others []kv.Instance, fingerprint uint64) *kv.Instance {
 	var best *kv.Instance
-	most := rendezvous.Weight(fingerprint, rendezvous.Key(g.self))
+	most := rendezvous.Weight(fingerprint, rendezvous.Key(q.self))
 	for i := range others {
 		if w := rendezvous.Weight(fingerprint, rendezvous.Key(others[i].ID)); w > most {
 			best, most = &others[i], w
@@ -68,19 +68,19 @@
 // broadcastCopies sends the placements of a request with two or more copies to
 // every entry, as the third copy must run at one of their endpoints. A request with
 // a single copy at a time, as nearly all are, costs its coordinator two messages.
-// g.mu must be held.
-func (g *PoisonQuarantine) broadcastCopies(others []kv.Instance, placement wire.Placement) {
+// q.mu must be held.
+func (q *PoisonQuarantine) broadcastCopies(others []kv.Instance, placement wire.Placement) {
 	id := poison.ID{Service: placement.Service, Fingerprint: placement.Fingerprint}
-	copies := g.registry.Placements(id)
+	copies := q.registry.Placements(id)
 	switch {
-	case g.broadcasting[id]:
-		g.post(others, markRelayed(placement)...)
+	case q.broadcasting[id]:
+		q.post(others, markRelayed(placement)...)
 		if len(copies) == 0 {
-			delete(g.broadcasting, id)
+			delete(q.broadcasting, id)
 		}
 	case len(copies) > 1:
-		g.broadcasting[id] = true
-		g.post(others, markRelayed(copies...)...)
+		q.broadcasting[id] = true
+		q.post(others, markRelayed(copies...)...)
 	}
 }
 
@@ -91,13 +91,13 @@
 	return all
 }
 
-// post adds placements to the peers' outboxes. g.mu must be held.
-func (g *PoisonQuarantine) post(peers []kv.Instance, placements ...wire.Placement) {
+// post adds placements to the peers' outboxes. q.mu must be held.
+func (q *PoisonQuarantine) post(peers []kv.Instance, placements ...wire.Placement) {
 	for _, peer := range peers {
-		box := g.outboxes[peer.Address]
+		box := q.outboxes[peer.Address]
 		if box == nil {
 			box = &outbox{}
-			g.outboxes[peer.Address] = box
+			q.outboxes[peer.Address] = box
 		}
 		if len(box.pending) >= maxPendingPlacements {
 			continue
@@ -105,16 +105,16 @@
 		box.pending = append(box.pending, placements...)
 		if !box.sending {
 			box.sending = true
-			go g.sendPlacements(peer.Address, box)
+			go q.sendPlacements(peer.Address, box)
 		}
 	}
 }
 
 // sendPlacements sends the outbox of one peer until it is empty. The calls are made
 // one after the other, each with all placements queued meanwhile.
-func (g *PoisonQuarantine) sendPlacements(address string, box *outbox) {
+func (q *PoisonQuarantine) sendPlacements(address string, box *outbox) {
 	for {
-		placements := g.drainOutbox(address, box)
+		placements := q.drainOutbox(address, box)
 		if len(placements) == 0 {
 			return
 		}
@@ -122,35 +122,37 @@
 		var none struct{}
 		// The placement of a started copy that is lost restricts no other copy; if the
 		// end of a copy is lost, its placement expires after PlacementTTL.
-		_ = g.peers.CallPeer(ctx, address, false, methodPlace, placements, &none)
+		_ = q.peers.CallPeer(ctx, address, false, methodPlace, placements, &none)
 		cancel()
 		time.Sleep(placementSendDelay)
 	}
 }
 
-func (g *PoisonQuarantine) drainOutbox(address string, box *outbox) []wire.Placement {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// drainOutbox returns and removes the placements queued for a peer. If there are
+// none, it removes the outbox.
+func (q *PoisonQuarantine) drainOutbox(address string, box *outbox) []wire.Placement {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	placements := box.pending
 	box.pending = nil
 	if len(placements) == 0 {
 		box.sending = false
-		delete(g.outboxes, address)
+		delete(q.outboxes, address)
 	}
 	return placements
 }
 
 // Place records placements of copies that run through other entries.
 func (s *PoisonServer) Place(placements []wire.Placement, _ *struct{}) error {
-	g := s.quarantine
-	others := g.peers.Others()
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	q := s.quarantine
+	others := q.peers.Others()
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	now := time.Now()
 	for _, p := range placements {
-		g.registry.RecordPlacement(now, p)
+		q.registry.RecordPlacement(now, p)
 		if !p.Relayed && len(others) > maxBroadcastPeers {
-			g.broadcastCopies(others, p)
+			q.broadcastCopies(others, p)
 		}
 	}
 	return nil
--- a/internal/entry/quarantine_placement_test.go
+++ b/internal/entry/quarantine_placement_test.go
@@ -23,10 +23,10 @@
 		return a.Endpoint
 	}
 	placed := func(name string) []string {
-		g := quarantines[name]
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		endpoints, _ := g.registry.AllowedEndpoints(time.Now(), requestID(copyAt("")))
+		q := quarantines[name]
+		q.mu.Lock()
+		defer q.mu.Unlock()
+		endpoints, _ := q.registry.AllowedEndpoints(time.Now(), requestID(copyAt("")))
 		return endpoints
 	}
 
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -169,8 +169,8 @@
 		fresh.ApplyHeartbeat(nil, quarantines["entry-2"].List())
 		Expect(fresh.Blocked("tone", 7)).To(BeTrue())
 		Expect(quarantines["entry-3"].Release(7)).To(BeTrue())
-		for _, g := range quarantines {
-			Expect(g.Blocked("tone", 7)).To(BeFalse())
+		for _, q := range quarantines {
+			Expect(q.Blocked("tone", 7)).To(BeFalse())
 		}
 		fresh.ApplyHeartbeat(nil, quarantines["entry-2"].List())
 		Expect(fresh.Blocked("tone", 7)).To(BeFalse())
--- a/internal/entry/retry.go
+++ b/internal/entry/retry.go
@@ -27,10 +27,10 @@
 	defer hedge.Stop()
 	for {
 		select {
-		case v := <-r.results:
+		case result := <-r.results:
 			r.inFlight--
-			if r.handleResult(ctx, v) {
-				return v.answer
+			if r.handleResult(ctx, result) {
+				return result.answer
 			}
 			if r.inFlight == 0 {
 				return r.last
@@ -81,19 +81,19 @@
 
 // handleResult processes the result of an attempt and reports whether it is the
 // final answer. It starts another attempt if one is allowed.
-func (r *attempts) handleResult(ctx context.Context, v attemptResult) bool {
-	if v.answer.Outcome == wire.Answered {
-		r.entry.deps.Hedger.Observe(r.call.class.Name, v.latency)
+func (r *attempts) handleResult(ctx context.Context, result attemptResult) bool {
+	if result.answer.Outcome == wire.Answered {
+		r.entry.deps.Hedger.Observe(r.call.class.Name, result.latency)
 		return true
 	}
-	r.last = v.answer
-	if v.answer.Reason == wire.ReasonCrashed {
+	r.last = result.answer
+	if result.answer.Reason == wire.ReasonCrashed {
 		r.suspect = true
 	}
 	if r.entry.deps.Quarantine.Blocked(r.call.req.Service, r.call.req.Fingerprint) {
 		return r.inFlight == 0
 	}
-	if !r.mayRetry(v.answer) {
+	if !r.mayRetry(result.answer) {
 		return r.inFlight == 0
 	}
 	r.launch(ctx, false)
