--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -78,27 +78,27 @@
 
 // Declaration is one version of what the operator declared, in full.
 type Declaration struct {
-	Version   int64
-	Routes    []Route
-	Services  map[string]Service
-	Limits    Limits
-	Keyed     bool // requests need a customer's key, but for public routes
-	Customers []Customer
+	Version     int64
+	Routes      []Route
+	Services    map[string]Service
+	Limits      Limits
+	RequireKeys bool // requests need a customer's key, but for public routes
+	Customers   []Customer
 }
 
 // Endpoint is one instance of a service as the platform lists it.
 type Endpoint struct {
-	ID       string
-	Service  string
-	Address  string // ip:port
-	Domain   string // failure domain
-	Slots    int
-	Leaving  bool
-	Born     int64            // Unix milliseconds of its start; tells incarnations of one ID apart
-	Versions map[string]int64 // weight version by model
+	ID              string
+	Service         string
+	Address         string // ip:port
+	Domain          string // failure domain
+	Slots           int
+	Leaving         bool
+	StartedAtMillis int64            // Unix milliseconds of its start; tells incarnations of one ID apart
+	Versions        map[string]int64 // weight version by model
 }
 
-// SameStart tells whether both are one incarnation of one endpoint.
-func (e *Endpoint) SameStart(other *Endpoint) bool {
-	return e.ID == other.ID && e.Born == other.Born && e.Address == other.Address
+// SameIncarnation tells whether both are one incarnation of one endpoint.
+func (e *Endpoint) SameIncarnation(other *Endpoint) bool {
+	return e.ID == other.ID && e.StartedAtMillis == other.StartedAtMillis && e.Address == other.Address
 }
