--- a/internal/entry/claims_handover.go
+++ b/internal/entry/claims_handover.go
@@ -109,8 +109,8 @@
 	for {
 		p.mu.Lock()
 		batch := p.results[:min(len(p.results), maxResultsPerCall)]
-		stays := p.closing.Load() && len(p.machine.Running()) > 0
-		if len(batch) == 0 && !stays || time.Now().After(end) {
+		stillRunning := p.closing.Load() && len(p.machine.Running()) > 0
+		if len(batch) == 0 && !stillRunning || time.Now().After(end) {
 			p.results = nil
 			p.sendingResults = false
 			p.mu.Unlock()
