--- a/internal/dutyrun/keeper.go
+++ b/internal/dutyrun/keeper.go
@@ -1,6 +1,7 @@
-// Package dutyrun runs the duties policy of an entry: it feeds it with time, the
-// live entries and the records of the key-value service, carries out its calls
-// and tells changes of standing to the work that depends on them.
+// Package dutyrun runs the duties policy of an entry. It passes the time, the
+// live entries and the records of the key-value service to the policy, performs
+// the calls that the policy decides on, and notifies subscribers of changes of
+// lease state.
 package dutyrun
 
 import (
@@ -23,45 +24,47 @@
 )
 
 const (
-	dutyTick = 100 * time.Millisecond
-	// dutyListFrom is how many records it takes for one listing to be cheaper
-	// than reading each.
-	dutyListFrom = 4
+	tickInterval = 100 * time.Millisecond
+	// minReadsForList is the number of records from which one listing is
+	// cheaper than separate reads.
+	minReadsForList = 4
 )
 
-// Options sets up a Keeper.
+// Options configures a Keeper.
 type Options struct {
 	Store      kv.Store
 	Deployment string
 	Self       duties.Member
-	Names      func() []string        // duties that exist; asked at each tick
-	Members    func() []duties.Member // live entries; this one too unless it leaves
+	Names      func() []string        // names of the existing duties; called on each tick
+	Members    func() []duties.Member // live entries, including this one unless it leaves
 	Log        *logrus.Logger
 	Config     duties.Config
 	// Offer tells the entry at an inner address that this one has released a
-	// duty, and waits for who holds it then; an error if it will not take it.
-	// nil: successors find out by themselves.
+	// duty, and returns the duty's new holder once there is one, or an error if
+	// the entry refuses it. If Offer is nil, successors find out by themselves.
 	Offer func(ctx context.Context, address string, offer wire.DutyOffer) (wire.Holder, error)
 	// Probe asks the entry at an inner address whether it holds a duty under an
-	// epoch. nil: every lease is waited out.
+	// epoch. If Probe is nil, no duty is taken over before its lease has
+	// expired.
 	Probe func(ctx context.Context, address string, asked wire.HoldsRequest) (bool, error)
 }
 
-// Keeper holds this entry's duties. It is safe for concurrent use.
+// Keeper acquires, renews and releases this entry's duties. It is safe for
+// concurrent use.
 type Keeper struct {
 	options Options
 	prefix  string
 	wake    chan struct{}
 
-	mu     sync.Mutex
-	keeper *duties.Keeper
-	rnd    *rand.Rand
-	offers int // being made
+	mu            sync.Mutex
+	policy        *duties.Keeper
+	rnd           *rand.Rand
+	pendingOffers int
 
-	// tellMu keeps the order of the changes told; it is taken before mu.
-	tellMu      sync.Mutex
+	// notifyMu keeps notifications in order; it is locked before mu.
+	notifyMu    sync.Mutex
 	subscribers []subscriber
-	standing    map[string]duties.Change
+	lastChanges map[string]duties.Change
 }
 
 type subscriber struct {
@@ -74,21 +77,22 @@
 	_ entry.LeaseProver = (*Keeper)(nil)
 )
 
-// New returns a keeper that holds nothing until it runs.
+// New returns a keeper that holds no duty until Run is called.
 func New(o Options) *Keeper {
 	return &Keeper{
-		options:  o,
-		prefix:   "duties/" + o.Deployment + "/",
-		wake:     make(chan struct{}, 1),
-		keeper:   duties.New(o.Config, o.Self, ulid.Make().String()),
-		rnd:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		standing: map[string]duties.Change{},
+		options:     o,
+		prefix:      "duties/" + o.Deployment + "/",
+		wake:        make(chan struct{}, 1),
+		policy:      duties.New(o.Config, o.Self, ulid.Make().String()),
+		rnd:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		lastChanges: map[string]duties.Change{},
 	}
 }
 
-// Run keeps the duties until ctx ends. It does not release them: see Stop.
+// Run acquires and renews duties until ctx is done. It doesn't release them;
+// Stop does.
 func (k *Keeper) Run(ctx context.Context) error {
-	ticker := time.NewTicker(dutyTick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -97,25 +101,25 @@
 		case <-ticker.C:
 		case <-k.wake:
 		}
-		k.carryOut(ctx, k.tick())
-		k.makeOffers(ctx)
-		k.makeProbes(ctx)
+		k.execute(ctx, k.tick())
+		k.startOffers(ctx)
+		k.startProbes(ctx)
 	}
 }
 
-// Stop hands the duties over: it releases each, offers it to its successor and
-// returns once all are released and offered or ctx ends. Run must still be
-// running.
+// Stop hands the duties over: it releases each one, offers it to its successor,
+// and returns once all are released and offered or ctx is done. Run must still
+// be running.
 func (k *Keeper) Stop(ctx context.Context) error {
 	k.mu.Lock()
-	k.keeper.Stop()
+	k.policy.Stop()
 	k.mu.Unlock()
-	k.again()
-	ticker := time.NewTicker(dutyTick / 10)
+	k.wakeUp()
+	ticker := time.NewTicker(tickInterval / 10)
 	defer ticker.Stop()
 	for {
 		k.mu.Lock()
-		idle := k.keeper.Idle() && k.offers == 0
+		idle := k.policy.Idle() && k.pendingOffers == 0
 		k.mu.Unlock()
 		if idle {
 			return nil
@@ -128,67 +132,69 @@
 	}
 }
 
-// KnownHolder returns the duty's holder as last known.
+// KnownHolder returns the address and epoch of the duty's last known holder,
+// and whether that is this process.
 func (k *Keeper) KnownHolder(name string) (string, int64, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	owner, mine := k.keeper.KnownHolder(time.Now(), name)
-	return owner.Address, owner.Epoch, mine
+	holder, mine := k.policy.KnownHolder(time.Now(), name)
+	return holder.Address, holder.Epoch, mine
 }
 
-// LeaseState returns how this process stands to the duty now.
+// LeaseState returns the state of this process's lease on the duty.
 func (k *Keeper) LeaseState(name string) duties.LeaseState {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.keeper.LeaseState(time.Now(), name)
+	return k.policy.LeaseState(time.Now(), name)
 }
 
 // HeldUntil returns the epoch under which this process holds the duty and the
-// time until which its lease runs; zero if it does not hold it.
+// time at which its lease expires, or zero values if it doesn't hold the duty.
 func (k *Keeper) HeldUntil(name string) (int64, time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.keeper.HeldUntil(time.Now(), name)
+	return k.policy.HeldUntil(time.Now(), name)
 }
 
-// Promise tells whether no other process can hold the duty before until, given
-// that this one holds it under epoch, and keeps it from being released before
-// then.
+// Promise returns whether no other process can hold the duty before until,
+// given that this process holds it under epoch. If so, the duty isn't released
+// before then.
 func (k *Keeper) Promise(name string, epoch int64, until time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.keeper.Promise(time.Now(), name, epoch, until)
+	return k.policy.Promise(time.Now(), name, epoch, until)
 }
 
-// OnChange subscribes to changes of standing.
+// OnChange subscribes fn to the lease state changes of duties with the prefix.
+// It calls fn at once with the last change of each of these duties.
 func (k *Keeper) OnChange(prefix string, fn func(duties.Change)) {
-	k.tellMu.Lock()
-	defer k.tellMu.Unlock()
+	k.notifyMu.Lock()
+	defer k.notifyMu.Unlock()
 	k.subscribers = append(k.subscribers, subscriber{prefix: prefix, fn: fn})
-	for _, change := range k.standing {
+	for _, change := range k.lastChanges {
 		if strings.HasPrefix(change.Duty, prefix) {
 			fn(change)
 		}
 	}
 }
 
-// Holders lists the holders known, for a heartbeat.
+// Holders returns the known holders, for a heartbeat.
 func (k *Keeper) Holders() []wire.Holder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	owners := k.keeper.KnownHolders()
-	all := make([]wire.Holder, 0, len(owners))
-	for _, o := range owners {
+	holders := k.policy.KnownHolders()
+	all := make([]wire.Holder, 0, len(holders))
+	for _, o := range holders {
 		all = append(all, wire.Holder{Duty: o.Duty, Address: o.Address, Epoch: o.Epoch})
 	}
 	return all
 }
 
-// Heard takes in what a peer's heartbeat tells of holders.
+// Heard merges the holders that another entry reports.
 func (k *Keeper) Heard(holders []wire.Holder) {
 	k.update(func(now time.Time) {
 		for _, h := range holders {
-			k.keeper.Heard(now, duties.KnownHolder{Duty: h.Duty, Address: h.Address, Epoch: h.Epoch})
+			k.policy.Heard(now, duties.KnownHolder{Duty: h.Duty, Address: h.Address, Epoch: h.Epoch})
 		}
 	})
 }
@@ -196,27 +202,28 @@
 func (k *Keeper) tick() []duties.Action {
 	var actions []duties.Action
 	k.update(func(now time.Time) {
-		k.keeper.SetNames(now, k.options.Names())
-		k.keeper.SetMembers(now, k.options.Members())
-		actions = k.keeper.Tick(now, k.rnd)
+		k.policy.SetNames(now, k.options.Names())
+		k.policy.SetMembers(now, k.options.Members())
+		actions = k.policy.Tick(now, k.rnd)
 	})
 	return actions
 }
 
-// update runs step under the lock and tells the changes it brought.
+// update runs step with the lock held and notifies subscribers of the resulting
+// changes.
 func (k *Keeper) update(step func(now time.Time)) {
-	k.tellMu.Lock()
-	defer k.tellMu.Unlock()
+	k.notifyMu.Lock()
+	defer k.notifyMu.Unlock()
 	k.mu.Lock()
 	step(time.Now())
-	changes := k.keeper.Changes()
+	changes := k.policy.Changes()
 	k.mu.Unlock()
 	for _, change := range changes {
-		k.tell(change)
+		k.notify(change)
 	}
 }
 
-func (k *Keeper) tell(change duties.Change) {
+func (k *Keeper) notify(change duties.Change) {
 	fields := logrus.Fields{"duty": change.Duty, "epoch": change.Epoch}
 	switch change.LeaseState {
 	case duties.Holder:
@@ -226,7 +233,7 @@
 	default:
 		events.DutyLost.Log(k.options.Log, fields)
 	}
-	k.standing[change.Duty] = change
+	k.lastChanges[change.Duty] = change
 	for _, s := range k.subscribers {
 		if strings.HasPrefix(change.Duty, s.prefix) {
 			s.fn(change)
@@ -234,8 +241,8 @@
 	}
 }
 
-// carryOut begins the calls and does not wait for them.
-func (k *Keeper) carryOut(ctx context.Context, actions []duties.Action) {
+// execute starts the policy's calls without waiting for them.
+func (k *Keeper) execute(ctx context.Context, actions []duties.Action) {
 	var reads []string
 	for _, action := range actions {
 		if action.Kind == duties.Read {
@@ -244,7 +251,7 @@
 		}
 		go k.write(ctx, action)
 	}
-	if len(reads) >= dutyListFrom {
+	if len(reads) >= minReadsForList {
 		go k.list(ctx, reads)
 		return
 	}
@@ -257,7 +264,7 @@
 	ctx, cancel := context.WithTimeout(ctx, k.options.Config.PollInterval)
 	defer cancel()
 	found, err := k.options.Store.Get(ctx, kv.UseLease, k.prefix+name)
-	k.observe(name, found, err)
+	k.recordRead(name, found, err)
 }
 
 func (k *Keeper) list(ctx context.Context, names []string) {
@@ -269,16 +276,16 @@
 		found[strings.TrimPrefix(r.Key, k.prefix)] = r
 	}
 	for _, name := range names {
-		k.observe(name, found[name], err)
+		k.recordRead(name, found[name], err)
 	}
 }
 
-func (k *Keeper) observe(name string, found kv.Record, err error) {
-	record, decodeErr := dutyRecord(found)
+func (k *Keeper) recordRead(name string, found kv.Record, err error) {
+	record, decodeErr := decodeRecord(found)
 	k.update(func(now time.Time) {
-		k.keeper.ReadDone(now, name, record, found.Revision, err == nil && decodeErr == nil)
+		k.policy.ReadDone(now, name, record, found.Revision, err == nil && decodeErr == nil)
 	})
-	k.again()
+	k.wakeUp()
 }
 
 func (k *Keeper) write(ctx context.Context, action duties.Action) {
@@ -286,33 +293,33 @@
 	defer cancel()
 	value, err := json.Marshal(action.Record)
 	if err != nil {
-		panic(err) // a struct of strings and numbers always encodes
+		panic(err) // encoding a struct of strings and numbers can't fail
 	}
 	swapped, current, err := k.options.Store.CompareAndSwap(ctx, kv.UseLease, kv.Write{
 		Key:      k.prefix + action.Duty,
 		Expected: action.Expected,
 		Value:    value,
 	})
-	record, decodeErr := dutyRecord(current)
-	outcome := dutyOutcome(swapped, err)
+	record, decodeErr := decodeRecord(current)
+	outcome := outcomeOf(swapped, err)
 	if decodeErr != nil {
 		outcome = duties.Indeterminate
 	}
 	k.update(func(now time.Time) {
-		k.keeper.WriteDone(now, action, outcome, record, current.Revision)
+		k.policy.WriteDone(now, action, outcome, record, current.Revision)
 	})
-	k.again()
+	k.wakeUp()
 }
 
-// again has Run look at once at what an answer makes possible.
-func (k *Keeper) again() {
+// wakeUp makes Run tick immediately.
+func (k *Keeper) wakeUp() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-func dutyOutcome(swapped bool, err error) duties.Outcome {
+func outcomeOf(swapped bool, err error) duties.Outcome {
 	switch {
 	case errors.Is(err, kv.ErrUnavailable), errors.Is(err, kv.ErrBudget):
 		return duties.NotApplied
@@ -325,7 +332,7 @@
 	}
 }
 
-func dutyRecord(r kv.Record) (duties.Record, error) {
+func decodeRecord(r kv.Record) (duties.Record, error) {
 	var record duties.Record
 	if r.Revision == 0 {
 		return record, nil
--- a/internal/dutyrun/keeper_test.go
+++ b/internal/dutyrun/keeper_test.go
@@ -28,32 +28,32 @@
 	return log
 }
 
-// dutyEntries runs keepers that share a list of members.
-type dutyEntries struct {
+// entryGroup runs keepers that share a list of members.
+type entryGroup struct {
 	platform string
 	mu       sync.Mutex
 	members  []duties.Member
 }
 
-func (e *dutyEntries) live() []duties.Member {
+func (e *entryGroup) liveMembers() []duties.Member {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]duties.Member(nil), e.members...)
 }
 
-func (e *dutyEntries) leave(id string) {
+func (e *entryGroup) removeMember(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var rest []duties.Member
+	var remaining []duties.Member
 	for _, m := range e.members {
 		if m.ID != id {
-			rest = append(rest, m)
+			remaining = append(remaining, m)
 		}
 	}
-	e.members = rest
+	e.members = remaining
 }
 
-func (e *dutyEntries) start(self duties.Member, names []string) *dutyrun.Keeper {
+func (e *entryGroup) start(self duties.Member, names []string) *dutyrun.Keeper {
 	store, err := kv.NewClient(kv.Options{Address: e.platform, Writer: self.ID, CallsPerSec: 500})
 	Expect(err).NotTo(HaveOccurred())
 	config := duties.DefaultConfig()
@@ -64,7 +64,7 @@
 		Deployment: "d",
 		Self:       self,
 		Names:      func() []string { return names },
-		Members:    e.live,
+		Members:    e.liveMembers,
 		Log:        quietLog(),
 		Config:     config,
 	})
@@ -85,7 +85,7 @@
 var _ = Describe("Keeper", func() {
 	names := []string{"claims/0", "claims/1", "claims/2", "claims/3", "feed/a", "weights/b"}
 	var platform *standin.Platform
-	var entries *dutyEntries
+	var entries *entryGroup
 	var keepers []*dutyrun.Keeper
 
 	BeforeEach(func() {
@@ -93,17 +93,17 @@
 		address, err := platform.Start("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(platform.Close)
-		entries = &dutyEntries{platform: address, members: []duties.Member{
+		entries = &entryGroup{platform: address, members: []duties.Member{
 			{ID: "entry-1", Address: "127.0.0.1:1"},
 			{ID: "entry-2", Address: "127.0.0.1:2"},
 		}}
 		keepers = nil
-		for _, m := range entries.live() {
+		for _, m := range entries.liveMembers() {
 			keepers = append(keepers, entries.start(m, names))
 		}
 	})
 
-	held := func() (holders int, epochs int64) {
+	countHolders := func() (holders int, epochs int64) {
 		for _, name := range names {
 			for _, k := range keepers {
 				if _, epoch, mine := k.KnownHolder(name); mine {
@@ -114,19 +114,19 @@
 		}
 		return holders, epochs
 	}
-	heldOnce := func() int {
-		holders, _ := held()
+	holderCount := func() int {
+		holders, _ := countHolders()
 		return holders
 	}
 
-	It("gives each duty to one entry, also when an answer is lost", func() {
+	It("assigns each duty to one entry, even if a response is lost", func() {
 		platform.LoseNextAnswer(3)
-		Eventually(heldOnce).WithTimeout(20 * time.Second).Should(Equal(len(names)))
+		Eventually(holderCount).WithTimeout(20 * time.Second).Should(Equal(len(names)))
 	})
 
-	It("hands the duties of a leaving entry over under higher epochs", func() {
-		Eventually(heldOnce).WithTimeout(20 * time.Second).Should(Equal(len(names)))
-		entries.leave("entry-1")
+	It("hands the duties of a leaving entry over to the remaining one", func() {
+		Eventually(holderCount).WithTimeout(20 * time.Second).Should(Equal(len(names)))
+		entries.removeMember("entry-1")
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		Expect(keepers[0].Stop(ctx)).To(Succeed())
@@ -141,32 +141,33 @@
 		}).WithTimeout(20 * time.Second).Should(Equal(len(names)))
 	})
 
-	// The service goes away for longer than a lease. No holder may go on as
-	// such; when it returns, each duty has one holder again, under a higher epoch.
-	It("lets every lease lapse in an outage and takes the duties again after it", func() {
-		Eventually(heldOnce).WithTimeout(20 * time.Second).Should(Equal(len(names)))
+	// The key-value service is unavailable for longer than a lease. No holder
+	// may continue as such. After the outage, each duty has one holder again,
+	// under a higher epoch.
+	It("lets every lease expire in an outage and acquires the duties again after it", func() {
+		Eventually(holderCount).WithTimeout(20 * time.Second).Should(Equal(len(names)))
 		platform.Outage(true)
-		Eventually(heldOnce).WithTimeout(20 * time.Second).Should(BeZero())
+		Eventually(holderCount).WithTimeout(20 * time.Second).Should(BeZero())
 		platform.Outage(false)
-		Eventually(heldOnce).WithTimeout(20 * time.Second).Should(Equal(len(names)))
-		_, epochs := held()
+		Eventually(holderCount).WithTimeout(20 * time.Second).Should(Equal(len(names)))
+		_, epochs := countHolders()
 		Expect(epochs).To(BeNumerically(">=", 2*len(names)))
 	})
 
-	It("tells subscribers of their duties only", func() {
+	It("notifies subscribers only of duties with their prefix", func() {
 		var mu sync.Mutex
-		told := map[string]bool{}
+		isHolder := map[string]bool{}
 		for _, k := range keepers {
 			k.OnChange("feed/", func(c duties.Change) {
 				mu.Lock()
 				defer mu.Unlock()
-				told[c.Duty] = c.LeaseState == duties.Holder
+				isHolder[c.Duty] = c.LeaseState == duties.Holder
 			})
 		}
 		Eventually(func() map[string]bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return map[string]bool{"feed/a": told["feed/a"], "n": len(told) == 1}
+			return map[string]bool{"feed/a": isHolder["feed/a"], "n": len(isHolder) == 1}
 		}).WithTimeout(20 * time.Second).Should(Equal(map[string]bool{"feed/a": true, "n": true}))
 	})
 })
--- a/internal/dutyrun/offer.go
+++ b/internal/dutyrun/offer.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// offerLimit bounds how long the entry that accepted an offer is waited for;
-	// past it the others are no worse off than without offers.
-	offerLimit = time.Second
-	offerPoll  = 5 * time.Millisecond
+	// offerTimeout limits how long to wait for the entry that accepted an
+	// offer. After it, the other entries are no worse off than without offers.
+	offerTimeout      = time.Second
+	offerPollInterval = 5 * time.Millisecond
 )
 
-// ErrOfferRefused tells that an entry will not take an offered duty.
+// ErrOfferRefused reports that an entry refuses an offered duty.
 var ErrOfferRefused = errors.New("duties: offer refused")
 
-// makeOffers begins to make the offers that are due.
-func (k *Keeper) makeOffers(ctx context.Context) {
+// startOffers starts sending the offers that are due.
+func (k *Keeper) startOffers(ctx context.Context) {
 	if k.options.Offer == nil {
 		return
 	}
 	k.mu.Lock()
-	due := k.keeper.Offers()
-	k.offers += len(due)
+	due := k.policy.Offers()
+	k.pendingOffers += len(due)
 	k.mu.Unlock()
 	for _, o := range due {
 		go func() {
-			k.makeOffer(ctx, o)
+			k.sendOffer(ctx, o)
 			k.mu.Lock()
-			k.offers--
+			k.pendingOffers--
 			k.mu.Unlock()
 		}()
 	}
 }
 
-// makeOffer asks one member after the other until one takes the duty. The
-// holder that it names is kept, so that this entry can tell whoever still asks it.
-func (k *Keeper) makeOffer(ctx context.Context, o duties.Offer) {
-	ctx, cancel := context.WithTimeout(ctx, offerLimit)
+// sendOffer offers the duty to one member after the other until one accepts it.
+// It records the holder that this member returns, so that this entry can tell
+// callers that still ask it for the duty.
+func (k *Keeper) sendOffer(ctx context.Context, o duties.Offer) {
+	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
 	for _, m := range o.To {
 		holder, err := k.options.Offer(ctx, m.Address, wire.DutyOffer{Duty: o.Duty, Epoch: o.Epoch})
@@ -53,16 +54,17 @@
 	}
 }
 
-// Offered takes in another entry's offer of a duty and waits until it is held,
-// here or elsewhere. ErrOfferRefused means that this entry will not take it.
+// Offered handles another entry's offer of a duty and waits until the duty is
+// held, here or elsewhere. It returns ErrOfferRefused if this entry refuses the
+// duty or the duty isn't held in time.
 func (k *Keeper) Offered(offer wire.DutyOffer) (wire.Holder, error) {
 	accepted := false
-	k.update(func(now time.Time) { accepted = k.keeper.Offered(now, offer.Duty, offer.Epoch) })
+	k.update(func(now time.Time) { accepted = k.policy.Offered(now, offer.Duty, offer.Epoch) })
 	if !accepted {
 		return wire.Holder{}, ErrOfferRefused
 	}
-	k.again()
-	for end := time.Now().Add(offerLimit); time.Now().Before(end); time.Sleep(offerPoll) {
+	k.wakeUp()
+	for deadline := time.Now().Add(offerTimeout); time.Now().Before(deadline); time.Sleep(offerPollInterval) {
 		if address, epoch, _ := k.KnownHolder(offer.Duty); epoch > offer.Epoch && address != "" {
 			return wire.Holder{Duty: offer.Duty, Address: address, Epoch: epoch}, nil
 		}
