--- a/internal/peers/clients.go
+++ b/internal/peers/call.go
@@ -9,12 +9,12 @@
 	"siskinloom.example/siskinloom/internal/rpcpool"
 )
 
-// CallPeer calls a method of the entry at an inner address, on the standing
-// connection or, with fresh set, on a new one. entry.ErrNotSent means that the
-// entry certainly never saw the call.
-func (p *Peers) CallPeer(ctx context.Context, address string, fresh bool, method string, args, reply any) error {
+// CallPeer calls a method of the entry at an inner address, on a pooled
+// connection or, if newConn is set, on a new one. An error entry.ErrNotSent
+// means that the entry certainly never saw the call.
+func (p *Peers) CallPeer(ctx context.Context, address string, newConn bool, method string, args, reply any) error {
 	call := p.clients.Call
-	if fresh {
+	if newConn {
 		call = p.clients.CallFresh
 	}
 	err := call(ctx, address, method, args, reply)
--- a/internal/peers/hang_test.go
+++ b/internal/peers/frozen_peer_test.go
@@ -12,12 +12,12 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-var _ = Describe("a call to an entry that reads nothing", func() {
-	// The owner of a claim partition is frozen: its kernel takes connections and
-	// bytes until its buffers are full, and then the caller's write hangs. A call
-	// must still end with its own deadline, or every caller of that partition
-	// would wait past theirs.
-	It("ends with the call's own deadline", func() {
+var _ = Describe("a call to an entry that doesn't read from its connections", func() {
+	// The owner of a claim partition is frozen: its kernel accepts connections
+	// and bytes until its buffers are full, and then the caller's write blocks.
+	// The call must still end at its own deadline, or every caller of that
+	// partition would wait past its own.
+	It("ends at the call's own deadline", func() {
 		frozen, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(frozen.Close)
@@ -29,6 +29,6 @@
 			large := wire.ClaimRequest{Call: wire.Request{Body: make([]byte, 64<<20)}}
 			ended <- p.CallPeer(ctx, frozen.Addr().String(), false, "Claim.Do", large, &wire.ClaimReply{})
 		}()
-		Eventually(ended).WithTimeout(wait).Should(Receive(MatchError(context.DeadlineExceeded)))
+		Eventually(ended).WithTimeout(timeout).Should(Receive(MatchError(context.DeadlineExceeded)))
 	})
 })
--- a/internal/peers/list.go
+++ b/internal/peers/list.go
@@ -8,54 +8,55 @@
 	"siskinloom.example/siskinloom/internal/kv"
 )
 
-var errNoList = errors.New("peers: the list of instances was not read yet")
+var errNoList = errors.New("peers: the list of instances has not been read yet")
 
 // Lister reads the platform's list of instances.
 type Lister interface {
 	Instances(ctx context.Context, deployment string) ([]kv.Instance, error)
 }
 
-// WrapLister returns a lister that passes each list it reads to Listed and Shared, so
-// that one reader serves every part of the process.
+// WrapLister returns a lister that passes each list it reads to ApplyList and
+// to the lister of CachedLister, so that one reader serves every part of the
+// process.
 func (p *Peers) WrapLister(l Lister) Lister {
-	return &tap{lister: l, peers: p}
+	return &listerWrapper{lister: l, peers: p}
 }
 
-type tap struct {
+type listerWrapper struct {
 	lister Lister
 	peers  *Peers
 }
 
-// Instances reads the list.
-func (t *tap) Instances(ctx context.Context, deployment string) ([]kv.Instance, error) {
+// Instances reads the list and passes it on.
+func (t *listerWrapper) Instances(ctx context.Context, deployment string) ([]kv.Instance, error) {
 	list, err := t.lister.Instances(ctx, deployment)
 	if err == nil {
 		t.peers.ApplyList(list)
-		t.peers.keepList(list)
+		t.peers.setInstances(list)
 	}
 	return list, err
 }
 
-func (p *Peers) keepList(list []kv.Instance) {
+func (p *Peers) setInstances(list []kv.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.list = list
+	p.instances = list
 }
 
-// CachedLister returns a lister that gives the list as Tap read it last, without
-// reading. A duty that read the list for itself every two seconds would take
-// some 80 KB a second at 1,670 instances, five times what control work may. The
-// list must not be changed.
-func (p *Peers) CachedLister() Lister { return shared{p} }
+// CachedLister returns a lister that returns the list last read through
+// WrapLister, without reading it again. A duty that read the list itself every
+// two seconds would use about 80 KB per second at 1,670 instances, five times
+// the limit for control work. The list must not be modified.
+func (p *Peers) CachedLister() Lister { return cachedLister{p} }
 
-type shared struct{ peers *Peers }
+type cachedLister struct{ peers *Peers }
 
-// Instances returns the last list.
-func (s shared) Instances(context.Context, string) ([]kv.Instance, error) {
+// Instances returns the last list, or an error if there is none yet.
+func (s cachedLister) Instances(context.Context, string) ([]kv.Instance, error) {
 	s.peers.mu.Lock()
 	defer s.peers.mu.Unlock()
-	if s.peers.list == nil {
+	if s.peers.instances == nil {
 		return nil, errNoList
 	}
-	return s.peers.list, nil
+	return s.peers.instances, nil
 }
--- a/internal/peers/list_test.go
+++ b/internal/peers/list_test.go
@@ -12,25 +12,25 @@
 	"siskinloom.example/siskinloom/internal/peers"
 )
 
-// counting counts how often the list is read.
-type counting struct{ reads int }
+// countingLister counts how often the list is read.
+type countingLister struct{ reads int }
 
-func (c *counting) Instances(context.Context, string) ([]kv.Instance, error) {
+func (c *countingLister) Instances(context.Context, string) ([]kv.Instance, error) {
 	c.reads++
 	return []kv.Instance{{ID: "a"}}, nil
 }
 
 var _ = Describe("the list of instances", func() {
-	// The entry that holds a weights duty costs the others' traffic twice over.
-	// It asks for the list every two seconds beside the reader that all parts
-	// share, and the list grows with the fleet.
-	It("is read once for all that use it", func() {
+	// A holder of a weights duty requests the list every two seconds. If it
+	// read the list itself, beside the reader that all parts share, its control
+	// traffic would double, and the list grows with the fleet.
+	It("is read once for all its users", func() {
 		ctx := context.Background()
 		p := peers.New(peers.Options{ID: "e0"})
 		p.Attach(confstate.New(confstate.Options{Entry: true}), dutyrun.New(dutyrun.Options{}))
-		source := &counting{}
+		source := &countingLister{}
 		_, err := p.CachedLister().Instances(ctx, "d")
-		Expect(err).To(HaveOccurred(), "nothing was read yet: a list without instances would be wrong")
+		Expect(err).To(HaveOccurred(), "the list has not been read yet: an empty list would be wrong")
 		_, err = p.WrapLister(source).Instances(ctx, "d")
 		Expect(err).NotTo(HaveOccurred())
 		for range 10 {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers connects the entries of a deployment: it exchanges heartbeats
-// with a bounded number of them at a time, tells which are alive, and carries
+// Package peers connects the entries of a deployment. It exchanges heartbeats
+// with a bounded number of them at a time, reports which are alive, and carries
 // calls from one entry to another.
 package peers
 
@@ -27,7 +27,7 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Method names of the service between entries.
+// Method names of the RPC service between entries.
 const (
 	methodHeartbeat = wire.EntryService + ".Heartbeat"
 	methodConfig    = wire.EntryService + ".Config"
@@ -37,21 +37,21 @@
 
 const (
 	// Fanout is how many entries one entry calls per interval.
-	Fanout     = 3
-	roleEntry  = "entry"
-	callLimit  = time.Second
-	silentFor  = 3 // intervals of failing calls
-	aliveFor   = 5 // intervals that a sign of life counts
-	maxClients = 32
+	Fanout           = 3
+	roleEntry        = "entry"
+	heartbeatTimeout = time.Second
+	failureIntervals = 3 // heartbeat intervals of failing calls after which a peer counts as dead
+	aliveIntervals   = 5 // heartbeat intervals for which a contact proves that a peer is alive
+	maxConnections   = 32
 )
 
-var errUnlisted = errors.New("peers: no such entry is listed")
+var errUnlisted = errors.New("peers: the list has no such entry")
 
 // Dial connects to an entry's inner address.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// Options sets up Peers. Request, Reply and Heard may be nil; they are called
-// from many goroutines.
+// Options configures Peers. ExtendRequest, ExtendReply and OnQuarantine may be
+// nil; they are called from many goroutines.
 type Options struct {
 	ID                string
 	Address           string // own inner address
@@ -59,65 +59,68 @@
 	Deployment        string
 	HeartbeatInterval time.Duration // between rounds of heartbeats
 	Dial              Dial          // nil: plain TCP
-	// ExtendRequest and Reply add what this entry knows to the heartbeats it sends
-	// and answers; Told takes in what others say on theirs.
+	// ExtendRequest and ExtendReply add what this entry knows to the heartbeats
+	// that it sends and answers. OnQuarantine receives the quarantine lists of
+	// the others' heartbeats.
 	ExtendRequest func(*wire.HeartbeatRequest)
 	ExtendReply   func(*wire.HeartbeatReply)
 	OnQuarantine  func(from string, quarantine []wire.QuarantineEntry)
 }
 
-// Peers is one entry's view of the others. It is safe for concurrent use.
+// Peers is one entry's view of the other entries. It is safe for concurrent
+// use.
 type Peers struct {
 	options Options
 	clients *rpcpool.Pool
-	kick    chan struct{}
+	trigger chan struct{}
 	conf    *confstate.Holder
 	duties  *dutyrun.Keeper
 
-	mu       sync.Mutex
-	list     []kv.Instance // as Tap read it last; never changed
-	listed   []kv.Instance // entries, this one included, as the list has them
-	leaving  bool
-	left     map[string]bool // peers that said they leave
-	silence  *gossip.FailureDetector
-	partners *gossip.Partners
-	heardAt  map[string]time.Time // last sign of life of listed peers
-	rnd      *rand.Rand
+	mu              sync.Mutex
+	instances       []kv.Instance // as WrapLister's lister read it last; never modified
+	entries         []kv.Instance // entries of the list, including this one
+	leaving         bool
+	leavingPeers    map[string]bool // peers that said that they leave
+	failureDetector *gossip.FailureDetector
+	partners        *gossip.Partners
+	lastContact     map[string]time.Time // of listed peers
+	rnd             *rand.Rand
 }
 
-// New returns peers that know nobody yet. Attach is called before Run and Serve.
+// New returns a Peers that knows no other entry yet. Attach must be called
+// before Run and Serve.
 func New(o Options) *Peers {
 	if o.Dial == nil {
 		o.Dial = rpcconn.Dial
 	}
 	return &Peers{
-		options:  o,
-		clients:  rpcpool.NewBounded(rpcpool.DialFunc(o.Dial), maxClients),
-		kick:     make(chan struct{}, 1),
-		left:     map[string]bool{},
-		heardAt:  map[string]time.Time{},
-		silence:  gossip.NewFailureDetector(silentFor * o.HeartbeatInterval),
-		partners: gossip.NewPartners(o.Domain),
-		rnd:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		options:         o,
+		clients:         rpcpool.NewBounded(rpcpool.DialFunc(o.Dial), maxConnections),
+		trigger:         make(chan struct{}, 1),
+		leavingPeers:    map[string]bool{},
+		lastContact:     map[string]time.Time{},
+		failureDetector: gossip.NewFailureDetector(failureIntervals * o.HeartbeatInterval),
+		partners:        gossip.NewPartners(o.Domain),
+		rnd:             rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
-// Attach gives the state that heartbeats carry: a configuration that comes into
-// force is told at once, not with the next round.
+// Attach sets the configuration and the duties that heartbeats report. A
+// configuration that comes into force is sent at once, not with the next round.
 func (p *Peers) Attach(conf *confstate.Holder, keeper *dutyrun.Keeper) {
 	p.conf, p.duties = conf, keeper
 	conf.OnApply(func(*decl.Deployment, int64) { p.TriggerHeartbeats() })
 }
 
-// TriggerHeartbeats begins a round of heartbeats now.
+// TriggerHeartbeats starts a round of heartbeats immediately.
 func (p *Peers) TriggerHeartbeats() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// Leave tells every entry that this one leaves.
+// Leave announces to the other entries that this one leaves.
 func (p *Peers) Leave() {
 	p.mu.Lock()
 	p.leaving = true
@@ -125,34 +128,35 @@
 	p.TriggerHeartbeats()
 }
 
-// ApplyList takes in the platform's list.
+// ApplyList applies the platform's list of instances.
 func (p *Peers) ApplyList(instances []kv.Instance) {
 	entries := []config.Peer{}
 	ids := map[string]bool{}
 	p.mu.Lock()
-	p.listed = p.listed[:0]
+	p.entries = p.entries[:0]
 	for _, i := range instances {
 		if i.Role == roleEntry && !i.Leaving {
-			p.listed = append(p.listed, i)
+			p.entries = append(p.entries, i)
 			entries = append(entries, config.Peer{ID: i.ID, Domain: i.FailureDomain})
 			ids[i.ID] = true
 		}
 	}
-	p.silence.Retain(ids)
-	maps.DeleteFunc(p.left, func(id string, _ bool) bool { return !ids[id] })
-	maps.DeleteFunc(p.heardAt, func(id string, _ time.Time) bool { return !ids[id] })
+	p.failureDetector.Retain(ids)
+	maps.DeleteFunc(p.leavingPeers, func(id string, _ bool) bool { return !ids[id] })
+	maps.DeleteFunc(p.lastContact, func(id string, _ time.Time) bool { return !ids[id] })
 	p.mu.Unlock()
 	p.conf.SetEntries(entries)
 }
 
-// heard notes a peer's sign of life; mu is held.
-func (p *Peers) heard(id string) {
-	p.silence.RecordContact(id)
-	p.heardAt[id] = time.Now()
+// recordContact records that a peer is alive. The lock must be held.
+func (p *Peers) recordContact(id string) {
+	p.failureDetector.RecordContact(id)
+	p.lastContact[id] = time.Now()
 }
 
-// Members lists the live entries for the duties: those listed, but for the ones
-// that leave or are silent. This entry is always among them until it leaves.
+// Members returns the live entries as candidates for duties: the listed ones
+// without those that leave or that the failure detector considers dead. This
+// entry is always included until it leaves.
 func (p *Peers) Members() []duties.Member {
 	now := time.Now()
 	p.mu.Lock()
@@ -161,21 +165,22 @@
 	if !p.leaving {
 		all = append(all, duties.Member{ID: p.options.ID, Address: p.options.Address, Domain: p.options.Domain})
 	}
-	for _, i := range p.listed {
-		if i.ID != p.options.ID && !p.left[i.ID] && !p.silence.Dead(now, i.ID) {
-			alive := now.Sub(p.heardAt[i.ID]) < aliveFor*p.options.HeartbeatInterval
+	for _, i := range p.entries {
+		if i.ID != p.options.ID && !p.leavingPeers[i.ID] && !p.failureDetector.Dead(now, i.ID) {
+			alive := now.Sub(p.lastContact[i.ID]) < aliveIntervals*p.options.HeartbeatInterval
 			all = append(all, duties.Member{ID: i.ID, Address: i.Address, Domain: i.FailureDomain, Alive: alive})
 		}
 	}
 	return all
 }
 
-// Others lists the other entries that the platform lists and does not call leaving.
+// Others returns the other entries that the platform lists and that the list
+// doesn't mark as leaving.
 func (p *Peers) Others() []kv.Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var others []kv.Instance
-	for _, i := range p.listed {
+	for _, i := range p.entries {
 		if i.ID != p.options.ID {
 			others = append(others, i)
 		}
@@ -183,7 +188,7 @@
 	return others
 }
 
-// Run exchanges heartbeats until ctx ends.
+// Run exchanges heartbeats until ctx is done.
 func (p *Peers) Run(ctx context.Context) error {
 	defer p.clients.Close()
 	timer := time.NewTimer(0)
@@ -193,21 +198,21 @@
 		case <-ctx.Done():
 			return nil
 		case <-timer.C:
-		case <-p.kick:
+		case <-p.trigger:
 		}
-		for _, peer := range p.choose() {
-			go p.beat(ctx, peer)
+		for _, peer := range p.choosePartners() {
+			go p.exchangeHeartbeat(ctx, peer)
 		}
 		timer.Reset(p.options.HeartbeatInterval)
 	}
 }
 
-func (p *Peers) choose() []kv.Instance {
+func (p *Peers) choosePartners() []kv.Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var others []gossip.Peer
 	byID := map[string]kv.Instance{}
-	for _, i := range p.listed {
+	for _, i := range p.entries {
 		if i.ID != p.options.ID {
 			others = append(others, gossip.Peer{ID: i.ID, Domain: i.FailureDomain})
 			byID[i.ID] = i
@@ -220,32 +225,32 @@
 	return chosen
 }
 
-// beat exchanges one heartbeat.
-func (p *Peers) beat(ctx context.Context, peer kv.Instance) {
-	request := p.request()
-	sent := time.Now()
-	limited, cancel := context.WithTimeout(ctx, callLimit)
+// exchangeHeartbeat sends one heartbeat and processes its reply.
+func (p *Peers) exchangeHeartbeat(ctx context.Context, peer kv.Instance) {
+	request := p.heartbeatRequest()
+	sentAt := time.Now()
+	callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var reply wire.HeartbeatReply
-	err := p.CallPeer(limited, peer.Address, false, methodHeartbeat, request, &reply)
+	err := p.CallPeer(callCtx, peer.Address, false, methodHeartbeat, request, &reply)
 	p.mu.Lock()
 	switch {
 	case err != nil:
-		p.silence.RecordFailure(time.Now(), peer.ID)
+		p.failureDetector.RecordFailure(time.Now(), peer.ID)
 	case reply.From == peer.ID:
-		p.heard(peer.ID)
+		p.recordContact(peer.ID)
 	}
 	p.mu.Unlock()
-	// Another instance under the old address speaks for itself only.
+	// A reply of another instance at the same address says nothing about this peer.
 	if err != nil || reply.From != peer.ID {
 		return
 	}
-	p.conf.Heard(ctx, config.Peer{ID: reply.From, Domain: reply.Domain}, reply.Revisions, sent)
+	p.conf.Heard(ctx, config.Peer{ID: reply.From, Domain: reply.Domain}, reply.Revisions, sentAt)
 	p.duties.Heard(reply.Holders)
-	p.told(reply.From, reply.Quarantine)
+	p.reportQuarantine(reply.From, reply.Quarantine)
 }
 
-func (p *Peers) request() wire.HeartbeatRequest {
+func (p *Peers) heartbeatRequest() wire.HeartbeatRequest {
 	p.mu.Lock()
 	leaving := p.leaving
 	p.mu.Unlock()
@@ -262,14 +267,14 @@
 	return request
 }
 
-func (p *Peers) told(from string, quarantine []wire.QuarantineEntry) {
+func (p *Peers) reportQuarantine(from string, quarantine []wire.QuarantineEntry) {
 	if p.options.OnQuarantine != nil && len(quarantine) > 0 {
 		p.options.OnQuarantine(from, quarantine)
 	}
 }
 
 // Offer offers a released duty to the entry at an inner address and waits until
-// it is held; see dutyrun.Options.
+// the duty is held; see dutyrun.Options.
 func (p *Peers) Offer(ctx context.Context, address string, offer wire.DutyOffer) (wire.Holder, error) {
 	var holder wire.Holder
 	err := p.CallPeer(ctx, address, false, methodOffer, offer, &holder)
@@ -278,13 +283,13 @@
 
 // Probe asks the entry at an inner address whether it holds a duty; see
 // dutyrun.Options.
-func (p *Peers) Probe(ctx context.Context, address string, asked wire.HoldsRequest) (bool, error) {
+func (p *Peers) Probe(ctx context.Context, address string, query wire.HoldsRequest) (bool, error) {
 	var holds bool
-	err := p.CallPeer(ctx, address, false, methodHolds, asked, &holds)
+	err := p.CallPeer(ctx, address, false, methodHolds, query, &holds)
 	return holds, err
 }
 
-// Fetch asks a listed entry for its configuration.
+// Fetch requests the configuration of a listed entry.
 func (p *Peers) Fetch(ctx context.Context, id string, request wire.ConfigRequest) (wire.ConfigReply, error) {
 	address := p.address(id)
 	if address == "" {
@@ -298,7 +303,7 @@
 func (p *Peers) address(id string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, i := range p.listed {
+	for _, i := range p.entries {
 		if i.ID == id {
 			return i.Address
 		}
@@ -306,7 +311,7 @@
 	return ""
 }
 
-// holdersHash is equal for equal holders in the same order.
+// holdersHash returns a hash that is equal for equal holders in the same order.
 func holdersHash(holders []wire.Holder) uint64 {
 	h := fnv.New64a()
 	for _, o := range holders {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -31,11 +31,11 @@
 }
 
 const (
-	wait     = 30 * time.Second
+	timeout  = 30 * time.Second
 	interval = 100 * time.Millisecond
 )
 
-// node is one entry: its peers, configuration and duties.
+// node is one entry with its peers, configuration and duties.
 type node struct {
 	*peers.Peers
 	conf *confstate.Holder
@@ -43,7 +43,8 @@
 	stop func()
 }
 
-// dutyConfig lets a duty for weights pass on early, and no lease lapse in a test.
+// dutyConfig allows early takeover of a weights duty; no lease expires during a
+// test.
 func dutyConfig() duties.Config {
 	c := duties.DefaultConfig()
 	c.TTL = time.Hour
@@ -119,40 +120,40 @@
 		})
 	})
 
-	It("spreads configuration and the holders of duties to every entry", func() {
-		Eventually(nodes[0].conf.MayAccept).WithTimeout(wait).Should(BeTrue())
-		ctx, cancel := context.WithTimeout(context.Background(), wait)
+	It("propagates the configuration and the holders of duties to every entry", func() {
+		Eventually(nodes[0].conf.MayAccept).WithTimeout(timeout).Should(BeTrue())
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
-		// On a busy machine the service may count as slow, which refuses a change
-		// before it is sent; an operator repeats it under its id.
+		// On a busy machine the key-value service may count as slow, so that a
+		// change is refused before it is sent. An operator retries it with its ID.
 		Eventually(func() error {
 			_, err := nodes[0].conf.Change(ctx, config.Request{
 				Deployment: "d", ChangeID: "one", Now: time.Now(),
 				Edit: func(*decl.Deployment) *decl.Deployment { return &decl.Deployment{Name: "d"} },
 			})
 			return err
-		}).WithTimeout(wait).Should(Succeed())
+		}).WithTimeout(timeout).Should(Succeed())
 		for _, n := range nodes {
-			Eventually(n.conf.Ready).WithTimeout(wait).Should(BeTrue())
+			Eventually(n.conf.Ready).WithTimeout(timeout).Should(BeTrue())
 			Eventually(func() string {
 				owner, _, _ := n.duty.KnownHolder("feed/a")
 				return owner
-			}).WithTimeout(wait).ShouldNot(BeEmpty())
+			}).WithTimeout(timeout).ShouldNot(BeEmpty())
 		}
 	})
 
-	// An entry dies while the platform's list still names it. Its silence alone
-	// takes it out of the members, so its duties find another holder.
-	It("drops a silent entry although the list still names it", func() {
+	// An entry dies while the platform's list still names it. Failed heartbeats
+	// alone remove it from the members, so its duties get another holder.
+	It("removes an unresponsive entry although the list still names it", func() {
 		Expect(nodes[0].Members()).To(HaveLen(3))
 		nodes[2].stop()
-		Eventually(nodes[0].Members).WithTimeout(wait).Should(HaveLen(2))
+		Eventually(nodes[0].Members).WithTimeout(timeout).Should(HaveLen(2))
 	})
 
-	// The entry that rolls weights out dies, and its lease runs on for an hour.
-	// The next candidate finds that nobody answers for the duty and takes it under
-	// the next epoch.
-	It("passes a duty for weights on before its lease ends", func() {
+	// The entry that rolls out weights dies, and its lease would run for
+	// another hour. The next candidate finds that the holder doesn't answer and
+	// takes the duty over under the next epoch.
+	It("passes a weights duty on before its lease expires", func() {
 		holder := func(name string) int {
 			for i, n := range nodes {
 				if _, _, mine := n.duty.KnownHolder(name); mine {
@@ -161,34 +162,34 @@
 			}
 			return -1
 		}
-		Eventually(func() int { return holder("weights/w") }).WithTimeout(wait).ShouldNot(Equal(-1))
+		Eventually(func() int { return holder("weights/w") }).WithTimeout(timeout).ShouldNot(Equal(-1))
 		first := holder("weights/w")
 		_, epoch, _ := nodes[first].duty.KnownHolder("weights/w")
-		ctx, cancel := context.WithTimeout(context.Background(), wait)
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
-		asker := nodes[(first+1)%len(nodes)]
-		Expect(asker.Probe(ctx, list[first].Address, wire.HoldsRequest{Duty: "weights/w", Epoch: epoch})).To(BeTrue())
-		Expect(asker.Probe(ctx, list[first].Address, wire.HoldsRequest{Duty: "weights/w", Epoch: epoch + 1})).To(BeFalse())
+		prober := nodes[(first+1)%len(nodes)]
+		Expect(prober.Probe(ctx, list[first].Address, wire.HoldsRequest{Duty: "weights/w", Epoch: epoch})).To(BeTrue())
+		Expect(prober.Probe(ctx, list[first].Address, wire.HoldsRequest{Duty: "weights/w", Epoch: epoch + 1})).To(BeFalse())
 		nodes[first].stop()
 		nodes = slices.Delete(nodes, first, first+1)
-		Eventually(func() int { return holder("weights/w") }).WithTimeout(wait).ShouldNot(Equal(-1))
+		Eventually(func() int { return holder("weights/w") }).WithTimeout(timeout).ShouldNot(Equal(-1))
 		_, next, _ := nodes[holder("weights/w")].duty.KnownHolder("weights/w")
 		Expect(next).To(Equal(epoch + 1))
 	})
 
-	It("drops an entry that says it leaves", func() {
-		Eventually(nodes[0].Members).WithTimeout(wait).Should(HaveLen(3))
+	It("removes an entry that announces that it leaves", func() {
+		Eventually(nodes[0].Members).WithTimeout(timeout).Should(HaveLen(3))
 		nodes[2].Leave()
 		Expect(nodes[2].Members()).To(HaveLen(2))
-		Eventually(nodes[0].Members).WithTimeout(wait).Should(HaveLen(2))
-		Eventually(nodes[1].Members).WithTimeout(wait).Should(HaveLen(2))
+		Eventually(nodes[0].Members).WithTimeout(timeout).Should(HaveLen(2))
+		Eventually(nodes[1].Members).WithTimeout(timeout).Should(HaveLen(2))
 	})
 
-	It("says that a call was not sent when nobody listens", func() {
+	It("returns ErrNotSent if nothing listens at the address", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l.Close()).To(Succeed())
-		ctx, cancel := context.WithTimeout(context.Background(), wait)
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		Expect(nodes[0].CallPeer(ctx, l.Addr().String(), true, "Entry.Config", 0, nil)).To(MatchError(entry.ErrNotSent))
 	})
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -13,29 +13,30 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-const acceptPause = 50 * time.Millisecond
+const acceptRetryDelay = 50 * time.Millisecond
 
-// entryServer is the entry's side of the protocol between entries.
+// entryServer implements this entry's side of the protocol between entries.
 type entryServer struct{ p *Peers }
 
-// Heartbeat answers another entry's sign of life.
+// Heartbeat answers another entry's heartbeat.
 func (s *entryServer) Heartbeat(request wire.HeartbeatRequest, reply *wire.HeartbeatReply) error {
 	p := s.p
 	p.mu.Lock()
-	p.heard(request.From)
+	p.recordContact(request.From)
 	if request.Leaving {
-		p.left[request.From] = true
+		p.leavingPeers[request.From] = true
 	} else {
-		delete(p.left, request.From)
+		delete(p.leavingPeers, request.From)
 	}
 	p.mu.Unlock()
-	// When the request was sent is not known: a process that was paused reads it
-	// long after. So the sender's proof of being current does not count here, or
-	// a process that goes on after a pause would serve under an old configuration;
-	// its revision and its sign of life do. Proof comes with replies.
-	var sent time.Time
-	p.conf.Heard(context.Background(), config.Peer{ID: request.From, Domain: request.Domain}, request.Revisions, sent)
-	p.told(request.From, request.Quarantine)
+	// The time at which the request was sent is unknown: a process that was
+	// paused reads it long afterwards. So the request doesn't prove that the
+	// sender's configuration was current at a known time, or a process that
+	// resumes after a pause would serve under an outdated configuration. Only
+	// its revision and the contact itself count. Proof comes with replies.
+	var sentAt time.Time
+	p.conf.Heard(context.Background(), config.Peer{ID: request.From, Domain: request.Domain}, request.Revisions, sentAt)
+	p.reportQuarantine(request.From, request.Quarantine)
 	reply.From = p.options.ID
 	reply.Domain = p.options.Domain
 	reply.Revisions = p.conf.Revisions()
@@ -49,27 +50,28 @@
 	return nil
 }
 
-// Config gives another entry the configuration that it lacks.
+// Config returns the configuration that another entry lacks.
 func (s *entryServer) Config(request wire.ConfigRequest, reply *wire.ConfigReply) error {
 	*reply = s.p.conf.Serve(request)
 	return nil
 }
 
-// Offer answers another entry's offer of a duty once the duty is held.
+// Offer handles another entry's offer of a duty and replies once the duty is
+// held.
 func (s *entryServer) Offer(offer wire.DutyOffer, reply *wire.Holder) error {
 	holder, err := s.p.duties.Offered(offer)
 	*reply = holder
 	return err
 }
 
-// Holds tells another entry whether this one holds a duty under the epoch.
-func (s *entryServer) Holds(asked wire.HoldsRequest, reply *bool) error {
-	*reply = s.p.duties.Holds(asked.Duty, asked.Epoch)
+// Holds returns to another entry whether this one holds a duty under the epoch.
+func (s *entryServer) Holds(query wire.HoldsRequest, reply *bool) error {
+	*reply = s.p.duties.Holds(query.Duty, query.Epoch)
 	return nil
 }
 
-// Serve answers other entries on the listener until ctx ends. Services are
-// further ones by name, such as the claims of a partition.
+// Serve answers other entries on the listener until ctx is done. Services are
+// additional RPC services by name, such as that of the claim partitions.
 func (p *Peers) Serve(ctx context.Context, listener net.Listener, services map[string]any) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(wire.EntryService, &entryServer{p: p}); err != nil {
@@ -97,15 +99,15 @@
 			return nil
 		}
 		if err != nil {
-			time.Sleep(acceptPause) // such as too many open files for a moment
+			time.Sleep(acceptRetryDelay) // a temporary error, such as too many open files
 			continue
 		}
 		mu.Lock()
 		open[conn] = true
 		mu.Unlock()
 		if ctx.Err() != nil {
-			// It came in the moment of the stop, after the others were closed. Served on,
-			// a stopped entry would answer there, and nobody would miss it.
+			// The connection arrived during the stop, after the others were closed. If it
+			// were served, a stopped entry would keep answering and count as alive.
 			_ = conn.Close()
 			return nil
 		}
--- a/internal/peers/late_test.go
+++ b/internal/peers/stale_heartbeat_test.go
@@ -20,12 +20,13 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-var _ = Describe("a heartbeat that was received", func() {
-	// An entry is paused for a minute; meanwhile a change is accepted. When it
-	// goes on it first reads a heartbeat that has lain in its buffers since
-	// before the change. If that counted as proof of being current, the entry
-	// would serve callers under the old configuration for seconds more.
-	It("is no proof of being current, as its time of sending is not known", func() {
+var _ = Describe("a received heartbeat request", func() {
+	// An entry is paused for a minute; meanwhile a change is accepted. When the
+	// entry resumes, it first reads a heartbeat that has been in its buffers
+	// since before the change. If that proved that its configuration is
+	// current, the entry would serve callers under the old configuration for
+	// several more seconds.
+	It("doesn't prove that the configuration is current, as the time of sending is unknown", func() {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		conf := confstate.New(confstate.Options{
@@ -44,9 +45,9 @@
 		client, err := rpc.Dial("tcp", listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(client.Close)
-		beat := wire.HeartbeatRequest{From: "e2", Domain: "z2", Revisions: []wire.Revision{{Deployment: "d", Revision: 1}}}
+		heartbeat := wire.HeartbeatRequest{From: "e2", Domain: "z2", Revisions: []wire.Revision{{Deployment: "d", Revision: 1}}}
 		var reply wire.HeartbeatReply
-		Expect(client.Call(wire.EntryService+".Heartbeat", beat, &reply)).To(Succeed())
+		Expect(client.Call(wire.EntryService+".Heartbeat", heartbeat, &reply)).To(Succeed())
 		Expect(reply.Revisions[0].ConfirmedAgo).To(Equal(config.NoConfirmation))
 	})
 })
--- a/internal/peers/stop_test.go
+++ b/internal/peers/stop_test.go
@@ -12,19 +12,19 @@
 	"siskinloom.example/siskinloom/internal/peers"
 )
 
-// stopping is a context that ends while the entry looks whether it has.
-type stopping struct {
+// stoppingContext is a context that ends during a call of its Err method.
+type stoppingContext struct {
 	context.Context
 	done   chan struct{}
 	once   sync.Once
 	closed chan struct{} // the listener is closed
 }
 
-func (s *stopping) Deadline() (time.Time, bool) { return time.Time{}, false }
-func (s *stopping) Done() <-chan struct{}       { return s.done }
-func (s *stopping) Value(any) any               { return nil }
+func (s *stoppingContext) Deadline() (time.Time, bool) { return time.Time{}, false }
+func (s *stoppingContext) Done() <-chan struct{}       { return s.done }
+func (s *stoppingContext) Value(any) any               { return nil }
 
-func (s *stopping) Err() error {
+func (s *stoppingContext) Err() error {
 	first := false
 	s.once.Do(func() { first = true })
 	if !first {
@@ -35,14 +35,14 @@
 	return nil
 }
 
-// one is a listener with a single connection.
-type one struct {
+// singleConnListener is a listener that accepts a single connection.
+type singleConnListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
 }
 
-func (l *one) Accept() (net.Conn, error) {
+func (l *singleConnListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.conns:
 		return conn, nil
@@ -51,21 +51,21 @@
 	}
 }
 
-func (l *one) Close() error {
+func (l *singleConnListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-func (l *one) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 var _ = Describe("an entry that stops", func() {
-	It("closes a connection that comes in the moment of its stop", func() {
-		// What the others see: the entry was stopped and still answers on one
-		// connection, so it stays a member and holds its duties for good.
+	It("closes a connection that arrives during the stop", func() {
+		// If it were served, the other entries would see a stopped entry that still
+		// answers on one connection, stays a member and holds its duties forever.
 		ours, theirs := net.Pipe()
-		listener := &one{conns: make(chan net.Conn, 1), closed: make(chan struct{})}
+		listener := &singleConnListener{conns: make(chan net.Conn, 1), closed: make(chan struct{})}
 		listener.conns <- ours
-		ctx := &stopping{done: make(chan struct{}), closed: listener.closed}
+		ctx := &stoppingContext{done: make(chan struct{}), closed: listener.closed}
 		Expect(peers.New(peers.Options{ID: "e"}).Serve(ctx, listener, nil)).To(Succeed())
 		ended := make(chan error, 1)
 		go func() {
