--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -61,7 +61,7 @@
 	crashes         *crashTracker
 	orders          *OrderHandler
 	cacheTransfers  *cacheTransfers
-	conf            *confstate.Holder
+	conf            *confstate.State
 	inner           *tlsconf.Inner
 	traffic         *traffic.Meter
 	innerErr        error        // from loading the certificate files of inner; returned by Run
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -105,7 +105,7 @@
 // Configure applies the configuration that an entry sent because this agent
 // lacks it.
 func (s *rpcServer) Configure(reply wire.ConfigReply, _ *struct{}) error {
-	return s.a.conf.Put(reply)
+	return s.a.conf.ApplyReply(reply)
 }
 
 // Order executes a weights owner's order at the endpoint.
--- a/internal/confstate/applier.go
+++ b/internal/confstate/applier.go
@@ -16,7 +16,7 @@
 
 // Change carries an operator's change into the record, within ctx. A verdict of
 // Failed means that it certainly was not accepted.
-func (h *Holder) Change(ctx context.Context, request config.Request) (config.Result, error) {
+func (h *State) Change(ctx context.Context, request config.Request) (config.Result, error) {
 	if !h.MayAccept() {
 		return config.Result{Verdict: config.Failed}, errors.New("this entry hears too few failure domains to accept a change")
 	}
@@ -27,7 +27,7 @@
 	}
 	result := step.Result
 	if result.Record.Revision > 0 {
-		h.Stored(result.Record, runner.began)
+		h.ApplyRecord(result.Record, runner.began)
 	}
 	if runner.archived && result.Verdict == config.Accepted {
 		h.trimArchives(ctx)
@@ -36,7 +36,7 @@
 }
 
 // Latest returns the declarations and the revision that the service holds.
-func (h *Holder) Latest(ctx context.Context) (decl.Deployment, int64, error) {
+func (h *State) Latest(ctx context.Context) (decl.Deployment, int64, error) {
 	sent := time.Now()
 	found, err := h.options.Store.Get(ctx, kv.UseConfig, config.Key(h.options.Deployment))
 	if err != nil {
@@ -46,7 +46,7 @@
 	if err != nil {
 		return decl.Deployment{}, 0, err
 	}
-	h.Stored(record, sent)
+	h.ApplyRecord(record, sent)
 	return record.Deployment, record.Revision, nil
 }
 
@@ -112,7 +112,7 @@
 
 // trimArchives keeps the audit trail bounded. What it fails to delete, the next
 // change that archives deletes.
-func (h *Holder) trimArchives(ctx context.Context) {
+func (h *State) trimArchives(ctx context.Context) {
 	keys, err := h.options.Store.List(ctx, kv.UseStatus, config.ArchivePrefix(h.options.Deployment))
 	if err != nil {
 		return
@@ -126,7 +126,7 @@
 
 // Audit returns accepted changes after a revision, oldest first, at most limit
 // of the newest (0: all that are kept).
-func (h *Holder) Audit(ctx context.Context, since int64, limit int) ([]config.Audit, error) {
+func (h *State) Audit(ctx context.Context, since int64, limit int) ([]config.Audit, error) {
 	found, err := h.options.Store.Get(ctx, kv.UseStatus, config.Key(h.options.Deployment))
 	if err != nil {
 		return nil, err
@@ -148,7 +148,7 @@
 
 // archived returns the archived entries before a revision. An archive whose
 // change was not accepted holds entries that the record still has.
-func (h *Holder) archived(ctx context.Context, before int64) ([]config.Audit, error) {
+func (h *State) archived(ctx context.Context, before int64) ([]config.Audit, error) {
 	keys, err := h.options.Store.List(ctx, kv.UseStatus, config.ArchivePrefix(h.options.Deployment))
 	if err != nil {
 		return nil, err
--- a/internal/confstate/confstate_test.go
+++ b/internal/confstate/confstate_test.go
@@ -34,7 +34,7 @@
 type fleet struct {
 	platform *standin.Platform
 	entries  []config.Peer
-	holders  []*confstate.Holder // the agent's last
+	holders  []*confstate.State // the agent's last
 	cutOff   [4]atomic.Bool
 }
 
@@ -64,7 +64,7 @@
 	return f
 }
 
-func (f *fleet) newHolder(i int, address string) *confstate.Holder {
+func (f *fleet) newHolder(i int, address string) *confstate.State {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	o := confstate.Options{Deployment: "d", Log: log, Config: config.DefaultFollowerConfig()}
@@ -104,8 +104,8 @@
 			if j < 3 {
 				f.holders[i].Heard(ctx, f.entries[j], theirs, sent)
 			}
-			if reply, lacks := f.holders[i].Lacks(theirs); lacks {
-				_ = h.Put(reply)
+			if reply, lacks := f.holders[i].UpdateFor(theirs); lacks {
+				_ = h.ApplyReply(reply)
 			}
 		}
 	}
@@ -208,9 +208,9 @@
 		old := f.holders[0].Serve(wire.ConfigRequest{Deployment: "d"})
 		_, err := f.change(0, 1, "two", 2)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(f.holders[0].Put(old)).To(Succeed())
+		Expect(f.holders[0].ApplyReply(old)).To(Succeed())
 		Expect(f.holders[0].Revision()).To(Equal(int64(2)))
 		old.Revision = 9
-		Expect(f.holders[0].Put(old)).To(MatchError(ContainSubstring("was due")))
+		Expect(f.holders[0].ApplyReply(old)).To(MatchError(ContainSubstring("was due")))
 	})
 })
--- a/internal/confstate/holder.go
+++ b/internal/confstate/holder.go
@@ -48,11 +48,11 @@
 	Fetch      Fetch    // entries only
 	Log        *logrus.Logger
 	Config     config.FollowerConfig
-	Journal    config.RefusedLogConfig // entries only; the zero value takes the defaults
+	RefusedLog config.RefusedLogConfig // entries only; the zero value takes the defaults
 }
 
-// Holder holds the configuration in force. It is safe for concurrent use.
-type Holder struct {
+// State holds the configuration in force. It is safe for concurrent use.
+type State struct {
 	options Options
 	current atomic.Pointer[Snapshot]
 	whole   atomic.Bool // missed changes did not fit
@@ -69,22 +69,22 @@
 }
 
 // New returns a holder of no configuration.
-func New(o Options) *Holder {
+func New(o Options) *State {
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	if o.Journal == (config.RefusedLogConfig{}) {
-		o.Journal = config.DefaultRefusedLogConfig()
+	if o.RefusedLog == (config.RefusedLogConfig{}) {
+		o.RefusedLog = config.DefaultRefusedLogConfig()
 	}
 	run := o.Self.ID + "/" + strconv.FormatUint(rnd.Uint64(), 36)
-	return &Holder{
+	return &State{
 		options:  o,
-		journal:  config.NewRefusedLog(o.Journal, o.Deployment, run),
+		journal:  config.NewRefusedLog(o.RefusedLog, o.Deployment, run),
 		follower: config.NewFollower(o.Config, o.Self, o.Entry, time.Now(), rnd),
 		rnd:      rnd,
 	}
 }
 
 // Run keeps the configuration current until ctx ends.
-func (h *Holder) Run(ctx context.Context) error {
+func (h *State) Run(ctx context.Context) error {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
@@ -103,7 +103,7 @@
 }
 
 // Current returns the declarations in force, or nil. They must not be changed.
-func (h *Holder) Current() *decl.Deployment {
+func (h *State) Current() *decl.Deployment {
 	if s := h.current.Load(); s != nil {
 		return &s.Deployment
 	}
@@ -111,7 +111,7 @@
 }
 
 // Revision returns the revision in force, or 0.
-func (h *Holder) Revision() int64 {
+func (h *State) Revision() int64 {
 	if s := h.current.Load(); s != nil {
 		return s.Revision
 	}
@@ -119,14 +119,14 @@
 }
 
 // Ready tells whether the process may take new work.
-func (h *Holder) Ready() bool {
+func (h *State) Ready() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.follower.Ready(time.Now())
 }
 
 // MayAccept tells whether this entry may accept an operator's change.
-func (h *Holder) MayAccept() bool {
+func (h *State) MayAccept() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.follower.MayAccept(time.Now())
@@ -134,7 +134,7 @@
 
 // OnApply has fn called with each configuration that comes into force, in
 // order, one at a time; with the one in force at once. fn must not block.
-func (h *Holder) OnApply(fn func(*decl.Deployment, int64)) {
+func (h *State) OnApply(fn func(*decl.Deployment, int64)) {
 	h.applyMu.Lock()
 	defer h.applyMu.Unlock()
 	h.subscribers = append(h.subscribers, fn)
@@ -144,14 +144,14 @@
 }
 
 // SetEntries takes in the entries that the platform lists.
-func (h *Holder) SetEntries(entries []config.Peer) {
+func (h *State) SetEntries(entries []config.Peer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.follower.SetEntries(time.Now(), h.options.Deployment, entries)
 }
 
 // Revisions returns what a heartbeat tells of this process's configuration.
-func (h *Holder) Revisions() []wire.Revision {
+func (h *State) Revisions() []wire.Revision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.follower.Status(time.Now())
@@ -164,7 +164,7 @@
 // Heard takes in what an entry's heartbeat tells. Sent is the own clock at a
 // moment not later than the peer's sending: when the request was sent, for a
 // reply; zero for a request, of which that is not known. It fetches what is missing without waiting for it.
-func (h *Holder) Heard(ctx context.Context, from config.Peer, revisions []wire.Revision, sent time.Time) {
+func (h *State) Heard(ctx context.Context, from config.Peer, revisions []wire.Revision, sent time.Time) {
 	for _, r := range revisions {
 		if r.Deployment != h.options.Deployment {
 			continue
@@ -179,9 +179,9 @@
 	}
 }
 
-// Lacks returns the configuration for a peer whose heartbeat shows that it has
+// UpdateFor returns the configuration for a peer whose heartbeat shows that it has
 // an older one; false if it has not.
-func (h *Holder) Lacks(revisions []wire.Revision) (wire.ConfigReply, bool) {
+func (h *State) UpdateFor(revisions []wire.Revision) (wire.ConfigReply, bool) {
 	for _, r := range revisions {
 		if r.Deployment == h.options.Deployment && r.Revision < h.Revision() {
 			return h.Serve(wire.ConfigRequest{Deployment: r.Deployment, Have: r.Revision, Whole: r.Whole}), true
@@ -191,7 +191,7 @@
 }
 
 // Serve answers a peer that asks for configuration newer than it has.
-func (h *Holder) Serve(request wire.ConfigRequest) wire.ConfigReply {
+func (h *State) Serve(request wire.ConfigRequest) wire.ConfigReply {
 	s := h.current.Load()
 	if s == nil || request.Deployment != h.options.Deployment || s.Revision <= request.Have {
 		return wire.ConfigReply{}
@@ -206,8 +206,8 @@
 	return wire.ConfigReply{Revision: s.Revision, Snapshot: encoded}
 }
 
-// Put takes in configuration that a peer sent.
-func (h *Holder) Put(reply wire.ConfigReply) error {
+// ApplyReply takes in configuration that a peer sent.
+func (h *State) ApplyReply(reply wire.ConfigReply) error {
 	if len(reply.Missed) > 0 {
 		return h.putMissed(reply)
 	}
@@ -226,9 +226,9 @@
 	return nil
 }
 
-// Stored takes in a record that the service holds, read or written by this
+// ApplyRecord takes in a record that the service holds, read or written by this
 // process by a call sent at sent.
-func (h *Holder) Stored(record config.Record, sent time.Time) {
+func (h *State) ApplyRecord(record config.Record, sent time.Time) {
 	if record.Revision > 0 {
 		h.apply(&Snapshot{Revision: record.Revision, Deployment: record.Deployment})
 	}
@@ -239,7 +239,7 @@
 
 // apply puts a snapshot in force unless one as new is: messages overtake each
 // other, and an older one that arrives late must not revert what is in force.
-func (h *Holder) apply(s *Snapshot) {
+func (h *State) apply(s *Snapshot) {
 	h.applyMu.Lock()
 	defer h.applyMu.Unlock()
 	if s.Revision <= h.Revision() {
@@ -262,7 +262,7 @@
 	}
 }
 
-func (h *Holder) meet(ctx context.Context, need config.Need) {
+func (h *State) meet(ctx context.Context, need config.Need) {
 	switch need.Kind {
 	case config.NeedRead:
 		go h.read(ctx)
@@ -271,7 +271,7 @@
 	}
 }
 
-func (h *Holder) read(ctx context.Context) {
+func (h *State) read(ctx context.Context) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -284,15 +284,15 @@
 		events.ConfigUnreadable.Log(h.options.Log, logrus.Fields{"error": err.Error()})
 		return
 	}
-	h.Stored(record, sent)
+	h.ApplyRecord(record, sent)
 }
 
-func (h *Holder) fetch(ctx context.Context, peer string) {
+func (h *State) fetch(ctx context.Context, peer string) {
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := h.options.Fetch(limited, peer, wire.ConfigRequest{Deployment: h.options.Deployment, Have: h.Revision(), Whole: h.whole.Load()})
 	if err == nil {
-		err = h.Put(reply)
+		err = h.ApplyReply(reply)
 	}
 	if err == nil {
 		return
--- a/internal/confstate/missed.go
+++ b/internal/confstate/missed.go
@@ -22,7 +22,7 @@
 
 // missed returns the changes that a peer lacks, if they are few. A peer that
 // could not use them asks for the whole.
-func (h *Holder) missed(s *Snapshot, request wire.ConfigRequest) (wire.ConfigReply, bool) {
+func (h *State) missed(s *Snapshot, request wire.ConfigRequest) (wire.ConfigReply, bool) {
 	if request.Whole || request.Have == 0 {
 		return wire.ConfigReply{}, false
 	}
@@ -47,7 +47,7 @@
 // encodes otherwise, as it is of another release, or that had something else in
 // force under this revision, would else leave a mixture in force that nobody
 // ever accepted. On a wrong digest the whole is asked for.
-func (h *Holder) putMissed(reply wire.ConfigReply) error {
+func (h *State) putMissed(reply wire.ConfigReply) error {
 	s := h.current.Load()
 	if s == nil || s.Revision != reply.Missed[0].From {
 		return nil // another reply was first; the next heartbeat tells what is missing now
--- a/internal/confstate/missed_test.go
+++ b/internal/confstate/missed_test.go
@@ -16,7 +16,7 @@
 )
 
 var _ = Describe("missed changes", func() {
-	var server, follower *confstate.Holder
+	var server, follower *confstate.State
 
 	snapshot := func(revision int64, weight float64) wire.ConfigReply {
 		d := decl.Deployment{Name: "d"}
@@ -28,15 +28,15 @@
 		Expect(err).NotTo(HaveOccurred())
 		return wire.ConfigReply{Revision: revision, Snapshot: encoded}
 	}
-	put := func(h *confstate.Holder, revision int64, weight float64) {
-		Expect(h.Put(snapshot(revision, weight))).To(Succeed())
+	put := func(h *confstate.State, revision int64, weight float64) {
+		Expect(h.ApplyReply(snapshot(revision, weight))).To(Succeed())
 	}
 	lacks := func() wire.ConfigReply {
-		reply, lacking := server.Lacks(follower.Revisions())
+		reply, lacking := server.UpdateFor(follower.Revisions())
 		Expect(lacking).To(BeTrue())
 		return reply
 	}
-	holder := func() *confstate.Holder {
+	holder := func() *confstate.State {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		return confstate.New(confstate.Options{Deployment: "d", Log: log, Config: config.DefaultFollowerConfig()})
@@ -45,7 +45,7 @@
 	BeforeEach(func() {
 		server, follower = holder(), holder()
 		put(server, 1, 10)
-		Expect(follower.Put(lacks())).To(Succeed())
+		Expect(follower.ApplyReply(lacks())).To(Succeed())
 		put(server, 2, 20)
 		put(server, 3, 30)
 	})
@@ -54,7 +54,7 @@
 		reply := lacks()
 		Expect(reply.Snapshot).To(BeEmpty())
 		Expect(reply.Missed).To(HaveLen(2))
-		Expect(follower.Put(reply)).To(Succeed())
+		Expect(follower.ApplyReply(reply)).To(Succeed())
 		Expect(follower.Revision()).To(Equal(int64(3)))
 		Expect(follower.Current()).To(Equal(server.Current()))
 		Expect(holder().Revision()).To(BeZero())
@@ -67,13 +67,13 @@
 	It("puts no mixture in force and gets a snapshot next", func() {
 		follower = holder()
 		other := snapshot(1, 11)
-		Expect(follower.Put(other)).To(Succeed())
+		Expect(follower.ApplyReply(other)).To(Succeed())
 		reply := lacks()
-		Expect(follower.Put(reply)).To(MatchError(ContainSubstring("do not fit")))
+		Expect(follower.ApplyReply(reply)).To(MatchError(ContainSubstring("do not fit")))
 		Expect(follower.Revision()).To(Equal(int64(1)))
 		whole := lacks()
 		Expect(whole.Missed).To(BeEmpty())
-		Expect(follower.Put(whole)).To(Succeed())
+		Expect(follower.ApplyReply(whole)).To(Succeed())
 		Expect(follower.Current()).To(Equal(server.Current()))
 		put(server, 4, 40)
 		Expect(lacks().Missed).To(HaveLen(1), "as before")
@@ -83,11 +83,11 @@
 	It("takes changes that another reply brought before", func() {
 		late := lacks()
 		put(follower, 2, 20)
-		Expect(follower.Put(late)).To(Succeed())
+		Expect(follower.ApplyReply(late)).To(Succeed())
 		Expect(follower.Revision()).To(Equal(int64(2)))
-		Expect(follower.Put(lacks())).To(Succeed())
+		Expect(follower.ApplyReply(lacks())).To(Succeed())
 		Expect(follower.Revision()).To(Equal(int64(3)))
-		Expect(follower.Put(late)).To(Succeed())
+		Expect(follower.ApplyReply(late)).To(Succeed())
 		Expect(follower.Revision()).To(Equal(int64(3)))
 	})
 })
--- a/internal/confstate/refused.go
+++ b/internal/confstate/refused.go
@@ -13,9 +13,9 @@
 // lastFlush bounds the write of refused changes at a planned stop.
 const lastFlush = time.Second
 
-// NoteRefused puts a change that was not accepted, or whose outcome is unknown,
+// RecordRefused puts a change that was not accepted, or whose outcome is unknown,
 // into the audit trail. It does not wait for the platform's service.
-func (h *Holder) NoteRefused(r config.RefusedChanges) {
+func (h *State) RecordRefused(r config.RefusedChanges) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.journal.Append(time.Now(), r)
@@ -24,7 +24,7 @@
 // Refused returns the changes that were refused or whose outcome was unknown, as
 // far as they have reached the platform's service, and how many more there were
 // that are not listed.
-func (h *Holder) Refused(ctx context.Context) ([]config.RefusedChanges, int64, error) {
+func (h *State) Refused(ctx context.Context) ([]config.RefusedChanges, int64, error) {
 	found, err := h.options.Store.List(ctx, kv.UseStatus, config.RefusedPrefix(h.options.Deployment))
 	if err != nil {
 		return nil, 0, err
@@ -44,7 +44,7 @@
 
 // writeRefused writes the refused changes that are due. Its calls have the
 // lowest priority of all, so that a flood of refused changes delays nothing.
-func (h *Holder) writeRefused(ctx context.Context) {
+func (h *State) writeRefused(ctx context.Context) {
 	h.mu.Lock()
 	step := h.journal.Tick(time.Now())
 	h.mu.Unlock()
@@ -54,7 +54,7 @@
 }
 
 // stopRefused writes what waits before the process ends.
-func (h *Holder) stopRefused(ctx context.Context) {
+func (h *State) stopRefused(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastFlush)
 	defer cancel()
 	h.mu.Lock()
@@ -63,7 +63,7 @@
 	h.carryOutRefused(ctx, step)
 }
 
-func (h *Holder) carryOutRefused(ctx context.Context, step config.Step) {
+func (h *State) carryOutRefused(ctx context.Context, step config.Step) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for step.Kind != config.StepDone {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (h *Holder) refusedStep(ctx context.Context, step config.Step) config.Step {
+func (h *State) refusedStep(ctx context.Context, step config.Step) config.Step {
 	if step.Kind == config.StepRead {
 		found, err := h.options.Store.Get(ctx, kv.UseStatus, step.Key)
 		var record config.RefusedRecord
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -43,7 +43,7 @@
 	ctx     context.Context // of the background work; ends after the callers' side
 	store   *kv.Client
 	lister  *kv.Lister
-	holder  *confstate.Holder
+	holder  *confstate.State
 	keeper  *dutyrun.Keeper
 	pool    *pool.Pool
 	peers   *peers.Peers
--- a/internal/daemon/heartbeats.go
+++ b/internal/daemon/heartbeats.go
@@ -27,7 +27,7 @@
 func (e *entryProcess) agentReplied(reply wire.HeartbeatReply) {
 	e.heard.note(reply)
 	e.poison.ApplyHeartbeat(reply.Suspects, reply.Quarantine)
-	lacking, ok := e.holder.Lacks(reply.Revisions)
+	lacking, ok := e.holder.UpdateFor(reply.Revisions)
 	if !ok || !e.beginPush(reply.From) {
 		return
 	}
--- a/internal/lab/config/spread.go
+++ b/internal/lab/config/spread.go
@@ -57,7 +57,7 @@
 	rnd              *rand.Rand
 	deployment       decl.Deployment
 	revision         int64
-	server, follower *confstate.Holder
+	server, follower *confstate.State
 	wire             *countingWriter
 	encoder          *gob.Encoder
 }
@@ -79,7 +79,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	holder := func(id string) *confstate.Holder {
+	holder := func(id string) *confstate.State {
 		return confstate.New(confstate.Options{Deployment: deployment, Self: config.Peer{ID: id}, Log: log, Config: config.DefaultFollowerConfig()})
 	}
 	s.server, s.follower = holder("server"), holder("follower")
@@ -106,7 +106,7 @@
 	}
 	s.deployment.Callers = callers
 	s.revision++
-	return s.server.Put(s.snapshot())
+	return s.server.ApplyReply(s.snapshot())
 }
 
 func (s *spread) snapshot() wire.ConfigReply {
@@ -122,7 +122,7 @@
 	if err := errors.WithStack(s.change()); err != nil {
 		return 0, err
 	}
-	if err := s.follower.Put(s.snapshot()); err != nil {
+	if err := s.follower.ApplyReply(s.snapshot()); err != nil {
 		return 0, err
 	}
 	before := s.wire.bytes
@@ -141,14 +141,14 @@
 }
 
 func (s *spread) bring() error {
-	reply, lacks := s.server.Lacks(s.follower.Revisions())
+	reply, lacks := s.server.UpdateFor(s.follower.Revisions())
 	if !lacks {
 		return errors.New("spread: the follower lacks nothing")
 	}
 	if err := s.encoder.Encode(reply); err != nil {
 		return errors.WithStack(err)
 	}
-	if err := s.follower.Put(reply); err != nil {
+	if err := s.follower.ApplyReply(reply); err != nil {
 		return err
 	}
 	if s.follower.Revision() != s.revision {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -201,14 +201,14 @@
 }
 
 // startEntryOver does so over a wrapped store; the holder is not running.
-func startEntryOver(platform string, logged *bytes.Buffer, wrap func(kv.Store) kv.Store) (operatorpb.OperatorClient, *confstate.Holder) {
+func startEntryOver(platform string, logged *bytes.Buffer, wrap func(kv.Store) kv.Store) (operatorpb.OperatorClient, *confstate.State) {
 	store, err := kv.NewClient(kv.Options{Address: platform, Writer: "e", CallsPerSec: 200})
 	Expect(err).NotTo(HaveOccurred())
 	log := logrus.New()
 	log.SetOutput(logged)
 	self := config.Peer{ID: "e", Domain: "z"}
 	journal := config.RefusedLogConfig{FirstWriteDelay: 100 * time.Millisecond, WriteInterval: time.Second, RetryDelay: 100 * time.Millisecond, MaxGroups: 8}
-	holder := confstate.New(confstate.Options{Journal: journal, Deployment: "ledgerwise", Self: self, Entry: true, Store: wrap(store), Log: log, Config: config.DefaultFollowerConfig()})
+	holder := confstate.New(confstate.Options{RefusedLog: journal, Deployment: "ledgerwise", Self: self, Entry: true, Store: wrap(store), Log: log, Config: config.DefaultFollowerConfig()})
 	holder.SetEntries([]config.Peer{self})
 	server := grpc.NewServer()
 	operatorpb.RegisterOperatorServer(server, operator.New("ledgerwise", operator.Sources{
--- a/internal/operator/refused.go
+++ b/internal/operator/refused.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		host = address
 	}
-	s.sources.Config.NoteRefused(config.RefusedChanges{
+	s.sources.Config.RecordRefused(config.RefusedChanges{
 		Operator: operator,
 		Host:     host,
 		Action:   t.action,
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -39,7 +39,7 @@
 
 // Sources are what the service tells about. Any but Config may be nil.
 type Sources struct {
-	Config     *confstate.Holder
+	Config     *confstate.State
 	Instances  func() []Instance
 	Holders    func() []wire.Holder
 	Platform   func() string
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -73,7 +73,7 @@
 	options Options
 	clients *rpcpool.Pool
 	trigger chan struct{}
-	conf    *confstate.Holder
+	conf    *confstate.State
 	duties  *dutyrun.Keeper
 
 	mu              sync.Mutex
@@ -107,7 +107,7 @@
 
 // Attach sets the configuration and the duties that heartbeats report. A
 // configuration that comes into force is sent at once, not with the next round.
-func (p *Peers) Attach(conf *confstate.Holder, keeper *dutyrun.Keeper) {
+func (p *Peers) Attach(conf *confstate.State, keeper *dutyrun.Keeper) {
 	p.conf, p.duties = conf, keeper
 	conf.OnApply(func(*decl.Deployment, int64) { p.TriggerHeartbeats() })
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -38,7 +38,7 @@
 // node is one entry with its peers, configuration and duties.
 type node struct {
 	*peers.Peers
-	conf *confstate.Holder
+	conf *confstate.State
 	duty *dutyrun.Keeper
 	stop func()
 }
--- a/internal/peers/stale_heartbeat_test.go
+++ b/internal/peers/stale_heartbeat_test.go
@@ -34,7 +34,7 @@
 		})
 		snapshot, err := json.Marshal(confstate.Snapshot{Revision: 1, Deployment: decl.Deployment{Name: "d"}})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(conf.Put(wire.ConfigReply{Revision: 1, Snapshot: snapshot})).To(Succeed())
+		Expect(conf.ApplyReply(wire.ConfigReply{Revision: 1, Snapshot: snapshot})).To(Succeed())
 		p := peers.New(peers.Options{ID: "e1", Domain: "z1", Deployment: "d", HeartbeatInterval: interval})
 		p.Attach(conf, dutyrun.New(dutyrun.Options{Deployment: "d", Log: log, Config: duties.DefaultConfig()}))
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
