--- a/internal/confstate/applier.go
+++ b/internal/confstate/change.go
@@ -11,23 +11,24 @@
 	"siskinloom.example/siskinloom/internal/policy/config"
 )
 
-// readPause is between reads that settle an unclear write.
-const readPause = 200 * time.Millisecond
+// readRetryDelay is the delay between reads that determine the outcome of an
+// indeterminate write.
+const readRetryDelay = 200 * time.Millisecond
 
-// Change carries an operator's change into the record, within ctx. A verdict of
-// Failed means that it certainly was not accepted.
+// Change applies an operator's change to the stored record within the lifetime
+// of ctx. The verdict Failed means that the change was certainly not accepted.
 func (h *State) Change(ctx context.Context, request config.Request) (config.Result, error) {
 	if !h.MayAccept() {
-		return config.Result{Verdict: config.Failed}, errors.New("this entry hears too few failure domains to accept a change")
+		return config.Result{Verdict: config.Failed}, errors.New("this entry is in contact with too few failure domains to accept a change")
 	}
-	runner := &attemptRunner{store: h.options.Store, began: time.Now()}
+	runner := &attemptRunner{store: h.options.Store, startedAt: time.Now()}
 	attempt, step := config.NewAttempt(request)
 	for step.Kind != config.StepDone {
-		step = runner.carryOut(ctx, attempt, step)
+		step = runner.runStep(ctx, attempt, step)
 	}
 	result := step.Result
 	if result.Record.Revision > 0 {
-		h.ApplyRecord(result.Record, runner.began)
+		h.ApplyRecord(result.Record, runner.startedAt)
 	}
 	if runner.archived && result.Verdict == config.Accepted {
 		h.trimArchives(ctx)
@@ -35,9 +36,9 @@
 	return result, runner.err
 }
 
-// Latest returns the declarations and the revision that the service holds.
+// Latest reads the declarations and their revision from the key-value service.
 func (h *State) Latest(ctx context.Context) (decl.Deployment, int64, error) {
-	sent := time.Now()
+	sentAt := time.Now()
 	found, err := h.options.Store.Get(ctx, kv.UseConfig, config.Key(h.options.Deployment))
 	if err != nil {
 		return decl.Deployment{}, 0, err
@@ -46,34 +47,35 @@
 	if err != nil {
 		return decl.Deployment{}, 0, err
 	}
-	h.ApplyRecord(record, sent)
+	h.ApplyRecord(record, sentAt)
 	return record.Deployment, record.Revision, nil
 }
 
-// attemptRunner carries out an attempt's steps. err is the last call's error.
+// attemptRunner executes the steps of a change attempt.
 type attemptRunner struct {
-	store    kv.Store
-	began    time.Time
-	unclear  bool
-	archived bool
-	err      error
+	store         kv.Store
+	startedAt     time.Time
+	indeterminate bool
+	archived      bool
+	err           error // of the last call
 }
 
-func (r *attemptRunner) carryOut(ctx context.Context, a *config.Attempt, step config.Step) config.Step {
+func (r *attemptRunner) runStep(ctx context.Context, a *config.Attempt, step config.Step) config.Step {
 	switch step.Kind {
 	case config.StepRead:
 		record, revision, ok := r.read(ctx, step.Key)
 		return a.ReadDone(record, revision, ok)
 	case config.StepArchive:
-		standing, ok := r.archive(ctx, step)
-		return a.ArchiveDone(standing, ok)
+		existing, ok := r.archive(ctx, step)
+		return a.ArchiveDone(existing, ok)
 	default:
 		return a.WriteDone(r.write(ctx, step))
 	}
 }
 
-// read repeats a read that is to settle an unclear write until ctx ends; before
-// any write, one failure is answer enough.
+// read reads the record. If a write was indeterminate, it retries until ctx is
+// done, as the read determines that write's outcome. Before any write, a single
+// failure ends the attempt.
 func (r *attemptRunner) read(ctx context.Context, key string) (config.Record, int64, bool) {
 	for {
 		found, err := r.store.Get(ctx, kv.UseConfig, key)
@@ -83,7 +85,7 @@
 			return record, found.Revision, err == nil
 		}
 		r.err = err
-		if !r.unclear || !sleep(ctx, readPause) {
+		if !r.indeterminate || !sleep(ctx, readRetryDelay) {
 			return config.Record{}, 0, false
 		}
 	}
@@ -93,25 +95,25 @@
 	swapped, _, err := r.store.CompareAndSwap(ctx, kv.UseConfig, kv.Write{Key: step.Key, Expected: step.Expected, Value: step.Value})
 	r.err = err
 	outcome := writeOutcome(swapped, err)
-	r.unclear = r.unclear || outcome == config.WriteIndeterminate
+	r.indeterminate = r.indeterminate || outcome == config.WriteIndeterminate
 	return outcome
 }
 
-// archive writes entries under a key of their own unless one stands there, and
-// returns those that stand.
+// archive writes audit entries under their own key unless that key exists, and
+// returns the entries stored there.
 func (r *attemptRunner) archive(ctx context.Context, step config.Step) ([]config.Audit, bool) {
 	_, current, err := r.store.CompareAndSwap(ctx, kv.UseConfig, kv.Write{Key: step.Key, Value: step.Value})
 	if err != nil {
 		r.err = err
 		return nil, false
 	}
-	standing, err := config.DecodeArchive(current.Value)
+	existing, err := config.DecodeArchive(current.Value)
 	r.err, r.archived = err, true
-	return standing, err == nil
+	return existing, err == nil
 }
 
-// trimArchives keeps the audit trail bounded. What it fails to delete, the next
-// change that archives deletes.
+// trimArchives limits the size of the audit trail. If a delete fails, the next
+// change that archives entries retries it.
 func (h *State) trimArchives(ctx context.Context) {
 	keys, err := h.options.Store.List(ctx, kv.UseStatus, config.ArchivePrefix(h.options.Deployment))
 	if err != nil {
@@ -124,8 +126,8 @@
 	}
 }
 
-// Audit returns accepted changes after a revision, oldest first, at most limit
-// of the newest (0: all that are kept).
+// Audit returns the accepted changes after a revision, oldest first. If limit
+// is not 0, it returns at most the newest limit changes.
 func (h *State) Audit(ctx context.Context, since int64, limit int) ([]config.Audit, error) {
 	found, err := h.options.Store.Get(ctx, kv.UseStatus, config.Key(h.options.Deployment))
 	if err != nil {
@@ -137,7 +139,7 @@
 	}
 	entries := record.Trail
 	if len(entries) > 0 && entries[0].Revision > since+1 && (limit == 0 || len(entries) < limit) {
-		older, err := h.archived(ctx, entries[0].Revision)
+		older, err := h.archivedEntries(ctx, entries[0].Revision)
 		if err != nil {
 			return nil, err
 		}
@@ -146,9 +148,10 @@
 	return newest(entries, since, limit), nil
 }
 
-// archived returns the archived entries before a revision. An archive whose
-// change was not accepted holds entries that the record still has.
-func (h *State) archived(ctx context.Context, before int64) ([]config.Audit, error) {
+// archivedEntries returns the archived audit entries before a revision. The
+// archive of a change that was not accepted contains entries that are still in
+// the record.
+func (h *State) archivedEntries(ctx context.Context, before int64) ([]config.Audit, error) {
 	keys, err := h.options.Store.List(ctx, kv.UseStatus, config.ArchivePrefix(h.options.Deployment))
 	if err != nil {
 		return nil, err
@@ -168,6 +171,8 @@
 	return all, nil
 }
 
+// newest returns the last limit entries after a revision, or all of them if
+// limit is 0.
 func newest(entries []config.Audit, since int64, limit int) []config.Audit {
 	var kept []config.Audit
 	for _, e := range entries {
@@ -181,6 +186,7 @@
 	return kept
 }
 
+// sleep blocks for d and returns false if ctx is done first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/confstate/confstate_test.go
+++ b/internal/confstate/confstate_test.go
@@ -27,14 +27,14 @@
 	RunSpecs(t, "confstate")
 }
 
-const wait = 30 * time.Second
+const timeout = 30 * time.Second
 
-// fleet is three entries and an agent in one process, whose heartbeats are
-// calls. An entry that is cut off exchanges none.
+// fleet is three entries and an agent in one process that exchange heartbeats
+// by direct calls. A cut-off instance exchanges none.
 type fleet struct {
 	platform *standin.Platform
 	entries  []config.Peer
-	holders  []*confstate.State // the agent's last
+	states   []*confstate.State // the agent's is the last one
 	cutOff   [4]atomic.Bool
 }
 
@@ -53,18 +53,18 @@
 		f.entries = append(f.entries, config.Peer{ID: fmt.Sprint("entry-", i), Domain: fmt.Sprint("hall-", i)})
 	}
 	for i := range 4 {
-		f.holders = append(f.holders, f.newHolder(i, address))
+		f.states = append(f.states, f.newState(i, address))
 	}
-	for i, h := range f.holders {
+	for i, h := range f.states {
 		running.Go(func() { _ = h.Run(ctx) })
 		if i < 3 {
-			running.Go(func() { f.beat(ctx, i) })
+			running.Go(func() { f.exchangeHeartbeats(ctx, i) })
 		}
 	}
 	return f
 }
 
-func (f *fleet) newHolder(i int, address string) *confstate.State {
+func (f *fleet) newState(i int, address string) *confstate.State {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	o := confstate.Options{Deployment: "d", Log: log, Config: config.DefaultFollowerConfig()}
@@ -80,7 +80,7 @@
 	o.Fetch = func(_ context.Context, peer string, request wire.ConfigRequest) (wire.ConfigReply, error) {
 		for j, e := range f.entries {
 			if e.ID == peer && !f.cutOff[j].Load() {
-				return f.holders[j].Serve(request), nil
+				return f.states[j].Serve(request), nil
 			}
 		}
 		return wire.ConfigReply{}, errors.New("not reached")
@@ -90,21 +90,21 @@
 	return h
 }
 
-// beat exchanges entry i's heartbeats until ctx ends.
-func (f *fleet) beat(ctx context.Context, i int) {
+// exchangeHeartbeats exchanges entry i's heartbeats until ctx is done.
+func (f *fleet) exchangeHeartbeats(ctx context.Context, i int) {
 	for ctx.Err() == nil {
 		time.Sleep(50 * time.Millisecond)
-		for j, h := range f.holders {
+		for j, h := range f.states {
 			if i == j || f.cutOff[i].Load() || f.cutOff[j].Load() {
 				continue
 			}
-			sent := time.Now()
-			h.Heard(ctx, f.entries[i], f.holders[i].Revisions(), sent)
+			sentAt := time.Now()
+			h.Heard(ctx, f.entries[i], f.states[i].Revisions(), sentAt)
 			theirs := h.Revisions()
 			if j < 3 {
-				f.holders[i].Heard(ctx, f.entries[j], theirs, sent)
+				f.states[i].Heard(ctx, f.entries[j], theirs, sentAt)
 			}
-			if reply, lacks := f.holders[i].UpdateFor(theirs); lacks {
+			if reply, lacking := f.states[i].UpdateFor(theirs); lacking {
 				_ = h.ApplyReply(reply)
 			}
 		}
@@ -114,7 +114,7 @@
 func (f *fleet) change(i int, expected int64, id string, weight float64) (config.Result, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	return f.holders[i].Change(ctx, config.Request{
+	return f.states[i].Change(ctx, config.Request{
 		Deployment: "d", Expected: expected, Operator: "ana", ChangeID: id, Action: config.ActionApply, Now: time.Now(),
 		Edit: func(current *decl.Deployment) *decl.Deployment {
 			next := *current
@@ -126,7 +126,7 @@
 
 func (f *fleet) revisions() []int64 {
 	var all []int64
-	for _, h := range f.holders {
+	for _, h := range f.states {
 		all = append(all, h.Revision())
 	}
 	return all
@@ -134,83 +134,85 @@
 
 func (f *fleet) ready() []bool {
 	var all []bool
-	for _, h := range f.holders {
+	for _, h := range f.states {
 		all = append(all, h.Ready())
 	}
 	return all
 }
 
-var _ = Describe("Holder", func() {
+var _ = Describe("State", func() {
 	var f *fleet
 	BeforeEach(func() {
 		f = newFleet()
-		Eventually(f.holders[0].MayAccept).WithTimeout(wait).Should(BeTrue())
+		Eventually(f.states[0].MayAccept).WithTimeout(timeout).Should(BeTrue())
 		result, err := f.change(0, 0, "one", 1)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.Verdict).To(Equal(config.Accepted))
-		Eventually(f.revisions).WithTimeout(wait).Should(Equal([]int64{1, 1, 1, 1}))
-		Eventually(f.ready).WithTimeout(wait).Should(Equal([]bool{true, true, true, true}))
+		Eventually(f.revisions).WithTimeout(timeout).Should(Equal([]int64{1, 1, 1, 1}))
+		Eventually(f.ready).WithTimeout(timeout).Should(Equal([]bool{true, true, true, true}))
 	})
 
-	It("settles a change whose answer was lost and tells subscribers in order", func() {
+	It("determines the outcome of a change whose response was lost and notifies subscribers in order", func() {
 		var mu sync.Mutex
-		var told []int64
-		f.holders[3].OnApply(func(_ *decl.Deployment, revision int64) {
+		var notified []int64
+		f.states[3].OnApply(func(_ *decl.Deployment, revision int64) {
 			mu.Lock()
 			defer mu.Unlock()
-			told = append(told, revision)
+			notified = append(notified, revision)
 		})
 		f.platform.LoseNextAnswer(1)
 		result, err := f.change(1, 1, "two", 2)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.Verdict).To(Equal(config.Accepted))
-		Eventually(f.revisions).WithTimeout(wait).Should(Equal([]int64{2, 2, 2, 2}))
-		seen := func() []int64 {
+		Eventually(f.revisions).WithTimeout(timeout).Should(Equal([]int64{2, 2, 2, 2}))
+		notifiedRevisions := func() []int64 {
 			mu.Lock()
 			defer mu.Unlock()
-			return append([]int64(nil), told...)
+			return append([]int64(nil), notified...)
 		}
-		// A revision shows a moment before its subscribers are told.
-		Eventually(seen).WithTimeout(wait).Should(Equal([]int64{1, 2}))
-		audit, err := f.holders[2].Audit(context.Background(), 0, 0)
+		// A revision is visible shortly before its subscribers are notified.
+		Eventually(notifiedRevisions).WithTimeout(timeout).Should(Equal([]int64{1, 2}))
+		audit, err := f.states[2].Audit(context.Background(), 0, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(audit).To(HaveLen(2))
 	})
 
-	// The platform is away for longer than the bound. Nobody can accept a
-	// change, so the entries, which hear each other, go on with what they hold;
-	// one that hears nobody stops.
-	It("goes on in an outage, but not an entry that is cut off", func() {
+	// The platform is unavailable for longer than the staleness limit. Nobody
+	// can accept a change, so the entries that are in contact with each other
+	// continue with their configuration. An entry without contact to the others
+	// stops.
+	It("stays ready in an outage, except on an entry that is cut off", func() {
 		f.platform.Outage(true)
 		f.cutOff[2].Store(true)
-		Eventually(f.holders[2].Ready).WithTimeout(wait).Should(BeFalse())
-		Consistently(f.holders[0].Ready).WithTimeout(2 * time.Second).Should(BeTrue())
+		Eventually(f.states[2].Ready).WithTimeout(timeout).Should(BeFalse())
+		Consistently(f.states[0].Ready).WithTimeout(2 * time.Second).Should(BeTrue())
 		result, err := f.change(0, 1, "two", 2)
 		Expect(err).To(HaveOccurred())
 		Expect(result.Verdict).To(BeElementOf(config.Failed, config.Unknown))
-		Expect(f.holders[0].Revision()).To(Equal(int64(1)))
+		Expect(f.states[0].Revision()).To(Equal(int64(1)))
 	})
 
-	// An entry is cut off from the others but reaches the platform. It may not
-	// accept a change that would find no way to them; it still follows theirs.
-	It("accepts no change on an entry that hears too few failure domains", func() {
+	// An entry is cut off from the others but reaches the platform. It must not
+	// accept a change that it couldn't pass on to them, but it still follows
+	// their changes.
+	It("accepts no change on an entry in contact with too few failure domains", func() {
 		f.cutOff[2].Store(true)
-		Eventually(f.holders[2].MayAccept).WithTimeout(wait).Should(BeFalse())
+		Eventually(f.states[2].MayAccept).WithTimeout(timeout).Should(BeFalse())
 		_, err := f.change(2, 1, "two", 2)
 		Expect(err).To(MatchError(ContainSubstring("failure domains")))
 		result, err := f.change(0, 1, "three", 3)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.Verdict).To(Equal(config.Accepted))
-		Eventually(f.revisions).WithTimeout(wait).Should(Equal([]int64{2, 2, 2, 2}))
+		Eventually(f.revisions).WithTimeout(timeout).Should(Equal([]int64{2, 2, 2, 2}))
 	})
 
-	It("never goes back to an older snapshot", func() {
-		old := f.holders[0].Serve(wire.ConfigRequest{Deployment: "d"})
+	It("never reverts to an older snapshot", func() {
+		old := f.states[0].Serve(wire.ConfigRequest{Deployment: "d"})
 		_, err := f.change(0, 1, "two", 2)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(f.holders[0].ApplyReply(old)).To(Succeed())
-		Expect(f.holders[0].Revision()).To(Equal(int64(2)))
+		Expect(f.states[0].ApplyReply(old)).To(Succeed())
+		Expect(f.states[0].Revision()).To(Equal(int64(2)))
 		old.Revision = 9
-		Expect(f.holders[0].ApplyReply(old)).To(MatchError(ContainSubstring("was due")))
+		Expect(f.states[0].ApplyReply(old)).To(MatchError(ContainSubstring("was expected")))
 	})
 })
--- a/internal/confstate/missed.go
+++ b/internal/confstate/missed.go
@@ -15,20 +15,21 @@
 func encodeDeployment(d *decl.Deployment) []byte {
 	encoded, err := json.Marshal(d)
 	if err != nil {
-		panic(err) // structs of strings and finite numbers always encode
+		panic(err) // encoding structs of strings and finite numbers can't fail
 	}
 	return encoded
 }
 
-// missed returns the changes that a peer lacks, if they are few. A peer that
-// could not use them asks for the whole.
-func (h *State) missed(s *Snapshot, request wire.ConfigRequest) (wire.ConfigReply, bool) {
+// missedChanges returns the deltas that a peer lacks if they are kept and at
+// most half as large as a snapshot. A peer that could not apply deltas requests
+// a snapshot.
+func (h *State) missedChanges(s *Snapshot, request wire.ConfigRequest) (wire.ConfigReply, bool) {
 	if request.Whole || request.Have == 0 {
 		return wire.ConfigReply{}, false
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// What came into force meanwhile is another reply's.
+	// A newer configuration is left to another reply.
 	if s != h.current.Load() {
 		return wire.ConfigReply{}, false
 	}
@@ -43,14 +44,15 @@
 	return reply, true
 }
 
-// putMissed takes in missed changes. The digest is of the result: a peer that
-// encodes otherwise, as it is of another release, or that had something else in
-// force under this revision, would else leave a mixture in force that nobody
-// ever accepted. On a wrong digest the whole is asked for.
-func (h *State) putMissed(reply wire.ConfigReply) error {
+// applyMissed applies deltas and compares the result with the digest. A peer
+// that encodes differently because it runs another release, or that had another
+// configuration in force under this revision, would otherwise put a mixture in
+// force that nobody ever accepted. If the digest differs, a full snapshot is
+// requested next.
+func (h *State) applyMissed(reply wire.ConfigReply) error {
 	s := h.current.Load()
 	if s == nil || s.Revision != reply.Missed[0].From {
-		return nil // another reply was first; the next heartbeat tells what is missing now
+		return nil // another reply was first; the next heartbeat requests what is still missing
 	}
 	var deltas []config.Delta
 	for _, d := range reply.Missed {
@@ -59,12 +61,12 @@
 	encoded, fits := config.ApplyDeltas(deltas, s.Revision, reply.Revision, s.encoded)
 	digest := sha256.Sum256(encoded)
 	if !fits || !bytes.Equal(digest[:], reply.Digest) {
-		h.whole.Store(true)
-		return errors.Errorf("confstate: changes from revision %d to %d do not fit", s.Revision, reply.Revision)
+		h.needsSnapshot.Store(true)
+		return errors.Errorf("confstate: changes from revision %d to %d do not apply to the current configuration", s.Revision, reply.Revision)
 	}
 	next := &Snapshot{Revision: reply.Revision}
 	if err := json.Unmarshal(encoded, &next.Deployment); err != nil {
-		h.whole.Store(true)
+		h.needsSnapshot.Store(true)
 		return errors.Wrap(err, "confstate: missed changes")
 	}
 	h.apply(next)
--- a/internal/confstate/missed_test.go
+++ b/internal/confstate/missed_test.go
@@ -28,64 +28,66 @@
 		Expect(err).NotTo(HaveOccurred())
 		return wire.ConfigReply{Revision: revision, Snapshot: encoded}
 	}
-	put := func(h *confstate.State, revision int64, weight float64) {
+	apply := func(h *confstate.State, revision int64, weight float64) {
 		Expect(h.ApplyReply(snapshot(revision, weight))).To(Succeed())
 	}
-	lacks := func() wire.ConfigReply {
+	update := func() wire.ConfigReply {
 		reply, lacking := server.UpdateFor(follower.Revisions())
 		Expect(lacking).To(BeTrue())
 		return reply
 	}
-	holder := func() *confstate.State {
+	newState := func() *confstate.State {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		return confstate.New(confstate.Options{Deployment: "d", Log: log, Config: config.DefaultFollowerConfig()})
 	}
 
 	BeforeEach(func() {
-		server, follower = holder(), holder()
-		put(server, 1, 10)
-		Expect(follower.ApplyReply(lacks())).To(Succeed())
-		put(server, 2, 20)
-		put(server, 3, 30)
+		server, follower = newState(), newState()
+		apply(server, 1, 10)
+		Expect(follower.ApplyReply(update())).To(Succeed())
+		apply(server, 2, 20)
+		apply(server, 3, 30)
 	})
 
-	It("brings a process that lacks few revisions only what they changed", func() {
-		reply := lacks()
+	It("sends only the changes to a process that lacks few revisions", func() {
+		reply := update()
 		Expect(reply.Snapshot).To(BeEmpty())
 		Expect(reply.Missed).To(HaveLen(2))
 		Expect(follower.ApplyReply(reply)).To(Succeed())
 		Expect(follower.Revision()).To(Equal(int64(3)))
 		Expect(follower.Current()).To(Equal(server.Current()))
-		Expect(holder().Revision()).To(BeZero())
-		Expect(server.Serve(wire.ConfigRequest{Deployment: "d"}).Snapshot).NotTo(BeEmpty(), "a fresh one gets the whole")
+		Expect(newState().Revision()).To(BeZero())
+		Expect(server.Serve(wire.ConfigRequest{Deployment: "d"}).Snapshot).NotTo(BeEmpty(), "a new process gets a snapshot")
 	})
 
-	// The follower holds something else under revision 1 than the server does, as
-	// a release that encodes otherwise would. The changes fit by their length; put
-	// together they would be declarations that nobody ever accepted.
+	// The follower has a different configuration in force under revision 1 than
+	// the server, as a release that encodes differently would. The lengths of
+	// the deltas match, but the result would be declarations that nobody ever
+	// accepted.
 	It("puts no mixture in force and gets a snapshot next", func() {
-		follower = holder()
+		follower = newState()
 		other := snapshot(1, 11)
 		Expect(follower.ApplyReply(other)).To(Succeed())
-		reply := lacks()
-		Expect(follower.ApplyReply(reply)).To(MatchError(ContainSubstring("do not fit")))
+		reply := update()
+		Expect(follower.ApplyReply(reply)).To(MatchError(ContainSubstring("do not apply to the current configuration")))
 		Expect(follower.Revision()).To(Equal(int64(1)))
-		whole := lacks()
-		Expect(whole.Missed).To(BeEmpty())
-		Expect(follower.ApplyReply(whole)).To(Succeed())
+		full := update()
+		Expect(full.Missed).To(BeEmpty())
+		Expect(follower.ApplyReply(full)).To(Succeed())
 		Expect(follower.Current()).To(Equal(server.Current()))
-		put(server, 4, 40)
-		Expect(lacks().Missed).To(HaveLen(1), "as before")
+		apply(server, 4, 40)
+		Expect(update().Missed).To(HaveLen(1), "as before")
 	})
 
-	// Two entries bring an agent the same change; the later reply finds it done.
-	It("takes changes that another reply brought before", func() {
-		late := lacks()
-		put(follower, 2, 20)
+	// Two entries send an agent the same change. The later reply finds it
+	// already applied.
+	It("ignores changes that another reply has already applied", func() {
+		late := update()
+		apply(follower, 2, 20)
 		Expect(follower.ApplyReply(late)).To(Succeed())
 		Expect(follower.Revision()).To(Equal(int64(2)))
-		Expect(follower.ApplyReply(lacks())).To(Succeed())
+		Expect(follower.ApplyReply(update())).To(Succeed())
 		Expect(follower.Revision()).To(Equal(int64(3)))
 		Expect(follower.ApplyReply(late)).To(Succeed())
 		Expect(follower.Revision()).To(Equal(int64(3)))
--- a/internal/confstate/refused.go
+++ b/internal/confstate/refused.go
@@ -10,20 +10,21 @@
 	"siskinloom.example/siskinloom/internal/policy/config"
 )
 
-// lastFlush bounds the write of refused changes at a planned stop.
-const lastFlush = time.Second
+// flushTimeout limits the time for writing refused changes during a planned
+// stop.
+const flushTimeout = time.Second
 
-// RecordRefused puts a change that was not accepted, or whose outcome is unknown,
-// into the audit trail. It does not wait for the platform's service.
+// RecordRefused adds a change that was not accepted, or whose outcome is
+// unknown, to the audit trail. It doesn't wait for the key-value service.
 func (h *State) RecordRefused(r config.RefusedChanges) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.journal.Append(time.Now(), r)
+	h.refusedLog.Append(time.Now(), r)
 }
 
-// Refused returns the changes that were refused or whose outcome was unknown, as
-// far as they have reached the platform's service, and how many more there were
-// that are not listed.
+// Refused returns the changes that were refused or whose outcome is unknown, as
+// far as they have been written to the key-value service, and the number of
+// further ones that are not listed.
 func (h *State) Refused(ctx context.Context) ([]config.RefusedChanges, int64, error) {
 	found, err := h.options.Store.List(ctx, kv.UseStatus, config.RefusedPrefix(h.options.Deployment))
 	if err != nil {
@@ -43,35 +44,35 @@
 }
 
 // writeRefused writes the refused changes that are due. Its calls have the
-// lowest priority of all, so that a flood of refused changes delays nothing.
+// lowest priority, so that a flood of refused changes delays nothing else.
 func (h *State) writeRefused(ctx context.Context) {
 	h.mu.Lock()
-	step := h.journal.Tick(time.Now())
+	step := h.refusedLog.Tick(time.Now())
 	h.mu.Unlock()
 	if step.Kind != config.StepDone {
-		go h.carryOutRefused(ctx, step)
+		go h.runRefusedSteps(ctx, step)
 	}
 }
 
-// stopRefused writes what waits before the process ends.
-func (h *State) stopRefused(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastFlush)
+// flushRefused writes the pending refused changes before the process ends.
+func (h *State) flushRefused(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), flushTimeout)
 	defer cancel()
 	h.mu.Lock()
-	step := h.journal.Flush(time.Now())
+	step := h.refusedLog.Flush(time.Now())
 	h.mu.Unlock()
-	h.carryOutRefused(ctx, step)
+	h.runRefusedSteps(ctx, step)
 }
 
-func (h *State) carryOutRefused(ctx context.Context, step config.Step) {
+func (h *State) runRefusedSteps(ctx context.Context, step config.Step) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for step.Kind != config.StepDone {
-		step = h.refusedStep(ctx, step)
+		step = h.runRefusedStep(ctx, step)
 	}
 }
 
-func (h *State) refusedStep(ctx context.Context, step config.Step) config.Step {
+func (h *State) runRefusedStep(ctx context.Context, step config.Step) config.Step {
 	if step.Kind == config.StepRead {
 		found, err := h.options.Store.Get(ctx, kv.UseStatus, step.Key)
 		var record config.RefusedRecord
@@ -80,12 +81,12 @@
 		}
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		return h.journal.ReadDone(record, found.Revision, err == nil)
+		return h.refusedLog.ReadDone(record, found.Revision, err == nil)
 	}
 	swapped, _, err := h.options.Store.CompareAndSwap(ctx, kv.UseStatus, kv.Write{Key: step.Key, Expected: step.Expected, Value: step.Value})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.journal.WriteDone(time.Now(), writeOutcome(swapped, err), h.rnd)
+	return h.refusedLog.WriteDone(time.Now(), writeOutcome(swapped, err), h.rnd)
 }
 
 func writeOutcome(swapped bool, err error) config.WriteOutcome {
--- a/internal/confstate/holder.go
+++ b/internal/confstate/state.go
@@ -1,4 +1,4 @@
-// Package confstate holds the configuration that is in force in a process,
+// Package confstate keeps the configuration that is in force in a process,
 // entry or agent, and runs the policy that keeps it current.
 package confstate
 
@@ -23,23 +23,23 @@
 )
 
 const (
-	tick        = 100 * time.Millisecond
-	callTimeout = 2 * time.Second
+	tickInterval = 100 * time.Millisecond
+	callTimeout  = 2 * time.Second
 )
 
-// Snapshot is a revision with its declarations. It is never changed.
+// Snapshot is a revision with its declarations. It is immutable.
 type Snapshot struct {
 	Revision   int64           `json:"revision"`
 	Deployment decl.Deployment `json:"deployment"`
 
-	encoded []byte // the declarations, for missed changes
+	encoded []byte // the encoded declarations, to compute deltas
 	digest  [sha256.Size]byte
 }
 
-// Fetch asks a peer entry, by instance id, for its configuration.
+// Fetch requests the configuration of a peer entry by its instance ID.
 type Fetch func(ctx context.Context, peer string, request wire.ConfigRequest) (wire.ConfigReply, error)
 
-// Options sets up a Holder.
+// Options configures a State.
 type Options struct {
 	Deployment string
 	Self       config.Peer
@@ -48,27 +48,29 @@
 	Fetch      Fetch    // entries only
 	Log        *logrus.Logger
 	Config     config.FollowerConfig
-	RefusedLog config.RefusedLogConfig // entries only; the zero value takes the defaults
+	RefusedLog config.RefusedLogConfig // entries only; the zero value means the defaults
 }
 
-// State holds the configuration in force. It is safe for concurrent use.
+// State is the configuration in force in a process. It is safe for concurrent
+// use.
 type State struct {
-	options Options
-	current atomic.Pointer[Snapshot]
-	whole   atomic.Bool // missed changes did not fit
+	options       Options
+	current       atomic.Pointer[Snapshot]
+	needsSnapshot atomic.Bool // received deltas could not be applied, so a full snapshot is requested next
 
-	// applyMu orders applications and what they tell; it is taken before mu.
+	// applyMu serializes the application of configurations and the calls of
+	// subscribers; it is locked before mu.
 	applyMu     sync.Mutex
 	subscribers []func(*decl.Deployment, int64)
 
-	mu       sync.Mutex
-	follower *config.Follower
-	journal  *config.RefusedLog // entries only
-	history  config.History
-	rnd      *rand.Rand
+	mu         sync.Mutex
+	follower   *config.Follower
+	refusedLog *config.RefusedLog // entries only
+	history    config.History
+	rnd        *rand.Rand
 }
 
-// New returns a holder of no configuration.
+// New returns a State without a configuration.
 func New(o Options) *State {
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	if o.RefusedLog == (config.RefusedLogConfig{}) {
@@ -76,33 +78,34 @@
 	}
 	run := o.Self.ID + "/" + strconv.FormatUint(rnd.Uint64(), 36)
 	return &State{
-		options:  o,
-		journal:  config.NewRefusedLog(o.RefusedLog, o.Deployment, run),
-		follower: config.NewFollower(o.Config, o.Self, o.Entry, time.Now(), rnd),
-		rnd:      rnd,
+		options:    o,
+		refusedLog: config.NewRefusedLog(o.RefusedLog, o.Deployment, run),
+		follower:   config.NewFollower(o.Config, o.Self, o.Entry, time.Now(), rnd),
+		rnd:        rnd,
 	}
 }
 
-// Run keeps the configuration current until ctx ends.
+// Run keeps the configuration current until ctx is done.
 func (h *State) Run(ctx context.Context) error {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			h.stopRefused(ctx)
+			h.flushRefused(ctx)
 			return nil
 		case now := <-ticker.C:
 			h.mu.Lock()
 			need := h.follower.Tick(now, h.rnd)
 			h.mu.Unlock()
-			h.meet(ctx, need)
+			h.handleNeed(ctx, need)
 			h.writeRefused(ctx)
 		}
 	}
 }
 
-// Current returns the declarations in force, or nil. They must not be changed.
+// Current returns the declarations in force, or nil. The result must not be
+// modified.
 func (h *State) Current() *decl.Deployment {
 	if s := h.current.Load(); s != nil {
 		return &s.Deployment
@@ -118,22 +121,23 @@
 	return 0
 }
 
-// Ready tells whether the process may take new work.
+// Ready returns whether the process may accept new work.
 func (h *State) Ready() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.follower.Ready(time.Now())
 }
 
-// MayAccept tells whether this entry may accept an operator's change.
+// MayAccept returns whether this entry may accept an operator's change.
 func (h *State) MayAccept() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.follower.MayAccept(time.Now())
 }
 
-// OnApply has fn called with each configuration that comes into force, in
-// order, one at a time; with the one in force at once. fn must not block.
+// OnApply subscribes fn to the configurations that come into force. It calls fn
+// in order and never concurrently, the first time immediately if a
+// configuration is in force. fn must not block.
 func (h *State) OnApply(fn func(*decl.Deployment, int64)) {
 	h.applyMu.Lock()
 	defer h.applyMu.Unlock()
@@ -143,28 +147,31 @@
 	}
 }
 
-// SetEntries takes in the entries that the platform lists.
+// SetEntries sets the entries that the platform lists.
 func (h *State) SetEntries(entries []config.Peer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.follower.SetEntries(time.Now(), h.options.Deployment, entries)
 }
 
-// Revisions returns what a heartbeat tells of this process's configuration.
+// Revisions returns what a heartbeat reports about this process's
+// configuration.
 func (h *State) Revisions() []wire.Revision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.follower.Status(time.Now())
 	return []wire.Revision{{
 		Deployment: h.options.Deployment, Revision: n.Revision, ConfirmedAgo: n.ConfirmedAgo,
-		QuorumFor: n.QuorumFor, Boot: n.Boot, Clock: n.Clock, Whole: h.whole.Load(),
+		QuorumFor: n.QuorumFor, Boot: n.Boot, Clock: n.Clock, Whole: h.needsSnapshot.Load(),
 	}}
 }
 
-// Heard takes in what an entry's heartbeat tells. Sent is the own clock at a
-// moment not later than the peer's sending: when the request was sent, for a
-// reply; zero for a request, of which that is not known. It fetches what is missing without waiting for it.
-func (h *State) Heard(ctx context.Context, from config.Peer, revisions []wire.Revision, sent time.Time) {
+// Heard processes the configuration status in an entry's heartbeat. sentAt is a
+// time of this process's clock that is not later than when the peer sent it:
+// for a reply, the time when the request was sent; zero for a request, whose
+// time of sending is unknown. Heard starts to fetch a missing configuration
+// without waiting for it.
+func (h *State) Heard(ctx context.Context, from config.Peer, revisions []wire.Revision, sentAt time.Time) {
 	for _, r := range revisions {
 		if r.Deployment != h.options.Deployment {
 			continue
@@ -172,15 +179,15 @@
 		h.mu.Lock()
 		need := h.follower.Heard(time.Now(), config.PeerStatus{
 			From: from, Revision: r.Revision, ConfirmedAgo: r.ConfirmedAgo,
-			QuorumFor: r.QuorumFor, Boot: r.Boot, Clock: r.Clock, SentAt: sent,
+			QuorumFor: r.QuorumFor, Boot: r.Boot, Clock: r.Clock, SentAt: sentAt,
 		})
 		h.mu.Unlock()
-		h.meet(ctx, need)
+		h.handleNeed(ctx, need)
 	}
 }
 
-// UpdateFor returns the configuration for a peer whose heartbeat shows that it has
-// an older one; false if it has not.
+// UpdateFor returns the configuration for a peer whose heartbeat shows an older
+// one, and false if it doesn't.
 func (h *State) UpdateFor(revisions []wire.Revision) (wire.ConfigReply, bool) {
 	for _, r := range revisions {
 		if r.Deployment == h.options.Deployment && r.Revision < h.Revision() {
@@ -190,26 +197,26 @@
 	return wire.ConfigReply{}, false
 }
 
-// Serve answers a peer that asks for configuration newer than it has.
+// Serve answers a peer that requests a newer configuration than it has.
 func (h *State) Serve(request wire.ConfigRequest) wire.ConfigReply {
 	s := h.current.Load()
 	if s == nil || request.Deployment != h.options.Deployment || s.Revision <= request.Have {
 		return wire.ConfigReply{}
 	}
-	if reply, few := h.missed(s, request); few {
+	if reply, few := h.missedChanges(s, request); few {
 		return reply
 	}
 	encoded, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // structs of strings and finite numbers always encode
+		panic(err) // encoding structs of strings and finite numbers can't fail
 	}
 	return wire.ConfigReply{Revision: s.Revision, Snapshot: encoded}
 }
 
-// ApplyReply takes in configuration that a peer sent.
+// ApplyReply applies a configuration that a peer sent.
 func (h *State) ApplyReply(reply wire.ConfigReply) error {
 	if len(reply.Missed) > 0 {
-		return h.putMissed(reply)
+		return h.applyMissed(reply)
 	}
 	if len(reply.Snapshot) == 0 {
 		return nil
@@ -219,26 +226,27 @@
 		return errors.Wrap(err, "confstate: snapshot")
 	}
 	if s.Revision != reply.Revision || s.Deployment.Name != h.options.Deployment {
-		return errors.Errorf("confstate: snapshot of %q at %d where %q at %d was due",
+		return errors.Errorf("confstate: snapshot of %q at revision %d was received where %q at revision %d was expected",
 			s.Deployment.Name, s.Revision, h.options.Deployment, reply.Revision)
 	}
 	h.apply(&s)
 	return nil
 }
 
-// ApplyRecord takes in a record that the service holds, read or written by this
-// process by a call sent at sent.
-func (h *State) ApplyRecord(record config.Record, sent time.Time) {
+// ApplyRecord applies a record of the key-value service, which this process
+// read or wrote in a call sent at sentAt.
+func (h *State) ApplyRecord(record config.Record, sentAt time.Time) {
 	if record.Revision > 0 {
 		h.apply(&Snapshot{Revision: record.Revision, Deployment: record.Deployment})
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.follower.Stored(time.Now(), sent, record.Revision)
+	h.follower.Stored(time.Now(), sentAt, record.Revision)
 }
 
-// apply puts a snapshot in force unless one as new is: messages overtake each
-// other, and an older one that arrives late must not revert what is in force.
+// apply puts a snapshot in force if it is newer than the current one. Messages
+// can overtake each other, and an older snapshot that arrives late must not
+// replace a newer one.
 func (h *State) apply(s *Snapshot) {
 	h.applyMu.Lock()
 	defer h.applyMu.Unlock()
@@ -253,7 +261,7 @@
 		h.history.Add(config.NewDelta(before.Revision, s.Revision, before.encoded, s.encoded))
 	}
 	h.current.Store(s)
-	h.whole.Store(false)
+	h.needsSnapshot.Store(false)
 	h.follower.Applied(time.Now(), s.Revision)
 	h.mu.Unlock()
 	events.ConfigInForce.Log(h.options.Log, logrus.Fields{"deployment": s.Deployment.Name, "revision": s.Revision})
@@ -262,7 +270,8 @@
 	}
 }
 
-func (h *State) meet(ctx context.Context, need config.Need) {
+// handleNeed starts the read or fetch that the policy needs.
+func (h *State) handleNeed(ctx context.Context, need config.Need) {
 	switch need.Kind {
 	case config.NeedRead:
 		go h.read(ctx)
@@ -272,25 +281,25 @@
 }
 
 func (h *State) read(ctx context.Context) {
-	sent := time.Now()
+	sentAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	found, err := h.options.Store.Get(ctx, kv.UseConfig, config.Key(h.options.Deployment))
 	if err != nil {
-		return // the policy asks again, and counts how long there was no proof
+		return // the policy retries and tracks how long the configuration is unconfirmed
 	}
 	record, err := config.DecodeRecord(found.Value)
 	if err != nil {
 		events.ConfigUnreadable.Log(h.options.Log, logrus.Fields{"error": err.Error()})
 		return
 	}
-	h.ApplyRecord(record, sent)
+	h.ApplyRecord(record, sentAt)
 }
 
 func (h *State) fetch(ctx context.Context, peer string) {
-	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := h.options.Fetch(limited, peer, wire.ConfigRequest{Deployment: h.options.Deployment, Have: h.Revision(), Whole: h.whole.Load()})
+	reply, err := h.options.Fetch(callCtx, peer, wire.ConfigRequest{Deployment: h.options.Deployment, Have: h.Revision(), Whole: h.needsSnapshot.Load()})
 	if err == nil {
 		err = h.ApplyReply(reply)
 	}
@@ -300,5 +309,5 @@
 	h.mu.Lock()
 	need := h.follower.FetchFailed(time.Now(), peer)
 	h.mu.Unlock()
-	h.meet(ctx, need)
+	h.handleNeed(ctx, need)
 }
