--- a/internal/decl/check.go
+++ b/internal/decl/check.go
@@ -5,12 +5,14 @@
 	"strings"
 )
 
+// matchPattern is the form of a class's pattern: "METHOD /path" or "METHOD /path*".
 var matchPattern = regexp.MustCompile(`^[A-Z]+ /[^ *]*\*?$`)
 
-// shareSlack forgives rounding in shares that are meant to add up to 1.
-const shareSlack = 1e-9
+// shareTolerance allows for rounding errors in shares that should add up to 1.
+const shareTolerance = 1e-9
 
-// check holds the objects against each other.
+// check reports references to undeclared objects and values that contradict each
+// other.
 func (p *parser) check() {
 	p.checkClasses()
 	for _, a := range p.deployment.Agencies {
@@ -25,11 +27,11 @@
 	p.checkFeeds()
 }
 
-// checkReference reports a key whose value names no declared object. The key
-// bears the name of the kind it refers to.
+// checkReference tells whether the named object is declared and reports it if it
+// is not. The kind of the object is also the key that refers to it.
 func (p *parser) checkReference(id, kind, name string) bool {
 	if name == "" {
-		return false // reported as missing
+		return false // already reported as missing
 	}
 	if _, found := p.sections[kind+" "+name]; !found {
 		p.sections[id].AddFinding(kind, "no %s %q is declared", kind, name)
@@ -39,7 +41,7 @@
 }
 
 func (p *parser) checkClasses() {
-	taken := map[string]string{}
+	classByPattern := map[string]string{}
 	for _, c := range p.deployment.Classes {
 		section := p.sections["class "+c.Name]
 		p.checkReference("class "+c.Name, "service", c.Service)
@@ -52,12 +54,12 @@
 				section.AddFinding("match", "%q is not METHOD /path", pattern)
 			}
 			key := c.Service + " " + pattern
-			if other, clash := taken[key]; clash {
+			if other, duplicate := classByPattern[key]; duplicate {
 				section.AddFinding("match", "class %q of service %q matches %s already", other, c.Service, pattern)
 			}
-			taken[key] = c.Name
+			classByPattern[key] = c.Name
 		}
-		// A hedge is a second run of the same request.
+		// A hedge runs the same request a second time.
 		if !c.Idempotent && c.HedgeAt > 0 {
 			section.AddFinding("hedge_at", "only an idempotent class can be hedged")
 		}
@@ -86,13 +88,13 @@
 			section.AddFinding("prompt", "required")
 		}
 		shares[f.Service] += f.Share
-		if shares[f.Service] > 1+shareSlack {
+		if shares[f.Service] > 1+shareTolerance {
 			section.AddFinding("share", "the feeds of service %q ask for %.3g of it", f.Service, shares[f.Service])
 		}
 	}
 }
 
-// Service returns the service of the given name, or nil.
+// Service returns the service with the given name, or nil if none is declared.
 func (d *Deployment) Service(name string) *Service {
 	for i := range d.Services {
 		if d.Services[i].Name == name {
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// Drained tells whether an operator has taken the instance out.
+// Drained tells whether an operator has drained the instance.
 func (d *Deployment) Drained(instance string) bool {
 	for _, id := range d.DrainInstances {
 		if id == instance {
@@ -112,14 +114,14 @@
 	return false
 }
 
-// Matches tells whether a class's pattern, "METHOD /path" or with a trailing
-// *, takes a request.
+// Matches tells whether a request matches a class's pattern, which is
+// "METHOD /path" or, for all paths with a prefix, "METHOD /prefix*".
 func Matches(pattern, method, path string) bool {
-	want, wantPath, _ := strings.Cut(pattern, " ")
-	if want != method {
+	wantMethod, wantPath, _ := strings.Cut(pattern, " ")
+	if wantMethod != method {
 		return false
 	}
-	if prefix, open := strings.CutSuffix(wantPath, "*"); open {
+	if prefix, isPrefix := strings.CutSuffix(wantPath, "*"); isPrefix {
 		return strings.HasPrefix(path, prefix)
 	}
 	return path == wantPath
--- a/internal/decl/decl_test.go
+++ b/internal/decl/decl_test.go
@@ -17,7 +17,7 @@
 	RunSpecs(t, "decl")
 }
 
-func example(name string) []decl.Source {
+func readExample(name string) []decl.Source {
 	paths, err := filepath.Glob("../../examples/" + name + "/*.ini")
 	Expect(err).NotTo(HaveOccurred())
 	var files []decl.Source
@@ -31,11 +31,11 @@
 
 var _ = Describe("Parse", func() {
 	It("accepts both examples", func() {
-		ledger, findings := decl.Parse(example("ledgerwise"))
+		ledger, findings := decl.Parse(readExample("ledgerwise"))
 		Expect(findings).To(BeEmpty())
 		Expect(ledger.Service("tone-model").Fencing).To(BeTrue())
 		Expect(ledger.Feeds[0].WeightStaleness).To(BeNumerically(">", ledger.Feeds[0].WeightIdle))
-		batumi, findings := decl.Parse(example("batumi"))
+		batumi, findings := decl.Parse(readExample("batumi"))
 		Expect(findings).To(BeEmpty())
 		Expect(batumi.Feeds[0].WeightIdle).To(BeNumerically(">", batumi.Feeds[0].WeightStaleness))
 		for _, agency := range batumi.Agencies {
@@ -43,7 +43,7 @@
 		}
 	})
 
-	It("reports every fault of every file together", func() {
+	It("reports all findings of all files together", func() {
 		digest := "00000000000000000000000000000000000000000000000000000000000000aa"
 		_, findings := decl.Parse([]decl.Source{
 			{Name: "a.ini", Text: "[service s]\nkind = odd\n[class c]\nservice = gone\nhedge_at = 0.9\nmatch = get /x\n" +
@@ -78,7 +78,7 @@
 })
 
 var _ = Describe("roles", func() {
-	It("are read with their shares, and every fault is told with its place", func() {
+	It("are parsed with their shares, and all findings have their line", func() {
 		d, findings := decl.Parse([]decl.Source{{Name: "a.ini", Text: "[deployment]\nname = d\n[service s]\nkind = model\nroles = prefill:1, decode:3\n"}})
 		Expect(findings).To(BeEmpty())
 		Expect(d.Service("s").EngineRoles()).To(Equal([]decl.Role{{Name: "prefill", Share: 1}, {Name: "decode", Share: 3}}))
@@ -97,9 +97,9 @@
 })
 
 var _ = Describe("Diff", func() {
-	It("names what came, went and changed, and cuts digests short", func() {
-		before, _ := decl.Parse(example("ledgerwise"))
-		after, _ := decl.Parse(example("ledgerwise"))
+	It("lists added, removed and changed objects and truncates digests", func() {
+		before, _ := decl.Parse(readExample("ledgerwise"))
+		after, _ := decl.Parse(readExample("ledgerwise"))
 		Expect(decl.Diff(before, after)).To(BeEmpty())
 		after.Classes[0].Deadline = time.Second
 		after.Callers[0].KeySHA256 = "00112233445566"
@@ -119,14 +119,14 @@
 			"remove service tone-model",
 		}))
 	})
-	It("adds everything to nothing", func() {
-		after, _ := decl.Parse(example("batumi"))
+	It("lists every object as added if there was no deployment", func() {
+		after, _ := decl.Parse(readExample("batumi"))
 		Expect(decl.Diff(nil, after)).To(HaveLen(1 + 3 + 5 + 2 + 4 + 7 + 1 + 1))
 	})
 })
 
 var _ = Describe("Matches", func() {
-	It("takes exact paths and open ones", func() {
+	It("matches exact paths and path prefixes", func() {
 		Expect(decl.Matches("GET /a/*", "GET", "/a/b")).To(BeTrue())
 		Expect(decl.Matches("GET /a", "GET", "/a/b")).To(BeFalse())
 		Expect(decl.Matches("POST /a", "GET", "/a")).To(BeFalse())
--- a/internal/decl/diff.go
+++ b/internal/decl/diff.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Kinds of change.
+// Kinds of changes.
 const (
 	ChangeAdd    = "add"
 	ChangeRemove = "remove"
 	ChangeSet    = "set"
 )
 
-// Change is one difference between two deployments. Field, Before and After
-// are empty where a whole object came or went.
+// Change is a difference between two deployments. Field, Before and After are
+// empty if an object was added or removed.
 type Change struct {
 	Kind   string `json:"kind"`
 	Object string `json:"object"` // such as "class lookup"
@@ -24,7 +24,7 @@
 	After  string `json:"after,omitempty"`
 }
 
-// String returns the change as one readable line.
+// String returns the change as one line of text.
 func (c Change) String() string {
 	if c.Kind != ChangeSet {
 		return c.Kind + " " + c.Object
@@ -32,22 +32,22 @@
 	return fmt.Sprintf("set %s %s: %s -> %s", c.Object, c.Field, c.Before, c.After)
 }
 
-// Diff lists what turns before into after, sorted by object and field. Before
-// may be nil.
+// Diff returns the changes from before to after, sorted by object; the fields of
+// an object are in the order of their declaration. Before may be nil.
 func Diff(before, after *Deployment) []Change {
 	if before == nil {
 		before = &Deployment{}
 	}
 	var changes []Change
-	old, now := reflect.ValueOf(*before), reflect.ValueOf(*after)
+	old, updated := reflect.ValueOf(*before), reflect.ValueOf(*after)
 	for i := 0; i < old.NumField(); i++ {
 		field := old.Type().Field(i)
 		if field.Type.Kind() == reflect.Slice && field.Type.Elem().Kind() == reflect.Struct {
 			kind := strings.ToLower(field.Type.Elem().Name())
-			changes = append(changes, diffObjects(kind, old.Field(i), now.Field(i))...)
+			changes = append(changes, diffObjects(kind, old.Field(i), updated.Field(i))...)
 			continue
 		}
-		changes = append(changes, diffField("deployment", field, old.Field(i), now.Field(i))...)
+		changes = append(changes, diffField("deployment", field, old.Field(i), updated.Field(i))...)
 	}
 	sort.SliceStable(changes, func(i, j int) bool { return changes[i].Object < changes[j].Object })
 	return changes
@@ -55,10 +55,10 @@
 
 func diffObjects(kind string, before, after reflect.Value) []Change {
 	var changes []Change
-	old, now := byName(before), byName(after)
+	old, updated := byName(before), byName(after)
 	for name, o := range old {
-		n, stays := now[name]
-		if !stays {
+		n, kept := updated[name]
+		if !kept {
 			changes = append(changes, Change{Kind: ChangeRemove, Object: kind + " " + name})
 			continue
 		}
@@ -66,8 +66,8 @@
 			changes = append(changes, diffField(kind+" "+name, o.Type().Field(i), o.Field(i), n.Field(i))...)
 		}
 	}
-	for name := range now {
-		if _, stood := old[name]; !stood {
+	for name := range updated {
+		if _, existed := old[name]; !existed {
 			changes = append(changes, Change{Kind: ChangeAdd, Object: kind + " " + name})
 		}
 	}
@@ -75,11 +75,11 @@
 }
 
 func diffField(object string, field reflect.StructField, before, after reflect.Value) []Change {
-	old, now := fieldText(field, before), fieldText(field, after)
-	if old == now {
+	old, updated := fieldText(field, before), fieldText(field, after)
+	if old == updated {
 		return nil
 	}
-	return []Change{{Kind: ChangeSet, Object: object, Field: jsonName(field), Before: shown(field, old), After: shown(field, now)}}
+	return []Change{{Kind: ChangeSet, Object: object, Field: jsonName(field), Before: truncateDigest(field, old), After: truncateDigest(field, updated)}}
 }
 
 func byName(objects reflect.Value) map[string]reflect.Value {
@@ -97,12 +97,13 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// shownDigits is enough of a digest to tell two keys apart by eye.
+// shownDigits is the number of hexadecimal digits of a key's digest that a change
+// contains, which suffices to tell two keys apart by eye.
 const shownDigits = 8
 
-// shown cuts digests of keys short: the audit trail tells that a key changed,
-// and gives nobody the whole digest to search for a weak key.
-func shown(field reflect.StructField, text string) string {
+// truncateDigest shortens digests of keys. The audit trail shows that a key changed
+// without the whole digest, which would allow a search for weak keys.
+func truncateDigest(field reflect.StructField, text string) string {
 	if strings.HasSuffix(field.Name, "SHA256") && len(text) > shownDigits {
 		return text[:shownDigits] + "..."
 	}
--- a/internal/decl/parse.go
+++ b/internal/decl/parse.go
@@ -7,28 +7,28 @@
 	"siskinloom.example/siskinloom/internal/inifile"
 )
 
-// Source is one declaration file with its text.
+// Source is the name and text of a declaration file.
 type Source struct {
 	Name string
 	Text string
 }
 
-// Limits of declared values.
+// Limits of declared values. Sizes of bodies are in bytes, rates per second.
 const (
-	maxWeight    = 1000
-	maxSlots     = 4096
-	maxQueue     = 1 << 20
-	maxBody      = 64 << 20
-	maxDeadline  = time.Hour
-	maxRetry     = 24 * time.Hour
-	maxStaleTime = 24 * time.Hour
-	maxCount     = 1 << 20
-	maxRate      = 1e6
-	maxPriority  = 100
-	minPositive  = 1e-6
+	maxWeight        = 1000
+	maxSlots         = 4096
+	maxQueueLimit    = 1 << 20
+	maxBodyBytes     = 64 << 20
+	maxDeadline      = time.Hour
+	maxRetryWindow   = 24 * time.Hour
+	maxStalenessTime = 24 * time.Hour
+	maxCount         = 1 << 20
+	maxRateLimit     = 1e6
+	maxPriority      = 100
+	minPositive      = 1e-6
 )
 
-// Defaults of values that need not be declared.
+// Defaults of optional values.
 const (
 	DefaultSlots         = 8
 	DefaultQueueLimit    = 256
@@ -42,7 +42,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]*$`)
 
-// parser gathers the objects of all files and where they stand.
+// parser collects the objects of all files with the sections that declare them.
 type parser struct {
 	deployment Deployment
 	findings   inifile.Findings
@@ -50,12 +50,12 @@
 	digests    map[string]string           // key digest -> "kind name"
 }
 
-// Parse reads declarations as a whole. The deployment is usable only if there
-// are no findings; the findings are sorted by place.
+// Parse parses a set of declaration files as one deployment. The deployment is
+// usable only if there are no findings. Findings are sorted by file and line.
 func Parse(files []Source) (*Deployment, []inifile.Finding) {
 	p := &parser{sections: map[string]*inifile.Section{}, digests: map[string]string{}}
 	for _, file := range files {
-		p.file(inifile.Parse(file.Name, []byte(file.Text), &p.findings))
+		p.parseFile(inifile.Parse(file.Name, []byte(file.Text), &p.findings))
 	}
 	if _, found := p.sections["deployment "]; !found {
 		name := "declarations"
@@ -68,24 +68,24 @@
 	return &p.deployment, p.findings.List()
 }
 
-func (p *parser) file(file *inifile.File) {
+func (p *parser) parseFile(file *inifile.File) {
 	for _, s := range file.Sections() {
 		id := s.Kind + " " + s.Name
-		if earlier, taken := p.sections[id]; taken {
-			place := earlier.Position()
-			p.findings.Add(s.Position(), "%s stands already in %s:%d", id, place.File, place.Line)
+		if earlier, duplicate := p.sections[id]; duplicate {
+			position := earlier.Position()
+			p.findings.Add(s.Position(), "%s stands already in %s:%d", id, position.File, position.Line)
 			continue
 		}
 		p.sections[id] = s
 		if s.Kind != "deployment" && !namePattern.MatchString(s.Name) {
 			p.findings.Add(s.Position(), "[%s] wants a name of letters, digits, '.', '_' and '-'", s.Kind)
 		}
-		p.section(s)
+		p.parseSection(s)
 		s.ReportUnread()
 	}
 }
 
-func (p *parser) section(s *inifile.Section) {
+func (p *parser) parseSection(s *inifile.Section) {
 	d := &p.deployment
 	switch s.Kind {
 	case "deployment":
@@ -107,11 +107,11 @@
 			Weight:   s.Float("weight", 1, minPositive, maxWeight),
 		})
 	case "caller":
-		d.Callers = append(d.Callers, p.caller(s))
+		d.Callers = append(d.Callers, p.parseCaller(s))
 	case "feed":
-		d.Feeds = append(d.Feeds, p.feed(s))
+		d.Feeds = append(d.Feeds, p.parseFeed(s))
 	case "operator":
-		d.Operators = append(d.Operators, Operator{Name: s.Name, KeySHA256: p.digest(s, "key_sha256")})
+		d.Operators = append(d.Operators, Operator{Name: s.Name, KeySHA256: p.parseDigest(s, "key_sha256")})
 	default:
 		p.findings.Add(s.Position(), "unknown kind of section: [%s]", s.Kind)
 	}
@@ -123,9 +123,9 @@
 		Kind:          ServiceKind(s.OneOf("kind", "", string(KindModel), string(KindPlain))),
 		Fencing:       s.Bool("fencing", false),
 		Slots:         s.Int("slots", DefaultSlots, 1, maxSlots),
-		QueueLimit:    s.Int("queue_limit", DefaultQueueLimit, 1, maxQueue),
+		QueueLimit:    s.Int("queue_limit", DefaultQueueLimit, 1, maxQueueLimit),
 		CapacityFloor: s.Float("capacity_floor", DefaultCapacityFloor, 0, 1),
-		MaxBodyBytes:  s.Int("max_body_bytes", DefaultMaxBodyBytes, 1, maxBody),
+		MaxBodyBytes:  s.Int("max_body_bytes", DefaultMaxBodyBytes, 1, maxBodyBytes),
 		Roles:         parseRoles(s),
 	}
 }
@@ -138,32 +138,32 @@
 		Idempotent:  s.Bool("idempotent", false),
 		Deadline:    s.Duration("deadline", DefaultDeadline, time.Millisecond, maxDeadline),
 		Priority:    s.Int("priority", 0, 0, maxPriority),
-		RetryWindow: s.Duration("retry_window", DefaultRetryWindow, time.Second, maxRetry),
+		RetryWindow: s.Duration("retry_window", DefaultRetryWindow, time.Second, maxRetryWindow),
 		HedgeAt:     s.Float("hedge_at", 0, 0, 0.9999),
 	}
 }
 
-func (p *parser) caller(s *inifile.Section) Caller {
+func (p *parser) parseCaller(s *inifile.Section) Caller {
 	return Caller{
 		Name:      s.Name,
 		Agency:    s.Required("agency"),
 		Weight:    s.Float("weight", 1, minPositive, maxWeight),
-		KeySHA256: p.digest(s, "key_sha256"),
-		RateLimit: s.Float("rate_limit", 0, 0, maxRate),
+		KeySHA256: p.parseDigest(s, "key_sha256"),
+		RateLimit: s.Float("rate_limit", 0, 0, maxRateLimit),
 		Burst:     s.Int("burst", 0, 0, maxCount),
 	}
 }
 
-func (p *parser) feed(s *inifile.Section) Feed {
+func (p *parser) parseFeed(s *inifile.Section) Feed {
 	return Feed{
 		Name:            s.Name,
 		Service:         s.Required("service"),
 		Business:        s.Required("business"),
 		Model:           s.Required("model"),
 		Scorer:          s.String("scorer", ""),
-		TrainerSHA256:   p.digest(s, "trainer_sha256"),
+		TrainerSHA256:   p.parseDigest(s, "trainer_sha256"),
 		StalenessBound:  s.Int("staleness_bound", 0, 0, maxCount),
-		StalenessTime:   s.Duration("staleness_time", 0, 0, maxStaleTime),
+		StalenessTime:   s.Duration("staleness_time", 0, 0, maxStalenessTime),
 		GroupSize:       s.Int("group_size", 1, 1, maxCount),
 		GroupsPerStep:   s.Int("groups_per_step", 1, 1, maxCount),
 		LotSize:         s.Int("lot_size", 1, 1, maxCount),
@@ -176,11 +176,12 @@
 	}
 }
 
+// digestPattern is the form of a SHA-256 in hexadecimal.
 var digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// digest reads the SHA-256 of a key. Two holders of one key could not be told
-// apart, so a digest may stand only once.
-func (p *parser) digest(s *inifile.Section, key string) string {
+// parseDigest returns the SHA-256 of a key. Each digest must be unique, because two
+// holders of the same key cannot be told apart.
+func (p *parser) parseDigest(s *inifile.Section, key string) string {
 	value := s.Required(key)
 	if value == "" {
 		return ""
@@ -190,7 +191,7 @@
 		return ""
 	}
 	id := s.Kind + " " + s.Name
-	if holder, taken := p.digests[value]; taken {
+	if holder, duplicate := p.digests[value]; duplicate {
 		s.AddFinding(key, "is the key of %s already", holder)
 	}
 	p.digests[value] = id
--- a/internal/decl/roles.go
+++ b/internal/decl/roles.go
@@ -7,7 +7,8 @@
 	"siskinloom.example/siskinloom/internal/inifile"
 )
 
-// rolesKey lists the roles of a service's engines, as in "prefill:1, decode:3".
+// rolesKey is the key of the roles of a service's engines, whose value has the
+// form "prefill:1, decode:3".
 const rolesKey = "roles"
 
 var rolePattern = regexp.MustCompile(`^([a-z][a-z0-9_-]*):([1-9][0-9]{0,3})$`)
@@ -40,7 +41,7 @@
 	return Role{Name: parts[1], Share: share}, err == nil
 }
 
-// EngineRoles returns the declared roles with their shares.
+// EngineRoles returns the declared roles and their shares.
 func (s Service) EngineRoles() []Role {
 	var roles []Role
 	for _, text := range s.Roles {
--- a/internal/decl/types.go
+++ b/internal/decl/types.go
@@ -1,21 +1,21 @@
-// Package decl holds the operators' declarations: a deployment with its
-// services, request classes, businesses, agencies, callers and trainer feeds.
-// They are INI files under version control; Parse reads a set of files as a
-// whole and reports every finding with its place.
+// Package decl parses, checks and compares the operators' declarations. They
+// describe a deployment with its services, request classes, businesses, agencies,
+// callers and trainer feeds. They are INI files under version control; Parse reads
+// a set of files as a whole and reports every finding with its file and line.
 package decl
 
 import "time"
 
-// ServiceKind tells how a service's endpoints are spoken to.
+// ServiceKind is the protocol of a service's endpoints.
 type ServiceKind string
 
 // The kinds of service.
 const (
-	KindModel ServiceKind = "model" // batching engines, OpenAI-style completions
-	KindPlain ServiceKind = "plain" // passed through by method, path and body
+	KindModel ServiceKind = "model" // batching engines with OpenAI-style completions
+	KindPlain ServiceKind = "plain" // HTTP requests are passed on with method, path and body
 )
 
-// Deployment is everything one group of operators declares.
+// Deployment is everything that one group of operators declares.
 type Deployment struct {
 	Name           string     `json:"name"`
 	Services       []Service  `json:"services"`
@@ -25,60 +25,61 @@
 	Callers        []Caller   `json:"callers"`
 	Feeds          []Feed     `json:"feeds"`
 	Operators      []Operator `json:"operators"`
-	DrainInstances []string   `json:"drain_instances"` // instances an operator has taken out
+	DrainInstances []string   `json:"drain_instances"` // instances that an operator has drained
 }
 
 // Service is a set of endpoints that answer the same requests.
 type Service struct {
 	Name          string      `json:"name"`
 	Kind          ServiceKind `json:"kind"`
-	Fencing       bool        `json:"fencing"`        // endpoints refuse orders with an old fencing number
-	Slots         int         `json:"slots"`          // requests an endpoint runs at once at most
-	QueueLimit    int         `json:"queue_limit"`    // requests waiting at one agent at most
-	CapacityFloor float64     `json:"capacity_floor"` // share of endpoints kept serving during a weight swap, 0..1
+	Fencing       bool        `json:"fencing"`        // endpoints reject orders with an outdated fencing token
+	Slots         int         `json:"slots"`          // limit of concurrent requests per endpoint
+	QueueLimit    int         `json:"queue_limit"`    // limit of requests queued at an agent
+	CapacityFloor float64     `json:"capacity_floor"` // share of the endpoints that keep serving during a weight swap, 0..1
 	MaxBodyBytes  int         `json:"max_body_bytes"`
-	Roles         []string    `json:"roles,omitempty"` // of model engines, each with its share, as "decode:3"; empty: they keep what they have
+	Roles         []string    `json:"roles,omitempty"` // roles of model engines with their shares, such as "decode:3"; empty: engines keep their roles
 }
 
-// Role is a role that a share of a service's engines has, such as prefill.
+// Role is a role of a share of a service's engines, such as prefill.
 type Role struct {
 	Name  string
-	Share int // in proportion to the other roles' shares
+	Share int // relative to the shares of the other roles
 }
 
-// Class is a kind of request to one service, with what its callers may expect.
+// Class is a kind of request to one service with its deadline, priority and retry
+// rules.
 type Class struct {
 	Name        string        `json:"name"`
 	Service     string        `json:"service"`
-	Match       []string      `json:"match"` // "METHOD /path" patterns; a trailing * matches any rest; empty: every request
+	Match       []string      `json:"match"` // "METHOD /path" patterns, where a trailing * matches any suffix; empty: every request
 	Idempotent  bool          `json:"idempotent"`
 	Deadline    time.Duration `json:"deadline"`
-	Priority    int           `json:"priority"`     // higher goes first
-	RetryWindow time.Duration `json:"retry_window"` // how long a caller may repeat a request id
+	Priority    int           `json:"priority"`     // requests with a higher number are served first
+	RetryWindow time.Duration `json:"retry_window"` // how long a caller may repeat a request ID
 	HedgeAt     float64       `json:"hedge_at"`     // latency quantile after which a hedge is sent; 0: never
 }
 
-// Business is an independent customer of the deployment.
+// Business is an independent customer of a deployment.
 type Business struct {
 	Name        string  `json:"name"`
 	Weight      float64 `json:"weight"`
-	RetryBudget float64 `json:"retry_budget"` // retries as a share of the business's requests
+	RetryBudget float64 `json:"retry_budget"` // limit of retries as a share of the business's requests
 }
 
-// Agency is a member of a business that must get its declared share.
+// Agency is a member of a business that is entitled to the share that it declares.
 type Agency struct {
 	Name     string  `json:"name"`
 	Business string  `json:"business"`
 	Weight   float64 `json:"weight"`
 }
 
-// Caller is one client system; it proves itself with a key.
+// Caller is a client system that authenticates with a key.
 type Caller struct {
 	Name      string  `json:"name"`
 	Agency    string  `json:"agency"`
 	Weight    float64 `json:"weight"`
 	KeySHA256 string  `json:"key_sha256"` // hex digest of the caller's key
-	RateLimit float64 `json:"rate_limit"` // requests per second; 0: none
+	RateLimit float64 `json:"rate_limit"` // requests per second; 0: no limit
 	Burst     int     `json:"burst"`
 }
 
@@ -97,14 +98,14 @@
 	Scorer          string        `json:"scorer"`         // service that scores samples; empty: none
 	TrainerSHA256   string        `json:"trainer_sha256"` // hex digest of the trainer's key
 	StalenessBound  int           `json:"staleness_bound"`
-	StalenessTime   time.Duration `json:"staleness_time"` // 0: no bound in time
+	StalenessTime   time.Duration `json:"staleness_time"` // 0: no time bound
 	GroupSize       int           `json:"group_size"`
 	GroupsPerStep   int           `json:"groups_per_step"`
-	LotSize         int           `json:"lot_size"` // samples handed over at once at most
+	LotSize         int           `json:"lot_size"` // limit of samples handed over at once
 	MaxTokens       int           `json:"max_tokens"`
 	WeightIdle      float64       `json:"weight_idle"`
 	WeightStaleness float64       `json:"weight_staleness"`
 	SpareSamples    int           `json:"spare_samples"`
-	Share           float64       `json:"share"`   // of the service's rollout capacity among its feeds
+	Share           float64       `json:"share"`   // this feed's share of the service's rollout capacity
 	Prompts         []string      `json:"prompts"` // prompt templates; {step}, {group} and {index} are replaced
 }
