--- a/internal/operator/change.go
+++ b/internal/operator/change.go
@@ -19,62 +19,62 @@
 	"siskinloom.example/siskinloom/internal/policy/config"
 )
 
-// changeLimit bounds a change, settling an unclear write included.
-const changeLimit = 20 * time.Second
+// changeTimeout limits a change, including the time to find out whether a write of
+// unknown outcome took effect.
+const changeTimeout = 20 * time.Second
 
-// Plan tells what the declarations would change.
+// Plan returns what the declarations would change.
 func (s *Server) Plan(ctx context.Context, r *operatorpb.PlanRequest) (*operatorpb.PlanResponse, error) {
 	proposed, findings := s.parse(r.Files)
-	_, now, err := s.authenticateChange(ctx, r.Deployment, proposed)
+	_, stored, err := s.authenticateChange(ctx, r.Deployment, proposed)
 	if err != nil {
 		return nil, err
 	}
 	if len(findings) > 0 {
 		return &operatorpb.PlanResponse{Findings: findings}, nil
 	}
-	next := replace(proposed)(&now.deployment)
-	return &operatorpb.PlanResponse{Revision: now.revision, Changes: changesOf(decl.Diff(&now.deployment, next))}, nil
+	replaced := replaceWith(proposed)(&stored.deployment)
+	return &operatorpb.PlanResponse{Revision: stored.revision, Changes: changesOf(decl.Diff(&stored.deployment, replaced))}, nil
 }
 
-// replace puts declarations in place of those that stand, but for what
-// operators have drained, which files do not declare.
-func replace(proposed *decl.Deployment) func(*decl.Deployment) *decl.Deployment {
+// replace returns an edit that replaces the current declarations by the proposed
+// ones. It keeps the list of drained instances, which files do not declare.
+func replaceWith(proposed *decl.Deployment) func(*decl.Deployment) *decl.Deployment {
 	return func(current *decl.Deployment) *decl.Deployment {
-		next := *proposed
-		next.DrainInstances = current.DrainInstances
-		return &next
+		replaced := *proposed
+		replaced.DrainInstances = current.DrainInstances
+		return &replaced
 	}
 }
 
-// Apply puts declarations in force if the configuration is of the expected
-// revision.
+// Apply puts declarations in force if the configuration has the expected revision.
 func (s *Server) Apply(ctx context.Context, r *operatorpb.ApplyRequest) (*operatorpb.ApplyResponse, error) {
-	t := tried{action: config.ActionApply, changeID: r.ChangeId}
+	t := attempt{action: config.ActionApply, changeID: r.ChangeId}
 	proposed, findings := s.parse(r.Files)
-	by, _, err := s.authenticateChange(ctx, r.Deployment, proposed)
+	caller, _, err := s.authenticateChange(ctx, r.Deployment, proposed)
 	if err != nil {
-		s.refusedCall(ctx, t, err)
+		s.recordRefusedCall(ctx, t, err)
 	}
 	if errors.Is(err, errTooMany) {
 		return &operatorpb.ApplyResponse{Outcome: operatorpb.ApplyOutcome_APPLY_OUTCOME_REFUSED, Detail: "not accepted: " + status.Convert(err).Message()}, nil
 	}
 	if status.Code(err) == codes.Unavailable {
-		// Said as an answer: a caller takes a call that failed for one whose
-		// outcome is unknown.
+		// The refusal is returned as an answer and not as an error, because a client
+		// takes the outcome of a failed call for unknown.
 		return &operatorpb.ApplyResponse{Outcome: operatorpb.ApplyOutcome_APPLY_OUTCOME_REFUSED, Detail: detailOf(config.Failed, kv.ErrUnavailable)}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
 	if len(findings) > 0 {
-		s.refused(ctx, t, by.operator, config.OutcomeRefused, faultsReason(findings))
+		s.recordRefused(ctx, t, caller.operator, config.OutcomeRefused, findingsReason(findings))
 		return &operatorpb.ApplyResponse{Outcome: operatorpb.ApplyOutcome_APPLY_OUTCOME_REFUSED, Findings: findings, Detail: "the declarations have faults"}, nil
 	}
-	result, err := s.change(ctx, by, config.Request{
+	result, err := s.change(ctx, caller, config.Request{
 		Expected: r.ExpectedRevision,
 		ChangeID: r.ChangeId,
 		Action:   config.ActionApply,
-		Edit:     replace(proposed),
+		Edit:     replaceWith(proposed),
 	})
 	return &operatorpb.ApplyResponse{
 		Outcome:  outcomeOf(result.Verdict),
@@ -84,22 +84,22 @@
 	}, nil
 }
 
-// Drain takes an instance out, or with undo back in.
+// Drain stops giving an instance new work, or with undo gives it work again.
 func (s *Server) Drain(ctx context.Context, r *operatorpb.DrainRequest) (*operatorpb.DrainResponse, error) {
 	action := config.ActionDrain
 	if r.Undo {
 		action = config.ActionUndrain
 	}
-	by, _, err := s.authenticateChange(ctx, r.Deployment, nil)
+	caller, _, err := s.authenticateChange(ctx, r.Deployment, nil)
 	if err != nil {
-		s.refusedCall(ctx, tried{action: action}, err)
+		s.recordRefusedCall(ctx, attempt{action: action}, err)
 		return nil, err
 	}
 	if r.Instance == "" {
-		s.refused(ctx, tried{action: action}, by.operator, config.OutcomeRefused, reasonNoInstance)
+		s.recordRefused(ctx, attempt{action: action}, caller.operator, config.OutcomeRefused, reasonNoInstance)
 		return nil, status.Error(codes.InvalidArgument, reasonNoInstance)
 	}
-	result, err := s.change(ctx, by, config.Request{Expected: config.AnyRevision, Action: action, Edit: drain(r.Instance, r.Undo)})
+	result, err := s.change(ctx, caller, config.Request{Expected: config.AnyRevision, Action: action, Edit: drain(r.Instance, r.Undo)})
 	switch result.Verdict {
 	case config.Accepted, config.Unchanged:
 		return &operatorpb.DrainResponse{Revision: result.Record.Revision, Detail: detailOf(result.Verdict, nil)}, nil
@@ -110,37 +110,40 @@
 	}
 }
 
+// drain returns an edit that adds the instance to the list of drained instances,
+// or with undo removes it.
 func drain(instance string, undo bool) func(*decl.Deployment) *decl.Deployment {
 	return func(current *decl.Deployment) *decl.Deployment {
-		next := *current
-		next.DrainInstances = nil
+		replaced := *current
+		replaced.DrainInstances = nil
 		for _, id := range current.DrainInstances {
 			if id != instance {
-				next.DrainInstances = append(next.DrainInstances, id)
+				replaced.DrainInstances = append(replaced.DrainInstances, id)
 			}
 		}
 		if !undo {
-			next.DrainInstances = append(slices.Clip(next.DrainInstances), instance)
-			sort.Strings(next.DrainInstances)
+			replaced.DrainInstances = append(slices.Clip(replaced.DrainInstances), instance)
+			sort.Strings(replaced.DrainInstances)
 		}
-		return &next
+		return &replaced
 	}
 }
 
-// change carries a change out, logs its outcome and notes one that was refused.
-func (s *Server) change(ctx context.Context, by who, request config.Request) (config.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, changeLimit)
+// change carries out a change, logs its outcome and records in the audit trail if
+// it was not accepted.
+func (s *Server) change(ctx context.Context, caller identity, request config.Request) (config.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	if by.first {
+	if caller.initial {
 		request.Expected = 0
 	}
-	request.Deployment, request.Operator, request.From, request.Now = s.deployment, by.operator, by.from, time.Now()
+	request.Deployment, request.Operator, request.From, request.Now = s.deployment, caller.operator, caller.address, time.Now()
 	if request.ChangeID == "" {
 		request.ChangeID = ulid.Make().String()
 	}
 	result, err := s.sources.Config.Change(ctx, request)
-	s.refusedResult(ctx, tried{action: request.Action, changeID: request.ChangeID}, by.operator, result, err)
-	fields := logrus.Fields{"operator": by.operator, "from": by.from, "action": request.Action, "change": request.ChangeID, "revision": result.Record.Revision}
+	s.recordResult(ctx, attempt{action: request.Action, changeID: request.ChangeID}, caller.operator, result, err)
+	fields := logrus.Fields{"operator": caller.operator, "from": caller.address, "action": request.Action, "change": request.ChangeID, "revision": result.Record.Revision}
 	switch result.Verdict {
 	case config.Accepted:
 		events.ConfigAccepted.Log(s.log, fields)
--- a/internal/operator/inspect.go
+++ b/internal/operator/inspect.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	watchPoll         = 200 * time.Millisecond
+	watchPollInterval = 200 * time.Millisecond
 	fingerprintDigits = 16
-	hexadecimal       = 16
+	hexBase           = 16
 )
 
-// Status tells which instances have which revision in force and who holds
-// which duty, as this entry last heard.
+// Status returns the revision in force at each instance and the holder of each
+// duty, as last known to this entry.
 func (s *Server) Status(ctx context.Context, r *operatorpb.StatusRequest) (*operatorpb.StatusResponse, error) {
 	if _, err := s.authenticate(ctx, r.Deployment); err != nil {
 		return nil, err
@@ -47,9 +47,9 @@
 }
 
 func instanceStatus(i Instance) *operatorpb.InstanceStatus {
-	heard := int64(-1)
+	sinceHeardMs := int64(-1)
 	if i.HeardAgo >= 0 {
-		heard = i.HeardAgo.Milliseconds()
+		sinceHeardMs = i.HeardAgo.Milliseconds()
 	}
 	return &operatorpb.InstanceStatus{
 		Id:            i.ID,
@@ -60,17 +60,17 @@
 		Revision:      i.Revision,
 		WeightVersion: i.WeightVersion,
 		EngineRole:    i.EngineRole,
-		HeardMsAgo:    heard,
+		HeardMsAgo:    sinceHeardMs,
 	}
 }
 
-// Audit returns what operators changed and tried to change, oldest first.
+// Audit returns the changes that operators made or attempted, oldest first.
 func (s *Server) Audit(ctx context.Context, r *operatorpb.AuditRequest) (*operatorpb.AuditResponse, error) {
 	if _, err := s.authenticate(ctx, r.Deployment); err != nil {
 		return nil, err
 	}
 	response := &operatorpb.AuditResponse{}
-	if wants(r, config.OutcomeAccepted) {
+	if includesOutcome(r, config.OutcomeAccepted) {
 		entries, err := s.sources.Config.Audit(ctx, r.SinceRevision, int(r.Limit))
 		if err != nil {
 			return nil, status.Error(codes.Unavailable, err.Error())
@@ -79,7 +79,7 @@
 			response.Records = append(response.Records, auditRecord(e))
 		}
 	}
-	if wants(r, config.OutcomeRefused) || wants(r, config.OutcomeUnknown) {
+	if includesOutcome(r, config.OutcomeRefused) || includesOutcome(r, config.OutcomeUnknown) {
 		if err := s.addRefused(ctx, r, response); err != nil {
 			return nil, status.Error(codes.Unavailable, err.Error())
 		}
@@ -90,20 +90,19 @@
 	return response, nil
 }
 
-// wants tells whether the call asks for an outcome.
-func wants(r *operatorpb.AuditRequest, outcome string) bool {
+// includesOutcome tells whether the request asks for changes with an outcome.
+func includesOutcome(r *operatorpb.AuditRequest, outcome string) bool {
 	return len(r.Outcomes) == 0 || slices.Contains(r.Outcomes, outcome)
 }
 
-// addRefused puts the changes that were not accepted among those that were, by
-// time.
+// addRefused adds the changes that were not accepted and sorts all records by time.
 func (s *Server) addRefused(ctx context.Context, r *operatorpb.AuditRequest, response *operatorpb.AuditResponse) error {
 	refused, dropped, err := s.sources.Config.Refused(ctx)
 	if err != nil {
 		return err
 	}
 	for _, g := range refused {
-		if wants(r, g.Outcome) && g.Revision >= r.SinceRevision {
+		if includesOutcome(r, g.Outcome) && g.Revision >= r.SinceRevision {
 			response.Records = append(response.Records, refusedRecord(g))
 		}
 	}
@@ -142,19 +141,19 @@
 	}
 }
 
-// Watch tells each revision that comes into force on this entry.
+// Watch streams each revision that comes into force at this entry.
 func (s *Server) Watch(r *operatorpb.WatchRequest, stream grpc.ServerStreamingServer[operatorpb.WatchResponse]) error {
 	ctx := stream.Context()
 	if _, err := s.authenticate(ctx, r.Deployment); err != nil {
 		return err
 	}
-	ticker := time.NewTicker(watchPoll)
+	ticker := time.NewTicker(watchPollInterval)
 	defer ticker.Stop()
-	told := r.SinceRevision
+	lastSent := r.SinceRevision
 	for {
-		if s.sources.Config.Revision() > told {
+		if s.sources.Config.Revision() > lastSent {
 			var err error
-			if told, err = s.tellSince(stream, told); err != nil {
+			if lastSent, err = s.sendSince(stream, lastSent); err != nil {
 				return err
 			}
 		}
@@ -166,23 +165,23 @@
 	}
 }
 
-// tellSince sends the changes after a revision and returns the last one sent.
-// While the platform does not answer it sends nothing and is called again.
-func (s *Server) tellSince(stream grpc.ServerStreamingServer[operatorpb.WatchResponse], told int64) (int64, error) {
-	entries, err := s.sources.Config.Audit(stream.Context(), told, 0)
+// sendSince sends the changes after a revision and returns the last revision sent.
+// It sends nothing while the platform does not answer; Watch then calls it again.
+func (s *Server) sendSince(stream grpc.ServerStreamingServer[operatorpb.WatchResponse], lastSent int64) (int64, error) {
+	entries, err := s.sources.Config.Audit(stream.Context(), lastSent, 0)
 	if err != nil {
-		return told, nil
+		return lastSent, nil
 	}
 	for _, e := range entries {
 		if err := stream.Send(&operatorpb.WatchResponse{Revision: e.Revision, Record: auditRecord(e)}); err != nil {
-			return told, err
+			return lastSent, err
 		}
-		told = e.Revision
+		lastSent = e.Revision
 	}
-	return told, nil
+	return lastSent, nil
 }
 
-// ListQuarantine lists the requests that no endpoint may run.
+// ListQuarantine returns the requests that no endpoint may run.
 func (s *Server) ListQuarantine(ctx context.Context, r *operatorpb.ListQuarantineRequest) (*operatorpb.ListQuarantineResponse, error) {
 	if _, err := s.authenticate(ctx, r.Deployment); err != nil {
 		return nil, err
@@ -196,7 +195,7 @@
 			continue
 		}
 		response.Entries = append(response.Entries, &operatorpb.QuarantineEntry{
-			Fingerprint:   fingerprint(q.Fingerprint),
+			Fingerprint:   formatFingerprint(q.Fingerprint),
 			Service:       q.Service,
 			Endpoints:     int32(q.Endpoints),
 			ExpiresUnixMs: q.ExpiresUnix,
@@ -205,29 +204,30 @@
 	return response, nil
 }
 
-// ReleaseQuarantine lets a request run again.
+// ReleaseQuarantine allows a quarantined request to run again.
 func (s *Server) ReleaseQuarantine(ctx context.Context, r *operatorpb.ReleaseQuarantineRequest) (*operatorpb.ReleaseQuarantineResponse, error) {
-	t := tried{action: config.ActionRelease}
-	by, err := s.authenticate(ctx, r.Deployment)
+	t := attempt{action: config.ActionRelease}
+	caller, err := s.authenticate(ctx, r.Deployment)
 	if err != nil {
-		s.refusedCall(ctx, t, err)
+		s.recordRefusedCall(ctx, t, err)
 		return nil, err
 	}
-	value, err := strconv.ParseUint(r.Fingerprint, hexadecimal, 64)
+	value, err := strconv.ParseUint(r.Fingerprint, hexBase, 64)
 	if err != nil {
-		s.refused(ctx, t, by.operator, config.OutcomeRefused, reasonFingerprint)
+		s.recordRefused(ctx, t, caller.operator, config.OutcomeRefused, reasonFingerprint)
 		return nil, status.Errorf(codes.InvalidArgument, "%q is not a fingerprint of %d hexadecimal digits", r.Fingerprint, fingerprintDigits)
 	}
 	if s.sources.Quarantine == nil {
 		return &operatorpb.ReleaseQuarantineResponse{}, nil
 	}
 	released := s.sources.Quarantine.Release(value)
-	events.QuarantineReleased.Log(s.log, logrus.Fields{"operator": by.operator, "from": by.from, "fingerprint": r.Fingerprint, "released": released})
+	events.QuarantineReleased.Log(s.log, logrus.Fields{"operator": caller.operator, "from": caller.address, "fingerprint": r.Fingerprint, "released": released})
 	return &operatorpb.ReleaseQuarantineResponse{Released: released}, nil
 }
 
-func fingerprint(value uint64) string {
-	text := strconv.FormatUint(value, hexadecimal)
+// formatFingerprint returns a fingerprint as hexadecimal digits with leading zeros.
+func formatFingerprint(value uint64) string {
+	text := strconv.FormatUint(value, hexBase)
 	for len(text) < fingerprintDigits {
 		text = "0" + text
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -41,8 +41,8 @@
 	return metadata.AppendToOutgoingContext(ctx, operator.KeyMetadata, key)
 }
 
-// example reads the declarations of the first deployment.
-func example() []*operatorpb.File {
+// exampleFiles returns the declarations of the first example deployment.
+func exampleFiles() []*operatorpb.File {
 	paths, err := filepath.Glob("../../examples/ledgerwise/*.ini")
 	Expect(err).NotTo(HaveOccurred())
 	var files []*operatorpb.File
@@ -54,8 +54,8 @@
 	return files
 }
 
-// edited replaces text in the files.
-func edited(files []*operatorpb.File, before, after string) []*operatorpb.File {
+// replaceText returns the files with a text replaced.
+func replaceText(files []*operatorpb.File, before, after string) []*operatorpb.File {
 	var all []*operatorpb.File
 	for _, f := range files {
 		all = append(all, &operatorpb.File{Name: f.Name, Text: strings.ReplaceAll(f.Text, before, after)})
@@ -63,10 +63,11 @@
 	return all
 }
 
-type registry struct{ entries []wire.QuarantineEntry }
+// fakeQuarantine is a list of quarantined requests.
+type fakeQuarantine struct{ entries []wire.QuarantineEntry }
 
-func (r *registry) List() []wire.QuarantineEntry { return r.entries }
-func (r *registry) Release(fingerprint uint64) bool {
+func (r *fakeQuarantine) List() []wire.QuarantineEntry { return r.entries }
+func (r *fakeQuarantine) Release(fingerprint uint64) bool {
 	for i, e := range r.entries {
 		if e.Fingerprint == fingerprint {
 			r.entries = append(r.entries[:i], r.entries[i+1:]...)
@@ -99,19 +100,19 @@
 		return response
 	}
 
-	It("plans, applies, tells a repeat and equal declarations, and keeps the audit trail", func() {
-		plan, err := client.Plan(withKey(demoKey), &operatorpb.PlanRequest{Files: example()})
+	It("plans and applies, recognizes a repeated change and equal declarations, and keeps the audit trail", func() {
+		plan, err := client.Plan(withKey(demoKey), &operatorpb.PlanRequest{Files: exampleFiles()})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(plan.Changes).NotTo(BeEmpty())
-		Expect(apply(0, "one", example()).Outcome).To(Equal(accepted))
-		Expect(apply(0, "one", example())).To(HaveField("Revision", int64(1)))
-		Expect(apply(0, "two", example()).Outcome).To(Equal(operatorpb.ApplyOutcome_APPLY_OUTCOME_UNCHANGED))
-		plan, err = client.Plan(withKey(demoKey), &operatorpb.PlanRequest{Files: edited(example(), "300ms", "400ms")})
+		Expect(apply(0, "one", exampleFiles()).Outcome).To(Equal(accepted))
+		Expect(apply(0, "one", exampleFiles())).To(HaveField("Revision", int64(1)))
+		Expect(apply(0, "two", exampleFiles()).Outcome).To(Equal(operatorpb.ApplyOutcome_APPLY_OUTCOME_UNCHANGED))
+		plan, err = client.Plan(withKey(demoKey), &operatorpb.PlanRequest{Files: replaceText(exampleFiles(), "300ms", "400ms")})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(plan.Changes).To(HaveLen(1))
 		Expect(plan.Changes[0].Object).To(Equal("class lookup"))
-		Expect(apply(1, "three", edited(example(), "300ms", "400ms")).Revision).To(Equal(int64(2)))
-		conflict := apply(1, "four", edited(example(), "300ms", "500ms"))
+		Expect(apply(1, "three", replaceText(exampleFiles(), "300ms", "400ms")).Revision).To(Equal(int64(2)))
+		conflict := apply(1, "four", replaceText(exampleFiles(), "300ms", "500ms"))
 		Expect(conflict.Outcome).To(Equal(operatorpb.ApplyOutcome_APPLY_OUTCOME_REFUSED))
 		Expect(conflict.Changes[0].After).To(Equal("400ms"))
 		audit, err := client.Audit(withKey(demoKey), &operatorpb.AuditRequest{})
@@ -122,24 +123,24 @@
 		Expect(audit.String() + logged.String()).NotTo(ContainSubstring(demoKey))
 	})
 
-	It("reports all findings, a foreign deployment and a lack of operators", func() {
+	It("rejects declarations without operators and those of another deployment", func() {
 		response, err := client.Plan(withKey("x"), &operatorpb.PlanRequest{Files: []*operatorpb.File{{Name: "a.ini", Text: "[deployment]\nname = other\n"}}})
 		Expect(status.Code(err)).To(Equal(codes.Unauthenticated))
 		Expect(response).To(BeNil())
-		files := edited(example(), "name = ledgerwise", "name = other")
+		files := replaceText(exampleFiles(), "name = ledgerwise", "name = other")
 		response, err = client.Plan(withKey(demoKey), &operatorpb.PlanRequest{Files: files})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Findings).To(HaveLen(1))
 		Expect(response.Findings[0].Message).To(ContainSubstring("not ledgerwise"))
 	})
 
-	// A fresh entry holds no configuration yet. Someone offers it declarations
-	// that name their own operator, with that operator's key. The service holds a
-	// configuration, so only its operators count.
-	It("does not let declarations name the operator who applies them, but for the first", func() {
-		Expect(apply(0, "one", example()).Outcome).To(Equal(accepted))
+	// A new entry holds no configuration yet. A caller sends it declarations that
+	// name an additional operator, together with that operator's key. The key-value
+	// service holds a configuration, so only the operators in it may change it.
+	It("accepts the operators of the proposed declarations only for the first configuration", func() {
+		Expect(apply(0, "one", exampleFiles()).Outcome).To(Equal(accepted))
 		fresh := newEntry()
-		own := example()
+		own := exampleFiles()
 		for _, f := range own {
 			f.Text = strings.ReplaceAll(f.Text, "[operator demo]", "[operator thief]\nkey_sha256 = 2a97516c354b68848cdbd8f54a226a0a55b21ed138e207ad6c5cbb9c00aa5aea\n[operator demo]")
 		}
@@ -148,40 +149,40 @@
 		Expect(logged.String()).To(ContainSubstring("operator not recognised"))
 	})
 
-	It("drains and takes back an instance, which an apply leaves alone", func() {
-		apply(0, "one", example())
+	It("drains and undrains an instance, and an apply keeps it drained", func() {
+		apply(0, "one", exampleFiles())
 		drained, err := client.Drain(withKey(demoKey), &operatorpb.DrainRequest{Instance: "agent-3"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(drained.Revision).To(Equal(int64(2)))
-		Expect(apply(2, "two", example()).Outcome).To(Equal(operatorpb.ApplyOutcome_APPLY_OUTCOME_UNCHANGED))
+		Expect(apply(2, "two", exampleFiles()).Outcome).To(Equal(operatorpb.ApplyOutcome_APPLY_OUTCOME_UNCHANGED))
 		back, err := client.Drain(withKey(demoKey), &operatorpb.DrainRequest{Instance: "agent-3", Undo: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(back.Revision).To(Equal(int64(3)))
 	})
 
-	It("serves status in an outage and says that a change was not accepted", func() {
-		apply(0, "one", example())
+	It("serves status during an outage and reports that a change was not accepted", func() {
+		apply(0, "one", exampleFiles())
 		platform.Outage(true)
 		answer, err := client.Status(withKey(demoKey), &operatorpb.StatusRequest{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Revision).To(Equal(int64(1)))
 		Expect(answer.Instances[0].HeardMsAgo).To(Equal(int64(-1)))
-		refused := apply(1, "two", edited(example(), "300ms", "400ms"))
+		refused := apply(1, "two", replaceText(exampleFiles(), "300ms", "400ms"))
 		Expect(refused.Outcome).To(Equal(operatorpb.ApplyOutcome_APPLY_OUTCOME_REFUSED))
 		Expect(refused.Detail).To(ContainSubstring("not available"))
 	})
 
-	It("tells a watcher each revision", func() {
-		apply(0, "one", example())
+	It("streams each revision to a watcher", func() {
+		apply(0, "one", exampleFiles())
 		stream, err := client.Watch(withKey(demoKey), &operatorpb.WatchRequest{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(stream.Recv()).To(HaveField("Revision", int64(1)))
-		apply(1, "two", edited(example(), "300ms", "400ms"))
+		apply(1, "two", replaceText(exampleFiles(), "300ms", "400ms"))
 		Expect(stream.Recv()).To(HaveField("Record.ChangeId", "two"))
 	})
 
 	It("lists and releases quarantined requests", func() {
-		apply(0, "one", example())
+		apply(0, "one", exampleFiles())
 		list, err := client.ListQuarantine(withKey(demoKey), &operatorpb.ListQuarantineRequest{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(list.Entries).To(HaveLen(1))
@@ -194,14 +195,16 @@
 	})
 })
 
-// startEntry serves operators from an entry that is alone in its deployment.
+// startEntry starts the operators' service of the only entry of a deployment and
+// returns a client.
 func startEntry(platform string, logged *bytes.Buffer) operatorpb.OperatorClient {
-	client, _ := startEntryOver(platform, logged, func(s kv.Store) kv.Store { return s })
+	client, _ := startEntryWithStore(platform, logged, func(s kv.Store) kv.Store { return s })
 	return client
 }
 
-// startEntryOver does so over a wrapped store; the holder is not running.
-func startEntryOver(platform string, logged *bytes.Buffer, wrap func(kv.Store) kv.Store) (operatorpb.OperatorClient, *confstate.Holder) {
+// startEntryWithStore is like startEntry with a wrapped store. It also returns the
+// holder of the configuration, which is not running.
+func startEntryWithStore(platform string, logged *bytes.Buffer, wrap func(kv.Store) kv.Store) (operatorpb.OperatorClient, *confstate.Holder) {
 	store, err := kv.NewClient(kv.Options{Address: platform, Writer: "e", CallsPerSec: 200})
 	Expect(err).NotTo(HaveOccurred())
 	log := logrus.New()
@@ -214,7 +217,7 @@
 	operatorpb.RegisterOperatorServer(server, operator.New("ledgerwise", operator.Sources{
 		Config:     holder,
 		Instances:  func() []operator.Instance { return []operator.Instance{{ID: "a", Role: "agent", HeardAgo: -1}} },
-		Quarantine: &registry{entries: []wire.QuarantineEntry{{Fingerprint: 255, Service: "s"}}},
+		Quarantine: &fakeQuarantine{entries: []wire.QuarantineEntry{{Fingerprint: 255, Service: "s"}}},
 	}, log))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/operator/refused.go
+++ b/internal/operator/refused.go
@@ -13,7 +13,7 @@
 	"siskinloom.example/siskinloom/internal/policy/config"
 )
 
-// Reasons of refused changes, as the audit trail tells them.
+// Reasons of refused changes in the audit trail.
 const (
 	reasonNoPermission = "no operator has this key"
 	reasonDeployment   = "another deployment"
@@ -25,25 +25,25 @@
 	reasonFingerprint  = "malformed fingerprint"
 )
 
-// tried is a change that an operator, or someone without a key, asks for.
-type tried struct {
+// attempt is a change that a caller, with or without a known key, requested.
+type attempt struct {
 	action   string
 	changeID string
 }
 
-// from returns the network address that a call comes from.
-func from(ctx context.Context) string {
+// remoteAddress returns the network address that a call comes from.
+func remoteAddress(ctx context.Context) string {
 	if p, ok := peer.FromContext(ctx); ok {
 		return p.Addr.String()
 	}
 	return ""
 }
 
-// refused puts a change that was not accepted into the audit trail. Reasons are
-// texts of this package: what a caller wrote, such as a key in the wrong place,
-// stays out of it.
-func (s *Server) refused(ctx context.Context, t tried, operator, outcome, reason string) {
-	address := from(ctx)
+// recordRefused adds a change that was not accepted to the audit trail. A reason is
+// a text of this package and contains nothing that the caller wrote, which could be
+// a key in the wrong place.
+func (s *Server) recordRefused(ctx context.Context, t attempt, operator, outcome, reason string) {
+	address := remoteAddress(ctx)
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		host = address
@@ -59,9 +59,10 @@
 	})
 }
 
-// refusedCall puts a change into the audit trail that failed before it was
-// tried. In an outage the operator is known by the configuration in force here.
-func (s *Server) refusedCall(ctx context.Context, t tried, err error) {
+// recordRefusedCall adds a change that failed before it was attempted to the audit
+// trail. During an outage of the platform it identifies the operator by the
+// configuration in force at this entry.
+func (s *Server) recordRefusedCall(ctx context.Context, t attempt, err error) {
 	operator, _ := operatorOf(ctx, s.sources.Config.Current())
 	reason := status.Convert(err).Message()
 	switch status.Code(err) {
@@ -74,24 +75,24 @@
 	case codes.Unavailable:
 		reason = reasonUnavailable
 	}
-	s.refused(ctx, t, operator, config.OutcomeRefused, reason)
+	s.recordRefused(ctx, t, operator, config.OutcomeRefused, reason)
 }
 
-// refusedResult puts the end of a change into the audit trail unless it was
-// accepted, or there was nothing to change.
-func (s *Server) refusedResult(ctx context.Context, t tried, operator string, result config.Result, err error) {
+// recordResult adds a change to the audit trail unless it was accepted or changed
+// nothing.
+func (s *Server) recordResult(ctx context.Context, t attempt, operator string, result config.Result, err error) {
 	switch result.Verdict {
 	case config.Conflict:
-		s.refused(ctx, t, operator, config.OutcomeRefused, reasonConflict)
+		s.recordRefused(ctx, t, operator, config.OutcomeRefused, reasonConflict)
 	case config.Failed:
-		s.refused(ctx, t, operator, config.OutcomeRefused, detailOf(result.Verdict, err))
+		s.recordRefused(ctx, t, operator, config.OutcomeRefused, detailOf(result.Verdict, err))
 	case config.Unknown:
-		s.refused(ctx, t, operator, config.OutcomeUnknown, reasonUnknown)
+		s.recordRefused(ctx, t, operator, config.OutcomeUnknown, reasonUnknown)
 	}
 }
 
-// faultsReason tells how many faults declarations have and where the first one
-// is, but not its text, which may quote what stands there.
-func faultsReason(findings []*operatorpb.Finding) string {
+// findingsReason returns how many findings declarations have and the position of
+// the first one, without its text, which may quote the declarations.
+func findingsReason(findings []*operatorpb.Finding) string {
 	return fmt.Sprintf("%d faults, the first in line %d of %q", len(findings), findings[0].Line, findings[0].File)
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,5 +1,6 @@
-// Package operator serves operators: they plan and apply declarations, look at
-// status and audit trail, drain endpoints and release quarantined requests.
+// Package operator implements the operators' gRPC service: operators plan and apply
+// declarations, read status and audit trail, drain instances and release
+// quarantined requests.
 package operator
 
 import (
@@ -21,23 +22,25 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// KeyMetadata is the metadata under which an operator presents its key.
+// KeyMetadata is the gRPC metadata key under which an operator presents its key.
 const KeyMetadata = "siskinloom-operator-key"
 
-// Instance is what an entry knows of one instance of the deployment.
+// Instance is what an entry knows about an instance of the deployment. Entries send
+// it to each other with gob, so its fields keep their names.
 type Instance struct {
 	ID            string
 	Role          string
 	Service       string // agents only
 	Domain        string
 	State         string
-	Revision      int64 // in force there, as last heard
+	Revision      int64 // revision in force at the instance, as last reported
 	WeightVersion int64
-	EngineRole    string        // empty: none was reported
-	HeardAgo      time.Duration // since its last sign of life; negative: never heard
+	EngineRole    string        // empty: no role was reported
+	HeardAgo      time.Duration // time since its last report; negative: it has not reported
 }
 
-// Sources are what the service tells about. Any but Config may be nil.
+// Sources provides the data that the service reports. All fields but Config may be
+// nil.
 type Sources struct {
 	Config     *confstate.Holder
 	Instances  func() []Instance
@@ -46,10 +49,10 @@
 	Quarantine Quarantine
 }
 
-// Quarantine is the registry of requests that crash endpoints.
+// Quarantine holds the requests that no endpoint may run because they crash it.
 type Quarantine interface {
 	List() []wire.QuarantineEntry
-	// Release tells whether the fingerprint was quarantined.
+	// Release releases a request and tells whether it was quarantined.
 	Release(fingerprint uint64) bool
 }
 
@@ -59,7 +62,7 @@
 	deployment string
 	sources    Sources
 	log        *logrus.Logger
-	rates      rates
+	rates      rateLimiters
 }
 
 // New returns the operators' service of a deployment.
@@ -67,63 +70,68 @@
 	return &Server{deployment: deployment, sources: sources, log: log}
 }
 
-// who is an authenticated operator and the network address it calls from.
-type who struct {
+// identity is an authenticated operator and the network address it calls from.
+type identity struct {
 	operator string
-	from     string
-	first    bool // known by the declarations that would be the first only
+	address  string
+	initial  bool // the service holds no configuration, so the proposed declarations name the operator
 }
 
-// authenticate recognises the operator of a call that changes nothing, by the
-// configuration in force here: status must also be had in an outage.
-func (s *Server) authenticate(ctx context.Context, deployment string) (who, error) {
+// authenticate identifies the operator of a read-only call by the configuration in
+// force at this entry, because status must also be available during an outage of
+// the platform.
+func (s *Server) authenticate(ctx context.Context, deployment string) (identity, error) {
 	if known := s.sources.Config.Current(); known != nil {
-		return s.recognise(ctx, deployment, known)
+		return s.identify(ctx, deployment, known)
 	}
-	by, _, err := s.authenticateChange(ctx, deployment, nil)
-	return by, err
+	caller, _, err := s.authenticateChange(ctx, deployment, nil)
+	return caller, err
 }
 
-// authenticateChange recognises the operator of a change by what the platform's
-// service holds, which it returns. An entry that has just started holds no
-// configuration yet; were it to take the word of the declarations it is given,
-// anyone could change a deployment through it. Only if the service holds none do
-// the operators of the proposed declarations count, and only for a first change.
-func (s *Server) authenticateChange(ctx context.Context, deployment string, proposed *decl.Deployment) (who, standing, error) {
+// authenticateChange identifies the operator of a change by the configuration that
+// the platform's key-value service holds, and returns that configuration. An entry
+// that has just started holds no configuration yet. If it accepted the operators
+// of the declarations that it receives, anyone could change a deployment through
+// it. The operators of the proposed declarations count only if the service holds no
+// configuration, and only for the first change.
+func (s *Server) authenticateChange(ctx context.Context, deployment string, proposed *decl.Deployment) (identity, storedConfig, error) {
 	if err := s.admit(ctx); err != nil {
-		return who{}, standing{}, err
+		return identity{}, storedConfig{}, err
 	}
 	current, revision, err := s.sources.Config.Latest(ctx)
 	if err != nil {
-		return who{}, standing{}, status.Error(codes.Unavailable, err.Error())
+		return identity{}, storedConfig{}, status.Error(codes.Unavailable, err.Error())
 	}
 	known := &current
 	if revision == 0 {
 		known = proposed
 	}
-	by, err := s.recognise(ctx, deployment, known)
-	by.first = revision == 0
-	return by, standing{deployment: current, revision: revision}, err
+	caller, err := s.identify(ctx, deployment, known)
+	caller.initial = revision == 0
+	return caller, storedConfig{deployment: current, revision: revision}, err
 }
 
-// standing is the configuration that the service holds.
-type standing struct {
+// storedConfig is the configuration that the platform's key-value service holds.
+type storedConfig struct {
 	deployment decl.Deployment
 	revision   int64
 }
 
-func (s *Server) recognise(ctx context.Context, deployment string, known *decl.Deployment) (who, error) {
+// identify returns the operator of a call by its key, which must be in the known
+// declarations.
+func (s *Server) identify(ctx context.Context, deployment string, known *decl.Deployment) (identity, error) {
 	if deployment != "" && deployment != s.deployment {
-		return who{}, status.Errorf(codes.NotFound, "this entry serves deployment %q", s.deployment)
+		return identity{}, status.Errorf(codes.NotFound, "this entry serves deployment %q", s.deployment)
 	}
 	name, found := operatorOf(ctx, known)
 	if !found {
-		events.OperatorRefused.Log(s.log, logrus.Fields{"from": from(ctx)})
-		return who{}, status.Error(codes.Unauthenticated, reasonNoPermission)
+		events.OperatorRefused.Log(s.log, logrus.Fields{"from": remoteAddress(ctx)})
+		return identity{}, status.Error(codes.Unauthenticated, reasonNoPermission)
 	}
-	return who{operator: name, from: from(ctx)}, nil
+	return identity{operator: name, address: remoteAddress(ctx)}, nil
 }
 
+// operatorOf returns the name of the declared operator whose key the call presents.
 func operatorOf(ctx context.Context, d *decl.Deployment) (string, bool) {
 	meta, _ := metadata.FromIncomingContext(ctx)
 	keys := meta.Get(KeyMetadata)
@@ -140,7 +148,7 @@
 	return "", false
 }
 
-func sources(files []*operatorpb.File) []decl.Source {
+func toSources(files []*operatorpb.File) []decl.Source {
 	all := make([]decl.Source, 0, len(files))
 	for _, f := range files {
 		all = append(all, decl.Source{Name: f.Name, Text: f.Text})
@@ -148,10 +156,10 @@
 	return all
 }
 
-// parse reads declarations for this deployment; findings mean that they cannot
-// be used.
+// parse parses declarations for this deployment. They are unusable if there are
+// findings.
 func (s *Server) parse(files []*operatorpb.File) (*decl.Deployment, []*operatorpb.Finding) {
-	parsed, found := decl.Parse(sources(files))
+	parsed, found := decl.Parse(toSources(files))
 	findings := make([]*operatorpb.Finding, 0, len(found))
 	for _, f := range found {
 		findings = append(findings, &operatorpb.Finding{File: f.File, Line: int32(f.Line), Message: f.Message})
