--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -8,14 +8,14 @@
 	"siskinloom.example/siskinloom/internal/agent"
 )
 
-// runAgent runs the process beside one endpoint. Probes end after the agent,
-// so that a graceful stop can be watched.
+// runAgent runs the agent of one endpoint. Metrics and probes are served until the
+// agent has stopped, so that a graceful stop can be observed.
 func (p *process) runAgent(ctx context.Context) error {
 	a := agent.New(p.settings, p.log, p.metrics)
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var group errgroup.Group
-	if err := p.serveObserve(background, &group, a.Ready); err != nil {
+	if err := p.serveMetrics(background, &group, a.Ready); err != nil {
 		return err
 	}
 	err := a.Run(ctx)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs a siskinloomd process: it puts the parts of a role
-// together, serves until it is told to stop, and stops gracefully.
+// Package daemon runs a siskinloomd process. It creates the components of the
+// process's role, serves until its context ends and stops gracefully.
 package daemon
 
 import (
@@ -22,20 +22,21 @@
 	"siskinloom.example/siskinloom/internal/traffic"
 )
 
-// readyPoll is how often readiness is looked at.
-const readyPoll = 20 * time.Millisecond
+// readyPollInterval is the interval at which readiness is checked.
+const readyPollInterval = 20 * time.Millisecond
 
-// process is what both roles have.
+// process holds the components that both roles have.
 type process struct {
-	settings settings.Settings
-	log      *logrus.Logger
-	metrics  metrics.Registry
-	inner    *tlsconf.Inner                   // connections between the system's own processes
-	platform credentials.TransportCredentials // of connections to the platform
-	traffic  *traffic.Meter
+	settings      settings.Settings
+	log           *logrus.Logger
+	metrics       metrics.Registry
+	inner         *tlsconf.Inner                   // makes connections between entries and agents
+	platformCreds credentials.TransportCredentials // for connections to the platform
+	traffic       *traffic.Meter
 }
 
-// Run runs the process that the settings describe until ctx ends.
+// Run runs the process that the settings describe until ctx ends and the process
+// has stopped gracefully.
 func Run(ctx context.Context, s settings.Settings) error {
 	log, err := newLogger(s)
 	if err != nil {
@@ -45,16 +46,16 @@
 	if err != nil {
 		return err
 	}
-	towards, err := tlsconf.PlatformCredentials(s.PlatformTLS, s.Platform)
+	platformCreds, err := tlsconf.PlatformCredentials(s.PlatformTLS, s.Platform)
 	if err != nil {
 		return err
 	}
 	registry := metrics.NewRegistry()
-	p := &process{settings: s, log: log, metrics: registry, inner: inner, platform: towards, traffic: traffic.NewMeter(registry)}
+	p := &process{settings: s, log: log, metrics: registry, inner: inner, platformCreds: platformCreds, traffic: traffic.NewMeter(registry)}
 	fields := logrus.Fields{"role": s.Role, "id": s.ID, "deployment": s.Deployment, "domain": s.FailureDomain}
 	events.ProcessStarted.Log(log, fields)
-	stopWatch := context.AfterFunc(ctx, func() { events.ProcessStopping.Log(log, fields) })
-	defer stopWatch()
+	stopLogging := context.AfterFunc(ctx, func() { events.ProcessStopping.Log(log, fields) })
+	defer stopLogging()
 	switch s.Role {
 	case settings.RoleEntry:
 		err = p.runEntry(ctx)
@@ -83,9 +84,9 @@
 	return log, nil
 }
 
-// platformState logs a change of the key-value service's state as its client
-// sees it.
-func (p *process) platformState(state string) {
+// logPlatformState logs a change of the key-value service's state as its client
+// observes it.
+func (p *process) logPlatformState(state string) {
 	event := events.PlatformUp
 	switch state {
 	case platform.Down.String():
@@ -96,8 +97,8 @@
 	event.Log(p.log, logrus.Fields{"platform": p.settings.Platform})
 }
 
-// serveObserve serves metrics and probes if an address is set.
-func (p *process) serveObserve(ctx context.Context, group *errgroup.Group, ready func() bool) error {
+// serveMetrics serves metrics and probes if their address is set.
+func (p *process) serveMetrics(ctx context.Context, group *errgroup.Group, ready func() bool) error {
 	if p.settings.Metrics == "" {
 		return nil
 	}
@@ -107,28 +108,29 @@
 	}
 	server := observe.Server{Registry: p.metrics, Ready: ready}
 	group.Go(func() error { return server.Serve(ctx, listener) })
-	group.Go(func() error { return p.watchReady(ctx, ready) })
+	group.Go(func() error { return p.logReadiness(ctx, ready) })
 	return nil
 }
 
-// watchReady logs when the process becomes ready and when it no longer is.
-func (p *process) watchReady(ctx context.Context, ready func() bool) error {
-	ticker := time.NewTicker(readyPoll)
+// logReadiness logs when the process becomes ready or stops being ready, until ctx
+// ends.
+func (p *process) logReadiness(ctx context.Context, ready func() bool) error {
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
-	was := false
+	wasReady := false
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
 		}
-		now := ready()
-		if now == was {
+		isReady := ready()
+		if isReady == wasReady {
 			continue
 		}
-		was = now
+		wasReady = isReady
 		event := events.ProcessNotReady
-		if now {
+		if isReady {
 			event = events.ProcessReady
 		}
 		event.Log(p.log, logrus.Fields{"id": p.settings.ID})
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -29,18 +29,19 @@
 )
 
 const (
-	// handOverLimit bounds the hand-over of duties at a planned stop; past it
-	// their leases lapse by themselves.
-	handOverLimit = 3 * time.Second
-	// closeLimit is how much of it calls may wait for their claims to be written;
-	// in an outage they cannot be, and the rest is for the duties.
-	closeLimit = handOverLimit / 2
+	// dutyReleaseTimeout limits how long a planned stop waits for duties to be handed
+	// over. After it their leases expire.
+	dutyReleaseTimeout = 3 * time.Second
+	// claimsCloseTimeout is the part of dutyReleaseTimeout in which calls may wait
+	// until their claims are written. Claims cannot be written during an outage; the
+	// rest of the time is for releasing the duties.
+	claimsCloseTimeout = dutyReleaseTimeout / 2
 )
 
-// entryProcess holds an entry's parts.
+// entryProcess holds the components of an entry.
 type entryProcess struct {
 	*process
-	ctx     context.Context // of the background work; ends after the callers' side
+	ctx     context.Context // context of the background work; ends after the server for callers has stopped
 	store   *kv.Client
 	lister  *kv.Lister
 	holder  *confstate.Holder
@@ -53,14 +54,15 @@
 	feeds   *feedrun.Feeds
 	retries *entry.RetryPolicy
 	server  *entry.Server
-	heard   *heardAgents
+	reports *agentReports
 
-	mu      sync.Mutex
-	reach   reach
-	pushing map[string]bool // agents that configuration is being brought to
+	mu        sync.Mutex
+	readiness endpointReadiness
+	pushing   map[string]bool // IDs of the agents that a configuration is being sent to
 }
 
-// listeners are the addresses that an entry serves on.
+// listeners are an entry's listeners for other processes, and for operators and
+// trainers.
 type listeners struct {
 	inner, grpc net.Listener
 }
@@ -78,14 +80,14 @@
 		return err
 	}
 	var group errgroup.Group
-	if err := p.serveObserve(background, &group, e.ready); err != nil {
+	if err := p.serveMetrics(background, &group, e.ready); err != nil {
 		return err
 	}
 	e.startBackground(background, &group, l)
 	if e.awaitReady(ctx) {
 		err = e.serveCallers(ctx)
 	}
-	e.leave(background)
+	e.shutDown(background)
 	stop()
 	if waitErr := group.Wait(); err == nil {
 		err = waitErr
@@ -93,9 +95,10 @@
 	return err
 }
 
-// awaitReady waits until callers may come; false if ctx ended first.
+// awaitReady blocks until the entry is ready to serve callers. It returns false if
+// ctx ended first.
 func (e *entryProcess) awaitReady(ctx context.Context) bool {
-	ticker := time.NewTicker(readyPoll)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for !e.ready() {
 		select {
@@ -107,9 +110,10 @@
 	return true
 }
 
-// serveCallers listens only now: a caller that reached an entry which has just
-// started would be refused, and a repeat of a non-idempotent request even told
-// "unknown"; a connection that is not accepted goes to another entry at once.
+// serveCallers serves callers until ctx ends. It opens the listener only once the
+// entry is ready. An entry that has just started would refuse requests, and would
+// answer the repeat of a non-idempotent request with "unknown", whereas a caller
+// whose connection is not accepted tries another entry at once.
 func (e *entryProcess) serveCallers(ctx context.Context) error {
 	listener, err := tlsconf.ListenCaller(e.settings.TLS, e.settings.HTTP, tlsconf.HTTP1)
 	if err != nil {
@@ -118,6 +122,7 @@
 	return e.server.ServeHTTP(ctx, listener)
 }
 
+// listen opens the listeners of an entry but for callers.
 func (p *process) listen() (l listeners, err error) {
 	if l.inner, err = p.inner.Listen(p.settings.Inner); err != nil {
 		return l, errors.Wrap(err, "daemon: inner")
@@ -129,21 +134,24 @@
 	return l, nil
 }
 
-// countedDial counts the bytes of connections to the platform.
-func (p *process) countedDial(use traffic.Use) []grpc.DialOption {
+// platformDialOptions returns options for connections to the platform that count
+// the transferred bytes.
+func (p *process) platformDialOptions(use traffic.Use) []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithContextDialer(p.traffic.Dial(use, rpcconn.Dial)),
-		grpc.WithTransportCredentials(p.platform),
+		grpc.WithTransportCredentials(p.platformCreds),
 	}
 }
 
+// newEntry creates the components of an entry. Background ends after the server for
+// callers has stopped.
 func (p *process) newEntry(background context.Context) (*entryProcess, error) {
-	e := &entryProcess{process: p, ctx: background, retries: entry.NewRetryPolicy(), heard: &heardAgents{all: map[string]heardAgent{}}, pushing: map[string]bool{}}
+	e := &entryProcess{process: p, ctx: background, retries: entry.NewRetryPolicy(), reports: &agentReports{all: map[string]agentReport{}}, pushing: map[string]bool{}}
 	var err error
-	if e.store, err = kv.NewClient(kv.Options{Address: p.settings.Platform, Writer: p.settings.ID, CallsPerSec: p.settings.CallsPerSec, Metrics: p.metrics, OnState: p.platformState, Dial: p.countedDial(traffic.KeyValue)}); err != nil {
+	if e.store, err = kv.NewClient(kv.Options{Address: p.settings.Platform, Writer: p.settings.ID, CallsPerSec: p.settings.CallsPerSec, Metrics: p.metrics, OnState: p.logPlatformState, Dial: p.platformDialOptions(traffic.KeyValue)}); err != nil {
 		return nil, err
 	}
-	if e.lister, err = kv.NewLister(p.settings.Platform, p.countedDial(traffic.List)...); err != nil {
+	if e.lister, err = kv.NewLister(p.settings.Platform, p.platformDialOptions(traffic.List)...); err != nil {
 		return nil, err
 	}
 	e.peers = peers.New(peers.Options{
@@ -181,23 +189,26 @@
 		ID:      p.settings.ID, Deployment: p.settings.Deployment, Domain: p.settings.FailureDomain,
 		Heartbeat: p.settings.HeartbeatInterval, Lister: e.peers.WrapLister(e.lister), Log: p.log,
 		Dial:    p.traffic.Dial(traffic.Agents, p.inner.Dial),
-		Request: e.toAgent, Reply: e.agentReplied,
+		Request: e.fillAgentRequest, Reply: e.handleAgentReply,
 	})
-	e.reach.usable = func(service string) bool { return len(e.pool.Engines(service)) > 0 }
-	e.wireServer()
+	e.readiness.hasEngine = func(service string) bool { return len(e.pool.Engines(service)) > 0 }
+	e.newServer()
 	e.holder.OnApply(e.apply)
 	return e, nil
 }
 
-// dutiesConfig lets weights change hands as soon as their owner is gone: agents
-// refuse an older owner's orders, so two at once do no harm.
+// dutiesConfig allows an early takeover of weight duties once their holder is
+// unreachable. This is safe because agents reject orders with an outdated fencing
+// token, so two holders at the same time do no harm.
 func dutiesConfig() duties.Config {
 	c := duties.DefaultConfig()
 	c.EarlyTakeoverPrefixes = []string{weights.DutyPrefix}
 	return c
 }
 
-func (e *entryProcess) wireServer() {
+// newServer creates the server for callers and the components that call it or that
+// it calls.
+func (e *entryProcess) newServer() {
 	e.server = entry.New(e.settings, e.log, e.metrics, entry.Dependencies{
 		Config:     e,
 		Picker:     e.pool,
@@ -211,7 +222,7 @@
 		Duties:     e.keeper,
 		Peers:      e.peers,
 		Dispatch:   e.server.Dispatch,
-		Agents:     e.plainAgents,
+		Agents:     e.eachPlainAgent,
 		Deployment: e.settings.Deployment,
 		Instance:   e.settings.ID,
 		Log:        e.log,
@@ -242,8 +253,8 @@
 	})
 }
 
-// Current implements entry.Config: no configuration while this process cannot
-// prove that the one it holds is current.
+// Current implements entry.Config. It returns nil while this process cannot prove
+// that its configuration is current.
 func (e *entryProcess) Current() *decl.Deployment {
 	if !e.holder.Ready() {
 		return nil
@@ -251,25 +262,28 @@
 	return e.holder.Current()
 }
 
-// ready tells whether callers may come: the configuration is proved current and
-// its services have endpoints here.
+// ready tells whether the entry can serve callers: its configuration is proven to
+// be current, and it has endpoints of the declared services or has waited for them
+// long enough.
 func (e *entryProcess) ready() bool {
 	if !e.server.Ready() {
 		return false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.reach.ready(time.Now(), e.Current())
+	return e.readiness.ready(time.Now(), e.Current())
 }
 
-// apply puts a configuration in force in the parts that keep their own view.
+// apply passes a new configuration to the components that keep values derived from
+// it.
 func (e *entryProcess) apply(d *decl.Deployment, _ int64) {
 	e.pool.Configure(*d)
 	e.retries.Configure(*d)
 }
 
-// plainAgents calls fn for the agents of the services that run claimed requests.
-func (e *entryProcess) plainAgents(fn func(entry.Endpoint)) {
+// eachPlainAgent calls fn for each agent of a plain service. Only plain services
+// run claimed requests.
+func (e *entryProcess) eachPlainAgent(fn func(entry.Endpoint)) {
 	d := e.holder.Current()
 	if d == nil {
 		return
@@ -285,7 +299,7 @@
 	})
 }
 
-// dutyNames lists the duties that exist under the configuration in force.
+// dutyNames returns the names of the duties that exist in the current configuration.
 func (e *entryProcess) dutyNames() []string {
 	names := entry.ClaimDuties()
 	d := e.holder.Current()
@@ -298,7 +312,7 @@
 	return append(names, entry.WeightDuties(d)...)
 }
 
-// startBackground starts all but the callers' side.
+// startBackground starts all components but the server for callers.
 func (e *entryProcess) startBackground(ctx context.Context, group *errgroup.Group, l listeners) {
 	services := map[string]any{
 		wire.ClaimService:  e.claims.Server(),
@@ -316,26 +330,27 @@
 	group.Go(func() error { return e.feeds.Run(ctx) })
 }
 
-// leave hands the duties over after the callers' side has ended, and finishes
-// the claimed requests in flight: their results go to the next owner. It stays
-// for one heartbeat at least, so that entries whose calls still come here learn
-// who the next owner is.
-func (e *entryProcess) leave(ctx context.Context) {
+// shutDown hands over the duties after the server for callers has stopped, and
+// finishes the claimed requests in flight, whose results go to the next owner. It
+// takes at least one heartbeat interval, so that entries that still call this one
+// learn the next owner.
+func (e *entryProcess) shutDown(ctx context.Context) {
 	e.peers.Leave()
-	e.handOver(ctx)
-	stay := time.After(e.settings.HeartbeatInterval)
+	e.releaseDuties(ctx)
+	minimumWait := time.After(e.settings.HeartbeatInterval)
 	ctx, cancel := context.WithTimeout(ctx, e.settings.StopTimeout)
 	defer cancel()
 	_ = e.claims.Drain(ctx)
-	<-stay
+	<-minimumWait
 }
 
-func (e *entryProcess) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handOverLimit)
+// releaseDuties closes the claims and releases the duties.
+func (e *entryProcess) releaseDuties(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, dutyReleaseTimeout)
 	defer cancel()
-	closing, done := context.WithTimeout(ctx, closeLimit)
-	defer done()
-	_ = e.claims.Close(closing)
+	closeCtx, cancelClose := context.WithTimeout(ctx, claimsCloseTimeout)
+	defer cancelClose()
+	_ = e.claims.Close(closeCtx)
 	_ = e.keeper.Stop(ctx)
 }
 
@@ -344,8 +359,9 @@
 	_ = e.lister.Close()
 }
 
-// claimer breaks the circle between claims, which dispatch through the server,
-// and the server, which claims.
+// claimer implements entry.Claimer with the claims that are created after the
+// server. It breaks the dependency cycle between the server, which claims requests,
+// and the claims, which dispatch requests through the server.
 type claimer struct{ e *entryProcess }
 
 // Do implements entry.Claimer.
--- a/internal/daemon/grpc.go
+++ b/internal/daemon/grpc.go
@@ -14,9 +14,9 @@
 	"siskinloom.example/siskinloom/internal/operator"
 )
 
-// grpcStopLimit bounds how long calls of operators and trainers may go on at a
-// graceful stop; a watch would go on for ever.
-const grpcStopLimit = 2 * time.Second
+// grpcStopTimeout limits how long calls of operators and trainers may continue
+// during a graceful stop. Without it a watch would never end.
+const grpcStopTimeout = 2 * time.Second
 
 // serveGRPC serves operators and trainers until ctx ends.
 func (e *entryProcess) serveGRPC(ctx context.Context, listener net.Listener) error {
@@ -31,8 +31,8 @@
 	}, e.log))
 	trainerpb.RegisterTrainerServer(server, feedrun.NewTrainer(e.feeds))
 	stop := context.AfterFunc(ctx, func() {
-		kill := time.AfterFunc(grpcStopLimit, server.Stop)
-		defer kill.Stop()
+		forceStop := time.AfterFunc(grpcStopTimeout, server.Stop)
+		defer forceStop.Stop()
 		server.GracefulStop()
 	})
 	defer stop()
--- a/internal/daemon/heartbeats.go
+++ b/internal/daemon/heartbeats.go
@@ -9,12 +9,12 @@
 
 const (
 	methodConfigure = wire.AgentService + ".Configure"
-	pushLimit       = 2 * time.Second
+	pushTimeout     = 2 * time.Second
 )
 
-// toAgent adds what an agent is told: the epochs of the duties, so that it
-// refuses a holder that was replaced.
-func (e *entryProcess) toAgent(req *wire.HeartbeatRequest) {
+// fillAgentRequest fills in a heartbeat request to an agent. The epochs of the
+// duties allow the agent to reject orders of a holder that was replaced.
+func (e *entryProcess) fillAgentRequest(req *wire.HeartbeatRequest) {
 	req.Revisions = e.holder.Revisions()
 	req.Leaving = e.server.Leaving()
 	req.Quarantine = e.poison.List()
@@ -23,11 +23,12 @@
 	}
 }
 
-// agentReplied brings an agent the configuration that it lacks.
-func (e *entryProcess) agentReplied(reply wire.HeartbeatReply) {
-	e.heard.note(reply)
+// handleAgentReply records an agent's reply to a heartbeat and sends the agent the
+// configuration that it lacks.
+func (e *entryProcess) handleAgentReply(reply wire.HeartbeatReply) {
+	e.reports.record(reply)
 	e.poison.ApplyHeartbeat(reply.Suspects, reply.Quarantine)
-	lacking, ok := e.holder.Lacks(reply.Revisions)
+	missing, ok := e.holder.Lacks(reply.Revisions)
 	if !ok || !e.beginPush(reply.From) {
 		return
 	}
@@ -37,15 +38,15 @@
 		if !ok {
 			return
 		}
-		ctx, cancel := context.WithTimeout(e.ctx, pushLimit)
+		ctx, cancel := context.WithTimeout(e.ctx, pushTimeout)
 		defer cancel()
 		var none struct{}
-		// A push that is lost is made again after the next heartbeat.
-		_ = agent.Call(ctx, methodConfigure, lacking, &none)
+		// A failed push is repeated after the next heartbeat.
+		_ = agent.Call(ctx, methodConfigure, missing, &none)
 	}()
 }
 
-// beginPush allows one push at a time to an agent.
+// beginPush returns false if a push to the agent is already in progress.
 func (e *entryProcess) beginPush(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -13,67 +13,68 @@
 )
 
 const (
-	inspectService   = "Inspect"
-	methodInspect    = inspectService + ".Instances"
-	inspectLimit     = 2 * time.Second
-	inspectAtOnce    = 16
-	stateLive        = "live"
-	stateUnreachable = "unreachable"
+	inspectService     = "Inspect"
+	methodInspect      = inspectService + ".Instances"
+	inspectTimeout     = 2 * time.Second
+	maxConcurrentCalls = 16
+	stateLive          = "live"
+	stateUnreachable   = "unreachable"
 )
 
-// heardAgents keeps what each agent's last heartbeat reply told.
-type heardAgents struct {
+// agentReports holds the last heartbeat reply of each agent by the agent's ID.
+type agentReports struct {
 	mu  sync.Mutex
-	all map[string]heardAgent
+	all map[string]agentReport
 }
 
-type heardAgent struct {
-	at       time.Time
-	revision int64
-	version  int64
-	role     string // of the engine
+// agentReport is an agent's last heartbeat reply.
+type agentReport struct {
+	receivedAt time.Time
+	revision   int64
+	version    int64
+	role       string // role of the engine
 }
 
-func (h *heardAgents) note(reply wire.HeartbeatReply) {
-	heard := heardAgent{at: time.Now(), version: reply.Load.WeightVersion, role: reply.EngineRole}
+func (h *agentReports) record(reply wire.HeartbeatReply) {
+	report := agentReport{receivedAt: time.Now(), version: reply.Load.WeightVersion, role: reply.EngineRole}
 	for _, r := range reply.Revisions {
-		heard.revision = r.Revision
+		report.revision = r.Revision
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.all[reply.From] = heard
+	h.all[reply.From] = report
 }
 
-func (h *heardAgents) get(id string) (heardAgent, bool) {
+func (h *agentReports) get(id string) (agentReport, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	heard, ok := h.all[id]
-	return heard, ok
+	report, ok := h.all[id]
+	return report, ok
 }
 
-// own lists this entry and the agents that it keeps.
-func (e *entryProcess) own() []operator.Instance {
+// localInstances returns this entry and the agents that it is connected to.
+func (e *entryProcess) localInstances() []operator.Instance {
 	all := []operator.Instance{{
 		ID: e.settings.ID, Role: string(e.settings.Role), Domain: e.settings.FailureDomain,
 		State: stateLive, Revision: e.holder.Revision(),
 	}}
 	for _, a := range e.pool.Snapshot() {
 		in := operator.Instance{ID: a.ID, Role: "agent", Service: a.Service, Domain: a.Domain, State: a.State, HeardAgo: -1}
-		if heard, ok := e.heard.get(a.ID); ok {
-			in.Revision = heard.revision
-			in.WeightVersion = heard.version
-			in.EngineRole = heard.role
-			in.HeardAgo = time.Since(heard.at)
+		if report, ok := e.reports.get(a.ID); ok {
+			in.Revision = report.revision
+			in.WeightVersion = report.version
+			in.EngineRole = report.role
+			in.HeardAgo = time.Since(report.receivedAt)
 		}
 		all = append(all, in)
 	}
 	return all
 }
 
-// instances lists the whole deployment: an entry keeps only some of the agents,
-// so every listed entry is asked for those it keeps.
+// instances returns all instances of the deployment. An entry is connected to only
+// some of the agents, so it asks every other entry for its own.
 func (e *entryProcess) instances() []operator.Instance {
-	ctx, cancel := context.WithTimeout(e.ctx, inspectLimit)
+	ctx, cancel := context.WithTimeout(e.ctx, inspectTimeout)
 	defer cancel()
 	byID := map[string]operator.Instance{}
 	var mu sync.Mutex
@@ -81,14 +82,14 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for _, in := range all {
-			if known, ok := byID[in.ID]; !ok || fresher(in, known) {
+			if known, ok := byID[in.ID]; !ok || isFresher(in, known) {
 				byID[in.ID] = in
 			}
 		}
 	}
-	merge(e.own())
+	merge(e.localInstances())
 	var group errgroup.Group
-	group.SetLimit(inspectAtOnce)
+	group.SetLimit(maxConcurrentCalls)
 	for _, peer := range e.peers.Others() {
 		group.Go(func() error {
 			var reply []operator.Instance
@@ -100,18 +101,19 @@
 		})
 	}
 	_ = group.Wait()
-	return sorted(byID)
+	return sortedByID(byID)
 }
 
-// fresher prefers the view of the entry that heard the instance last.
-func fresher(a, b operator.Instance) bool {
+// isFresher tells whether a is based on a more recent report of the instance than b.
+func isFresher(a, b operator.Instance) bool {
 	if b.HeardAgo < 0 {
 		return a.HeardAgo >= 0
 	}
 	return a.HeardAgo >= 0 && a.HeardAgo < b.HeardAgo
 }
 
-func sorted(byID map[string]operator.Instance) []operator.Instance {
+// sortedByID returns the instances sorted by ID.
+func sortedByID(byID map[string]operator.Instance) []operator.Instance {
 	all := make([]operator.Instance, 0, len(byID))
 	for _, in := range byID {
 		all = append(all, in)
@@ -120,11 +122,11 @@
 	return all
 }
 
-// inspect answers other entries' questions for this one's view.
+// inspect is the net/rpc service by which other entries query this one's instances.
 type inspect struct{ e *entryProcess }
 
-// Instances lists this entry and the agents that it keeps.
+// Instances returns this entry and the agents that it is connected to.
 func (s *inspect) Instances(_ struct{}, reply *[]operator.Instance) error {
-	*reply = s.e.own()
+	*reply = s.e.localInstances()
 	return nil
 }
