--- a/internal/engineapi/engineapi.go
+++ b/internal/engineapi/engineapi.go
@@ -1,9 +1,10 @@
-// Package engineapi is the HTTP protocol of the endpoints: OpenAI-style
-// completions, plain and as server-sent events, and the orders and reports of a
-// batching engine. Agents speak it; the stand-in engine serves it.
+// Package engineapi defines the HTTP protocol of the endpoints: OpenAI-style
+// completions, with or without server-sent events, and the orders and reports of a
+// batching engine. Agents are its clients; the stand-in engine is a server for
+// tests.
 package engineapi
 
-// Paths of an engine.
+// URL paths of an engine.
 const (
 	PathCompletions = "/v1/completions"
 	PathHealth      = "/health"
@@ -15,14 +16,15 @@
 	PathImport      = "/kv-import"
 )
 
-// HeaderVersion tells the weight version in force when a KV cache was exported.
+// HeaderVersion is the header with the weight version that was loaded when a KV
+// cache was exported.
 const HeaderVersion = "X-Weight-Version"
 
-// StreamDone is the last event of a stream, as OpenAI's protocol has it.
+// StreamDone is the last event of a stream, as in OpenAI's protocol.
 const StreamDone = "[DONE]"
 
-// CompletionRequest is the body of a completion. The fields beyond OpenAI's are
-// the engines' published extensions.
+// CompletionRequest is the body of a completion request. The fields that OpenAI's
+// protocol lacks are the engines' published extensions.
 type CompletionRequest struct {
 	Model     string   `json:"model"`
 	Prompt    string   `json:"prompt"`
@@ -31,45 +33,46 @@
 	Seed      int64    `json:"seed,omitempty"`
 	RequestID string   `json:"request_id,omitempty"`
 	Priority  int      `json:"priority,omitempty"`
-	Resume    []string `json:"resume_tokens,omitempty"` // tokens already generated; the stream goes on after them
-	CacheID   string   `json:"cache_id,omitempty"`      // imported KV cache, for this request alone
+	Resume    []string `json:"resume_tokens,omitempty"` // tokens already generated; the stream continues after them
+	CacheID   string   `json:"cache_id,omitempty"`      // imported KV cache, used for this request only
 }
 
-// Choice is one completion or, in a stream, one or more tokens of it.
+// Choice is a completion or, in a stream, one or more of its tokens.
 type Choice struct {
 	Index        int    `json:"index"`
 	Text         string `json:"text"`
-	FinishReason string `json:"finish_reason,omitempty"` // "stop", "length" or "cancelled"; empty while it goes on
+	FinishReason string `json:"finish_reason,omitempty"` // "stop", "length" or "cancelled"; empty: not finished
 }
 
-// Completion is an answer or, in a stream, one event.
+// Completion is an answer or, in a stream, an event.
 type Completion struct {
 	ID            string    `json:"id"`
 	Object        string    `json:"object"`
 	Model         string    `json:"model"`
 	Choices       []Choice  `json:"choices"`
-	WeightVersion int64     `json:"weight_version"`     // that produced this event's tokens
-	Segments      []Segment `json:"segments,omitempty"` // of a whole answer
-	Tokens        int       `json:"tokens,omitempty"`   // in this answer or event
+	WeightVersion int64     `json:"weight_version"`     // weight version that generated this event's tokens
+	Segments      []Segment `json:"segments,omitempty"` // set in a complete answer only
+	Tokens        int       `json:"tokens,omitempty"`   // number of tokens in this answer or event
 }
 
-// Segment says which weight version produced a range of tokens.
+// Segment is a range of tokens with the weight version that generated them.
 type Segment struct {
 	Version int64 `json:"version"`
 	From    int   `json:"from"`
 	To      int   `json:"to"`
 }
 
-// Load is an engine's own report, taken some time before it is told.
+// Load is an engine's report about itself. It may be older than the answer that
+// contains it.
 type Load struct {
 	Running       int     `json:"running"`
 	Waiting       int     `json:"waiting"`
 	KVUsed        float64 `json:"kv_used"`
 	WeightVersion int64   `json:"weight_version"`
-	AgeMilli      int64   `json:"age_ms"`
+	AgeMilli      int64   `json:"age_ms"` // age of the report
 
-	Adapters map[string]int64 `json:"adapters,omitempty"` // version of each adapter loaded
-	Role     string           `json:"role,omitempty"`     // empty: the engine knows no roles, or has none yet
+	Adapters map[string]int64 `json:"adapters,omitempty"` // version of each loaded adapter
+	Role     string           `json:"role,omitempty"`     // empty: the engine does not support roles or has none yet
 }
 
 // Order is an instruction to an engine.
@@ -78,31 +81,33 @@
 	Model     string `json:"model"`
 	Version   int64  `json:"version"`
 	Adapter   string `json:"adapter,omitempty"`
-	Role      string `json:"role,omitempty"` // of a role order
+	Role      string `json:"role,omitempty"` // role to take; only in an order for a role
 	FenceDuty string `json:"fence_duty"`
-	Fence     int64  `json:"fence"` // engines with fencing refuse a number lower than one they have seen
+	Fence     int64  `json:"fence"` // fencing token; engines with fencing reject one lower than the highest they have seen
 
-	DeadlineMilli int64  `json:"deadline_ms,omitempty"` // the engine gives a load up that is not done by then
-	WeightsDir    string `json:"weights_dir,omitempty"` // folder where the agent keeps the version's chunks, named by index
-	// WeightsURL, followed by a chunk's index, is where the agent gives the
-	// chunks that it keeps in memory, for the time of this load.
+	DeadlineMilli int64  `json:"deadline_ms,omitempty"` // the engine aborts a load that takes longer
+	WeightsDir    string `json:"weights_dir,omitempty"` // folder in which the agent stores the version's chunks in files named by index
+	// WeightsURL, followed by a chunk's index, is the URL at which the agent serves
+	// the chunks that it holds in memory while this load runs.
 	WeightsURL    string `json:"weights_url,omitempty"`
-	WeightsChunks int    `json:"weights_chunks,omitempty"` // of either
-	WeightsSHA256 string `json:"weights_sha256,omitempty"` // hex, over the chunks in order
+	WeightsChunks int    `json:"weights_chunks,omitempty"` // number of chunks at WeightsDir or WeightsURL
+	WeightsSHA256 string `json:"weights_sha256,omitempty"` // hexadecimal digest of the chunks in order
 }
 
-// OrderResult answers an order; the HTTP status is 409 for a refused fence.
+// OrderResult is the answer to an order. The HTTP status is 409 if the fencing token
+// was rejected.
 type OrderResult struct {
 	Version int64  `json:"version"`
 	Detail  string `json:"detail,omitempty"`
 }
 
-// CancelRequest ends a running request.
+// CancelRequest cancels a running request.
 type CancelRequest struct {
 	RequestID string `json:"request_id"`
 }
 
-// CacheEvent tells that a prompt prefix entered or left the engine's cache.
+// CacheEvent reports that a prompt prefix was added to or removed from the engine's
+// cache.
 type CacheEvent struct {
 	Sequence int64  `json:"sequence"` // gaps mean that events were lost
 	Prefix   uint64 `json:"prefix"`
