--- a/internal/observe/names_test.go
+++ b/internal/observe/names_test.go
@@ -11,12 +11,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// registered finds the names of metrics in the sources; of a name that is put
-// together, its constant beginning.
-var registered = regexp.MustCompile(`GetOrRegister(?:Counter|Timer|Gauge|Histogram|Meter)\("([^"]+)"`)
+// metricNames matches the names of metrics in the sources. For a name that is
+// concatenated it matches the constant prefix.
+var metricNames = regexp.MustCompile(`GetOrRegister(?:Counter|Timer|Gauge|Histogram|Meter)\("([^"]+)"`)
 
 var _ = Describe("the list of metrics", func() {
-	It("stands in docs/METRICS.md name by name", func() {
+	It("in docs/METRICS.md contains every metric that the sources register", func() {
 		page, err := os.ReadFile("../../docs/METRICS.md")
 		Expect(err).NotTo(HaveOccurred())
 		found := 0
@@ -29,7 +29,7 @@
 				if err != nil {
 					return err
 				}
-				for _, match := range registered.FindAllStringSubmatch(string(source), -1) {
+				for _, match := range metricNames.FindAllStringSubmatch(string(source), -1) {
 					found++
 					Expect(string(page)).To(ContainSubstring("`"+match[1]), path)
 				}
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -12,22 +12,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const stopLimit = 2 * time.Second
+// stopTimeout limits how long a stop waits for requests in flight.
+const stopTimeout = 2 * time.Second
 
-// Server answers /metrics (JSON), /metrics.txt (a line a figure), /healthz and
+// Server serves /metrics (JSON), /metrics.txt (one value per line), /healthz and
 // /readyz.
 type Server struct {
 	Registry metrics.Registry
 	Ready    func() bool
 }
 
-// Serve answers on the listener until ctx ends.
+// Serve serves requests from the listener until ctx ends.
 func (s Server) Serve(ctx context.Context, listener net.Listener) error {
 	server := &fasthttp.Server{Handler: s.handle, Name: "siskinloom", CloseOnShutdown: true}
 	var group errgroup.Group
 	group.Go(func() error { return server.Serve(listener) })
 	<-ctx.Done()
-	stopCtx, cancel := context.WithTimeout(context.Background(), stopLimit)
+	stopCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := server.ShutdownWithContext(stopCtx); err != nil {
 		return errors.Wrap(err, "observe")
--- a/internal/observe/text.go
+++ b/internal/observe/text.go
@@ -9,8 +9,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// writeText writes each figure on a line of its own: a counter as "name value",
-// a timer as its count and the quantiles of its latencies in milliseconds.
+// writeText writes one value per line: counters and gauges as "name value", timers
+// as their count and the quantiles of their latencies in milliseconds.
 func writeText(out io.Writer, registry metrics.Registry) {
 	var lines []string
 	registry.Each(func(name string, metric any) {
@@ -25,7 +25,7 @@
 	})
 	sort.Strings(lines)
 	for _, line := range lines {
-		_, _ = io.WriteString(out, line) // a reader that left reads again
+		_, _ = io.WriteString(out, line) // the reader is gone; it may request the metrics again
 	}
 }
 
--- a/internal/observe/text_test.go
+++ b/internal/observe/text_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("metrics as text", func() {
-	It("gives counters, and timers with their quantiles in milliseconds", func() {
+	It("contains counters, and timers with their quantiles in milliseconds", func() {
 		registry := metrics.NewRegistry()
 		metrics.GetOrRegisterCounter("b.counter", registry).Inc(7)
 		timer := metrics.GetOrRegisterTimer("a.timer", registry)
