--- a/internal/tlsconf/files.go
+++ b/internal/tlsconf/files.go
@@ -10,26 +10,26 @@
 	"github.com/pkg/errors"
 )
 
-// watched holds what was read from files and reads it again once one of them
-// has changed. While a rotation is under way, with one file of a pair replaced
-// and the other not yet, the old content stays in use.
-type watched[T any] struct {
+// reloader holds a value read from files and reads it again when one of them has
+// changed. During a rotation, when one file of a pair has been replaced but not yet
+// the other, the old value stays in use.
+type reloader[T any] struct {
 	files []string
 	read  func() (T, error)
 
-	mu     sync.Mutex
-	stamps []stamp
-	value  T
+	mu       sync.Mutex
+	versions []fileVersion
+	value    T
 }
 
-// stamp tells one content of a file from another.
-type stamp struct {
+// fileVersion identifies a version of a file's content.
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-func (w *watched[T]) load() error {
-	stamps, err := w.stat()
+func (w *reloader[T]) load() error {
+	versions, err := w.stat()
 	if err != nil {
 		return err
 	}
@@ -37,55 +37,58 @@
 	if err != nil {
 		return err
 	}
-	w.stamps, w.value = stamps, value
+	w.versions, w.value = versions, value
 	return nil
 }
 
-func (w *watched[T]) stat() ([]stamp, error) {
-	stamps := make([]stamp, len(w.files))
+func (w *reloader[T]) stat() ([]fileVersion, error) {
+	versions := make([]fileVersion, len(w.files))
 	for i, name := range w.files {
 		info, err := os.Stat(name)
 		if err != nil {
 			return nil, errors.Wrap(err, "tlsconf")
 		}
-		stamps[i] = stamp{modified: info.ModTime(), size: info.Size()}
+		versions[i] = fileVersion{modified: info.ModTime(), size: info.Size()}
 	}
-	return stamps, nil
+	return versions, nil
 }
 
-func (w *watched[T]) current() (T, error) {
+// current returns the value after reloading it if a file has changed.
+func (w *reloader[T]) current() (T, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.changed() {
-		_ = w.load() // kept as it was; the next connection tries again
+		_ = w.load() // on failure the old value stays; the next connection tries again
 	}
 	return w.value, nil
 }
 
-func (w *watched[T]) changed() bool {
-	stamps, err := w.stat()
+func (w *reloader[T]) changed() bool {
+	versions, err := w.stat()
 	if err != nil {
 		return false
 	}
-	for i := range stamps {
-		if stamps[i] != w.stamps[i] {
+	for i := range versions {
+		if versions[i] != w.versions[i] {
 			return true
 		}
 	}
 	return false
 }
 
-type pair = watched[*tls.Certificate]
+// keyPair reloads a certificate and its private key.
+type keyPair = reloader[*tls.Certificate]
 
-func newPair(certFile, keyFile string) (*pair, error) {
-	p := &pair{files: []string{certFile, keyFile}, read: func() (*tls.Certificate, error) {
+func newKeyPair(certFile, keyFile string) (*keyPair, error) {
+	p := &keyPair{files: []string{certFile, keyFile}, read: func() (*tls.Certificate, error) {
 		cert, err := tls.LoadX509KeyPair(certFile, keyFile)
 		return &cert, errors.Wrapf(err, "tlsconf: %s", certFile)
 	}}
 	return p, p.load()
 }
 
-type authority = watched[*x509.CertPool]
+// authority reloads the certificates of a certificate authority.
+type authority = reloader[*x509.CertPool]
 
 func newAuthority(caFile string) (*authority, error) {
 	a := &authority{files: []string{caFile}, read: func() (*x509.CertPool, error) {
--- a/internal/tlsconf/platform.go
+++ b/internal/tlsconf/platform.go
@@ -12,9 +12,10 @@
 	"siskinloom.example/siskinloom/internal/settings"
 )
 
-// PlatformCredentials returns the credentials of connections to the platform at an
-// address. Without an authority in the settings they are plain; with one, a
-// platform that it has not signed for the server's name is not spoken to.
+// PlatformCredentials returns the credentials for connections to the platform at an
+// address. Without a certificate authority in the settings, connections are not
+// encrypted. With one, a connection fails if the authority has not signed the
+// platform's certificate for the server name.
 func PlatformCredentials(t settings.PlatformTLS, address string) (credentials.TransportCredentials, error) {
 	if t.CA == "" {
 		return insecure.NewCredentials(), nil
@@ -29,18 +30,18 @@
 			return nil, errors.Wrap(err, "tlsconf: platform")
 		}
 	}
-	// The library would take the authority once and for all; it is checked here
-	// instead, so that it can be replaced while the process runs.
+	// The library would read the authority only once. The certificate is verified
+	// here instead, so that the authority can be replaced while the process runs.
 	config := &tls.Config{
 		MinVersion:         tls.VersionTLS12,
 		ServerName:         t.ServerName,
-		InsecureSkipVerify: true, // VerifyConnection checks chain and name
+		InsecureSkipVerify: true, // VerifyConnection verifies the chain and the name
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verifyPeer(a, state, x509.VerifyOptions{DNSName: name, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}})
 		},
 	}
 	if t.Cert != "" {
-		p, err := newPair(t.Cert, t.Key)
+		p, err := newKeyPair(t.Cert, t.Key)
 		if err != nil {
 			return nil, err
 		}
@@ -49,7 +50,7 @@
 	return credentials.NewTLS(config), nil
 }
 
-// verifyPeer checks a peer's certificate by an authority's signature.
+// verifyPeer verifies that the authority has signed the peer's certificate.
 func verifyPeer(a *authority, state tls.ConnectionState, o x509.VerifyOptions) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.New("tlsconf: the peer has no certificate")
--- a/internal/tlsconf/platform_test.go
+++ b/internal/tlsconf/platform_test.go
@@ -25,7 +25,7 @@
 
 	BeforeEach(func() {
 		ours, theirs = newAuthority(), newAuthority()
-		server, client = files(), files()
+		server, client = tempFiles(), tempFiles()
 		ours.issue(server, "platform")
 		ours.issue(client, "entry")
 		clients := x509.NewCertPool()
@@ -44,12 +44,12 @@
 		DeferCleanup(platform.Close)
 	})
 
-	// reach makes one call of the platform with the client's files.
-	reach := func(t settings.PlatformTLS) error {
-		towards, err := tlsconf.PlatformCredentials(t, address)
+	// callPlatform makes one call to the platform with the given files.
+	callPlatform := func(t settings.PlatformTLS) error {
+		creds, err := tlsconf.PlatformCredentials(t, address)
 		Expect(err).NotTo(HaveOccurred())
 		store, err := kv.NewClient(kv.Options{Address: address, Writer: "e", CallsPerSec: 10, CallTimeout: 10 * time.Second,
-			Dial: []grpc.DialOption{grpc.WithTransportCredentials(towards)}})
+			Dial: []grpc.DialOption{grpc.WithTransportCredentials(creds)}})
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = store.Close() }()
 		_, err = store.Get(context.Background(), kv.UseConfig, "k")
@@ -59,27 +59,27 @@
 		return settings.PlatformTLS{CA: client.InnerCA, Cert: client.InnerCert, Key: client.InnerKey}
 	}
 
-	It("lets the platform and a process of one authority meet", func() {
-		Expect(reach(ourFiles())).To(Succeed())
+	It("connects to a platform with a certificate of the same authority", func() {
+		Expect(callPlatform(ourFiles())).To(Succeed())
 	})
 
-	// The platform's address is taken by someone who has a certificate for
-	// another name or of another authority, or none. A process that fell back to
-	// plain text, or did not look, would hand them leases and claims.
-	It("speaks to nobody else, and not in plain text", func() {
+	// Another server listens at the platform's address, with a certificate for another
+	// name or of another authority, or without TLS. A process that fell back to plain
+	// text or did not verify the certificate would send it leases and claims.
+	It("rejects other servers and plain text", func() {
 		t := ourFiles()
 		t.ServerName = "other"
-		Expect(reach(t)).To(MatchError(ContainSubstring("wanted to match other")))
-		Expect(reach(settings.PlatformTLS{})).NotTo(Succeed())
+		Expect(callPlatform(t)).To(MatchError(ContainSubstring("wanted to match other")))
+		Expect(callPlatform(settings.PlatformTLS{})).NotTo(Succeed())
 		t = ourFiles()
 		t.Cert, t.Key = "", ""
-		Expect(reach(t)).NotTo(Succeed(), "the platform asks for a certificate")
+		Expect(callPlatform(t)).NotTo(Succeed(), "the platform asks for a certificate")
 		theirs.issue(server, "platform")
-		Expect(reach(ourFiles())).To(MatchError(ContainSubstring("peer")))
+		Expect(callPlatform(ourFiles())).To(MatchError(ContainSubstring("peer")))
 	})
 
-	It("takes a new authority and a new certificate without a restart", func() {
-		towards, err := tlsconf.PlatformCredentials(ourFiles(), address)
+	It("accepts a new authority and a new certificate without a restart", func() {
+		creds, err := tlsconf.PlatformCredentials(ourFiles(), address)
 		Expect(err).NotTo(HaveOccurred())
 		handshake := func() error {
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -87,17 +87,17 @@
 			conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 			Expect(err).NotTo(HaveOccurred())
 			defer func() { _ = conn.Close() }()
-			_, _, err = towards.ClientHandshake(ctx, address, conn)
+			_, _, err = creds.ClientHandshake(ctx, address, conn)
 			return err
 		}
 		Expect(handshake()).To(Succeed())
 		theirs.issue(server, "platform")
 		Expect(handshake()).To(MatchError(ContainSubstring("peer")))
-		write(client.InnerCA, "CERTIFICATE", theirs.cert.Raw)
+		writePEM(client.InnerCA, "CERTIFICATE", theirs.cert.Raw)
 		Expect(handshake()).To(Succeed())
 	})
 
-	It("refuses to start with files that do not fit", func() {
+	It("fails to start with invalid files", func() {
 		Expect(os.WriteFile(client.InnerCA, []byte("nothing"), 0o600)).To(Succeed())
 		_, err := tlsconf.PlatformCredentials(ourFiles(), address)
 		Expect(err).To(MatchError(ContainSubstring("no certificate in")))
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -1,9 +1,8 @@
-// Package tlsconf secures connections by the settings: TLS towards callers,
-// operators and the platform, and mutual authentication between the system's own
-// processes. There
-// is no fallback to plain text: with certificates set, a peer without one that
-// the deployment's authority signed is not spoken to. Files are read again when
-// they change, so keys are rotated without a restart.
+// Package tlsconf creates TLS configurations from the settings: TLS for callers,
+// operators and the platform, and mutual TLS between entries and agents. There is no
+// fallback to plain text: if certificates are configured, a connection to a peer
+// without a certificate signed by the deployment's authority fails. Files are read
+// again when they change, so keys can be rotated without a restart.
 package tlsconf
 
 import (
@@ -15,18 +14,18 @@
 	"siskinloom.example/siskinloom/internal/settings"
 )
 
-// Inner makes the connections between the system's own processes.
+// Inner makes the connections between entries and agents.
 type Inner struct {
-	pair      *pair      // nil: TLS is off
+	keyPair   *keyPair   // nil: TLS is off
 	authority *authority // nil: TLS is off
 }
 
-// NewInner reads the files of the settings; none set turns TLS off.
+// NewInner reads the files of the settings. TLS is off if none are set.
 func NewInner(t settings.TLS) (*Inner, error) {
 	if t.InnerCert == "" && t.InnerKey == "" && t.InnerCA == "" {
 		return &Inner{}, nil
 	}
-	p, err := newPair(t.InnerCert, t.InnerKey)
+	p, err := newKeyPair(t.InnerCert, t.InnerKey)
 	if err != nil {
 		return nil, err
 	}
@@ -34,36 +33,36 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Inner{pair: p, authority: a}, nil
+	return &Inner{keyPair: p, authority: a}, nil
 }
 
-// Dial connects to another process's inner address.
+// Dial connects to the inner address of another process.
 func (i *Inner) Dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := &net.Dialer{}
-	if i.pair == nil {
+	if i.keyPair == nil {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
 	return (&tls.Dialer{NetDialer: dialer, Config: i.client()}).DialContext(ctx, "tcp", address)
 }
 
-// Listen listens on the own inner address.
+// Listen listens on this process's inner address.
 func (i *Inner) Listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
-	if err != nil || i.pair == nil {
+	if err != nil || i.keyPair == nil {
 		return listener, err
 	}
 	return tls.NewListener(listener, i.server()), nil
 }
 
-// client checks the peer itself: instances are replaced at any time and come
-// back under other addresses, so a certificate proves membership in the
-// deployment, by its authority's signature, and not an address.
+// client returns the configuration of outgoing connections. It verifies the
+// authority's signature but no address: instances are replaced at any time and
+// return with other addresses, so a certificate proves membership in the deployment.
 func (i *Inner) client() *tls.Config {
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS13,
-		InsecureSkipVerify:   true, // VerifyConnection checks the chain
+		InsecureSkipVerify:   true, // VerifyConnection verifies the chain
 		VerifyConnection:     i.verify(x509.ExtKeyUsageServerAuth),
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return i.pair.current() },
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return i.keyPair.current() },
 	}
 }
 
@@ -72,8 +71,8 @@
 		MinVersion:             tls.VersionTLS13,
 		ClientAuth:             tls.RequireAnyClientCert,
 		VerifyConnection:       i.verify(x509.ExtKeyUsageClientAuth),
-		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.pair.current() },
-		SessionTicketsDisabled: true, // a resumed session would outlive a revoked authority
+		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.keyPair.current() },
+		SessionTicketsDisabled: true, // a resumed session would remain valid after its authority was revoked
 	}
 }
 
@@ -83,13 +82,13 @@
 	}
 }
 
-// Protocols that a listener for callers agrees on in the handshake.
+// Protocols that ListenCaller offers in the TLS handshake (ALPN).
 const (
 	HTTP1 = "http/1.1"
 	HTTP2 = "h2"
 )
 
-// ListenCaller listens for callers (HTTP1), or trainers and operators (HTTP2).
+// ListenCaller listens for callers (HTTP1) or for trainers and operators (HTTP2).
 func ListenCaller(t settings.TLS, address, protocol string) (net.Listener, error) {
 	config, err := CallerConfig(t, protocol)
 	if err != nil {
@@ -102,13 +101,13 @@
 	return tls.NewListener(listener, config), nil
 }
 
-// CallerConfig returns the configuration towards callers, trainers and operators;
-// nil if TLS is off.
+// CallerConfig returns the configuration of connections from callers, trainers and
+// operators, or nil if TLS is off.
 func CallerConfig(t settings.TLS, protocol string) (*tls.Config, error) {
 	if t.CallerCert == "" && t.CallerKey == "" {
 		return nil, nil
 	}
-	p, err := newPair(t.CallerCert, t.CallerKey)
+	p, err := newKeyPair(t.CallerCert, t.CallerKey)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -29,7 +29,7 @@
 	RunSpecs(t, "tlsconf")
 }
 
-// authority signs certificates.
+// authority is a certificate authority.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -37,10 +37,10 @@
 
 var serial int64
 
-// answerLimit is how long a client waits for its answer.
-var answerLimit time.Duration
+// readTimeout is how long a client waits for its answer.
+var readTimeout time.Duration
 
-func template(name string) *x509.Certificate {
+func certTemplate(name string) *x509.Certificate {
 	serial++
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(serial),
@@ -53,7 +53,7 @@
 func newAuthority() *authority {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
-	t := template("authority")
+	t := certTemplate("authority")
 	t.IsCA, t.BasicConstraintsValid, t.KeyUsage = true, true, x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
 	Expect(err).NotTo(HaveOccurred())
@@ -62,42 +62,42 @@
 	return &authority{cert: cert, key: key}
 }
 
-func write(path, kind string, der []byte) {
+func writePEM(path, kind string, der []byte) {
 	Expect(os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600)).To(Succeed())
 	stamp := time.Now().Add(time.Duration(serial) * time.Second) // differs for each content
 	Expect(os.Chtimes(path, stamp, stamp)).To(Succeed())
 }
 
-// issue writes a certificate of the given name to the settings' files.
+// issue writes a new certificate with the given common name to the settings' files.
 func (a *authority) issue(t settings.TLS, name string) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
-	leaf := template(name)
+	leaf := certTemplate(name)
 	leaf.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	leaf.IPAddresses = []net.IP{net.IPv4(127, 0, 0, 1)}
 	der, err := x509.CreateCertificate(rand.Reader, leaf, a.cert, &key.PublicKey, a.key)
 	Expect(err).NotTo(HaveOccurred())
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	Expect(err).NotTo(HaveOccurred())
-	write(t.InnerCert, "CERTIFICATE", der)
-	write(t.InnerKey, "EC PRIVATE KEY", keyDER)
-	write(t.InnerCA, "CERTIFICATE", a.cert.Raw)
+	writePEM(t.InnerCert, "CERTIFICATE", der)
+	writePEM(t.InnerKey, "EC PRIVATE KEY", keyDER)
+	writePEM(t.InnerCA, "CERTIFICATE", a.cert.Raw)
 }
 
-func files() settings.TLS {
+func tempFiles() settings.TLS {
 	dir := GinkgoT().TempDir()
 	t := settings.TLS{InnerCert: filepath.Join(dir, "cert.pem"), InnerKey: filepath.Join(dir, "key.pem"), InnerCA: filepath.Join(dir, "ca.pem")}
 	t.CallerCert, t.CallerKey = t.InnerCert, t.InnerKey
 	return t
 }
 
-func inner(t settings.TLS) *tlsconf.Inner {
+func newInner(t settings.TLS) *tlsconf.Inner {
 	i, err := tlsconf.NewInner(t)
 	Expect(err).NotTo(HaveOccurred())
 	return i
 }
 
-// serve answers each connection with the peer's certificate name.
+// serve answers each connection with the common name of the peer's certificate.
 func serve(l net.Listener) string {
 	DeferCleanup(l.Close)
 	go func() {
@@ -115,8 +115,8 @@
 	return l.Addr().String()
 }
 
-// meet returns what a client reads from the server, or the error.
-func meet(client *tlsconf.Inner, address string) (string, error) {
+// readAnswer returns what a client reads from the server, or the error.
+func readAnswer(client *tlsconf.Inner, address string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	conn, err := client.Dial(ctx, address)
@@ -124,7 +124,7 @@
 		return "", err
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(answerLimit))
+	_ = conn.SetDeadline(time.Now().Add(readTimeout))
 	text, err := io.ReadAll(conn)
 	return string(text), err
 }
@@ -135,52 +135,52 @@
 	var address string
 
 	BeforeEach(func() {
-		answerLimit = 30 * time.Second
+		readTimeout = 30 * time.Second
 		ours, theirs = newAuthority(), newAuthority()
-		server, client = files(), files()
+		server, client = tempFiles(), tempFiles()
 		ours.issue(server, "server")
 		ours.issue(client, "client")
-		listener, err := inner(server).Listen("127.0.0.1:0")
+		listener, err := newInner(server).Listen("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address = serve(listener)
 	})
 
-	It("lets processes of one authority meet", func() {
-		Expect(meet(inner(client), address)).To(Equal("client"))
+	It("connects processes with certificates of the same authority", func() {
+		Expect(readAnswer(newInner(client), address)).To(Equal("client"))
 	})
 
-	It("refuses a peer of another authority on either side, and plain text", func() {
+	It("rejects a peer of another authority on either side, and plain text", func() {
 		theirs.issue(client, "stranger")
-		stranger := inner(client)
-		_, err := meet(stranger, address)
+		stranger := newInner(client)
+		_, err := readAnswer(stranger, address)
 		Expect(err).To(MatchError(ContainSubstring("peer")), "the client does not trust the server")
-		write(client.InnerCA, "CERTIFICATE", ours.cert.Raw)
-		text, err := meet(stranger, address)
+		writePEM(client.InnerCA, "CERTIFICATE", ours.cert.Raw)
+		text, err := readAnswer(stranger, address)
 		Expect(err).To(HaveOccurred(), "the server does not trust the client")
 		Expect(text).To(BeEmpty())
-		answerLimit = 200 * time.Millisecond // plain text gets no answer at all
-		text, err = meet(inner(settings.TLS{}), address)
+		readTimeout = 200 * time.Millisecond // plain text gets no answer at all
+		text, err = readAnswer(newInner(settings.TLS{}), address)
 		Expect(err).To(HaveOccurred())
 		Expect(text).To(BeEmpty())
 	})
 
-	It("takes new files without a restart, and keeps the old ones while a pair is half replaced", func() {
-		running := inner(client)
-		Expect(meet(running, address)).To(Equal("client"))
+	It("loads new files without a restart and keeps the old ones while only one file of a pair is replaced", func() {
+		running := newInner(client)
+		Expect(readAnswer(running, address)).To(Equal("client"))
 		key, err := os.ReadFile(client.InnerKey)
 		Expect(err).NotTo(HaveOccurred())
 		ours.issue(client, "renewed")
 		fresh, err := os.ReadFile(client.InnerKey)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(os.WriteFile(client.InnerKey, key, 0o600)).To(Succeed())
-		Expect(meet(running, address)).To(Equal("client"))
+		Expect(readAnswer(running, address)).To(Equal("client"))
 		Expect(os.WriteFile(client.InnerKey, fresh, 0o600)).To(Succeed())
 		later := time.Now().Add(time.Hour)
 		Expect(os.Chtimes(client.InnerKey, later, later)).To(Succeed())
-		Expect(meet(running, address)).To(Equal("renewed"))
+		Expect(readAnswer(running, address)).To(Equal("renewed"))
 	})
 
-	It("refuses to start with files that do not fit", func() {
+	It("fails to start with invalid files", func() {
 		Expect(os.WriteFile(server.InnerCA, []byte("nothing"), 0o600)).To(Succeed())
 		_, err := tlsconf.NewInner(server)
 		Expect(err).To(MatchError(ContainSubstring("no certificate in")))
@@ -189,7 +189,7 @@
 
 var _ = Describe("ListenCaller", func() {
 	It("serves TLS with the callers' certificate", func() {
-		a, t := newAuthority(), files()
+		a, t := newAuthority(), tempFiles()
 		a.issue(t, "entry")
 		listener, err := tlsconf.ListenCaller(t, "127.0.0.1:0", tlsconf.HTTP1)
 		Expect(err).NotTo(HaveOccurred())
