--- a/internal/bounds/bounds.go
+++ b/internal/bounds/bounds.go
@@ -1,6 +1,6 @@
-// Package bounds holds measured figures against the regression bounds of
-// bench/bounds.ini. Every figure comes from a seeded run in virtual time or
-// from counters, so that a verdict is the same on every machine.
+// Package bounds compares measured figures with the regression bounds of
+// bench/bounds.ini. Every figure comes from a seeded run in virtual time or from
+// counters, so that the verdict is the same on every machine.
 package bounds
 
 import (
@@ -15,29 +15,30 @@
 	"gopkg.in/ini.v1"
 )
 
-// atOnce is how many measurements run side by side. Some use several cores by
-// themselves, most use one.
-const atOnce = 6
+// maxConcurrent is the number of measurements that run at the same time. Most use
+// one core, some use several.
+const maxConcurrent = 6
 
-// Figure is one measured value.
+// Figure is a measured value.
 type Figure struct {
 	Name  string
 	Value float64
 }
 
-// Measurement produces figures from one seeded run.
+// Measurement is a seeded run that produces figures.
 type Measurement struct {
-	Name      string // names the run, for selection on the command line
+	Name      string // name by which the run is selected on the command line
 	Run       func() ([]Figure, error)
-	Exclusive bool // counts what the whole process does, so that no other may run beside it
+	Exclusive bool // the run counts events of the whole process, so no other may run at the same time
 }
 
-// RunAll runs the measurements and returns their figures in the order given.
-// Those that need not be alone run several at once.
+// RunAll runs the measurements and returns their figures in the order of the
+// measurements. The exclusive ones run first, one by one; the others run
+// concurrently.
 func RunAll(all []Measurement) ([]Figure, error) {
 	figures := make([][]Figure, len(all))
 	var group errgroup.Group
-	group.SetLimit(atOnce)
+	group.SetLimit(maxConcurrent)
 	run := func(i int) (err error) {
 		figures[i], err = all[i].Run()
 		return errors.Wrap(err, all[i].Name)
@@ -59,14 +60,14 @@
 	return slices.Concat(figures...), err
 }
 
-// Bound limits a figure from below, from above or both.
+// Bound is a lower or upper limit of a figure, or both.
 type Bound struct {
 	Min, Max float64
 	HasMin   bool
 	HasMax   bool
 }
 
-// Holds tells whether v keeps the bound. Not-a-number never does.
+// Holds tells whether v is within the bound. NaN never is.
 func (b Bound) Holds(v float64) bool {
 	if math.IsNaN(v) {
 		return false
@@ -74,7 +75,7 @@
 	return (!b.HasMin || v >= b.Min) && (!b.HasMax || v <= b.Max)
 }
 
-// String returns the bound as it is printed.
+// String returns the bound as it is printed in reports.
 func (b Bound) String() string {
 	switch {
 	case b.HasMin && b.HasMax:
@@ -88,8 +89,8 @@
 	}
 }
 
-// Load reads bounds from an INI file: a section per figure with min, max or
-// neither for a figure that is only stated.
+// Load reads bounds from an INI file. It has a section for each figure with the keys
+// min and max. A figure with neither is reported without a limit.
 func Load(path string) (map[string]Bound, error) {
 	file, err := ini.Load(path)
 	if err != nil {
@@ -130,16 +131,16 @@
 	return b, nil
 }
 
-// Report prints each figure with its bound and verdict and returns how many
-// failed. A bound whose figure no run produced counts as failed, unless only
-// part of the runs was selected.
+// Report prints each figure with its bound and verdict and returns the number of
+// failures. A figure without a bound fails, and so does a bound whose figure was
+// not measured, unless partial is true because only some runs were selected.
 func Report(out io.Writer, figures []Figure, limits map[string]Bound, partial bool) int {
 	sort.SliceStable(figures, func(i, j int) bool { return figures[i].Name < figures[j].Name })
 	failed := 0
-	seen := map[string]bool{}
+	measured := map[string]bool{}
 	for _, f := range figures {
 		bound, known := limits[f.Name]
-		seen[f.Name] = true
+		measured[f.Name] = true
 		verdict := "ok"
 		if !known || !bound.Holds(f.Value) {
 			verdict = "FAIL"
@@ -154,17 +155,18 @@
 	if partial {
 		return failed
 	}
-	for _, name := range missing(limits, seen) {
+	for _, name := range missing(limits, measured) {
 		fmt.Fprintf(out, "%s not-measured %s FAIL\n", name, limits[name])
 		failed++
 	}
 	return failed
 }
 
-func missing(limits map[string]Bound, seen map[string]bool) []string {
+// missing returns the sorted names of the bounds whose figures were not measured.
+func missing(limits map[string]Bound, measured map[string]bool) []string {
 	var names []string
 	for name := range limits {
-		if !seen[name] {
+		if !measured[name] {
 			names = append(names, name)
 		}
 	}
--- a/internal/bounds/bounds_test.go
+++ b/internal/bounds/bounds_test.go
@@ -27,14 +27,14 @@
 }
 
 var _ = Describe("RunAll", func() {
-	It("runs what must be alone by itself and keeps the order of the figures", func() {
-		var running, most atomic.Int32
-		run := func(name string, alone bool) bounds.Measurement {
-			return bounds.Measurement{Name: name, Exclusive: alone, Run: func() ([]bounds.Figure, error) {
+	It("runs exclusive measurements one at a time and keeps the order of the figures", func() {
+		var running, maxRunning atomic.Int32
+		run := func(name string, exclusive bool) bounds.Measurement {
+			return bounds.Measurement{Name: name, Exclusive: exclusive, Run: func() ([]bounds.Figure, error) {
 				now := running.Add(1)
 				defer running.Add(-1)
-				if alone {
-					most.Store(max(most.Load(), now))
+				if exclusive {
+					maxRunning.Store(max(maxRunning.Load(), now))
 				}
 				return []bounds.Figure{{Name: name}}, nil
 			}}
@@ -42,7 +42,7 @@
 		figures, err := bounds.RunAll([]bounds.Measurement{run("a", false), run("b", true), run("c", false), run("d", true)})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(figures).To(Equal([]bounds.Figure{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}))
-		Expect(most.Load()).To(Equal(int32(1)))
+		Expect(maxRunning.Load()).To(Equal(int32(1)))
 	})
 	It("names the measurement that failed", func() {
 		broken := bounds.Measurement{Name: "x", Run: func() ([]bounds.Figure, error) { return nil, errors.New("no figure") }}
@@ -52,7 +52,7 @@
 })
 
 var _ = Describe("Report", func() {
-	It("fails a figure past its bound, one without a bound and a bound without a figure", func() {
+	It("fails a figure outside its bound, a figure without a bound and a bound without a figure", func() {
 		limits, err := load("[a.b]\nmax = 2\n[c]\nmin = 1\n[d]\n")
 		Expect(err).NotTo(HaveOccurred())
 		var out strings.Builder
@@ -60,10 +60,10 @@
 		Expect(failed).To(Equal(3))
 		Expect(out.String()).To(Equal("a.b 3 <=2 FAIL\nc 1 >=1 ok\nx 0 no-bound FAIL\nd not-measured stated FAIL\n"))
 	})
-	It("never passes not-a-number", func() {
+	It("fails NaN", func() {
 		Expect(bounds.Bound{}.Holds(math.NaN())).To(BeFalse())
 	})
-	It("names the place of a bad bound", func() {
+	It("names the section and key of an invalid bound", func() {
 		_, err := load("[a]\nmost = 2\n")
 		Expect(err).To(MatchError(ContainSubstring("[a] most")))
 	})
