--- a/internal/ctl/change.go
+++ b/internal/ctl/change.go
@@ -12,6 +12,7 @@
 	"siskinloom.example/siskinloom/api/operatorpb"
 )
 
+// check returns the command that checks declarations locally.
 func (o *options) check() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE|FOLDER...",
@@ -27,7 +28,7 @@
 	}
 }
 
-// reportFindings prints faults and fails if there are any.
+// reportFindings prints the findings and returns an error if there are any.
 func (o *options) reportFindings(cmd *cobra.Command, findings []*operatorpb.Finding) error {
 	if len(findings) == 0 {
 		return nil
@@ -36,18 +37,19 @@
 		if err := printJSON(cmd.OutOrStdout(), &operatorpb.PlanResponse{Findings: findings}); err != nil {
 			return err
 		}
-		return &exit{code: ExitFindings}
+		return &exitError{code: ExitFindings}
 	}
 	for _, f := range findings {
-		place := f.File
+		position := f.File
 		if f.Line > 0 {
-			place = fmt.Sprintf("%s:%d", f.File, f.Line)
+			position = fmt.Sprintf("%s:%d", f.File, f.Line)
 		}
-		fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", place, f.Message)
+		fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", position, f.Message)
 	}
-	return &exit{code: ExitFindings}
+	return &exitError{code: ExitFindings}
 }
 
+// plan returns the command that shows what declarations would change.
 func (o *options) plan() *cobra.Command {
 	return &cobra.Command{
 		Use:   "plan FILE|FOLDER...",
@@ -58,7 +60,7 @@
 			if err != nil {
 				return err
 			}
-			plan, err := o.askPlan(cmd.Context(), files)
+			plan, err := o.callPlan(cmd.Context(), files)
 			if err != nil {
 				return err
 			}
@@ -69,15 +71,15 @@
 				return err
 			}
 			if len(plan.Changes) > 0 {
-				return &exit{code: ExitDrift}
+				return &exitError{code: ExitDrift}
 			}
 			return nil
 		},
 	}
 }
 
-func (o *options) askPlan(ctx context.Context, files []*operatorpb.File) (plan *operatorpb.PlanResponse, err error) {
-	err = o.once(ctx, func(ctx context.Context, client operatorpb.OperatorClient) error {
+func (o *options) callPlan(ctx context.Context, files []*operatorpb.File) (plan *operatorpb.PlanResponse, err error) {
+	err = o.callWithTimeout(ctx, func(ctx context.Context, client operatorpb.OperatorClient) error {
 		plan, err = client.Plan(ctx, &operatorpb.PlanRequest{Deployment: o.deployment, Files: files})
 		return err
 	})
@@ -99,19 +101,19 @@
 				return err
 			}
 			if !cmd.Flags().Changed("expected") {
-				plan, err := o.askPlan(cmd.Context(), files)
+				plan, err := o.callPlan(cmd.Context(), files)
 				if err != nil {
 					return err
 				}
 				expected = plan.Revision
 			}
-			repeated := changeID != ""
-			if !repeated {
+			isRepeat := changeID != ""
+			if !isRepeat {
 				changeID = ulid.Make().String()
 			}
 			return o.runApply(cmd, &operatorpb.ApplyRequest{
 				Deployment: o.deployment, Files: files, ExpectedRevision: expected, ChangeId: changeID,
-			}, repeated)
+			}, isRepeat)
 		},
 	}
 	cmd.Flags().Int64Var(&expected, "expected", 0, "revision that the change builds on; else the newest")
@@ -119,21 +121,21 @@
 	return cmd
 }
 
-// runApply repeats the call at the next entry when one does not answer: the
-// change id makes sure that the change is accepted once. Doubt means that an
-// earlier try may still take effect.
-func (o *options) runApply(cmd *cobra.Command, request *operatorpb.ApplyRequest, doubt bool) error {
+// runApply calls Apply and tries the next entry if one does not answer. The change
+// ID ensures that the change is accepted only once. If mayTakeEffect is true, an
+// earlier attempt may still take effect.
+func (o *options) runApply(cmd *cobra.Command, request *operatorpb.ApplyRequest, mayTakeEffect bool) error {
 	var response *operatorpb.ApplyResponse
-	err := o.once(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) (err error) {
+	err := o.callWithTimeout(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) (err error) {
 		response, err = client.Apply(ctx, request)
-		doubt = doubt || status.Code(err) == codes.Unavailable
+		mayTakeEffect = mayTakeEffect || status.Code(err) == codes.Unavailable
 		return err
 	})
 	if err != nil {
 		if _, called := status.FromError(err); !called || ExitCode(err) == ExitNotAllowed {
 			return err
 		}
-		return &exit{code: ExitUnknown, text: fmt.Sprintf("%v\nThe outcome is unknown; repeat with --change-id %s", err, request.ChangeId)}
+		return &exitError{code: ExitUnknown, text: fmt.Sprintf("%v\nThe outcome is unknown; repeat with --change-id %s", err, request.ChangeId)}
 	}
 	if err := o.reportFindings(cmd, response.Findings); err != nil {
 		return err
@@ -144,22 +146,23 @@
 	if !o.json {
 		fmt.Fprintf(cmd.OutOrStdout(), "%s: revision %d, change %s\n", response.Detail, response.Revision, request.ChangeId)
 	}
-	return applyExit(request, response, doubt)
+	return applyExit(request, response, mayTakeEffect)
 }
 
-// applyExit judges an answer. A refusal settles an earlier try only if the
-// configuration has moved on from the revision that the try built on: else its
-// write may still arrive, and "refused" would be followed by its taking effect.
-func applyExit(request *operatorpb.ApplyRequest, response *operatorpb.ApplyResponse, doubt bool) error {
+// applyExit returns the exit code for an answer. If an earlier attempt may still
+// take effect, a refusal is final only if the configuration is newer than the
+// expected revision. Otherwise the earlier write may still arrive, and the change
+// would take effect after it was reported as refused.
+func applyExit(request *operatorpb.ApplyRequest, response *operatorpb.ApplyResponse, mayTakeEffect bool) error {
 	switch response.Outcome {
 	case operatorpb.ApplyOutcome_APPLY_OUTCOME_ACCEPTED, operatorpb.ApplyOutcome_APPLY_OUTCOME_UNCHANGED:
 		return nil
 	case operatorpb.ApplyOutcome_APPLY_OUTCOME_REFUSED:
-		if !doubt || response.Revision > request.ExpectedRevision {
-			return &exit{code: ExitRefused}
+		if !mayTakeEffect || response.Revision > request.ExpectedRevision {
+			return &exitError{code: ExitRefused}
 		}
 	}
-	return &exit{code: ExitUnknown, text: "the outcome is unknown; repeat with --change-id " + request.ChangeId}
+	return &exitError{code: ExitUnknown, text: "the outcome is unknown; repeat with --change-id " + request.ChangeId}
 }
 
 func (o *options) drain() *cobra.Command {
@@ -170,7 +173,7 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var response *operatorpb.DrainResponse
-			err := o.once(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) (err error) {
+			err := o.callWithTimeout(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) (err error) {
 				response, err = client.Drain(ctx, &operatorpb.DrainRequest{Deployment: o.deployment, Instance: args[0], Undo: undo})
 				return err
 			})
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	keyVariable = "SISKINCTL_KEY"
-	callLimit   = 30 * time.Second
+	keyVariable = "SISKINCTL_KEY" // environment variable with the operator's key
+	callTimeout = 30 * time.Second
 )
 
-// key reads the operator's key. It is never taken from an argument, where every
-// user of the machine could read it.
+// key returns the operator's key from the key file or the environment. It is never
+// an argument of the command, which every user of the machine could read.
 func (o *options) key() (string, error) {
 	if o.keyFile == "" {
 		return os.Getenv(keyVariable), nil
@@ -35,6 +35,7 @@
 	return strings.TrimSpace(string(text)), errors.Wrap(err, "key")
 }
 
+// transport returns the credentials of connections to entries.
 func (o *options) transport() (credentials.TransportCredentials, error) {
 	if o.caFile == "" {
 		return insecure.NewCredentials(), nil
@@ -50,8 +51,8 @@
 	return credentials.NewTLS(&tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}), nil
 }
 
-// each calls do with one entry after the other until one answers.
-func (o *options) each(ctx context.Context, do func(context.Context, operatorpb.OperatorClient) error) error {
+// callEntries calls do for each entry in turn until one of them is available.
+func (o *options) callEntries(ctx context.Context, do func(context.Context, operatorpb.OperatorClient) error) error {
 	if len(o.entries) == 0 {
 		return errors.New("no --entry is given")
 	}
@@ -78,9 +79,9 @@
 	return err
 }
 
-// once is each for a call that ends by itself.
-func (o *options) once(ctx context.Context, do func(context.Context, operatorpb.OperatorClient) error) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+// callWithTimeout is callEntries with a timeout, for calls that are not streams.
+func (o *options) callWithTimeout(ctx context.Context, do func(context.Context, operatorpb.OperatorClient) error) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return o.each(ctx, do)
+	return o.callEntries(ctx, do)
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,4 +1,4 @@
-// Package ctl is siskinctl, the operators' command-line tool.
+// Package ctl implements siskinctl, the operators' command-line tool.
 package ctl
 
 import (
@@ -28,18 +28,18 @@
   5  it is not known whether the change was accepted; repeat it with its change id
   6  no operator has the key`
 
-// exit is an error with an exit code; its text may be empty.
-type exit struct {
+// exitError is an error with an exit code. Its text may be empty.
+type exitError struct {
 	code int
 	text string
 }
 
-// Error returns the text, which is empty if the output has said it all.
-func (e *exit) Error() string { return e.text }
+// Error returns the text, which is empty if the output is sufficient.
+func (e *exitError) Error() string { return e.text }
 
 // ExitCode returns the exit code for the error of a command.
 func ExitCode(err error) int {
-	var e *exit
+	var e *exitError
 	switch {
 	case err == nil:
 		return ExitOK
@@ -52,7 +52,7 @@
 	}
 }
 
-// options are the flags of every command.
+// options holds the flags that all commands have.
 type options struct {
 	entries    []string
 	keyFile    string
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -25,17 +25,17 @@
 	RunSpecs(t, "ctl")
 }
 
-// entry answers as it is told to.
-type entry struct {
+// fakeEntry is an entry that returns preset answers.
+type fakeEntry struct {
 	operatorpb.UnimplementedOperatorServer
-	plan    *operatorpb.PlanResponse
-	apply   *operatorpb.ApplyResponse
-	applied *operatorpb.ApplyRequest
-	audited *operatorpb.AuditRequest
-	lose    bool
+	plan       *operatorpb.PlanResponse
+	apply      *operatorpb.ApplyResponse
+	applied    *operatorpb.ApplyRequest
+	audited    *operatorpb.AuditRequest
+	loseAnswer bool
 }
 
-func (e *entry) Plan(ctx context.Context, _ *operatorpb.PlanRequest) (*operatorpb.PlanResponse, error) {
+func (e *fakeEntry) Plan(ctx context.Context, _ *operatorpb.PlanRequest) (*operatorpb.PlanResponse, error) {
 	meta, _ := metadata.FromIncomingContext(ctx)
 	if keys := meta.Get(operator.KeyMetadata); len(keys) != 1 || keys[0] != "secret" {
 		return nil, status.Error(codes.Unauthenticated, "no operator has this key")
@@ -43,15 +43,15 @@
 	return e.plan, nil
 }
 
-func (e *entry) Apply(_ context.Context, r *operatorpb.ApplyRequest) (*operatorpb.ApplyResponse, error) {
+func (e *fakeEntry) Apply(_ context.Context, r *operatorpb.ApplyRequest) (*operatorpb.ApplyResponse, error) {
 	e.applied = r
-	if e.lose {
+	if e.loseAnswer {
 		return nil, status.Error(codes.Unavailable, "connection lost")
 	}
 	return e.apply, nil
 }
 
-func (e *entry) Status(context.Context, *operatorpb.StatusRequest) (*operatorpb.StatusResponse, error) {
+func (e *fakeEntry) Status(context.Context, *operatorpb.StatusRequest) (*operatorpb.StatusResponse, error) {
 	return &operatorpb.StatusResponse{
 		Revision:  7,
 		Platform:  "up",
@@ -60,14 +60,14 @@
 	}, nil
 }
 
-func (e *entry) Audit(_ context.Context, r *operatorpb.AuditRequest) (*operatorpb.AuditResponse, error) {
+func (e *fakeEntry) Audit(_ context.Context, r *operatorpb.AuditRequest) (*operatorpb.AuditResponse, error) {
 	e.audited = r
 	return &operatorpb.AuditResponse{NotListed: 7, Records: []*operatorpb.AuditRecord{
 		{Operator: "ana", Action: "apply", Outcome: "refused", Detail: "the configuration had changed", Count: 12},
 	}}, nil
 }
 
-func (e *entry) serve() string {
+func (e *fakeEntry) serve() string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	server := grpc.NewServer()
@@ -78,12 +78,12 @@
 }
 
 var _ = Describe("siskinctl", func() {
-	var e *entry
+	var e *fakeEntry
 	var address, keyFile string
 	const good = "../../examples/batumi"
 
 	BeforeEach(func() {
-		e = &entry{plan: &operatorpb.PlanResponse{Revision: 7}}
+		e = &fakeEntry{plan: &operatorpb.PlanResponse{Revision: 7}}
 		address = e.serve()
 		keyFile = filepath.Join(GinkgoT().TempDir(), "key")
 		Expect(os.WriteFile(keyFile, []byte("secret\n"), 0o600)).To(Succeed())
@@ -107,7 +107,7 @@
 		return c
 	}
 
-	It("checks without an entry and prints each finding with its place", func() {
+	It("checks without an entry and prints each finding with its line", func() {
 		bad := filepath.Join(GinkgoT().TempDir(), "bad.ini")
 		Expect(os.WriteFile(bad, []byte("[deployment]\nname = d\n[service s]\nkind = odd\n"), 0o600)).To(Succeed())
 		Expect(code("check", good)).To(Equal(ctl.ExitOK))
@@ -125,7 +125,7 @@
 		Expect(code("plan", good)).To(Equal(ctl.ExitNotAllowed))
 	})
 
-	It("applies on the newest revision and tells the outcomes apart", func() {
+	It("applies on the newest revision and exits with the code of the outcome", func() {
 		e.apply = &operatorpb.ApplyResponse{Outcome: operatorpb.ApplyOutcome_APPLY_OUTCOME_ACCEPTED, Revision: 8, Detail: "accepted"}
 		Expect(code("apply", good)).To(Equal(ctl.ExitOK))
 		Expect(e.applied.ExpectedRevision).To(Equal(int64(7)))
@@ -139,16 +139,16 @@
 		Expect(code("apply", good)).To(Equal(ctl.ExitUnknown))
 	})
 
-	// The connection is lost after the change was sent. The tool must not call
-	// that a failure: the change may have been accepted.
-	It("says unknown when the answer to an apply is lost", func() {
-		e.lose = true
+	// The connection is lost after the change was sent. The tool must not report a
+	// failure, because the change may have been accepted.
+	It("reports an unknown outcome when the answer to an apply is lost", func() {
+		e.loseAnswer = true
 		Expect(code("apply", good, "--change-id", "c")).To(Equal(ctl.ExitUnknown))
 	})
 
-	// A first try may have its write on its way. That the repeat was refused
-	// without a newer revision does not settle it.
-	It("does not call a repeat refused while an earlier try may take effect", func() {
+	// The write of an earlier attempt may still arrive. Unless the refusal of the
+	// repeat shows a newer revision, the outcome stays unknown.
+	It("does not report a repeat as refused while an earlier attempt may take effect", func() {
 		e.apply = &operatorpb.ApplyResponse{Outcome: operatorpb.ApplyOutcome_APPLY_OUTCOME_REFUSED, Revision: 7}
 		Expect(code("apply", good, "--expected", "7", "--change-id", "c")).To(Equal(ctl.ExitUnknown))
 		e.apply.Revision = 8
@@ -162,7 +162,7 @@
 			"duties":[{"name":"feed/a","holder":"127.0.0.1:1","epoch":"3"}]}`))
 	})
 
-	It("shows the audit trail by outcome, with how often and what is not listed", func() {
+	It("shows the audit trail by outcome with counts and the number of changes not listed", func() {
 		text, code := run("audit", "--outcome", "refused,unknown")
 		Expect(code).To(Equal(ctl.ExitOK))
 		Expect(e.audited.Outcomes).To(Equal([]string{"refused", "unknown"}))
--- a/internal/ctl/files.go
+++ b/internal/ctl/files.go
@@ -11,11 +11,11 @@
 	"siskinloom.example/siskinloom/internal/decl"
 )
 
-// readFiles reads declaration files; a folder stands for its *.ini files.
+// readFiles reads declaration files. For a folder it reads all its *.ini files.
 func readFiles(paths []string) ([]*operatorpb.File, error) {
 	var files []*operatorpb.File
 	for _, path := range paths {
-		names, err := expand(path)
+		names, err := listFiles(path)
 		if err != nil {
 			return nil, err
 		}
@@ -30,7 +30,8 @@
 	return files, nil
 }
 
-func expand(path string) ([]string, error) {
+// listFiles returns the path itself or, for a folder, its *.ini files.
+func listFiles(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil || !info.IsDir() {
 		return []string{path}, err
@@ -43,7 +44,7 @@
 	return names, err
 }
 
-// checkFiles returns the faults of declarations without asking an entry.
+// checkFiles checks declarations locally and returns the findings.
 func checkFiles(files []*operatorpb.File) []*operatorpb.Finding {
 	var sources []decl.Source
 	for _, f := range files {
--- a/internal/ctl/inspect.go
+++ b/internal/ctl/inspect.go
@@ -21,7 +21,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var response *operatorpb.StatusResponse
-			err := o.once(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) (err error) {
+			err := o.callWithTimeout(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) (err error) {
 				response, err = client.Status(ctx, &operatorpb.StatusRequest{Deployment: o.deployment})
 				return err
 			})
@@ -36,7 +36,7 @@
 	}
 }
 
-// auditOutcomes are the outcomes that the audit trail knows.
+// auditOutcomes are the outcomes of changes in the audit trail.
 var auditOutcomes = []string{config.OutcomeAccepted, config.OutcomeRefused, config.OutcomeUnknown}
 
 func (o *options) audit() *cobra.Command {
@@ -54,7 +54,7 @@
 				}
 			}
 			var response *operatorpb.AuditResponse
-			err := o.once(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) (err error) {
+			err := o.callWithTimeout(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) (err error) {
 				response, err = client.Audit(ctx, &operatorpb.AuditRequest{Deployment: o.deployment, SinceRevision: since, Limit: limit, Outcomes: outcomes})
 				return err
 			})
@@ -83,12 +83,12 @@
 		Short: "tell each change as it comes into force, until interrupted",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return o.each(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) error {
+			return o.callEntries(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) error {
 				stream, err := client.Watch(ctx, &operatorpb.WatchRequest{Deployment: o.deployment, SinceRevision: since})
 				if err != nil {
 					return err
 				}
-				return o.follow(cmd, stream, &since)
+				return o.printStream(cmd, stream, &since)
 			})
 		},
 	}
@@ -96,9 +96,9 @@
 	return cmd
 }
 
-// follow prints a watch until it ends; since is moved along, so that the next
-// entry goes on where this one broke off.
-func (o *options) follow(cmd *cobra.Command, stream operatorpb.Operator_WatchClient, since *int64) error {
+// printStream prints the changes of a watch until the stream ends. It updates since,
+// so that the next entry continues after the last printed change.
+func (o *options) printStream(cmd *cobra.Command, stream operatorpb.Operator_WatchClient, since *int64) error {
 	for {
 		response, err := stream.Recv()
 		if errors.Is(err, io.EOF) || cmd.Context().Err() != nil {
@@ -115,7 +115,7 @@
 			continue
 		}
 		for _, row := range auditTable([]*operatorpb.AuditRecord{response.Record}).rows {
-			fmt.Fprintln(cmd.OutOrStdout(), joined(row))
+			fmt.Fprintln(cmd.OutOrStdout(), joinRow(row))
 		}
 	}
 }
@@ -128,7 +128,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var response *operatorpb.ListQuarantineResponse
-			err := o.once(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) (err error) {
+			err := o.callWithTimeout(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) (err error) {
 				response, err = client.ListQuarantine(ctx, &operatorpb.ListQuarantineRequest{Deployment: o.deployment})
 				return err
 			})
@@ -144,7 +144,7 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var response *operatorpb.ReleaseQuarantineResponse
-			err := o.once(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) (err error) {
+			err := o.callWithTimeout(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) (err error) {
 				response, err = client.ReleaseQuarantine(ctx, &operatorpb.ReleaseQuarantineRequest{Deployment: o.deployment, Fingerprint: args[0]})
 				return err
 			})
--- a/internal/ctl/print.go
+++ b/internal/ctl/print.go
@@ -15,13 +15,13 @@
 	"siskinloom.example/siskinloom/api/operatorpb"
 )
 
-// table is a header with rows of the same length.
+// table is a header and rows of the same length.
 type table struct {
 	header []string
 	rows   [][]string
 }
 
-// print prints the message as JSON, or the tables that have rows.
+// print prints the message as JSON or, without --json, the tables that have rows.
 func (o *options) print(cmd *cobra.Command, message proto.Message, tables ...table) error {
 	if o.json {
 		return printJSON(cmd.OutOrStdout(), message)
@@ -70,7 +70,7 @@
 		if i.HeardMsAgo >= 0 {
 			heard = (time.Duration(i.HeardMsAgo) * time.Millisecond).String() + " ago"
 		}
-		t.rows = append(t.rows, []string{i.Id, i.Role, i.Service, i.FailureDomain, i.State, number(i.Revision), number(i.WeightVersion), i.EngineRole, heard})
+		t.rows = append(t.rows, []string{i.Id, i.Role, i.Service, i.FailureDomain, i.State, formatInt(i.Revision), formatInt(i.WeightVersion), i.EngineRole, heard})
 	}
 	return t
 }
@@ -78,7 +78,7 @@
 func dutyTable(duties []*operatorpb.DutyStatus) table {
 	t := table{header: []string{"duty", "holder", "epoch"}}
 	for _, d := range duties {
-		t.rows = append(t.rows, []string{d.Name, d.Holder, number(d.Epoch)})
+		t.rows = append(t.rows, []string{d.Name, d.Holder, formatInt(d.Epoch)})
 	}
 	return t
 }
@@ -91,12 +91,13 @@
 		if r.Detail != "" {
 			outcome += ": " + r.Detail
 		}
-		t.rows = append(t.rows, []string{number(r.Revision), at, r.Operator, r.From, r.ChangeId, r.Action, changeText(r.Changes), outcome, number(r.Count)})
+		t.rows = append(t.rows, []string{formatInt(r.Revision), at, r.Operator, r.From, r.ChangeId, r.Action, changeText(r.Changes), outcome, formatInt(r.Count)})
 	}
 	return t
 }
 
-// shownChanges is how many changes a row tells; JSON tells all.
+// shownChanges is the number of changes in a row of the table. JSON contains all
+// changes.
 const shownChanges = 3
 
 func changeText(changes []*operatorpb.Change) string {
@@ -124,10 +125,10 @@
 	return t
 }
 
-func number(n int64) string {
+func formatInt(n int64) string {
 	return strconv.FormatInt(n, 10)
 }
 
-func joined(row []string) string {
+func joinRow(row []string) string {
 	return strings.Join(row, "  ")
 }
