--- a/cmd/siskinlab/bench.go
+++ b/cmd/siskinlab/bench.go
@@ -14,8 +14,8 @@
 	"siskinloom.example/siskinloom/internal/lab/routing"
 )
 
-// benchmarks lists every wall-clock run. Their figures depend on the machine
-// and have no bounds; each has its baseline from the same run.
+// benchmarks returns all wall-clock benchmarks. Their figures depend on the machine
+// and have no bounds; each benchmark measures its own baseline in the same run.
 func benchmarks() []bounds.Measurement {
 	return []bounds.Measurement{
 		{Name: "path", Run: path.Benchmark},
--- a/cmd/siskinlab/capacity.go
+++ b/cmd/siskinlab/capacity.go
@@ -14,15 +14,15 @@
 	"siskinloom.example/siskinloom/internal/lab/demo"
 )
 
-// capacityCommand holds the parts of the capacity measurement that
-// scripts/capacity.sh calls.
+// capacityCommand returns the steps of the capacity measurement as subcommands,
+// which scripts/capacity.sh calls.
 func capacityCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "capacity", Short: "cost of control work by size; scripts/capacity.sh puts the parts together"}
-	var entries, agents, base int
+	var entries, agents, basePort int
 	var dir, pids, out, limitsFile string
-	var span time.Duration
+	var duration time.Duration
 	layout := &cobra.Command{Use: "layout", Short: "write the settings of a fleet", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		_, err := demo.WriteFleet(dir, base, entries, agents)
+		_, err := demo.WriteFleet(dir, basePort, entries, agents)
 		return err
 	}}
 	measure := &cobra.Command{Use: "measure", Short: "watch a fleet's processes", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
@@ -30,7 +30,7 @@
 		if err != nil {
 			return err
 		}
-		samples, err := capacity.Measure(entries, agents, processes, span)
+		samples, err := capacity.Measure(entries, agents, processes, duration)
 		if err != nil {
 			return err
 		}
@@ -59,9 +59,9 @@
 		c.Flags().IntVar(&agents, "agents", 14, "agents of the fleet")
 	}
 	layout.Flags().StringVar(&dir, "dir", "capacity-out", "folder for the settings")
-	layout.Flags().IntVar(&base, "base", 25000, "ports are taken from the one after this on")
+	layout.Flags().IntVar(&basePort, "base", 25000, "ports are taken from the one after this on")
 	measure.Flags().StringVar(&pids, "pids", "", "file with a line per process: role, process id, address of its metrics")
-	measure.Flags().DurationVar(&span, "span", 10*time.Second, "how long to watch")
+	measure.Flags().DurationVar(&duration, "span", 10*time.Second, "how long to watch")
 	for _, c := range []*cobra.Command{measure, report} {
 		c.Flags().StringVar(&out, "out", "capacity.json", "file of the samples")
 	}
@@ -69,8 +69,8 @@
 	return cmd
 }
 
-// readProcesses reads lines of a role, a process id and the address of the
-// process's metrics.
+// readProcesses reads a file with a line for each process: role, process ID and
+// address of its metrics.
 func readProcesses(path string) ([]capacity.Process, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/cmd/siskinlab/control.go
+++ b/cmd/siskinlab/control.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	entries      = 370
-	letterDuties = 64
+	entries     = 370 // number of entries at the expected size
+	fleetDuties = 64  // number of duties at the expected size and in the run that measures their key-value calls
 )
 
-// controlFigures adds up what control work sends and receives at the busiest
-// node at the expected size: over all entries and several assignments of the
-// duties, heartbeats, list, epochs, configuration, leases and orders of each.
-// It returns nothing if a part was not run.
+// controlFigures returns the bytes per second that control work sends and receives
+// at the busiest node of a deployment of the expected size. It takes the maximum
+// over all entries and several assignments of the duties, and adds up heartbeats,
+// instance list, epochs, configuration, leases and orders of each node. It returns
+// no figures if one of the needed measurements was not run.
 func controlFigures(figures []bounds.Figure) ([]bounds.Figure, error) {
 	m, all := byName(figures, "control.bytes_per_s.list", "control.bytes_per_s.fences",
 		"control.lease_read_bytes", "control.lease_write_bytes", "duties.kv_reads_per_s", "duties.kv_writes_per_s",
@@ -26,27 +27,27 @@
 	if err != nil {
 		return nil, err
 	}
-	standsBy := 0
+	standbyDuties := 0
 	for _, n := range nodes {
-		standsBy += n.StandsBy
+		standbyDuties += n.StandsBy
 	}
-	perDuty := float64(standsBy) * entries / float64(len(nodes)) / letterDuties
-	hold := m["duties.kv_writes_per_s"] / letterDuties * m["control.lease_write_bytes"]
-	standBy := m["duties.kv_reads_per_s"] / letterDuties / perDuty * m["control.lease_read_bytes"]
+	standbysPerDuty := float64(standbyDuties) * entries / float64(len(nodes)) / fleetDuties
+	holdBytes := m["duties.kv_writes_per_s"] / fleetDuties * m["control.lease_write_bytes"]
+	standbyBytes := m["duties.kv_reads_per_s"] / fleetDuties / standbysPerDuty * m["control.lease_read_bytes"]
 	config := m["config.kv_calls_per_s"]/entries*m["control.config_read_bytes"] + m["config.spread_bytes_per_s"]
-	orders := m["weights.orders"] / m["weights.engines"] / versionSeconds * m["control.order_bytes"] // of an engine
+	orders := m["weights.orders"] / m["weights.engines"] / versionSeconds * m["control.order_bytes"] // of one engine
 	common := m["control.bytes_per_s.list"] + m["control.bytes_per_s.fences"] + config
-	busiest, leases, owned := m["control.bytes_per_s_agent"]+orders, 0.0, 0.0
+	busiest, maxLeases, maxOrders := m["control.bytes_per_s_agent"]+orders, 0.0, 0.0
 	for _, n := range nodes {
-		lease := float64(n.Holds)*hold + float64(n.StandsBy)*standBy
+		lease := float64(n.Holds)*holdBytes + float64(n.StandsBy)*standbyBytes
 		order := float64(n.Engines) * orders
-		leases, owned = max(leases, lease), max(owned, order)
+		maxLeases, maxOrders = max(maxLeases, lease), max(maxOrders, order)
 		busiest = max(busiest, n.Heartbeats+common+lease+order)
 	}
 	return []bounds.Figure{
 		{Name: "control.bytes_per_s", Value: busiest},
-		{Name: "control.bytes_per_s.leases", Value: leases},
+		{Name: "control.bytes_per_s.leases", Value: maxLeases},
 		{Name: "control.bytes_per_s.config", Value: config},
-		{Name: "control.bytes_per_s.orders", Value: owned},
+		{Name: "control.bytes_per_s.orders", Value: maxOrders},
 	}, nil
 }
--- a/cmd/siskinlab/demo.go
+++ b/cmd/siskinlab/demo.go
@@ -11,7 +11,8 @@
 	"siskinloom.example/siskinloom/internal/lab/demo"
 )
 
-// demoCommand holds the parts of the demo that scripts/demo.sh calls.
+// demoCommand returns the steps of the demo as subcommands, which scripts/demo.sh
+// calls.
 func demoCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "demo", Short: "the parts of the demo; scripts/demo.sh puts them together"}
 	cmd.PersistentFlags().String("dir", "demo-out", "the demo's folder")
@@ -30,6 +31,7 @@
 	return cmd
 }
 
+// layoutStep returns a command that calls step with the demo's folder and layout.
 func layoutStep(use, short string, step func(dir string, l demo.Layout) error) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -51,17 +53,17 @@
 }
 
 func layoutCommand() *cobra.Command {
-	var base int
+	var basePort int
 	cmd := &cobra.Command{
 		Use:   "layout",
 		Short: "write settings, instance lists and the list of processes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, err := demo.Write(demoDir(cmd), base)
+			_, err := demo.Write(demoDir(cmd), basePort)
 			return err
 		},
 	}
-	cmd.Flags().IntVar(&base, "base", 21000, "ports are taken from the one after this on")
+	cmd.Flags().IntVar(&basePort, "base", 21000, "ports are taken from the one after this on")
 	return cmd
 }
 
@@ -99,12 +101,12 @@
 		Short: "print the demo's tables; fails if a promise was broken",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			broken, err := demo.Judge(demoDir(cmd), cmd.OutOrStdout())
+			violations, err := demo.Judge(demoDir(cmd), cmd.OutOrStdout())
 			if err != nil {
 				return err
 			}
-			if broken > 0 {
-				return errors.Errorf("%d promises were broken", broken)
+			if violations > 0 {
+				return errors.Errorf("%d promises were broken", violations)
 			}
 			return nil
 		},
--- a/cmd/siskinlab/main.go
+++ b/cmd/siskinlab/main.go
@@ -1,5 +1,6 @@
-// Command siskinlab measures siskinloom: deterministic figures against their
-// bounds, wall-clock benchmarks, and the load of the demo.
+// Command siskinlab measures siskinloom. It checks deterministic figures against
+// their bounds, runs wall-clock benchmarks and the capacity measurement, and
+// generates the load of the demo.
 package main
 
 import (
@@ -20,7 +21,7 @@
 	"siskinloom.example/siskinloom/internal/lab/weights"
 )
 
-// measurements lists every deterministic run.
+// measurements returns all deterministic runs.
 func measurements() []bounds.Measurement {
 	var all []bounds.Measurement
 	all = append(all, rollout.Bounds()...)
@@ -61,9 +62,8 @@
 	return cmd
 }
 
-// chosen tells whether a name starts with one of the prefixes, given with commas
-// between them.
-func chosen(name, prefixes string) bool {
+// hasAnyPrefix tells whether a name starts with one of the comma-separated prefixes.
+func hasAnyPrefix(name, prefixes string) bool {
 	return slices.ContainsFunc(strings.Split(prefixes, ","), func(p string) bool { return strings.HasPrefix(name, p) })
 }
 
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	selected := slices.DeleteFunc(measurements(), func(m bounds.Measurement) bool { return !chosen(m.Name, only) })
+	selected := slices.DeleteFunc(measurements(), func(m bounds.Measurement) bool { return !hasAnyPrefix(m.Name, only) })
 	figures, err := bounds.RunAll(selected)
 	if err != nil {
 		return err
--- a/cmd/siskinlab/platform.go
+++ b/cmd/siskinlab/platform.go
@@ -2,29 +2,30 @@
 
 import "siskinloom.example/siskinloom/internal/bounds"
 
-// The size that the users expect within two years.
+// The deployment's size that the users expect within two years.
 const (
-	feeds             = 14
-	stepSeconds       = 28 * 60
-	versionSeconds    = 11 * 60
-	changesPerSecond  = 6800.0 / (24 * 60 * 60)
-	swapsPerChange    = 1 // one record with its audit entry
-	swapsPerAnnounced = 1 // one record per service
+	feeds            = 14
+	stepSeconds      = 28 * 60
+	versionSeconds   = 11 * 60
+	changesPerSecond = 6800.0 / (24 * 60 * 60)
+	swapsPerChange   = 1 // a change of the configuration writes one record, which contains its audit entry
+	swapsPerVersion  = 1 // an announced version writes one record per service
 )
 
-// platformFigures adds up the key-value service's calls at the expected size
-// from the rates that the runs measured. It returns nothing if a part of them
-// was not run.
+// platformFigures returns the rates of key-value calls at the expected size, added
+// up from the measured rates. It returns no figures if one of the needed
+// measurements was not run.
 func platformFigures(figures []bounds.Figure) []bounds.Figure {
 	measured, all := byName(figures, "claims.kv_writes_per_s", "duties.kv_writes_per_s", "duties.kv_reads_per_s", "config.kv_calls_per_s", "rollout.kv_writes_per_step")
 	if !all {
 		return nil
 	}
 	handover := feeds * measured["rollout.kv_writes_per_step"] / stepSeconds
-	weights := feeds * swapsPerAnnounced / float64(versionSeconds)
+	weights := feeds * swapsPerVersion / float64(versionSeconds)
 	changes := changesPerSecond * swapsPerChange
 	writes := measured["claims.kv_writes_per_s"] + measured["duties.kv_writes_per_s"] + handover + weights + changes
-	// A swap of a change, a version or a manifest is read back once at most.
+	// A compare-and-swap of a change, a version or a manifest is followed by at most
+	// one read.
 	reads := measured["duties.kv_reads_per_s"] + measured["config.kv_calls_per_s"] + handover + weights + changes
 	return []bounds.Figure{
 		{Name: "platform.kv_writes_per_s", Value: writes},
@@ -32,7 +33,7 @@
 	}
 }
 
-// byName returns the figures by name and whether all of the names are there.
+// byName returns all figures by name and whether they include all of the names.
 func byName(figures []bounds.Figure, names ...string) (map[string]float64, bool) {
 	measured := map[string]float64{}
 	for _, f := range figures {
--- a/cmd/siskinlab/plot.go
+++ b/cmd/siskinlab/plot.go
@@ -33,11 +33,13 @@
 	return cmd
 }
 
+// curveColors are the colors of the curves in the order of the deployments.
 var curveColors = []color.Color{
 	color.RGBA{R: 0x1f, G: 0x4e, B: 0x79, A: 0xff},
 	color.RGBA{R: 0xb4, G: 0x53, B: 0x09, A: 0xff},
 }
 
+// plotTradeoff writes the plot to path and prints its points as a table.
 func plotTradeoff(out io.Writer, path string) error {
 	p := plot.New()
 	p.Title.Text = "Idle time against staleness"
@@ -70,6 +72,8 @@
 	return errors.Wrap(p.Save(14*vg.Centimeter, 9*vg.Centimeter, path), "plot")
 }
 
+// addCurve adds a curve to the plot and marks the deployment's own weights with a
+// ring.
 func addCurve(p *plot.Plot, curve rollout.Curve, c color.Color) error {
 	var all, own plotter.XYs
 	for _, point := range curve.Points {
--- a/cmd/siskinloomd/main.go
+++ b/cmd/siskinloomd/main.go
@@ -1,4 +1,5 @@
-// Command siskinloomd is the daemon of siskinloom, as an entry or as an agent.
+// Command siskinloomd is the daemon of siskinloom. It runs as an entry or as an agent,
+// or on the users' platform.
 package main
 
 import (
--- a/cmd/siskinloomd/platform.go
+++ b/cmd/siskinloomd/platform.go
@@ -12,13 +12,13 @@
 	"siskinloom.example/siskinloom/platform"
 )
 
-// exitBadSettings is the exit code for settings that cannot be used.
-const exitBadSettings = 2
+// exitInvalidSettings is the exit code for invalid settings.
+const exitInvalidSettings = 2
 
-var errNoBoot = errors.New(platform.BootVariable + " names no boot file")
+var errNoBootFile = errors.New(platform.BootVariable + " names no boot file")
 
-// platformCommand runs a process on the users' platform, whose boot file the
-// environment names.
+// platformCommand returns the command that runs a process on the users' platform.
+// The environment names the platform's boot file.
 func platformCommand() *cobra.Command {
 	var metricsPort int
 	var settings string
@@ -29,7 +29,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			path := os.Getenv(platform.BootVariable)
 			if path == "" {
-				return &settingsError{errNoBoot}
+				return &settingsError{errNoBootFile}
 			}
 			files := platform.Files{Boot: path, Settings: settings}
 			if err := files.Check(); err != nil {
@@ -48,13 +48,14 @@
 	return command
 }
 
-// settingsError marks an error of the settings, which has its own exit code.
+// settingsError is an error in the settings, for which the exit code is
+// exitInvalidSettings.
 type settingsError struct{ error }
 
 func exitCode(err error) int {
-	var bad *settingsError
-	if errors.As(err, &bad) {
-		return exitBadSettings
+	var invalid *settingsError
+	if errors.As(err, &invalid) {
+		return exitInvalidSettings
 	}
 	return 1
 }
--- a/cmd/siskinstand/main.go
+++ b/cmd/siskinstand/main.go
@@ -1,5 +1,5 @@
-// Command siskinstand runs one of the stand-ins as a process. It prints "ready"
-// once it listens and stops on SIGTERM or SIGINT.
+// Command siskinstand runs a stand-in for an external system as a process. It prints
+// "ready" once it is listening and stops on SIGTERM or SIGINT.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-// exitCrashed is the exit status after a poison request.
+// exitCrashed is the exit code after a request that crashes the stand-in.
 const exitCrashed = 3
 
 func main() {
@@ -36,21 +36,24 @@
 	}
 }
 
+// starter is a stand-in that can be started.
 type starter interface {
 	Start(address string) (string, error)
 }
 
-// serve starts a stand-in and waits for the end of the command's context.
+// serve starts a stand-in, prints its address and blocks until the command's context
+// ends.
 func serve(cmd *cobra.Command, s starter, address string) error {
-	bound, err := s.Start(address)
+	boundAddress, err := s.Start(address)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(cmd.OutOrStdout(), "ready", bound)
+	fmt.Fprintln(cmd.OutOrStdout(), "ready", boundAddress)
 	<-cmd.Context().Done()
 	return nil
 }
 
+// crash ends the process as a crash of the stand-in would.
 func crash() { os.Exit(exitCrashed) }
 
 func platformCommand() *cobra.Command {
@@ -84,7 +87,8 @@
 	return cmd
 }
 
-// platformTLS reads the files that the flags name; nil: no TLS.
+// platformTLS returns the TLS configuration of the files in the flags, or nil if
+// there is no certificate.
 func platformTLS(cert, key, clientCA string) (*tls.Config, error) {
 	if cert == "" {
 		return nil, nil
