--- a/internal/agentless/batchrun/fakes_test.go
+++ b/internal/agentless/batchrun/fakes_test.go
@@ -137,7 +137,7 @@
 // process is one process of the deployment.
 type process struct {
 	name     string
-	store    kv.Shared
+	store    kv.TransactionalStore
 	owner    *batchrun.Owner
 	desk     *batchrun.Frontend
 	mover    *batchrun.Mover
@@ -156,12 +156,12 @@
 
 // switchableStore is a process's connection to the store, which can be cut off.
 type switchableStore struct {
-	kv.Shared
+	kv.TransactionalStore
 	cutOff *atomic.Bool
 }
 
 func (p switchableStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
-	changes, err := p.Shared.Await(ctx, prefix, after, wait)
+	changes, err := p.TransactionalStore.Await(ctx, prefix, after, wait)
 	if p.cutOff.Load() {
 		return kv.Changes{}, kv.ErrUnavailable
 	}
@@ -172,17 +172,17 @@
 	if p.cutOff.Load() {
 		return kv.Page{}, kv.ErrUnavailable
 	}
-	return p.Shared.ReadPage(ctx, prefix, after)
+	return p.TransactionalStore.ReadPage(ctx, prefix, after)
 }
 
 func (p switchableStore) Commit(ctx context.Context, t kv.Transaction) (kv.Committed, error) {
 	if p.cutOff.Load() {
 		return kv.Committed{}, kv.ErrUnavailable
 	}
-	return p.Shared.Commit(ctx, t)
+	return p.TransactionalStore.Commit(ctx, t)
 }
 
-func newProcess(name string, shared kv.Shared, sender dispatch.Sender) *process {
+func newProcess(name string, shared kv.TransactionalStore, sender dispatch.Sender) *process {
 	cutOff := &atomic.Bool{}
 	store := switchableStore{shared, cutOff}
 	d := directory.New("self", "", nil)
--- a/internal/agentless/batchrun/frontend.go
+++ b/internal/agentless/batchrun/frontend.go
@@ -36,7 +36,7 @@
 // Frontend handles calls on batch jobs at any process: it forwards them to the job's owner or
 // answers them from the store. It is safe for concurrent use.
 type Frontend struct {
-	Store      kv.Shared
+	Store      kv.TransactionalStore
 	Members    *cluster.Members
 	Peers      *rpcpool.Pool
 	Local      *Owner
--- a/internal/agentless/batchrun/helpers_test.go
+++ b/internal/agentless/batchrun/helpers_test.go
@@ -26,7 +26,7 @@
 }
 
 // unwatchedStore is a store whose watches report no changes.
-type unwatchedStore struct{ kv.Shared }
+type unwatchedStore struct{ kv.TransactionalStore }
 
 func (u *unwatchedStore) Await(ctx context.Context, _ string, _ int64, _ time.Duration) (kv.Changes, error) {
 	<-ctx.Done()
--- a/internal/agentless/batchrun/mover.go
+++ b/internal/agentless/batchrun/mover.go
@@ -30,7 +30,7 @@
 // Mover moves the jobs of a process that is gone, or those of this process when it stops.
 type Mover struct {
 	Self    string
-	Store   kv.Shared
+	Store   kv.TransactionalStore
 	Members *cluster.Members
 	Log     *logrus.Logger
 	// Unsettled reports whether the store was unreachable until a moment ago.
--- a/internal/agentless/batchrun/mover_test.go
+++ b/internal/agentless/batchrun/mover_test.go
@@ -73,7 +73,7 @@
 		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
 		owner, _ := ownerOf("j")
 		owner.stop()
-		again := newProcess(owner.name, &unwatchedStore{Shared: store}, llm).run()
+		again := newProcess(owner.name, &unwatchedStore{TransactionalStore: store}, llm).run()
 		Eventually(again.owner.Jobs).WithTimeout(eventuallyTimeout).Should(HaveKey("j"))
 		close(llm.hold)
 	})
--- a/internal/agentless/batchrun/owner.go
+++ b/internal/agentless/batchrun/owner.go
@@ -45,7 +45,7 @@
 // Owner runs the jobs that are assigned to this process. It is safe for concurrent use.
 type Owner struct {
 	Name       string // of this process
-	Store      kv.Shared
+	Store      kv.TransactionalStore
 	Directory  *directory.Directory
 	Sender     dispatch.Sender
 	Log        *logrus.Logger
--- a/internal/agentless/batchrun/records.go
+++ b/internal/agentless/batchrun/records.go
@@ -89,7 +89,7 @@
 
 // readRecord reads a job's record from the store. The returned kv.Record has revision 0 if
 // there is no such job.
-func readRecord(ctx context.Context, store kv.Shared, id string) (kv.Record, jobRecord, error) {
+func readRecord(ctx context.Context, store kv.TransactionalStore, id string) (kv.Record, jobRecord, error) {
 	var record jobRecord
 	stored, err := store.Read(ctx, jobKey(id))
 	if err != nil || stored.Revision == 0 {
--- a/internal/agentless/batchrun/sweep.go
+++ b/internal/agentless/batchrun/sweep.go
@@ -21,7 +21,7 @@
 // Sweeper removes jobs from the store when their results need no longer be readable. Otherwise
 // the store would grow with every job.
 type Sweeper struct {
-	Store     kv.Shared
+	Store     kv.TransactionalStore
 	ResultTTL time.Duration // how long results stay readable after submission
 	Log       *logrus.Logger
 	// ShouldSweep reports whether this process is the one that sweeps.
--- a/internal/agentless/cluster/cluster_test.go
+++ b/internal/agentless/cluster/cluster_test.go
@@ -168,7 +168,7 @@
 	stop    context.CancelFunc
 }
 
-func newWorker(store kv.Shared, boot int64) *worker {
+func newWorker(store kv.TransactionalStore, boot int64) *worker {
 	w := &worker{relay: cluster.NewRelay(boot)}
 	w.relay.AddTopic("p/", 0, 0, func(r kv.Record) string { return string(r.Value) })
 	topic := &cluster.Topic{Prefix: "p/", Relay: w.relay}
@@ -196,7 +196,7 @@
 	var topic *cluster.Topic
 
 	firstStart := false
-	subscribe := func(own kv.Shared, workers ...*worker) {
+	subscribe := func(own kv.TransactionalStore, workers ...*worker) {
 		registrar := cluster.NewRegistrar(store, cluster.Member{Name: "self"}, time.Hour, members, silent())
 		start((&cluster.Follower{Store: store, Topic: registrar.Topic()}).Run)
 		for i, w := range workers {
@@ -224,7 +224,7 @@
 
 	It("reach an entry without calls of its own to the store", func() {
 		w := newWorker(store, 1)
-		own := &countingStore{Shared: store}
+		own := &countingStore{TransactionalStore: store}
 		subscribe(own, w)
 		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
 		Eventually(func() bool { return w.relay != nil && own.quiet() }).WithTimeout(patience).Should(BeTrue())
@@ -263,7 +263,7 @@
 		// Without the delay each of hundreds of processes listed everything two or
 		// three times in its first second, because the relays were not registered yet.
 		firstStart = true
-		own := &countingStore{Shared: store}
+		own := &countingStore{TransactionalStore: store}
 		subscribe(own, newWorker(store, 1))
 		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
 		Expect(own.count()).To(BeZero())
@@ -272,8 +272,8 @@
 	It("cause few calls of each process at the start of an outage and no listing at its end", func() {
 		// The store answers no process for some seconds. Formerly every process retried
 		// every topic again and again meanwhile, and listed all of them afterwards.
-		cut := &cuttableStore{Shared: store}
-		own := &countingStore{Shared: cut}
+		cut := &cuttableStore{TransactionalStore: store}
+		own := &countingStore{TransactionalStore: cut}
 		subscribe(own, newWorker(cut, 1))
 		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
 		Eventually(own.quiet).WithTimeout(patience).Should(BeTrue())
@@ -311,7 +311,7 @@
 	It("come from the store while the only worker is cut off from it", func() {
 		// The worker still answers but has had no contact with the store for seconds.
 		// It may know only an old declaration, which the entry must not keep.
-		cut := &cuttableStore{Shared: store}
+		cut := &cuttableStore{TransactionalStore: store}
 		subscribe(store, newWorker(cut, 1))
 		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
 		cut.cut(true)
@@ -322,7 +322,7 @@
 	It("never restore old state from a relay that lags behind", func() {
 		// The first worker relayed a deletion and died. The second one is cut off from
 		// the store and still lists the key. The entry must not restore the key.
-		cut := &cuttableStore{Shared: store}
+		cut := &cuttableStore{TransactionalStore: store}
 		lagging := newWorker(cut, 2)
 		first := newWorker(store, 1)
 		subscribe(store, first, lagging)
@@ -337,7 +337,7 @@
 
 // countingStore counts the calls of one process to the store.
 type countingStore struct {
-	kv.Shared
+	kv.TransactionalStore
 	mu    sync.Mutex
 	calls int
 	pages int // calls of ReadPage
@@ -375,17 +375,17 @@
 	c.mu.Lock()
 	c.pages++
 	c.mu.Unlock()
-	return c.Shared.ReadPage(ctx, prefix, after)
+	return c.TransactionalStore.ReadPage(ctx, prefix, after)
 }
 
 func (c *countingStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
 	c.note()
-	return c.Shared.Await(ctx, prefix, after, wait)
+	return c.TransactionalStore.Await(ctx, prefix, after, wait)
 }
 
 // cuttableStore is one process's path to the store, which can be cut.
 type cuttableStore struct {
-	kv.Shared
+	kv.TransactionalStore
 	mu  sync.Mutex
 	off bool
 }
@@ -406,11 +406,11 @@
 	if c.isCut() {
 		return kv.Page{}, kv.ErrUnavailable
 	}
-	return c.Shared.ReadPage(ctx, prefix, after)
+	return c.TransactionalStore.ReadPage(ctx, prefix, after)
 }
 
 func (c *cuttableStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
-	changes, err := c.Shared.Await(ctx, prefix, after, wait)
+	changes, err := c.TransactionalStore.Await(ctx, prefix, after, wait)
 	if c.isCut() {
 		return kv.Changes{}, kv.ErrUnavailable
 	}
--- a/internal/agentless/cluster/follow.go
+++ b/internal/agentless/cluster/follow.go
@@ -41,7 +41,7 @@
 // Follower watches one prefix of the store and applies the changes to its topic,
 // starting from the topic's revision. It makes no calls while the topic is idle.
 type Follower struct {
-	Store kv.Shared
+	Store kv.TransactionalStore
 	Topic *Topic
 	// Wait is how long one watch call waits. Values below minWatchWait are raised to
 	// it.
--- a/internal/agentless/cluster/leader.go
+++ b/internal/agentless/cluster/leader.go
@@ -34,7 +34,7 @@
 // revision at which the store accepted the holder's name. Terms only increase, so a
 // term serves as a fencing token.
 type Leader struct {
-	Store         kv.Shared
+	Store         kv.TransactionalStore
 	Key           string
 	Self          string
 	TTL           time.Duration
@@ -54,7 +54,7 @@
 
 // NewLeader returns a Leader that does not hold the duty. minTTL is the store's
 // shortest lease TTL.
-func NewLeader(store kv.Shared, key, self string, handoverDelay, minTTL time.Duration, eligible func() bool, log func(bool, int64)) *Leader {
+func NewLeader(store kv.TransactionalStore, key, self string, handoverDelay, minTTL time.Duration, eligible func() bool, log func(bool, int64)) *Leader {
 	return &Leader{Store: store, Key: key, Self: self, TTL: max(dutyTTL, minTTL), HandoverDelay: handoverDelay, Eligible: eligible, Log: log, wake: make(chan struct{}, 1)}
 }
 
--- a/internal/agentless/cluster/leader_test.go
+++ b/internal/agentless/cluster/leader_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("Leader", func() {
-	lead := func(store kv.Shared, name string, apart time.Duration) *cluster.Leader {
+	lead := func(store kv.TransactionalStore, name string, apart time.Duration) *cluster.Leader {
 		l := cluster.NewLeader(store, "live/duty/x", name, apart, 0, func() bool { return true }, func(bool, int64) {})
 		start(l.Run)
 		return l
--- a/internal/agentless/cluster/members.go
+++ b/internal/agentless/cluster/members.go
@@ -168,7 +168,7 @@
 // Registrar keeps this process registered under a lease and applies the registrations
 // of all processes to Members.
 type Registrar struct {
-	Store   kv.Shared
+	Store   kv.TransactionalStore
 	Self    Member
 	TTL     time.Duration
 	Members *Members
@@ -192,7 +192,7 @@
 }
 
 // NewRegistrar returns a Registrar that has not registered the process yet.
-func NewRegistrar(store kv.Shared, self Member, ttl time.Duration, members *Members, log *logrus.Logger) *Registrar {
+func NewRegistrar(store kv.TransactionalStore, self Member, ttl time.Duration, members *Members, log *logrus.Logger) *Registrar {
 	return &Registrar{Store: store, Self: self, TTL: ttl, Members: members, Log: log, reregister: make(chan struct{}, 1)}
 }
 
@@ -387,7 +387,7 @@
 // the key's current lease. Without it, while the store lost every second answer, a
 // process registered again after each lost answer, was unregistered for seconds, and
 // its jobs were moved.
-func resolvePut(ctx context.Context, store kv.Shared, key string, lease kv.LeaseID, unknown error) (kv.Record, error) {
+func resolvePut(ctx context.Context, store kv.TransactionalStore, key string, lease kv.LeaseID, unknown error) (kv.Record, error) {
 	current, err := store.Read(ctx, key)
 	if err != nil || current.Lease != lease {
 		return kv.Record{}, unknown
--- a/internal/agentless/cluster/subscribe.go
+++ b/internal/agentless/cluster/subscribe.go
@@ -38,7 +38,7 @@
 // Subscriber keeps topics up to date from a relay, or from the store while no relay can
 // serve them.
 type Subscriber struct {
-	Store   kv.Shared
+	Store   kv.TransactionalStore
 	Topics  []*Topic
 	Members *Members
 	Peers   *rpcpool.Pool
--- a/internal/agentless/node/node.go
+++ b/internal/agentless/node/node.go
@@ -72,7 +72,7 @@
 
 // Adapter connects the process to one kind of platform.
 type Adapter struct {
-	Store   kv.Shared
+	Store   kv.TransactionalStore
 	Sender  dispatch.Sender
 	Engines modelrun.EngineClient
 	Biller  usagerun.Biller // may be nil if usage is not reported
--- a/internal/agentless/storepath/query.go
+++ b/internal/agentless/storepath/query.go
@@ -51,7 +51,7 @@
 }
 
 // execute makes the call to the given store.
-func execute(ctx context.Context, store kv.Shared, q *Query) (r Result, err error) {
+func execute(ctx context.Context, store kv.TransactionalStore, q *Query) (r Result, err error) {
 	switch q.Operation {
 	case Read:
 		r.Record, err = store.Read(ctx, q.Key)
--- a/internal/agentless/storepath/store.go
+++ b/internal/agentless/storepath/store.go
@@ -49,7 +49,7 @@
 	// return; nil means always.
 	HasWaiters func() bool
 
-	direct     kv.Shared
+	direct     kv.TransactionalStore
 	self       cluster.Member
 	members    *cluster.Members
 	peers      *rpcpool.Pool
@@ -71,10 +71,10 @@
 	lastPeerName string
 }
 
-var _ kv.Shared = (*Store)(nil)
+var _ kv.TransactionalStore = (*Store)(nil)
 
 // New returns a Store that uses the direct path or, if that fails, one of members.
-func New(direct kv.Shared, self cluster.Member, members *cluster.Members, peers *rpcpool.Pool, log *logrus.Logger, registry metrics.Registry) *Store {
+func New(direct kv.TransactionalStore, self cluster.Member, members *cluster.Members, peers *rpcpool.Pool, log *logrus.Logger, registry metrics.Registry) *Store {
 	return &Store{
 		direct: direct, self: self, members: members, peers: peers, log: log,
 		relaySlots: make(chan struct{}, maxRelayedCalls),
--- a/internal/agentless/storepath/storepath_test.go
+++ b/internal/agentless/storepath/storepath_test.go
@@ -31,7 +31,7 @@
 // faultyStore is one process's direct path to the store. It can be made to not answer
 // or to refuse calls.
 type faultyStore struct {
-	kv.Shared
+	kv.TransactionalStore
 	silent atomic.Bool
 	refuse atomic.Bool
 	calls  atomic.Int64
@@ -53,14 +53,14 @@
 	if err := c.fault(ctx); err != nil {
 		return kv.Record{}, errors.Wrap(kv.ErrUnavailable, err.Error())
 	}
-	return c.Shared.Read(ctx, key)
+	return c.TransactionalStore.Read(ctx, key)
 }
 
 func (c *faultyStore) KeepLease(ctx context.Context, id kv.LeaseID) error {
 	if err := c.fault(ctx); err != nil {
 		return errors.Wrap(kv.ErrUnknown, err.Error())
 	}
-	return c.Shared.KeepLease(ctx, id)
+	return c.TransactionalStore.KeepLease(ctx, id)
 }
 
 func (c *faultyStore) Commit(ctx context.Context, t kv.Transaction) (kv.Committed, error) {
@@ -70,14 +70,14 @@
 		}
 		return kv.Committed{}, errors.Wrap(kv.ErrUnknown, err.Error())
 	}
-	return c.Shared.Commit(ctx, t)
+	return c.TransactionalStore.Commit(ctx, t)
 }
 
 func (c *faultyStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
 	if err := c.fault(ctx); err != nil {
 		return kv.Changes{}, errors.Wrap(kv.ErrUnavailable, err.Error())
 	}
-	return c.Shared.Await(ctx, prefix, after, wait)
+	return c.TransactionalStore.Await(ctx, prefix, after, wait)
 }
 
 // process is one process of the system with its path to the store.
@@ -88,7 +88,7 @@
 
 // newProcesses starts processes that are members of one cluster and share a store.
 // Those whose names start with "entry" are entries, the others are workers.
-func newProcesses(ctx context.Context, store kv.Shared, names ...string) []process {
+func newProcesses(ctx context.Context, store kv.TransactionalStore, names ...string) []process {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	members := cluster.NewMembers()
@@ -98,7 +98,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		context.AfterFunc(ctx, func() { _ = listener.Close() })
 		self := cluster.Member{Name: name, Address: listener.Addr().String(), Worker: !strings.HasPrefix(name, "entry")}
-		direct := &faultyStore{Shared: store}
+		direct := &faultyStore{TransactionalStore: store}
 		s := storepath.New(direct, self, members, rpcpool.New(nil), log, metrics.NewRegistry())
 		calls := rpc.NewServer()
 		Expect(s.Register(calls)).To(Succeed())
--- a/internal/agentless/usagerun/reporter.go
+++ b/internal/agentless/usagerun/reporter.go
@@ -69,7 +69,7 @@
 	Ledger   *Ledger
 	Members  *cluster.Members
 	Leader   *cluster.Leader
-	Store    kv.Shared
+	Store    kv.TransactionalStore
 	Biller   Biller
 	Log      *logrus.Logger
 	Registry metrics.Registry
--- a/internal/confstate/applier.go
+++ b/internal/confstate/applier.go
@@ -90,7 +90,7 @@
 }
 
 func (r *attemptRunner) write(ctx context.Context, step config.Step) config.WriteOutcome {
-	swapped, _, err := r.store.CompareAndSwap(ctx, kv.UseConfig, kv.Write{Key: step.Key, Expected: step.Expected, Value: step.Value})
+	swapped, _, err := r.store.CompareAndSwap(ctx, kv.UseConfig, kv.Write{Key: step.Key, ExpectedRevision: step.Expected, Value: step.Value})
 	r.err = err
 	outcome := writeOutcome(swapped, err)
 	r.unclear = r.unclear || outcome == config.WriteIndeterminate
@@ -120,7 +120,7 @@
 	for len(keys) > config.MaxArchives {
 		oldest := keys[0]
 		keys = keys[1:]
-		_, _, _ = h.options.Store.CompareAndSwap(ctx, kv.UseStatus, kv.Write{Key: oldest.Key, Expected: oldest.Revision, Delete: true})
+		_, _, _ = h.options.Store.CompareAndSwap(ctx, kv.UseStatus, kv.Write{Key: oldest.Key, ExpectedRevision: oldest.Revision, Delete: true})
 	}
 }
 
--- a/internal/confstate/refused.go
+++ b/internal/confstate/refused.go
@@ -82,7 +82,7 @@
 		defer h.mu.Unlock()
 		return h.journal.ReadDone(record, found.Revision, err == nil)
 	}
-	swapped, _, err := h.options.Store.CompareAndSwap(ctx, kv.UseStatus, kv.Write{Key: step.Key, Expected: step.Expected, Value: step.Value})
+	swapped, _, err := h.options.Store.CompareAndSwap(ctx, kv.UseStatus, kv.Write{Key: step.Key, ExpectedRevision: step.Expected, Value: step.Value})
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.journal.WriteDone(time.Now(), writeOutcome(swapped, err), h.rnd)
--- a/internal/dutyrun/keeper.go
+++ b/internal/dutyrun/keeper.go
@@ -290,7 +290,7 @@
 	}
 	swapped, current, err := k.options.Store.CompareAndSwap(ctx, kv.UseLease, kv.Write{
 		Key:      k.prefix + action.Duty,
-		Expected: action.Expected,
+		ExpectedRevision: action.Expected,
 		Value:    value,
 	})
 	record, decodeErr := dutyRecord(current)
--- a/internal/entry/claims_fakes_test.go
+++ b/internal/entry/claims_fakes_test.go
@@ -70,7 +70,7 @@
 		return false, kv.Record{}, kv.ErrUnknown
 	}
 	current := s.records[w.Key]
-	swapped := current.Revision == w.Expected
+	swapped := current.Revision == w.ExpectedRevision
 	if swapped {
 		s.revision++
 		current = kv.Record{Key: w.Key, Value: w.Value, Revision: s.revision}
--- a/internal/entry/claims_partition.go
+++ b/internal/entry/claims_partition.go
@@ -205,7 +205,7 @@
 	start := time.Now()
 	swapped, current, err := p.options.Store.CompareAndSwap(ctx, kv.UseClaim, kv.Write{
 		Key:      w.Key,
-		Expected: w.Expected,
+		ExpectedRevision: w.Expected,
 		Value:    w.Value,
 	})
 	p.logStoreState(err)
@@ -222,7 +222,7 @@
 	defer cancel()
 	_, _, err := p.options.Store.CompareAndSwap(ctx, kv.UseClaim, kv.Write{
 		Key:      d.Key,
-		Expected: d.Revision,
+		ExpectedRevision: d.Revision,
 		Delete:   true,
 	})
 	if err != nil {
--- a/internal/entry/weights.go
+++ b/internal/entry/weights.go
@@ -132,7 +132,7 @@
 	if err != nil {
 		return 0, errors.Wrap(err, path)
 	}
-	swapped, current, err := w.options.Store.CompareAndSwap(ctx, kv.UseWeights, kv.Write{Key: path, Expected: found.Revision, Value: value})
+	swapped, current, err := w.options.Store.CompareAndSwap(ctx, kv.UseWeights, kv.Write{Key: path, ExpectedRevision: found.Revision, Value: value})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/feedrun/fakes_test.go
+++ b/internal/feedrun/fakes_test.go
@@ -78,7 +78,7 @@
 	if m.away {
 		return false, kv.Record{}, kv.ErrUnknown
 	}
-	if w.Expected != m.record.Revision {
+	if w.ExpectedRevision != m.record.Revision {
 		return false, m.record, nil
 	}
 	m.record = kv.Record{Key: w.Key, Value: w.Value, Revision: m.record.Revision + 1}
--- a/internal/feedrun/owner.go
+++ b/internal/feedrun/owner.go
@@ -120,7 +120,7 @@
 	ctx, cancel := context.WithTimeout(o.ctx, storeLimit)
 	defer cancel()
 	swapped, current, err := o.options.Store.CompareAndSwap(ctx, kv.UseHandover, kv.Write{
-		Key: o.key, Expected: w.Expected, Value: w.Value,
+		Key: o.key, ExpectedRevision: w.Expected, Value: w.Value,
 	})
 	e := handover.WriteDone{Nonce: w.Nonce, Value: current.Value, Revision: current.Revision}
 	switch {
--- a/internal/kv/calls.go
+++ b/internal/kv/calls.go
@@ -84,7 +84,7 @@
 	// own clock a moment earlier, which looks like a watch that broke.
 	ctx, cancel := context.WithCancel(withUse(ctx, use))
 	defer cancel()
-	defer time.AfterFunc(c.options.WatchSpan, cancel).Stop()
+	defer time.AfterFunc(c.options.MaxWatchDuration, cancel).Stop()
 	stream, err := platformpb.NewKeyValueClient(conn).Watch(ctx, &platformpb.WatchRequest{Prefix: prefix, FromRevision: fromRevision})
 	if err != nil {
 		return noEffect(err)
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -20,7 +20,7 @@
 // Defaults of Options.
 const (
 	DefaultCallTimeout = 500 * time.Millisecond
-	DefaultWatchSpan   = time.Minute
+	DefaultMaxWatchDuration   = time.Minute
 )
 
 // timeoutsToRedial is how many calls in a row may time out on one connection
@@ -47,7 +47,7 @@
 	Writer      string // instance id, kept in each value written
 	CallsPerSec float64
 	CallTimeout time.Duration // of one call
-	WatchSpan   time.Duration // a watch ends after this; its user opens it again
+	MaxWatchDuration   time.Duration // a watch ends after this; its user opens it again
 	Metrics     metrics.Registry
 	OnState     func(state string) // told each change of State; may be nil
 	Dial        []grpc.DialOption
@@ -74,8 +74,8 @@
 	if o.CallTimeout == 0 {
 		o.CallTimeout = DefaultCallTimeout
 	}
-	if o.WatchSpan == 0 {
-		o.WatchSpan = DefaultWatchSpan
+	if o.MaxWatchDuration == 0 {
+		o.MaxWatchDuration = DefaultMaxWatchDuration
 	}
 	if o.Metrics == nil {
 		o.Metrics = metrics.NewRegistry()
--- a/internal/kv/client_test.go
+++ b/internal/kv/client_test.go
@@ -124,7 +124,7 @@
 			Writer:      "entry-1",
 			CallsPerSec: 1000,
 			CallTimeout: 300 * time.Millisecond,
-			WatchSpan:   300 * time.Millisecond,
+			MaxWatchDuration:   300 * time.Millisecond,
 			Metrics:     registry,
 			Dial:        []grpc.DialOption{grpc.WithContextDialer(conns.dial)},
 		})
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -42,7 +42,7 @@
 // Expected (0: the key is absent).
 type Write struct {
 	Key      string
-	Expected int64
+	ExpectedRevision int64
 	Value    []byte
 	Delete   bool
 	Lease    LeaseID
--- a/internal/kv/settle.go
+++ b/internal/kv/settle.go
@@ -28,7 +28,7 @@
 	}
 	request := &platformpb.CompareAndSwapRequest{
 		Key:              w.Key,
-		ExpectedRevision: w.Expected,
+		ExpectedRevision: w.ExpectedRevision,
 		Delete:           w.Delete,
 		LeaseId:          int64(w.Lease),
 	}
--- a/internal/kv/shared.go
+++ b/internal/kv/shared.go
@@ -61,11 +61,11 @@
 	AsOf    int64
 }
 
-// Shared is a key-value service with transactions, listings by page and watches
+// TransactionalStore is a key-value service with transactions, listings by page and watches
 // that continue from a revision. A write that returns ErrUnknown may have taken
 // effect, or may yet as long as its conditions hold; ErrUnavailable means it
 // certainly will not. All methods are safe for concurrent use.
-type Shared interface {
+type TransactionalStore interface {
 	// Read returns the record at key; an absent key has revision 0 and no error.
 	Read(ctx context.Context, key string) (Record, error)
 	// ReadPage returns records of the prefix whose keys sort after the given one.
@@ -83,7 +83,7 @@
 
 // ReadAll reads every page of a prefix. AsOf is that of the first page, so that
 // a watch from there misses nothing.
-func ReadAll(ctx context.Context, s Shared, prefix string) (Page, error) {
+func ReadAll(ctx context.Context, s TransactionalStore, prefix string) (Page, error) {
 	var all Page
 	after := ""
 	for {
