--- a/internal/agentless/storepath/store.go
+++ b/internal/agentless/storepath/store.go
@@ -38,7 +38,7 @@
 	probeKey = "live/look"
 )
 
-// Store reaches the platform's store directly or through peers. It implements kv.Shared
+// Store reaches the platform's store directly or through peers. It implements kv.TransactionalStore
 // and is safe for concurrent use.
 type Store struct {
 	// Recovered is called when the store answers again after it answered no process; it
--- a/internal/dutyrun/keeper.go
+++ b/internal/dutyrun/keeper.go
@@ -289,9 +289,9 @@
 		panic(err) // a struct of strings and numbers always encodes
 	}
 	swapped, current, err := k.options.Store.CompareAndSwap(ctx, kv.UseLease, kv.Write{
-		Key:      k.prefix + action.Duty,
+		Key:              k.prefix + action.Duty,
 		ExpectedRevision: action.Expected,
-		Value:    value,
+		Value:            value,
 	})
 	record, decodeErr := dutyRecord(current)
 	outcome := dutyOutcome(swapped, err)
--- a/internal/entry/claims_partition.go
+++ b/internal/entry/claims_partition.go
@@ -204,9 +204,9 @@
 	defer cancel()
 	start := time.Now()
 	swapped, current, err := p.options.Store.CompareAndSwap(ctx, kv.UseClaim, kv.Write{
-		Key:      w.Key,
+		Key:              w.Key,
 		ExpectedRevision: w.Expected,
-		Value:    w.Value,
+		Value:            w.Value,
 	})
 	p.logStoreState(err)
 	metrics.GetOrRegisterTimer("claims.commit", p.options.Metrics).UpdateSince(start)
@@ -221,9 +221,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), claimCallTimeout)
 	defer cancel()
 	_, _, err := p.options.Store.CompareAndSwap(ctx, kv.UseClaim, kv.Write{
-		Key:      d.Key,
+		Key:              d.Key,
 		ExpectedRevision: d.Revision,
-		Delete:   true,
+		Delete:           true,
 	})
 	if err != nil {
 		p.count("claims.bucket_left")
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -19,8 +19,8 @@
 
 // Defaults of Options.
 const (
-	DefaultCallTimeout = 500 * time.Millisecond
-	DefaultMaxWatchDuration   = time.Minute
+	DefaultCallTimeout      = 500 * time.Millisecond
+	DefaultMaxWatchDuration = time.Minute
 )
 
 // timeoutsToRedial is how many calls in a row may time out on one connection
@@ -43,14 +43,14 @@
 
 // Options sets up a Client. Zero durations take their defaults.
 type Options struct {
-	Address     string // ip:port of the platform
-	Writer      string // instance id, kept in each value written
-	CallsPerSec float64
-	CallTimeout time.Duration // of one call
-	MaxWatchDuration   time.Duration // a watch ends after this; its user opens it again
-	Metrics     metrics.Registry
-	OnState     func(state string) // told each change of State; may be nil
-	Dial        []grpc.DialOption
+	Address          string // ip:port of the platform
+	Writer           string // instance id, kept in each value written
+	CallsPerSec      float64
+	CallTimeout      time.Duration // of one call
+	MaxWatchDuration time.Duration // a watch ends after this; its user opens it again
+	Metrics          metrics.Registry
+	OnState          func(state string) // told each change of State; may be nil
+	Dial             []grpc.DialOption
 }
 
 // Client speaks to the platform's key-value service. A process has one, shared
--- a/internal/kv/client_test.go
+++ b/internal/kv/client_test.go
@@ -120,13 +120,13 @@
 		conns = &connections{listener: listener}
 		var err error
 		client, err = kv.NewClient(kv.Options{
-			Address:     "passthrough:platform",
-			Writer:      "entry-1",
-			CallsPerSec: 1000,
-			CallTimeout: 300 * time.Millisecond,
-			MaxWatchDuration:   300 * time.Millisecond,
-			Metrics:     registry,
-			Dial:        []grpc.DialOption{grpc.WithContextDialer(conns.dial)},
+			Address:          "passthrough:platform",
+			Writer:           "entry-1",
+			CallsPerSec:      1000,
+			CallTimeout:      300 * time.Millisecond,
+			MaxWatchDuration: 300 * time.Millisecond,
+			Metrics:          registry,
+			Dial:             []grpc.DialOption{grpc.WithContextDialer(conns.dial)},
 		})
 		Expect(err).NotTo(HaveOccurred())
 		var cancel context.CancelFunc
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -41,11 +41,11 @@
 // Write is one compare-and-swap. It takes effect only if the key's revision is
 // Expected (0: the key is absent).
 type Write struct {
-	Key      string
+	Key              string
 	ExpectedRevision int64
-	Value    []byte
-	Delete   bool
-	Lease    LeaseID
+	Value            []byte
+	Delete           bool
+	Lease            LeaseID
 }
 
 // Use names what a call is for; metrics and the call budget are kept per use.
