--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -143,7 +143,7 @@
 	if e.store, err = kv.NewClient(kv.Options{Address: p.settings.Platform, Writer: p.settings.ID, CallsPerSec: p.settings.CallsPerSec, Metrics: p.metrics, OnState: p.platformState, Dial: p.countedDial(traffic.KeyValue)}); err != nil {
 		return nil, err
 	}
-	if e.lister, err = kv.NewLister(p.settings.Platform, p.countedDial(traffic.List)...); err != nil {
+	if e.lister, err = kv.NewLister(p.settings.Platform, p.countedDial(traffic.InstanceList)...); err != nil {
 		return nil, err
 	}
 	e.peers = peers.New(peers.Options{
@@ -179,9 +179,9 @@
 	e.pool = pool.New(pool.Options{
 		Metrics: e.metrics,
 		ID:      p.settings.ID, Deployment: p.settings.Deployment, Domain: p.settings.FailureDomain,
-		Heartbeat: p.settings.Heartbeat, Lister: e.peers.Tap(e.lister), Log: p.log,
-		Dial:    p.traffic.Dial(traffic.Agents, p.inner.Dial),
-		Request: e.toAgent, Reply: e.agentReplied,
+		HeartbeatInterval: p.settings.Heartbeat, Lister: e.peers.Tap(e.lister), Log: p.log,
+		Dial:        p.traffic.Dial(traffic.Agents, p.inner.Dial),
+		FillRequest: e.toAgent, HandleReply: e.agentReplied,
 	})
 	e.reach.usable = func(service string) bool { return len(e.pool.Engines(service)) > 0 }
 	e.wireServer()
--- a/internal/entry/pool/cache_test.go
+++ b/internal/entry/pool/cache_test.go
@@ -45,7 +45,7 @@
 		second, two := startEngineHost(ctx, "two")
 		instances := &list{}
 		instances.set(one, two)
-		p := pool.New(pool.Options{ID: "entry-1", Deployment: "d", Lister: instances, Heartbeat: 500 * time.Millisecond, Log: quiet()})
+		p := pool.New(pool.Options{ID: "entry-1", Deployment: "d", Lister: instances, HeartbeatInterval: 500 * time.Millisecond, Log: quiet()})
 		go func() { _ = p.Run(ctx) }()
 		server := entry.New(settings.Settings{}, quiet(), metrics.NewRegistry(), entry.Dependencies{Picker: p, Quarantine: noQuarantine{}, Retries: noRetries{}})
 		Eventually(func() int { return len(p.Engines("tone")) }, "20s").Should(Equal(2))
--- a/internal/entry/pool/link.go
+++ b/internal/entry/pool/link.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return nil, err
 	}
-	limited := rpcconn.Limit(c)
+	limited := rpcconn.WithWriteTimeout(c)
 	return &link{conn: limited, client: rpc.NewClient(limited)}, nil
 }
 
--- a/internal/entry/pool/link_test.go
+++ b/internal/entry/pool/link_test.go
@@ -72,7 +72,7 @@
 
 		var mu sync.Mutex
 		epoch := int64(1)
-		p := pool.New(pool.Options{ID: "e", Lister: instances, Heartbeat: 20 * time.Millisecond, Log: quiet(), Request: func(req *wire.HeartbeatRequest) {
+		p := pool.New(pool.Options{ID: "e", Lister: instances, HeartbeatInterval: 20 * time.Millisecond, Log: quiet(), FillRequest: func(req *wire.HeartbeatRequest) {
 			mu.Lock()
 			defer mu.Unlock()
 			req.Fences = []wire.Fence{{Duty: "claims/0", Epoch: epoch}, {Duty: "claims/1", Epoch: 7}}
--- a/internal/entry/pool/list.go
+++ b/internal/entry/pool/list.go
@@ -73,7 +73,7 @@
 func (p *Pool) rewatch() {
 	reachable := p.table.ConnectionCandidates()
 	keep := map[string]time.Duration{}
-	for _, k := range membership.SelectConnections(p.opts.ID, p.entries, reachable, membership.DefaultFanout(), p.opts.Heartbeat) {
+	for _, k := range membership.SelectConnections(p.opts.ID, p.entries, reachable, membership.DefaultFanout(), p.opts.HeartbeatInterval) {
 		keep[k.ID] = k.Interval
 	}
 	for id, peer := range p.peers {
--- a/internal/entry/pool/peer.go
+++ b/internal/entry/pool/peer.go
@@ -77,7 +77,7 @@
 			Suspect: true,
 		},
 		streams: map[string]openStream{},
-		monitor: conn.New(conn.DefaultConfig(pool.opts.Heartbeat), rng, time.Now()),
+		monitor: conn.New(conn.DefaultConfig(pool.opts.HeartbeatInterval), rng, time.Now()),
 	}
 }
 
--- a/internal/entry/pool/pool.go
+++ b/internal/entry/pool/pool.go
@@ -42,20 +42,20 @@
 
 // Options are what a pool is made of. Dial, Request and Reply may be nil.
 type Options struct {
-	ID         string // of this instance
-	Deployment string
-	Domain     string
-	Heartbeat  time.Duration // between heartbeats on an idle connection at least; 0: the default of the settings
-	Lister     InstanceLister
-	Log        *logrus.Logger
-	Metrics    metrics.Registry // may be nil
+	ID                string // of this instance
+	Deployment        string
+	Domain            string
+	HeartbeatInterval time.Duration // between heartbeats on an idle connection at least; 0: the default of the settings
+	Lister            InstanceLister
+	Log               *logrus.Logger
+	Metrics           metrics.Registry // may be nil
 
 	// Dial connects to an agent's address.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Request adds what this entry knows to a heartbeat, Reply takes in what
+	// FillRequest adds what this entry knows to a heartbeat, Reply takes in what
 	// an agent answered. Both are called from many goroutines.
-	Request func(*wire.HeartbeatRequest)
-	Reply   func(wire.HeartbeatReply)
+	FillRequest func(*wire.HeartbeatRequest)
+	HandleReply func(wire.HeartbeatReply)
 }
 
 // Pool keeps connections to a bounded part of the agents and chooses among
@@ -78,8 +78,8 @@
 
 // New prepares a pool; Run fills it.
 func New(opts Options) *Pool {
-	if opts.Heartbeat <= 0 {
-		opts.Heartbeat = settings.DefaultHeartbeat
+	if opts.HeartbeatInterval <= 0 {
+		opts.HeartbeatInterval = settings.DefaultHeartbeat
 	}
 	if opts.Dial == nil {
 		opts.Dial = rpcconn.Dial
@@ -289,8 +289,8 @@
 	p.mu.Lock()
 	req.ListedLeaving = p.table.ListedLeaving(peer.id)
 	p.mu.Unlock()
-	if p.opts.Request != nil {
-		p.opts.Request(&req)
+	if p.opts.FillRequest != nil {
+		p.opts.FillRequest(&req)
 	}
 	return req
 }
@@ -311,8 +311,8 @@
 		p.place(peer)
 	}
 	p.mu.Unlock()
-	if p.opts.Reply != nil {
-		p.opts.Reply(reply)
+	if p.opts.HandleReply != nil {
+		p.opts.HandleReply(reply)
 	}
 }
 
--- a/internal/entry/pool/pool_test.go
+++ b/internal/entry/pool/pool_test.go
@@ -89,7 +89,7 @@
 
 	start := func(id string) *pool.Pool {
 		ctx, cancel := context.WithCancel(context.Background())
-		fresh := pool.New(pool.Options{ID: id, Deployment: "d", Lister: instances, Heartbeat: 500 * time.Millisecond, Log: quiet()})
+		fresh := pool.New(pool.Options{ID: id, Deployment: "d", Lister: instances, HeartbeatInterval: 500 * time.Millisecond, Log: quiet()})
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -27,7 +27,7 @@
 // order, each once. A stream cut by the loss of its engine goes on at another
 // engine behind the last token that was handed on.
 func (e *Server) runStream(ctx context.Context, c call, onTokens func(wire.ReadReply)) wire.Answer {
-	s := &streamRun{entry: e, call: c, onTokens: onTokens, tokens: tokens.Of(c.req.Resume.Tokens)}
+	s := &streamRun{entry: e, call: c, onTokens: onTokens, tokens: tokens.NewText(c.req.Resume.Tokens)}
 	last := wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service can be reached"}
 	for range maxAttempts {
 		ep, ok := s.pick()
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -30,8 +30,8 @@
 // Dialer returns a dialer that gives up after limit.
 func Dialer(limit time.Duration) *net.Dialer { return dialer(limit, patientProbes) }
 
-// QuickDialer returns a dialer for connections on which news are awaited.
-func QuickDialer(limit time.Duration) *net.Dialer { return dialer(limit, quickProbes) }
+// LongPollDialer returns a dialer for connections on which news are awaited.
+func LongPollDialer(limit time.Duration) *net.Dialer { return dialer(limit, quickProbes) }
 
 func dialer(limit time.Duration, probes int) *net.Dialer {
 	return &net.Dialer{Timeout: limit, KeepAliveConfig: keepAlive(probes), Control: setUserTimeout}
@@ -63,12 +63,12 @@
 	return failed
 }
 
-// Quiet tells whether a kept connection is still open and nothing has arrived on
+// IsReusable tells whether a kept connection is still open and nothing has arrived on
 // it. Between two requests an end, or bytes that belong to no request, rule it
 // out; a request that was written to a closed one would end without a word
 // whether it ran. The read deadline is cleared, as the look itself would fail
 // past one.
-func Quiet(conn *net.TCPConn) bool {
+func IsReusable(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil || conn.SetReadDeadline(time.Time{}) != nil {
 		return false
--- a/internal/rpcconn/rpcconn.go
+++ b/internal/rpcconn/rpcconn.go
@@ -21,9 +21,9 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Limit returns a connection that closes itself when a write does not get
+// WithWriteTimeout returns a connection that closes itself when a write does not get
 // through: what was written in part cannot be continued.
-func Limit(c net.Conn) net.Conn {
+func WithWriteTimeout(c net.Conn) net.Conn {
 	return &limited{c}
 }
 
--- a/internal/rpcpool/rpcpool.go
+++ b/internal/rpcpool/rpcpool.go
@@ -101,8 +101,8 @@
 	return err != nil && !rpcconn.IsServerError(err) && !errors.Is(err, context.Canceled)
 }
 
-// Keep closes the connections to all but the addresses given.
-func (p *Pool) Keep(addresses map[string]bool) {
+// Retain closes the connections to all but the addresses given.
+func (p *Pool) Retain(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address := range p.clients {
@@ -113,7 +113,7 @@
 }
 
 // Close closes every connection.
-func (p *Pool) Close() { p.Keep(nil) }
+func (p *Pool) Close() { p.Retain(nil) }
 
 // open makes a connection. Unless it has to be fresh, one that another call made
 // meanwhile is used instead.
@@ -134,7 +134,7 @@
 	if !found {
 		p.order = append(p.order, address)
 	}
-	client := rpc.NewClient(rpcconn.Limit(conn))
+	client := rpc.NewClient(rpcconn.WithWriteTimeout(conn))
 	p.clients[address] = client
 	if p.most > 0 && len(p.order) > p.most {
 		p.close(p.order[0])
--- a/internal/tokens/tokens.go
+++ b/internal/tokens/tokens.go
@@ -9,8 +9,8 @@
 	ends  []uint32 // of each token, in bytes
 }
 
-// Of returns the text of the tokens.
-func Of(list []string) Text {
+// NewText returns the text of the tokens.
+func NewText(list []string) Text {
 	var t Text
 	t.Append(list)
 	return t
--- a/internal/tokens/tokens_test.go
+++ b/internal/tokens/tokens_test.go
@@ -18,7 +18,7 @@
 	// A stream is resumed by its tokens, not by its text: joined ones, or an empty
 	// one left out, would count differently at the engine.
 	It("gives back the very tokens, empty ones among them", func() {
-		t := tokens.Of([]string{"po", "", "lite"})
+		t := tokens.NewText([]string{"po", "", "lite"})
 		t.Append([]string{" reminder"})
 		Expect(t.Len()).To(Equal(4))
 		Expect(t.List()).To(Equal([]string{"po", "", "lite", " reminder"}))
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -14,11 +14,11 @@
 
 // The uses.
 const (
-	Agents   Use = "agents"    // from an entry to agents: heartbeats and requests
-	Peers    Use = "peers"     // from an entry to other entries
-	Inner    Use = "inner"     // accepted from entries, at an entry or an agent
-	KeyValue Use = "key_value" // to the platform's key-value service
-	List     Use = "list"      // reads of the platform's list of instances
+	Agents       Use = "agents"    // from an entry to agents: heartbeats and requests
+	Peers        Use = "peers"     // from an entry to other entries
+	Inner        Use = "inner"     // accepted from entries, at an entry or an agent
+	KeyValue     Use = "key_value" // to the platform's key-value service
+	InstanceList Use = "list"      // reads of the platform's list of instances
 )
 
 // Prefix begins the counters' names. Behind it come the use and "sent_bytes",
