--- a/internal/kv/calls.go
+++ b/internal/kv/calls.go
@@ -17,30 +17,30 @@
 	if err != nil {
 		return Record{}, err
 	}
-	return opened(record)
+	return decodeRecord(record)
 }
 
-// get returns the record with its envelope.
+// get returns the record with its value still in the envelope.
 func (c *Client) get(ctx context.Context, use Use, key string) (*platformpb.Record, error) {
-	var found *platformpb.GetResponse
+	var response *platformpb.GetResponse
 	err := c.call(ctx, use, func(ctx context.Context, kv platformpb.KeyValueClient) (err error) {
-		found, err = kv.Get(ctx, &platformpb.GetRequest{Key: key})
+		response, err = kv.Get(ctx, &platformpb.GetRequest{Key: key})
 		return err
 	})
-	return found.GetRecord(), noEffect(err)
+	return response.GetRecord(), asUnavailable(err)
 }
 
 // List returns the records whose keys start with prefix, sorted by key.
 func (c *Client) List(ctx context.Context, use Use, prefix string) ([]Record, error) {
-	var found *platformpb.ListResponse
+	var response *platformpb.ListResponse
 	err := c.call(ctx, use, func(ctx context.Context, kv platformpb.KeyValueClient) (err error) {
-		found, err = kv.List(ctx, &platformpb.ListRequest{Prefix: prefix})
+		response, err = kv.List(ctx, &platformpb.ListRequest{Prefix: prefix})
 		return err
 	})
 	if err != nil {
-		return nil, noEffect(err)
+		return nil, asUnavailable(err)
 	}
-	return openedAll(found.Records)
+	return decodeRecords(response.Records)
 }
 
 // GrantLease creates a lease.
@@ -71,23 +71,24 @@
 	return leaseError(err)
 }
 
-// Watch calls fn with changed records until ctx ends, the watch breaks or has
-// run for its span. A watch that its caller has to open again now and then
-// cannot stay on a connection that has gone silent.
+// Watch calls fn with the changed records until ctx ends, the watch fails or has
+// run for Options.MaxWatchDuration. The limit makes callers reopen their watches
+// regularly, so that a watch does not stay forever on a connection that has gone
+// silent.
 func (c *Client) Watch(ctx context.Context, use Use, prefix string, fromRevision int64, fn func([]Record)) error {
 	conn, err := c.admit(ctx, use)
 	if err != nil {
 		return err
 	}
 	c.count("watches", use)
-	// A deadline would be sent along, and the service could end the watch by its
-	// own clock a moment earlier, which looks like a watch that broke.
+	// A context deadline would be sent to the service, which could then end the
+	// watch slightly earlier by its own clock; that would look like a failed watch.
 	ctx, cancel := context.WithCancel(withUse(ctx, use))
 	defer cancel()
 	defer time.AfterFunc(c.options.MaxWatchDuration, cancel).Stop()
 	stream, err := platformpb.NewKeyValueClient(conn).Watch(ctx, &platformpb.WatchRequest{Prefix: prefix, FromRevision: fromRevision})
 	if err != nil {
-		return noEffect(err)
+		return asUnavailable(err)
 	}
 	for {
 		changed, err := stream.Recv()
@@ -95,9 +96,9 @@
 			return nil
 		}
 		if err != nil {
-			return noEffect(err)
+			return asUnavailable(err)
 		}
-		records, err := openedAll(changed.Records)
+		records, err := decodeRecords(changed.Records)
 		if err != nil {
 			return err
 		}
@@ -105,7 +106,8 @@
 	}
 }
 
-func opened(r *platformpb.Record) (Record, error) {
+// decodeRecord returns the record with its value taken out of the envelope.
+func decodeRecord(r *platformpb.Record) (Record, error) {
 	payload, err := unwrap(r.GetValue())
 	if err != nil {
 		return Record{}, errors.Wrap(err, r.GetKey())
@@ -113,10 +115,10 @@
 	return Record{Key: r.GetKey(), Value: payload, Revision: r.GetRevision(), Lease: LeaseID(r.GetLeaseId())}, nil
 }
 
-func openedAll(found []*platformpb.Record) ([]Record, error) {
-	records := make([]Record, 0, len(found))
-	for _, r := range found {
-		record, err := opened(r)
+func decodeRecords(encoded []*platformpb.Record) ([]Record, error) {
+	records := make([]Record, 0, len(encoded))
+	for _, r := range encoded {
+		record, err := decodeRecord(r)
 		if err != nil {
 			return nil, err
 		}
@@ -125,17 +127,19 @@
 	return records, nil
 }
 
-// noEffect maps the error of a call that had no effect.
-func noEffect(err error) error {
+// asUnavailable converts the error of a call that had no effect to
+// ErrUnavailable, and returns ErrUnavailable and ErrBudget unchanged.
+func asUnavailable(err error) error {
 	if err == nil || errors.Is(err, ErrUnavailable) || errors.Is(err, ErrBudget) {
 		return err
 	}
 	return errors.Wrap(ErrUnavailable, status.Convert(err).Message())
 }
 
+// leaseError converts the error of a lease call.
 func leaseError(err error) error {
 	if status.Code(err) == codes.NotFound {
 		return ErrLeaseNotFound
 	}
-	return noEffect(err)
+	return asUnavailable(err)
 }
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -23,12 +23,12 @@
 	DefaultMaxWatchDuration = time.Minute
 )
 
-// timeoutsToRedial is how many calls in a row may time out on one connection
-// before a new one is made: a connection whose state was lost between the two
-// ends stays silent for good while new ones work.
-const timeoutsToRedial = 2
+// redialThreshold is the number of consecutive timeouts on one connection after
+// which the client dials a new one. If a device between the two ends loses the
+// connection's state, the connection stays silent forever while new ones work.
+const redialThreshold = 2
 
-// ranks orders the uses for the call budget.
+// ranks holds the priority of each use in the call budget; 0 is the highest.
 var ranks = map[Use]platform.Rank{
 	UseLease:      0,
 	UseClaim:      1,
@@ -41,35 +41,35 @@
 
 const lowestRank = platform.Rank(6)
 
-// Options sets up a Client. Zero durations take their defaults.
+// Options configures a Client. Zero durations are replaced by their defaults.
 type Options struct {
 	Address          string // ip:port of the platform
-	Writer           string // instance id, kept in each value written
+	Writer           string // instance ID, stored with each value written
 	CallsPerSec      float64
-	CallTimeout      time.Duration // of one call
-	MaxWatchDuration time.Duration // a watch ends after this; its user opens it again
+	CallTimeout      time.Duration // timeout of one call
+	MaxWatchDuration time.Duration // Watch returns after this; its caller opens it again
 	Metrics          metrics.Registry
-	OnState          func(state string) // told each change of State; may be nil
+	OnState          func(state string) // called with the new state when State changes; may be nil
 	Dial             []grpc.DialOption
 }
 
-// Client speaks to the platform's key-value service. A process has one, shared
-// by all uses. It implements Store and is safe for concurrent use.
+// Client is a client of the platform's key-value service. A process has one,
+// shared by all uses. It implements Store and is safe for concurrent use.
 type Client struct {
 	options Options
 
-	// mu guards what follows and is never held over a call.
+	// mu guards the fields below and is never held during a call.
 	mu       sync.Mutex
 	budget   *platform.Budget
 	breaker  *platform.Breaker
 	rnd      *rand.Rand
 	conn     *grpc.ClientConn
-	timeouts int // in a row on conn
+	timeouts int // consecutive timeouts on conn
 }
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a client; it connects on its first call.
+// NewClient returns a client, which connects on its first call.
 func NewClient(o Options) (*Client, error) {
 	if o.CallTimeout == 0 {
 		o.CallTimeout = DefaultCallTimeout
@@ -101,7 +101,8 @@
 	return c.conn.Close()
 }
 
-// State tells what the client believes of the service: "up", "slow" or "down".
+// State returns the state of the service as the client sees it: "up", "slow" or
+// "down".
 func (c *Client) State() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,8 +118,8 @@
 	return grpc.NewClient(c.options.Address, options...)
 }
 
-// call sends one call once breaker and budget let it pass. An error that is
-// ErrUnavailable or ErrBudget means that it was not sent.
+// call sends one call as soon as the circuit breaker and the budget allow it. If
+// the error is ErrUnavailable or ErrBudget, the call was not sent.
 func (c *Client) call(ctx context.Context, use Use, send func(context.Context, platformpb.KeyValueClient) error) error {
 	conn, err := c.admit(ctx, use)
 	if err != nil {
@@ -130,15 +131,15 @@
 	defer cancel()
 	begin := time.Now()
 	err = send(limited, platformpb.NewKeyValueClient(conn))
-	c.report(ctx, conn, err, time.Since(begin))
+	c.reportCall(ctx, conn, err, time.Since(begin))
 	if err != nil {
 		c.count("errors", use)
 	}
 	return err
 }
 
-// admit waits for the budget as long as ctx allows. It never waits for the
-// service to come back.
+// admit blocks until the budget allows the call or ctx ends, and returns the
+// connection to use. It never waits for the service to recover.
 func (c *Client) admit(ctx context.Context, use Use) (*grpc.ClientConn, error) {
 	rank, known := ranks[use]
 	if !known {
@@ -162,6 +163,7 @@
 	}
 }
 
+// tryAdmit returns the connection to use or how long to wait for the budget.
 func (c *Client) tryAdmit(rank platform.Rank) (*grpc.ClientConn, time.Duration, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,31 +174,33 @@
 	if wait := c.budget.Take(now, rank); wait > 0 {
 		return nil, wait, nil
 	}
-	// Only a call that is sent at once may hold the breaker's one probe.
+	// Only a call that is sent immediately may use the breaker's single probe.
 	c.breaker.Allow(now, rank)
 	return c.conn, 0, nil
 }
 
-// report takes in how a call ended. A call cut short by its own caller says
-// nothing about the service unless it took as long as any call may.
-func (c *Client) report(ctx context.Context, conn *grpc.ClientConn, err error, took time.Duration) {
+// reportCall updates the state with a call's result. A call that its caller
+// cancelled says nothing about the service, unless it had already run for at
+// least half of CallTimeout.
+func (c *Client) reportCall(ctx context.Context, conn *grpc.ClientConn, err error, latency time.Duration) {
 	result := resultOf(err)
-	if result == platform.Failed && ctx.Err() != nil && took < c.options.CallTimeout/2 {
+	if result == platform.Failed && ctx.Err() != nil && latency < c.options.CallTimeout/2 {
 		return
 	}
-	before, after := c.record(conn, err, result, took)
+	before, after := c.updateState(conn, err, result, latency)
 	if before != after && c.options.OnState != nil {
 		c.options.OnState(after.String())
 	}
 }
 
-// record returns the state before and after.
-func (c *Client) record(conn *grpc.ClientConn, err error, result platform.Result, took time.Duration) (before, after platform.State) {
+// updateState updates breaker, budget and connection with a call's result, and
+// returns the state before and after.
+func (c *Client) updateState(conn *grpc.ClientConn, err error, result platform.Result, latency time.Duration) (before, after platform.State) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	before = c.breaker.State()
-	if c.breaker.Report(now, result, took, c.rnd) {
+	if c.breaker.Report(now, result, latency, c.rnd) {
 		c.budget.Drain(now)
 	}
 	switch result {
@@ -205,11 +209,13 @@
 	case platform.Served:
 		c.budget.Served(now)
 	}
-	c.noteTimeout(conn, status.Code(err) == codes.DeadlineExceeded)
+	c.trackTimeouts(conn, status.Code(err) == codes.DeadlineExceeded)
 	return before, c.breaker.State()
 }
 
-func (c *Client) noteTimeout(conn *grpc.ClientConn, timeout bool) {
+// trackTimeouts counts consecutive timeouts on the current connection and dials a
+// new one when they reach redialThreshold.
+func (c *Client) trackTimeouts(conn *grpc.ClientConn, timeout bool) {
 	if conn != c.conn {
 		return
 	}
@@ -218,15 +224,15 @@
 		return
 	}
 	c.timeouts++
-	if c.timeouts < timeoutsToRedial {
+	if c.timeouts < redialThreshold {
 		return
 	}
-	fresh, err := c.dial()
+	newConn, err := c.dial()
 	if err != nil {
-		return // the address was good once; the next timeout tries again
+		return // the address was valid at startup; the next timeout dials again
 	}
 	c.timeouts = 0
-	c.conn = fresh
+	c.conn = newConn
 	_ = conn.Close()
 }
 
--- a/internal/kv/client_test.go
+++ b/internal/kv/client_test.go
@@ -24,8 +24,9 @@
 	RunSpecs(t, "kv")
 }
 
-// service holds records in memory. before and after run at each write, around
-// its taking effect; an error from either is the call's answer.
+// service is an in-memory key-value service. The hooks before and after run at
+// each write, before and after it takes effect; an error that one of them returns
+// is the response to the call.
 type service struct {
 	platformpb.UnimplementedKeyValueServer
 	mu            sync.Mutex
@@ -91,8 +92,8 @@
 	return stream.Context().Err()
 }
 
-// once returns a hook that gives err the first n times.
-func once(n int, err error) func(*platformpb.CompareAndSwapRequest) error {
+// failFirst returns a hook that returns err for the first n calls.
+func failFirst(n int, err error) func(*platformpb.CompareAndSwapRequest) error {
 	return func(*platformpb.CompareAndSwapRequest) error {
 		if n--; n >= 0 {
 			return err
@@ -101,7 +102,7 @@
 	}
 }
 
-var errLost = status.Error(codes.Unavailable, "answer lost")
+var errResponseLost = status.Error(codes.Unavailable, "response lost")
 
 var _ = Describe("Client", func() {
 	var s *service
@@ -142,7 +143,7 @@
 		return metrics.GetOrRegisterCounter(name, registry).Count()
 	}
 
-	It("writes, reads back and tells a conflict with the record that stands", func() {
+	It("writes, reads back and returns the stored record on a conflict", func() {
 		swapped, current, err := client.CompareAndSwap(ctx, kv.UseClaim, kv.Write{Key: "a", Value: []byte("1")})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(swapped).To(BeTrue())
@@ -155,10 +156,10 @@
 		Expect(count("kv.calls.claim")).To(Equal(int64(3)))
 	})
 
-	// The write takes effect and its answer is lost. A writer that took this
-	// for a failure would write again and find a "conflict" with itself.
-	It("settles a write whose answer was lost", func() {
-		s.after = once(1, errLost)
+	// The write takes effect and its response is lost. A writer that treats this
+	// as a failure would write again and get a conflict with its own write.
+	It("determines the outcome of a write whose response was lost", func() {
+		s.after = failFirst(1, errResponseLost)
 		swapped, current, err := client.CompareAndSwap(ctx, kv.UseClaim, kv.Write{Key: "a", Value: []byte("1")})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(swapped).To(BeTrue())
@@ -166,15 +167,16 @@
 		Expect(s.revision).To(Equal(int64(1)))
 	})
 
-	// The request is lost on its way, and reaches the service only after the
-	// read that was to settle it. Had the read's old revision been taken for
-	// "no effect", the write would stand although its writer was told it failed.
-	It("does not trust a read that shows the old revision", func() {
+	// The request is delayed in the network and reaches the service only after the
+	// read that should determine its outcome. If the client concluded from the old
+	// revision that the write had no effect, the write would take effect later
+	// although its writer was told that it failed.
+	It("does not conclude from an unchanged revision that the write had no effect", func() {
 		var late *platformpb.CompareAndSwapRequest
 		s.before = func(r *platformpb.CompareAndSwapRequest) error {
 			if late == nil {
 				late = r
-				return errLost
+				return errResponseLost
 			}
 			s.apply(late)
 			return nil
@@ -185,14 +187,14 @@
 		Expect(s.revision).To(Equal(int64(1)), "it took effect once")
 	})
 
-	// Another writer wrote the same bytes over it: only the nonce tells whose
-	// write stands, and whether ours stood before cannot be known.
-	It("says unknown when another write stands after a lost answer", func() {
+	// Another writer wrote the same bytes afterwards. Only the nonce tells which
+	// write is stored, and whether the first one took effect cannot be determined.
+	It("returns ErrUnknown when the key holds another write after a lost response", func() {
 		s.after = func(r *platformpb.CompareAndSwapRequest) error {
 			s.after = nil
 			s.revision++
 			s.records["a"] = &platformpb.Record{Key: "a", Value: []byte("1"), Revision: s.revision}
-			return errLost
+			return errResponseLost
 		}
 		_, current, err := client.CompareAndSwap(ctx, kv.UseClaim, kv.Write{Key: "a", Value: []byte("1")})
 		Expect(err).To(MatchError(kv.ErrUnknown))
@@ -200,9 +202,9 @@
 		Expect(count("kv.unknown.claim")).To(Equal(int64(1)))
 	})
 
-	It("says unknown when the service stays away, and then fails fast without sending", func() {
-		s.before = once(100, errLost)
-		s.onGet = func() error { return errLost }
+	It("returns ErrUnknown while the service is unavailable, and then fails fast without sending", func() {
+		s.before = failFirst(100, errResponseLost)
+		s.onGet = func() error { return errResponseLost }
 		_, _, err := client.CompareAndSwap(ctx, kv.UseClaim, kv.Write{Key: "a", Value: []byte("1")})
 		Expect(err).To(MatchError(kv.ErrUnknown))
 		Expect(client.State()).To(Equal("down"))
@@ -218,9 +220,9 @@
 		Expect(client.State()).To(Equal("up"))
 	})
 
-	// Something between the two ends has lost track of the connection: every
-	// call on it times out although the service is well.
-	It("makes a new connection when calls time out on a silent one", func() {
+	// A device between the two ends has lost the connection's state: every call on
+	// it times out although the service works.
+	It("dials a new connection when calls time out on a silent one", func() {
 		Expect(client.Get(ctx, kv.UseConfig, "a")).To(HaveField("Revision", int64(0)))
 		conns.silence()
 		Eventually(func() error {
@@ -229,26 +231,27 @@
 		}).WithTimeout(10 * time.Second).Should(Succeed())
 	})
 
-	It("ends a watch after its span", func() {
+	It("ends a watch after MaxWatchDuration", func() {
 		var got []kv.Record
 		Expect(client.Watch(ctx, kv.UseConfig, "w", 0, func(r []kv.Record) { got = append(got, r...) })).To(Succeed())
 		Expect(got).To(Equal([]kv.Record{{Key: "w", Value: []byte("plain"), Revision: 1}}))
 	})
 
-	It("refuses a value that the service cannot hold", func() {
+	It("rejects a value that is too large for the service", func() {
 		_, _, err := client.CompareAndSwap(ctx, kv.UseClaim, kv.Write{Key: "a", Value: make([]byte, kv.MaxValueBytes)})
 		Expect(err).To(MatchError(ContainSubstring("more than")))
 	})
 })
 
-// connections dials the listener and can make the connections of the moment
-// swallow what is written to them.
+// connections dials the listener and can make the currently open connections
+// drop everything that is written to them.
 type connections struct {
 	listener *bufconn.Listener
 	mu       sync.Mutex
 	open     []*silenceable
 }
 
+// silenceable is a connection that drops what is written to it once silent is set.
 type silenceable struct {
 	net.Conn
 	mu     sync.Mutex
@@ -276,6 +279,7 @@
 	return wrapped, nil
 }
 
+// silence makes the open connections drop what is written to them.
 func (c *connections) silence() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/kv/envelope.go
+++ b/internal/kv/envelope.go
@@ -7,25 +7,26 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Every value is wrapped with its writer and a nonce. After a lost answer a
-// read then tells whether this very write took effect, even if two writers
-// wrote the same bytes.
+// Every value is stored in an envelope with its writer's ID and a nonce. After a
+// lost response, a read can therefore tell whether a particular write took effect,
+// even if two writers wrote the same payload.
 const (
-	envelopeMark    = "skl1"
+	envelopeMagic   = "skl1"
 	fieldWriter     = protowire.Number(1)
 	fieldNonce      = protowire.Number(2)
 	fieldPayload    = protowire.Number(3)
-	maxEnvelopeSize = 256 // mark, writer, nonce and lengths
+	maxEnvelopeSize = 256 // bytes of magic, writer, nonce and lengths
 )
 
-// MaxPayloadBytes is the largest value that a caller of Client may write.
+// MaxPayloadBytes is the size limit of a value passed to Client.CompareAndSwap.
 const MaxPayloadBytes = MaxValueBytes - maxEnvelopeSize
 
 var errEnvelope = errors.New("kv: malformed envelope")
 
+// wrap returns the payload in an envelope.
 func wrap(writer string, nonce uint64, payload []byte) []byte {
 	b := make([]byte, 0, len(payload)+maxEnvelopeSize)
-	b = append(b, envelopeMark...)
+	b = append(b, envelopeMagic...)
 	b = protowire.AppendTag(b, fieldWriter, protowire.BytesType)
 	b = protowire.AppendString(b, writer)
 	b = protowire.AppendTag(b, fieldNonce, protowire.Fixed64Type)
@@ -34,10 +35,10 @@
 	return protowire.AppendBytes(b, payload)
 }
 
-// unwrap returns the payload of a value; one without the mark was written by
-// other means and is returned as it is.
+// unwrap returns the payload of a stored value. A value without the magic prefix
+// was not written by a Client and is returned unchanged.
 func unwrap(value []byte) ([]byte, error) {
-	rest, marked := bytes.CutPrefix(value, []byte(envelopeMark))
+	rest, marked := bytes.CutPrefix(value, []byte(envelopeMagic))
 	if !marked {
 		return value, nil
 	}
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,6 +1,6 @@
-// Package kv defines what siskinloom needs from the platform's key-value
-// service: compare-and-swap, leases and watches over small values. The client
-// in kv/client.go speaks the published protocol of api/platform.proto.
+// Package kv defines the interfaces through which siskinloom uses the platform's
+// key-value service: compare-and-swap, leases and watches over small values.
+// Client implements Store over the published protocol of api/platform.proto.
 package kv
 
 import (
@@ -10,27 +10,28 @@
 	"github.com/pkg/errors"
 )
 
-// MaxValueBytes is the largest value the service holds.
+// MaxValueBytes is the size limit of a value in the service.
 const MaxValueBytes = 1 << 20
 
 var (
-	// ErrUnknown is returned when a write may or may not have taken effect:
-	// its answer was lost and no read has settled it. It never means "failed".
+	// ErrUnknown is returned when a write may or may not have taken effect: its
+	// response was lost and no later read determined the outcome. It never means
+	// that the write failed.
 	ErrUnknown = errors.New("kv: outcome of the write is unknown")
-	// ErrUnavailable is returned when a call certainly had no effect: it was
-	// not sent, or it was a read.
+	// ErrUnavailable is returned when a call certainly had no effect, because it
+	// was not sent or was a read.
 	ErrUnavailable = errors.New("kv: service unavailable")
-	// ErrBudget is returned when the process's call budget is spent for the
+	// ErrBudget is returned when the process's call budget is exhausted at the
 	// call's priority. The call was not sent.
 	ErrBudget = errors.New("kv: call budget exhausted")
-	// ErrLeaseNotFound is returned for a lease that lapsed or was revoked.
+	// ErrLeaseNotFound is returned for a lease that has expired or was revoked.
 	ErrLeaseNotFound = errors.New("kv: lease not found")
 )
 
-// LeaseID names a lease; 0 means no lease.
+// LeaseID identifies a lease; 0 means no lease.
 type LeaseID int64
 
-// Record is one key with its value. Revision 0 means that the key is absent.
+// Record is a key with its value. Revision 0 means that the key does not exist.
 type Record struct {
 	Key      string
 	Value    []byte
@@ -38,8 +39,8 @@
 	Lease    LeaseID
 }
 
-// Write is one compare-and-swap. It takes effect only if the key's revision is
-// Expected (0: the key is absent).
+// Write is a compare-and-swap. It takes effect only if the key's revision is
+// ExpectedRevision; 0 means that the key must not exist.
 type Write struct {
 	Key              string
 	ExpectedRevision int64
@@ -48,7 +49,8 @@
 	Lease            LeaseID
 }
 
-// Use names what a call is for; metrics and the call budget are kept per use.
+// Use is the purpose of a call. Metrics are kept per use, and the use determines
+// the call's priority in the call budget.
 type Use string
 
 // The uses of the key-value service, highest priority first.
@@ -62,26 +64,28 @@
 	UseStatus     Use = "status"
 )
 
-// Store is the key-value service as the rest of siskinloom sees it. All
-// methods are safe for concurrent use.
+// Store is the interface to the key-value service. All methods are safe for
+// concurrent use.
 type Store interface {
-	// Get returns the record at key; an absent key has revision 0 and no error.
+	// Get returns the record at key. For a key that does not exist it returns a
+	// record with revision 0 and no error.
 	Get(ctx context.Context, use Use, key string) (Record, error)
 	// List returns the records whose keys start with prefix, sorted by key.
 	List(ctx context.Context, use Use, prefix string) ([]Record, error)
-	// CompareAndSwap carries out w. With swapped true, current is the record as
-	// written, with its new revision. Swapped false with a nil error means that
-	// another writer was first; current is then the record that stands. An
-	// error that is ErrUnknown leaves the outcome open; with any other error
-	// the write certainly had no effect.
+	// CompareAndSwap executes w. If swapped is true, current is the record as
+	// written, with its new revision. If swapped is false and err is nil, the
+	// write lost against another one and current is the stored record. If err is
+	// ErrUnknown the write may have taken effect; with any other error it
+	// certainly did not.
 	CompareAndSwap(ctx context.Context, use Use, w Write) (swapped bool, current Record, err error)
-	// GrantLease creates a lease. Keys bound to it vanish when it lapses.
+	// GrantLease creates a lease. The keys attached to it are deleted when it
+	// expires.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepLease renews a lease for its whole time to live.
+	// KeepLease renews a lease for its full TTL.
 	KeepLease(ctx context.Context, id LeaseID) error
 	// RevokeLease ends a lease and deletes its keys.
 	RevokeLease(ctx context.Context, id LeaseID) error
-	// Watch calls fn with changed records under prefix until ctx ends or the
-	// watch breaks; a deleted key is told with revision 0.
+	// Watch calls fn with the changed records under prefix until ctx ends or the
+	// watch fails. A deleted key is passed with revision 0.
 	Watch(ctx context.Context, use Use, prefix string, fromRevision int64, fn func([]Record)) error
 }
--- a/internal/kv/lister.go
+++ b/internal/kv/lister.go
@@ -11,11 +11,11 @@
 	"siskinloom.example/siskinloom/api/platformpb"
 )
 
-// Instance is one entry of the platform's list of instances, which lags and
-// may be wrong.
+// Instance is one element of the platform's list of instances. The list lags
+// behind the actual state and may be wrong.
 type Instance struct {
 	ID            string
-	Address       string // ip:port of the inner protocol
+	Address       string // ip:port of the inner protocol (package wire)
 	FailureDomain string
 	Region        string
 	Role          string // "entry" or "agent"
@@ -23,14 +23,14 @@
 	Leaving       bool
 }
 
-// Lister reads the platform's list of instances. It is not the key-value
-// service and has no part in its call budget.
+// Lister reads the platform's list of instances. It is a client of another
+// service than Client and does not count against the call budget.
 type Lister struct {
 	conn    *grpc.ClientConn
 	timeout time.Duration
 }
 
-// NewLister returns a lister; it connects on its first call.
+// NewLister returns a lister, which connects on its first call.
 func NewLister(address string, options ...grpc.DialOption) (*Lister, error) {
 	options = append([]grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}, options...)
 	conn, err := grpc.NewClient(address, options...)
@@ -45,7 +45,7 @@
 	return l.conn.Close()
 }
 
-// Instances returns the deployment's instances as the list has them now.
+// Instances returns the instances that the list currently has for the deployment.
 func (l *Lister) Instances(ctx context.Context, deployment string) ([]Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
--- a/internal/kv/settle.go
+++ b/internal/kv/settle.go
@@ -14,14 +14,16 @@
 	"siskinloom.example/siskinloom/internal/policy/platform"
 )
 
-// Parameters of settling a write whose answer was lost.
+// Attempts to determine the outcome of a write whose response was lost, and the
+// backoff between them.
 const (
-	settleAttempts = 4
-	settleFirst    = 20 * time.Millisecond
-	settleLongest  = 200 * time.Millisecond
+	settleAttempts       = 4
+	settleInitialBackoff = 20 * time.Millisecond
+	settleMaxBackoff     = 200 * time.Millisecond
 )
 
-// CompareAndSwap carries out w and settles it if its answer is lost.
+// CompareAndSwap executes w. If the response is lost, it determines the outcome
+// by reading the key and, if needed, repeating the write.
 func (c *Client) CompareAndSwap(ctx context.Context, use Use, w Write) (bool, Record, error) {
 	if len(w.Value) > MaxPayloadBytes {
 		return false, Record{}, errors.Errorf("kv: value of %s has %d bytes, more than %d", w.Key, len(w.Value), MaxPayloadBytes)
@@ -37,16 +39,17 @@
 	}
 	response, err := c.swap(ctx, use, request)
 	if err == nil {
-		current, err := opened(response.Current)
+		current, err := decodeRecord(response.Current)
 		return response.Swapped, current, err
 	}
-	if certain(err) {
+	if hadNoEffect(err) {
 		return false, Record{}, writeError(err)
 	}
 	c.count("unsettled", use)
 	return c.settle(ctx, use, request)
 }
 
+// swap sends one compare-and-swap.
 func (c *Client) swap(ctx context.Context, use Use, request *platformpb.CompareAndSwapRequest) (response *platformpb.CompareAndSwapResponse, err error) {
 	err = c.call(ctx, use, func(ctx context.Context, kv platformpb.KeyValueClient) error {
 		response, err = kv.CompareAndSwap(ctx, request)
@@ -55,13 +58,14 @@
 	return response, err
 }
 
-// settle finds out what became of a write whose answer was lost. A read that
-// still shows the old revision proves nothing: the write may be on its way. So
-// the very same write is sent again, with its nonce; once either has taken
-// effect the revision has moved and the other cannot.
+// settle determines the outcome of a write whose response was lost. A read that
+// still returns the expected revision proves nothing, because the write may still
+// be in transit. settle then sends the identical write again, with the same nonce:
+// as soon as one of the two takes effect the revision has changed, so the other
+// cannot take effect.
 func (c *Client) settle(ctx context.Context, use Use, request *platformpb.CompareAndSwapRequest) (bool, Record, error) {
 	for attempt := range settleAttempts {
-		if !c.pause(ctx, attempt) {
+		if !c.waitBackoff(ctx, attempt) {
 			break
 		}
 		current, err := c.get(ctx, use, request.Key)
@@ -75,19 +79,20 @@
 			}
 			current = response.Current
 			if response.Swapped {
-				record, err := opened(current)
+				record, err := decodeRecord(current)
 				return true, record, err
 			}
 		}
-		return c.settled(use, request, current)
+		return c.outcomeOf(use, request, current)
 	}
 	c.count("unknown", use)
 	return false, Record{}, errors.Wrap(ErrUnknown, request.Key)
 }
 
-// settled judges a record that has moved on from the write's expected revision.
-func (c *Client) settled(use Use, request *platformpb.CompareAndSwapRequest, current *platformpb.Record) (bool, Record, error) {
-	record, err := opened(current)
+// outcomeOf returns the outcome of a write from the key's current record, whose
+// revision is no longer the expected one.
+func (c *Client) outcomeOf(use Use, request *platformpb.CompareAndSwapRequest, current *platformpb.Record) (bool, Record, error) {
+	record, err := decodeRecord(current)
 	if err != nil {
 		return false, record, err
 	}
@@ -97,15 +102,16 @@
 	if !request.Delete && bytes.Equal(current.Value, request.Value) {
 		return true, record, nil
 	}
-	// Another write stands. This one may have taken effect before it and been
-	// written over, and no read can tell that any more.
+	// The key holds another write. This one may have taken effect before and been
+	// overwritten, which no read can tell any more.
 	c.count("unknown", use)
 	return false, record, errors.Wrap(ErrUnknown, request.Key)
 }
 
-func (c *Client) pause(ctx context.Context, attempt int) bool {
+// waitBackoff waits before the next attempt and reports false if ctx ended.
+func (c *Client) waitBackoff(ctx context.Context, attempt int) bool {
 	c.mu.Lock()
-	wait := platform.Backoff(attempt, settleFirst, settleLongest, c.rnd)
+	wait := platform.Backoff(attempt, settleInitialBackoff, settleMaxBackoff, c.rnd)
 	c.mu.Unlock()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -117,8 +123,8 @@
 	}
 }
 
-// certain tells whether a failed write certainly had no effect.
-func certain(err error) bool {
+// hadNoEffect reports whether a failed write certainly had no effect.
+func hadNoEffect(err error) bool {
 	if errors.Is(err, ErrUnavailable) || errors.Is(err, ErrBudget) {
 		return true
 	}
@@ -130,6 +136,7 @@
 	}
 }
 
+// writeError converts the error of a write that had no effect.
 func writeError(err error) error {
 	switch status.Code(err) {
 	case codes.NotFound:
@@ -137,6 +144,6 @@
 	case codes.InvalidArgument, codes.FailedPrecondition:
 		return errors.Wrap(err, "kv: write refused")
 	default:
-		return noEffect(err)
+		return asUnavailable(err)
 	}
 }
--- a/internal/kv/shared.go
+++ b/internal/kv/shared.go
@@ -7,82 +7,87 @@
 	"github.com/pkg/errors"
 )
 
-// ErrHistoryGone is returned by a watch whose starting revision the service no
-// longer keeps; list the prefix anew.
+// ErrHistoryGone is returned by a watch that starts at a revision whose history
+// the service no longer keeps. The caller has to list the prefix again.
 var ErrHistoryGone = errors.New("kv: history is no longer kept")
 
-// MaxTransactionEntries bounds the expectations, puts and removals of a
-// transaction together.
+// MaxTransactionEntries limits the total number of expectations, puts and removals
+// of a transaction.
 const MaxTransactionEntries = 32
 
-// Expectation is a condition of a transaction: the key's revision, 0 for a key
-// that must be absent.
+// Expectation is a condition of a transaction: the key has the given revision. 0
+// means that the key must not exist.
 type Expectation struct {
 	Key      string
 	Revision int64
 }
 
-// Put is one key written by a transaction.
+// Put is a key written by a transaction.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease LeaseID
 }
 
-// Transaction takes effect as a whole or not at all.
+// Transaction is a set of writes that take effect atomically, if all expectations
+// hold.
 type Transaction struct {
 	Expect []Expectation
 	Puts   []Put
 	Remove []string
 }
 
-// Committed is the answer to a transaction.
+// Committed is the result of a transaction.
 type Committed struct {
-	Done     bool  // the conditions held and everything was written
-	Revision int64 // of everything written
+	Done     bool  // the expectations held and everything was written
+	Revision int64 // of all keys written
 }
 
-// Page is a part of a listing.
+// Page is one page of a listing.
 type Page struct {
 	Records   []Record
-	Truncated bool  // more follow after the last key
-	AsOf      int64 // the service's revision
+	Truncated bool  // more records follow the last one
+	AsOf      int64 // revision of the service at the time of the read
 }
 
-// Change is one change that a watch tells.
+// Change is one change returned by a watch.
 type Change struct {
 	Record  Record
 	Deleted bool
 }
 
-// Changes are what a watch heard; continue from AsOf.
+// Changes is the result of one watch call. The next call continues from AsOf.
 type Changes struct {
 	Changes []Change
 	AsOf    int64
 }
 
-// TransactionalStore is a key-value service with transactions, listings by page and watches
-// that continue from a revision. A write that returns ErrUnknown may have taken
-// effect, or may yet as long as its conditions hold; ErrUnavailable means it
-// certainly will not. All methods are safe for concurrent use.
+// TransactionalStore is a key-value service with transactions, paged listings and
+// watches that resume from a revision. A write that returns ErrUnknown may have
+// taken effect, or may still take effect as long as its expectations hold. A write
+// that returns ErrUnavailable has not and will not take effect. All methods are
+// safe for concurrent use.
 type TransactionalStore interface {
-	// Read returns the record at key; an absent key has revision 0 and no error.
+	// Read returns the record at key. For a key that does not exist it returns a
+	// record with revision 0 and no error.
 	Read(ctx context.Context, key string) (Record, error)
-	// ReadPage returns records of the prefix whose keys sort after the given one.
+	// ReadPage returns records under the prefix whose keys sort after the given
+	// key.
 	ReadPage(ctx context.Context, prefix, after string) (Page, error)
-	// Await returns changes under the prefix after a revision, or none once wait
-	// is over; ErrHistoryGone if they are no longer kept.
+	// Await blocks until there are changes under the prefix after a revision, and
+	// returns them, or none after wait has passed. It returns ErrHistoryGone if
+	// the service no longer keeps them.
 	Await(ctx context.Context, prefix string, after int64, wait time.Duration) (Changes, error)
-	// Commit carries out a transaction. ErrLeaseNotFound: a put names a lease
-	// that ended, nothing was written.
+	// Commit executes a transaction. It returns ErrLeaseNotFound, and writes
+	// nothing, if a put names a lease that has ended.
 	Commit(ctx context.Context, t Transaction) (Committed, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
 	KeepLease(ctx context.Context, id LeaseID) error
 	RevokeLease(ctx context.Context, id LeaseID) error
 }
 
-// ReadAll reads every page of a prefix. AsOf is that of the first page, so that
-// a watch from there misses nothing.
+// ReadAll reads all pages of a prefix. The result has the AsOf of the first page,
+// so that a watch from that revision misses no change.
 func ReadAll(ctx context.Context, s TransactionalStore, prefix string) (Page, error) {
 	var all Page
 	after := ""
--- a/internal/kv/traffic.go
+++ b/internal/kv/traffic.go
@@ -7,9 +7,9 @@
 	"google.golang.org/grpc/stats"
 )
 
-// byteCounter counts the bytes of calls and watches by use, as
-// "kv.bytes.<use>": messages and headers both ways as encoded, without the
-// framing of their connection.
+// byteCounter is a stats.Handler that counts the bytes of calls and watches per
+// use, in the metrics "kv.bytes.<use>". It counts encoded messages and headers in
+// both directions, without HTTP/2 framing.
 type byteCounter struct {
 	registry metrics.Registry
 }
