--- a/internal/wire/trainer.go
+++ b/internal/wire/trainer.go
@@ -6,24 +6,24 @@
 // trainer's pull to the owner of the feed.
 const FeedService = "Feed"
 
-// FeedDuty names the duty of owning a trainer feed.
+// FeedDuty returns the name of the duty of owning a trainer feed.
 func FeedDuty(deployment, feed string) string {
 	return "feed/" + deployment + "/" + feed
 }
 
-// FeedPrincipal is on whose behalf a feed's samples run; agents keep the feed's
-// declared share for it.
+// FeedPrincipal returns the principal of a feed's samples. Agents give it the share
+// that the feed declares.
 func FeedPrincipal(business, feed string) Principal {
 	return Principal{Business: business, Caller: "feed/" + feed}
 }
 
-// LotRecord names the samples of one lot that a trainer holds.
+// LotRecord is the list of samples in a lot that a trainer holds.
 type LotRecord struct {
 	Cursor    int64
 	SampleIDs []string
 }
 
-// PullRequest is a trainer's pull on its way to the feed's owner.
+// PullRequest is a trainer's pull, forwarded to the feed's owner.
 type PullRequest struct {
 	Deployment    string
 	Feed          string
@@ -42,13 +42,13 @@
 	Text     string
 	Segments []Segment
 	Score    float64
-	Failed   string // why it cannot be made; empty: it is whole
+	Failed   string // why the sample cannot be generated; empty if it is complete
 	Step     int64
 	Group    int64
 	Index    int32
 }
 
-// PullReply answers a pull. A refused pull has a Refusal and nothing else.
+// PullReply is the reply to a pull. If the pull was refused, only Refusal is set.
 type PullReply struct {
 	Cursor         int64
 	Token          string
