--- a/internal/rpcpool/rpcpool.go
+++ b/internal/rpcpool/rpcpool.go
@@ -1,5 +1,5 @@
-// Package rpcpool keeps one net/rpc connection per address and gives up one on
-// which an answer stayed out.
+// Package rpcpool keeps one net/rpc connection per address, and closes a connection
+// on which a call was not answered in time.
 package rpcpool
 
 import (
@@ -15,13 +15,13 @@
 	"siskinloom.example/siskinloom/internal/rpcconn"
 )
 
-const dialLimit = 2 * time.Second
+const dialTimeout = 2 * time.Second
 
 // DialFunc opens a connection of the inner protocol.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// DialError means that no connection could be made, so the other side certainly
-// never saw the call.
+// DialError means that no connection could be established, so the peer certainly
+// did not receive the call.
 type DialError struct {
 	Address string // ip:port
 	Err     error
@@ -33,17 +33,17 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// Pool is a set of connections. It is safe for concurrent use.
+// Pool is a pool of connections, one per address. It is safe for concurrent use.
 type Pool struct {
-	dial DialFunc
-	most int // connections kept; 0: as many as there are addresses
+	dial           DialFunc
+	maxConnections int // 0: no limit
 
 	mu      sync.Mutex
 	clients map[string]*rpc.Client
-	order   []string // least recently opened first
+	order   []string // addresses of clients, the least recently added first
 }
 
-// New returns a pool without connections; a nil dial stands for plain TCP.
+// New returns an empty pool. If dial is nil the pool uses plain TCP.
 func New(dial DialFunc) *Pool {
 	if dial == nil {
 		dial = rpcconn.Dial
@@ -51,16 +51,17 @@
 	return &Pool{dial: dial, clients: map[string]*rpc.Client{}}
 }
 
-// NewBounded returns a pool that closes the oldest of more than so many
-// connections, whatever calls are in flight on it.
-func NewBounded(dial DialFunc, most int) *Pool {
+// NewBounded returns a pool that keeps at most maxConnections. When it opens
+// another one it closes the oldest, even if calls are in flight on it.
+func NewBounded(dial DialFunc, maxConnections int) *Pool {
 	p := New(dial)
-	p.most = most
+	p.maxConnections = maxConnections
 	return p
 }
 
-// Call calls a method and waits for its answer until ctx ends. The reply must
-// not be read after an error: the answer may still come.
+// Call calls a method and waits for the response until ctx ends. The caller must
+// not read reply after an error, because the response may still arrive and be
+// written to it.
 func (p *Pool) Call(ctx context.Context, address, method string, args, reply any) error {
 	p.mu.Lock()
 	client, found := p.clients[address]
@@ -74,8 +75,8 @@
 	return p.callOn(ctx, client, address, method, args, reply)
 }
 
-// CallFresh is Call on a new connection, which later calls use as well. The
-// calls in flight on the one before it go on.
+// CallFresh is Call on a new connection, which replaces the address's existing one
+// for later calls. Calls in flight on the replaced connection continue.
 func (p *Pool) CallFresh(ctx context.Context, address, method string, args, reply any) error {
 	client, err := p.open(ctx, address, true)
 	if err != nil {
@@ -86,22 +87,23 @@
 
 func (p *Pool) callOn(ctx context.Context, client *rpc.Client, address, method string, args, reply any) error {
 	err := rpcconn.Call(ctx, client, method, args, reply)
-	if lost(err) {
-		p.forget(address, client)
+	if isConnectionLost(err) {
+		p.closeClient(address, client)
 	}
 	return err
 }
 
-// lost tells whether a call's end shows its connection to be lost: no answer came
-// in time, so it may be silent for good while a new one works, and no other call
-// may wait on it. A call that its caller ended shows nothing. To close the
-// connection for it broke off the other calls there: each reader that left cost
-// a process its news and the reads of all others.
-func lost(err error) bool {
+// isConnectionLost reports whether a call's error means that its connection may be
+// lost. If no response arrived in time, the connection may stay silent forever
+// while a new one works, so no other call may wait on it. A call that its caller
+// cancelled says nothing about the connection. Closing the connection in that case
+// would interrupt the other calls on it: each reader that disconnected used to
+// interrupt a process's watches and the reads of all others.
+func isConnectionLost(err error) bool {
 	return err != nil && !rpcconn.IsServerError(err) && !errors.Is(err, context.Canceled)
 }
 
-// Retain closes the connections to all but the addresses given.
+// Retain closes the connections to all addresses but the given ones.
 func (p *Pool) Retain(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,10 +117,10 @@
 // Close closes every connection.
 func (p *Pool) Close() { p.Retain(nil) }
 
-// open makes a connection. Unless it has to be fresh, one that another call made
-// meanwhile is used instead.
+// open opens a connection. Unless fresh is set, it returns the existing connection
+// if another call has opened one in the meantime.
 func (p *Pool) open(ctx context.Context, address string, fresh bool) (*rpc.Client, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialLimit)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := p.dial(ctx, address)
 	if err != nil {
@@ -126,23 +128,25 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	standing, found := p.clients[address]
+	existing, found := p.clients[address]
 	if found && !fresh {
 		_ = conn.Close()
-		return standing, nil
+		return existing, nil
 	}
 	if !found {
 		p.order = append(p.order, address)
 	}
 	client := rpc.NewClient(rpcconn.WithWriteTimeout(conn))
 	p.clients[address] = client
-	if p.most > 0 && len(p.order) > p.most {
+	if p.maxConnections > 0 && len(p.order) > p.maxConnections {
 		p.close(p.order[0])
 	}
 	return client, nil
 }
 
-func (p *Pool) forget(address string, client *rpc.Client) {
+// closeClient closes a client and removes it if it is still the address's current
+// one.
+func (p *Pool) closeClient(address string, client *rpc.Client) {
 	_ = client.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,7 +155,7 @@
 	}
 }
 
-// close closes the standing connection to an address; mu is held.
+// close closes and removes the connection to an address. mu must be held.
 func (p *Pool) close(address string) {
 	_ = p.clients[address].Close()
 	delete(p.clients, address)
--- a/internal/rpcpool/rpcpool_test.go
+++ b/internal/rpcpool/rpcpool_test.go
@@ -19,19 +19,19 @@
 	RunSpecs(t, "rpcpool")
 }
 
-// Held answers calls when it is told to.
-type Held struct{ answer chan struct{} }
+// Held is a net/rpc service whose method Wait blocks until the test releases it.
+type Held struct{ release chan struct{} }
 
-// Wait answers when it may.
+// Wait returns once release is closed.
 func (h *Held) Wait(struct{}, *struct{}) error {
-	<-h.answer
+	<-h.release
 	return nil
 }
 
-// Now answers at once.
+// Now returns immediately.
 func (h *Held) Now(struct{}, *struct{}) error { return nil }
 
-var _ = Describe("calls on one connection", func() {
+var _ = Describe("a connection shared by several calls", func() {
 	var pool *rpcpool.Pool
 	var address string
 	var held *Held
@@ -42,7 +42,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
 		address = listener.Addr().String()
-		held = &Held{answer: make(chan struct{})}
+		held = &Held{release: make(chan struct{})}
 		server := rpc.NewServer()
 		Expect(server.RegisterName("Held", held)).To(Succeed())
 		go func() {
@@ -63,30 +63,30 @@
 		Expect(pool.Call(context.Background(), address, "Held.Now", struct{}{}, &struct{}{})).To(Succeed())
 	})
 
-	// start makes a call that waits, and returns how it ends.
+	// start starts a call of Wait and returns a channel for its error.
 	start := func(ctx context.Context) chan error {
 		ended := make(chan error, 1)
 		go func() { ended <- pool.Call(ctx, address, "Held.Wait", struct{}{}, &struct{}{}) }()
 		return ended
 	}
 
-	It("goes on when another call's caller leaves", func() {
-		// What callers see: a process reads results for one that leaves. Its connection
-		// to the owner was closed for that, and the reads of all others and the news
-		// that it waited for broke off.
+	It("stays open when one of the callers cancels", func() {
+		// A process reads results from a job's owner for several callers. When one of
+		// them disconnected, the connection to the owner was closed, which interrupted
+		// the reads of all other callers and the process's watches.
 		stays := start(context.Background())
 		ctx, leave := context.WithCancel(context.Background())
 		leaves := start(ctx)
 		leave()
 		Eventually(leaves).Should(Receive(MatchError(context.Canceled)))
-		close(held.answer)
+		close(held.release)
 		Eventually(stays).Should(Receive(BeNil()))
 		Expect(dials.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("is given up when an answer stays out", func() {
-		// What happens: a connection is silent for good. The call that finds out must
-		// not leave the others waiting on it.
+	It("is closed when a call times out", func() {
+		// A connection has gone silent forever. When one call times out on it, the
+		// other calls must not keep waiting.
 		stays := start(context.Background())
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		defer cancel()
@@ -94,6 +94,6 @@
 		Eventually(stays).Should(Receive(HaveOccurred()))
 		Expect(pool.Call(context.Background(), address, "Held.Now", struct{}{}, &struct{}{})).To(Succeed())
 		Expect(dials.Load()).To(BeEquivalentTo(2))
-		close(held.answer)
+		close(held.release)
 	})
 })
