--- a/internal/rpcconn/rpcconn.go
+++ b/internal/rpcconn/rpcconn.go
@@ -1,5 +1,5 @@
-// Package rpcconn makes net/rpc connections between siskinloom's processes
-// safe against peers that hang.
+// Package rpcconn protects net/rpc connections between siskinloom's processes
+// against peers that hang.
 package rpcconn
 
 import (
@@ -11,27 +11,28 @@
 	"github.com/pkg/errors"
 )
 
-// writeLimit ends a connection whose peer takes no more bytes. The RPC library
-// writes under a lock, so one write that hangs would hang every later call.
-const writeLimit = 5 * time.Second
+// writeTimeout is the timeout of a write to a peer that accepts no more bytes.
+// net/rpc writes while holding a lock, so a write that hangs would block every
+// later call.
+const writeTimeout = 5 * time.Second
 
-// Dial connects to an address within the context's time.
+// Dial connects to an address over TCP.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// WithWriteTimeout returns a connection that closes itself when a write does not get
-// through: what was written in part cannot be continued.
+// WithWriteTimeout returns a connection that closes itself when a write fails or
+// takes longer than writeTimeout, because a partial write cannot be continued.
 func WithWriteTimeout(c net.Conn) net.Conn {
-	return &limited{c}
+	return &timeoutConn{c}
 }
 
-type limited struct{ net.Conn }
+type timeoutConn struct{ net.Conn }
 
-// Write writes within writeLimit.
-func (c *limited) Write(b []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(writeLimit)); err != nil {
+// Write implements net.Conn.
+func (c *timeoutConn) Write(b []byte) (int, error) {
+	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(b)
@@ -41,8 +42,8 @@
 	return n, err
 }
 
-// Call calls and returns when ctx ends even if the write itself hangs. The
-// answer may then still arrive, so the reply must not be read after an error.
+// Call calls a method. It returns when ctx ends, even if the write itself hangs. The
+// response may then still arrive, so the caller must not read reply after an error.
 func Call(ctx context.Context, client *rpc.Client, method string, args, reply any) error {
 	done := make(chan error, 1)
 	go func() { done <- client.Call(method, args, reply) }()
@@ -54,8 +55,8 @@
 	}
 }
 
-// IsServerError tells an error that the other side's method returned from one
-// of the connection: after the former the connection is still good.
+// IsServerError reports whether the peer's method returned the error. After such an
+// error the connection is still usable; any other error comes from the connection.
 func IsServerError(err error) bool {
 	var server rpc.ServerError
 	return errors.As(err, &server)
