--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,4 +1,4 @@
-// Package netdial opens TCP connections that notice a peer which went silent.
+// Package netdial opens TCP connections that detect when the peer has gone silent.
 package netdial
 
 import (
@@ -11,41 +11,43 @@
 )
 
 const (
-	// A connection may go silent for good while new ones work, because something
-	// between the ends lost track of it. Keep-alive probes find an idle one dead
-	// after probeIdle + probes*probeInterval, and userTimeout one with bytes under
-	// way. The kernel counts probes in whole seconds.
+	// A connection may go silent forever while new ones work, because a device
+	// between the two ends lost its state. Keep-alive probes detect this on an idle
+	// connection after probeIdle + probes*probeInterval, userTimeout on a connection
+	// with unacknowledged bytes. The kernel counts probe times in whole seconds.
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	userTimeout   = 2500 * time.Millisecond
-	// patientProbes are for connections with work on them: one lost packet must
-	// not end a run.
-	patientProbes = 2
-	// quickProbes are for connections on which news are awaited: it is found dead
-	// after two seconds, so that news are at most three late. Ending one for a
-	// single lost probe costs no more than a new connection.
-	quickProbes = 1
+	// defaultProbes is the number of probes on connections that carry requests: a
+	// single lost packet must not interrupt a run.
+	defaultProbes = 2
+	// longPollProbes is the number of probes on connections that wait for updates. A
+	// dead connection is detected after two seconds, so that updates are at most
+	// three seconds late. Closing a connection after a single lost probe costs only a
+	// new connection.
+	longPollProbes = 1
 )
 
-// Dialer returns a dialer that gives up after limit.
-func Dialer(limit time.Duration) *net.Dialer { return dialer(limit, patientProbes) }
+// Dialer returns a dialer whose attempts fail after timeout.
+func Dialer(timeout time.Duration) *net.Dialer { return dialer(timeout, defaultProbes) }
 
-// LongPollDialer returns a dialer for connections on which news are awaited.
-func LongPollDialer(limit time.Duration) *net.Dialer { return dialer(limit, quickProbes) }
+// LongPollDialer returns a dialer for connections that wait for updates. They are
+// found dead earlier than those of Dialer.
+func LongPollDialer(timeout time.Duration) *net.Dialer { return dialer(timeout, longPollProbes) }
 
-func dialer(limit time.Duration, probes int) *net.Dialer {
-	return &net.Dialer{Timeout: limit, KeepAliveConfig: keepAlive(probes), Control: setUserTimeout}
+func dialer(timeout time.Duration, probes int) *net.Dialer {
+	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive(probes), Control: setUserTimeout}
 }
 
-// ListenConfig returns the options for accepted connections.
+// ListenConfig returns the options for listeners and the connections they accept.
 func ListenConfig() net.ListenConfig {
-	return net.ListenConfig{KeepAliveConfig: keepAlive(patientProbes), Control: setUserTimeout}
+	return net.ListenConfig{KeepAliveConfig: keepAlive(defaultProbes), Control: setUserTimeout}
 }
 
-// Dial opens a connection of the inner protocol.
+// Dial opens a connection of the inner protocol (package wire).
 func Dial(ctx context.Context, address string) (net.Conn, error) {
-	const limit = time.Second // a peer within the region answers in milliseconds
-	return Dialer(limit).DialContext(ctx, "tcp", address)
+	const timeout = time.Second // a peer within the region answers in milliseconds
+	return Dialer(timeout).DialContext(ctx, "tcp", address)
 }
 
 func keepAlive(probes int) net.KeepAliveConfig {
@@ -63,11 +65,11 @@
 	return failed
 }
 
-// IsReusable tells whether a kept connection is still open and nothing has arrived on
-// it. Between two requests an end, or bytes that belong to no request, rule it
-// out; a request that was written to a closed one would end without a word
-// whether it ran. The read deadline is cleared, as the look itself would fail
-// past one.
+// IsReusable reports whether an idle connection is still open and no bytes have
+// arrived on it. A connection that was closed between two requests, or that has
+// received bytes that belong to no request, cannot be reused: a request written to
+// a closed connection would fail without telling whether it ran. IsReusable clears
+// the read deadline, because the check itself fails after an expired one.
 func IsReusable(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil || conn.SetReadDeadline(time.Time{}) != nil {
@@ -75,8 +77,8 @@
 	}
 	open := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buf [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		open = err == syscall.EAGAIN
 		return true
 	})
