--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic repeats work at a fixed pace.
+// Package periodic calls a function at a fixed interval.
 package periodic
 
 import (
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Run calls work every d until ctx ends; the first time after d.
-func Run(ctx context.Context, d time.Duration, work func(now time.Time)) {
-	ticker := time.NewTicker(d)
+// Run calls work at each interval until ctx ends. The first call is after one
+// interval.
+func Run(ctx context.Context, interval time.Duration, work func(now time.Time)) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/periodic/periodic_test.go
+++ b/internal/periodic/periodic_test.go
@@ -17,7 +17,7 @@
 }
 
 var _ = Describe("periodic work", func() {
-	It("is repeated until its context ends", func() {
+	It("is called repeatedly until its context ends", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		done := 0
