--- a/internal/tokens/tokens.go
+++ b/internal/tokens/tokens.go
@@ -1,15 +1,16 @@
-// Package tokens keeps the tokens of a long text in little memory.
+// Package tokens stores the tokens of a long text compactly.
 package tokens
 
-// Text is a text in the tokens that an engine made. An entry holds all samples of
-// a training step in flight; as a slice of strings each token takes some seventy
-// bytes, of which four are text. The zero value is empty. It holds up to 4 GiB.
+// Text is a text as the list of tokens that an engine generated. It exists because
+// an entry holds all samples of a training step that are in flight, and in a slice
+// of strings each token takes about 70 bytes, of which 4 are text. The zero value
+// is an empty text. A Text holds up to 4 GiB.
 type Text struct {
 	bytes []byte
-	ends  []uint32 // of each token, in bytes
+	ends  []uint32 // end offset of each token in bytes
 }
 
-// NewText returns the text of the tokens.
+// NewText returns the text with the given tokens.
 func NewText(list []string) Text {
 	var t Text
 	t.Append(list)
@@ -27,7 +28,7 @@
 // Len returns the number of tokens.
 func (t *Text) Len() int { return len(t.ends) }
 
-// List returns the tokens, as a request that resumes the text names them.
+// List returns the tokens, in the form that a request to resume the text needs.
 func (t *Text) List() []string {
 	list := make([]string, 0, len(t.ends))
 	begin := uint32(0)
--- a/internal/tokens/tokens_test.go
+++ b/internal/tokens/tokens_test.go
@@ -15,16 +15,16 @@
 }
 
 var _ = Describe("Text", func() {
-	// A stream is resumed by its tokens, not by its text: joined ones, or an empty
-	// one left out, would count differently at the engine.
-	It("gives back the very tokens, empty ones among them", func() {
+	// A stream is resumed by its tokens, not by its text. If tokens were joined, or an
+	// empty one left out, the engine would count them differently.
+	It("returns exactly the tokens that were added, including empty ones", func() {
 		t := tokens.NewText([]string{"po", "", "lite"})
 		t.Append([]string{" reminder"})
 		Expect(t.Len()).To(Equal(4))
 		Expect(t.List()).To(Equal([]string{"po", "", "lite", " reminder"}))
 		Expect(t.String()).To(Equal("polite reminder"))
 	})
-	It("is empty at first", func() {
+	It("has an empty zero value", func() {
 		var t tokens.Text
 		Expect(t.Len()).To(BeZero())
 		Expect(t.List()).To(BeEmpty())
