--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic counts what a process's connections carry, by their use, so
-// that an operator sees what control work costs and which part of it grows.
+// Package traffic counts the bytes and connections of a process by use, so that an
+// operator sees what control traffic costs and which part of it grows.
 package traffic
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Use says what a connection is for. It is part of the counters' names.
+// Use is the purpose of a connection. It is part of the counters' names.
 type Use string
 
 // The uses.
@@ -21,19 +21,20 @@
 	InstanceList Use = "list"      // reads of the platform's list of instances
 )
 
-// Prefix begins the counters' names. Behind it come the use and "sent_bytes",
-// "received_bytes" or "connections"; bytes are without packet headers and TLS.
+// Prefix is the prefix of the counters' names. It is followed by the use and
+// ".sent_bytes", ".received_bytes" or ".connections". Bytes don't include packet
+// headers and TLS.
 const Prefix = "traffic."
 
 // DialFunc opens a connection to ip:port.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// Meter holds the counters of one process. It is safe for concurrent use.
+// Meter counts the traffic of one process. It is safe for concurrent use.
 type Meter struct {
 	registry metrics.Registry
 }
 
-// NewMeter returns a meter that counts into the registry.
+// NewMeter returns a meter with its counters in the registry.
 func NewMeter(registry metrics.Registry) *Meter {
 	return &Meter{registry: registry}
 }
@@ -56,11 +57,11 @@
 
 func (m *Meter) wrap(use Use, conn net.Conn) net.Conn {
 	m.counter(use, "connections").Inc(1)
-	return &counted{Conn: conn, sent: m.counter(use, "sent_bytes"), received: m.counter(use, "received_bytes")}
+	return &countedConn{Conn: conn, sent: m.counter(use, "sent_bytes"), received: m.counter(use, "received_bytes")}
 }
 
-func (m *Meter) counter(use Use, what string) metrics.Counter {
-	return metrics.GetOrRegisterCounter(Prefix+string(use)+"."+what, m.registry)
+func (m *Meter) counter(use Use, name string) metrics.Counter {
+	return metrics.GetOrRegisterCounter(Prefix+string(use)+"."+name, m.registry)
 }
 
 type listener struct {
@@ -69,7 +70,7 @@
 	use   Use
 }
 
-// Accept waits for the next connection.
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -78,20 +79,20 @@
 	return l.meter.wrap(l.use, conn), nil
 }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
 	sent, received metrics.Counter
 }
 
-// Read reads and counts.
-func (c *counted) Read(b []byte) (int, error) {
+// Read implements net.Conn.
+func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.received.Inc(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
-func (c *counted) Write(b []byte) (int, error) {
+// Write implements net.Conn.
+func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.sent.Inc(int64(n))
 	return n, err
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -20,7 +20,7 @@
 }
 
 var _ = Describe("a meter", func() {
-	It("counts the bytes of both ends by use", func() {
+	It("counts the bytes and connections at both ends by use", func() {
 		registry := metrics.NewRegistry()
 		count := func(name string) int64 {
 			return metrics.GetOrRegisterCounter(traffic.Prefix+name, registry).Count()
