--- a/internal/logout/logout_test.go
+++ b/internal/logout/logout_test.go
@@ -13,19 +13,19 @@
 	"siskinloom.example/siskinloom/internal/logout"
 )
 
-// kept is an output that can be read while it is written.
-type kept struct {
+// syncBuffer is an output that can be read while it is written.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (k *kept) Write(p []byte) (int, error) {
+func (k *syncBuffer) Write(p []byte) (int, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.b.Write(p)
 }
 
-func (k *kept) String() string {
+func (k *syncBuffer) String() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.b.String()
@@ -33,7 +33,7 @@
 
 var _ = Describe("the log writer", func() {
 	It("writes lines in order", func() {
-		out := &kept{}
+		out := &syncBuffer{}
 		w := logout.New(out)
 		for i := range 3 {
 			fmt.Fprintln(w, i)
@@ -41,9 +41,9 @@
 		Eventually(out.String).Should(Equal("0\n1\n2\n"))
 	})
 
-	It("never waits for a reader that has stalled", func() {
-		// Whoever reads standard output has stopped reading. Every request logs lines;
-		// none of them may wait, and the memory of lines stays bounded.
+	It("never blocks when the reader of the output has stalled", func() {
+		// The process that reads standard output has stopped reading. Every request logs
+		// lines: no request may block, and the memory of queued lines stays bounded.
 		stalled, unread := io.Pipe()
 		defer stalled.Close()
 		w := logout.New(unread)
@@ -58,8 +58,8 @@
 		Expect(w.Dropped()).To(BeNumerically(">", 0))
 	})
 
-	It("bounds a burst and says how many lines it dropped", func() {
-		out := &kept{}
+	It("limits a burst and reports how many lines it dropped", func() {
+		out := &syncBuffer{}
 		w := logout.New(out)
 		for range 5000 {
 			fmt.Fprintln(w, "line")
