--- a/internal/agent/keptconn.go
+++ b/internal/agent/keptconn.go
@@ -47,7 +47,7 @@
 // Write returns errKeptClosed instead of beginning a request on a connection
 // that is closed. The later parts of a request are written without a look.
 func (c *keptConn) Write(p []byte) (int, error) {
-	if c.answered.Swap(false) && !netdial.IsReusable(c.tcp) {
+	if c.answered.Swap(false) && !netdial.Quiet(c.tcp) {
 		return 0, errKeptClosed
 	}
 	return c.Conn.Write(p)
