--- a/internal/entry/pool/pool.go
+++ b/internal/entry/pool/pool.go
@@ -79,7 +79,7 @@
 // New prepares a pool; Run fills it.
 func New(opts Options) *Pool {
 	if opts.HeartbeatInterval <= 0 {
-		opts.HeartbeatInterval = settings.DefaultHeartbeat
+		opts.HeartbeatInterval = settings.DefaultHeartbeatInterval
 	}
 	if opts.Dial == nil {
 		opts.Dial = rpcconn.Dial
