--- a/internal/agent/staleconn.go
+++ b/internal/agent/staleconn.go
@@ -48,7 +48,7 @@
 // Write returns errStaleConn instead of starting a request on a closed
 // connection. Only the first write of a request is checked.
 func (c *staleCheckConn) Write(p []byte) (int, error) {
-	if c.responseSeen.Swap(false) && !netdial.Quiet(c.tcp) {
+	if c.responseSeen.Swap(false) && !netdial.IsReusable(c.tcp) {
 		return 0, errStaleConn
 	}
 	return c.Conn.Write(p)
--- a/internal/agentless/upstream/pool.go
+++ b/internal/agentless/upstream/pool.go
@@ -112,5 +112,5 @@
 		return false
 	}
 	tcp, ok := netcount.Unwrap(c.raw).(*net.TCPConn)
-	return !ok || netdial.Quiet(tcp)
+	return !ok || netdial.IsReusable(tcp)
 }
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -65,12 +65,12 @@
 	return failed
 }
 
-// Quiet reports whether an idle connection is still open and no bytes have
+// IsReusable reports whether an idle connection is still open and no bytes have
 // arrived on it. A connection that was closed between two requests, or that has
 // received bytes that belong to no request, cannot be reused: a request written to
-// a closed connection would fail without telling whether it ran. Quiet clears
+// a closed connection would fail without telling whether it ran. IsReusable clears
 // the read deadline, because the check itself fails after an expired one.
-func Quiet(conn *net.TCPConn) bool {
+func IsReusable(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil || conn.SetReadDeadline(time.Time{}) != nil {
 		return false
