--- a/internal/confstate/refused.go
+++ b/internal/confstate/refused.go
@@ -83,7 +83,7 @@
 		defer h.mu.Unlock()
 		return h.refusedLog.ReadDone(record, found.Revision, err == nil)
 	}
-	swapped, _, err := h.options.Store.CompareAndSwap(ctx, kv.UseStatus, kv.Write{Key: step.Key, Expected: step.Expected, Value: step.Value})
+	swapped, _, err := h.options.Store.CompareAndSwap(ctx, kv.UseStatus, kv.Write{Key: step.Key, ExpectedRevision: step.Expected, Value: step.Value})
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.refusedLog.WriteDone(time.Now(), writeOutcome(swapped, err), h.rnd)
--- a/internal/dutyrun/keeper.go
+++ b/internal/dutyrun/keeper.go
@@ -296,9 +296,9 @@
 		panic(err) // encoding a struct of strings and numbers can't fail
 	}
 	swapped, current, err := k.options.Store.CompareAndSwap(ctx, kv.UseLease, kv.Write{
-		Key:      k.prefix + action.Duty,
-		Expected: action.Expected,
-		Value:    value,
+		Key:              k.prefix + action.Duty,
+		ExpectedRevision: action.Expected,
+		Value:            value,
 	})
 	record, decodeErr := decodeRecord(current)
 	outcome := outcomeOf(swapped, err)
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -28,7 +28,7 @@
 // order, each exactly once. If its engine is lost, the stream resumes at another
 // engine after the last token that was passed on.
 func (e *Server) runStream(ctx context.Context, c call, onTokens func(wire.ReadReply)) wire.Answer {
-	s := &streamRun{entry: e, call: c, onTokens: onTokens, tokens: tokens.Of(c.req.Resume.Tokens)}
+	s := &streamRun{entry: e, call: c, onTokens: onTokens, tokens: tokens.NewText(c.req.Resume.Tokens)}
 	last := wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service is reachable"}
 	for range maxAttempts {
 		ep, ok := s.pick()
