--- a/internal/entry/claims_fakes_test.go
+++ b/internal/entry/claims_fakes_test.go
@@ -70,7 +70,7 @@
 		return false, kv.Record{}, kv.ErrUnknown
 	}
 	current := s.records[w.Key]
-	swapped := current.Revision == w.Expected
+	swapped := current.Revision == w.ExpectedRevision
 	if swapped {
 		s.revision++
 		current = kv.Record{Key: w.Key, Value: w.Value, Revision: s.revision}
@@ -233,7 +233,7 @@
 			Instance:   address,
 			Log:        log,
 			Metrics:    metrics.NewRegistry(),
-			Config: func(config *claims.Config) {
+			AdjustConfig: func(config *claims.Config) {
 				config.CommitInterval = 5 * time.Millisecond
 				config.RetryDelay = 10 * time.Millisecond
 				config.ReplyMargin = 600 * time.Millisecond
