--- a/internal/lab/weights/bounds.go
+++ b/internal/lab/weights/bounds.go
@@ -23,56 +23,56 @@
 }
 
 func measureFleet() ([]bounds.Figure, error) {
-	fleet := LetterFleet()
+	fleet := ReferenceFleet()
 	result := fleet.Run()
 	dying := fleet
-	dying.Deaths = fleet.Engines / 100
+	dying.SilentAgents = fleet.Engines / 100
 	silent := dying.Run()
 	orphaned := fleet
-	orphaned.Takeover, orphaned.Lease = ownerDies, longestTakeover(true)
+	orphaned.OwnerCrashAt, orphaned.TakeoverTime = ownerDies, longestTakeover(true)
 	succeeded := orphaned.Run()
 	waiting := orphaned
-	waiting.Lease = longestTakeover(false)
+	waiting.TakeoverTime = longestTakeover(false)
 	leased := waiting.Run()
 	naive := fleet
-	naive.FromStore, naive.AtOnce = true, true
+	naive.FromStore, naive.LoadAtOnce = true, true
 	baseline := naive.Run()
 	return []bounds.Figure{
 		{Name: "weights.orders", Value: float64(result.Orders)},
 		{Name: "weights.engines", Value: float64(fleet.Engines)},
 		{Name: "weights.failure_domains", Value: float64(fleet.Domains)},
 		{Name: "weights.store_rate", Value: fleet.StoreRate},
-		{Name: "weights.version_bytes", Value: fleet.Bytes},
+		{Name: "weights.version_bytes", Value: fleet.VersionBytes},
 		{Name: "weights.link_rate", Value: fleet.LinkRate},
-		{Name: "weights.load_s", Value: fleet.Load.Seconds()},
+		{Name: "weights.load_s", Value: fleet.LoadTime.Seconds()},
 		{Name: "weights.all_engines_s", Value: result.Seconds},
 		{Name: "weights.all_engines_s.baseline", Value: baseline.Seconds},
 		{Name: "weights.all_engines_s.silent_agents", Value: silent.Seconds},
 		{Name: "weights.all_engines_s.owner_crash", Value: succeeded.Seconds},
 		{Name: "weights.all_engines_s.owner_crash.lease", Value: leased.Seconds},
-		{Name: "weights.takeover_s.lease", Value: waiting.Lease.Seconds()},
-		{Name: "weights.capacity_floor.owner_crash", Value: succeeded.Worst - fleet.Floor},
-		{Name: "weights.takeover_s", Value: orphaned.Lease.Seconds()},
-		{Name: "weights.silent_agents", Value: float64(dying.Deaths)},
-		{Name: "weights.fetch_s", Value: result.Fetched},
-		{Name: "weights.fetch_s.baseline", Value: baseline.Fetched},
-		{Name: "weights.store_copies", Value: result.StoreBytes / fleet.Bytes},
-		{Name: "weights.store_copies.baseline", Value: baseline.StoreBytes / fleet.Bytes},
-		{Name: "weights.capacity_floor", Value: result.Worst - fleet.Floor},
-		{Name: "weights.capacity_floor.baseline", Value: baseline.Worst - fleet.Floor},
+		{Name: "weights.takeover_s.lease", Value: waiting.TakeoverTime.Seconds()},
+		{Name: "weights.capacity_floor.owner_crash", Value: succeeded.MinServingShare - fleet.CapacityFloor},
+		{Name: "weights.takeover_s", Value: orphaned.TakeoverTime.Seconds()},
+		{Name: "weights.silent_agents", Value: float64(dying.SilentAgents)},
+		{Name: "weights.fetch_s", Value: result.FetchSeconds},
+		{Name: "weights.fetch_s.baseline", Value: baseline.FetchSeconds},
+		{Name: "weights.store_copies", Value: result.StoreBytes / fleet.VersionBytes},
+		{Name: "weights.store_copies.baseline", Value: baseline.StoreBytes / fleet.VersionBytes},
+		{Name: "weights.capacity_floor", Value: result.MinServingShare - fleet.CapacityFloor},
+		{Name: "weights.capacity_floor.baseline", Value: baseline.MinServingShare - fleet.CapacityFloor},
 	}, nil
 }
 
 // RunSchedules plays n schedules with seeds from 1 and adds up what went wrong.
 // The sum does not depend on how many run at once.
-func RunSchedules(n int, harm Sabotage) (Violations, Faulted) {
-	return sum(n, func(seed uint64) (Violations, Faulted) { return RunSchedule(seed, harm) })
+func RunSchedules(n int, harm DisabledSafeguards) (Violations, FaultCounts) {
+	return sum(n, func(seed uint64) (Violations, FaultCounts) { return RunSchedule(seed, harm) })
 }
 
-func sum(n int, run func(seed uint64) (Violations, Faulted)) (Violations, Faulted) {
+func sum(n int, run func(seed uint64) (Violations, FaultCounts)) (Violations, FaultCounts) {
 	var mu sync.Mutex
 	var bad Violations
-	var seen Faulted
+	var seen FaultCounts
 	seeds.Each(n, func(seed uint64) {
 		violations, faults := run(seed)
 		mu.Lock()
@@ -84,12 +84,12 @@
 }
 
 func measureSchedules() ([]bounds.Figure, error) {
-	bad, seen := RunSchedules(schedules, Sabotage{})
-	unguarded, _ := RunSchedules(schedules/10, Sabotage{NoGuard: true})
+	bad, seen := RunSchedules(schedules, DisabledSafeguards{})
+	unguarded, _ := RunSchedules(schedules/10, DisabledSafeguards{OrderFilter: true})
 	return []bounds.Figure{
 		{Name: "weights.schedules", Value: schedules},
 		{Name: "weights.schedules.takeovers", Value: float64(seen.Takeovers)},
-		{Name: "weights.schedules.agents_replaced", Value: float64(seen.Replaced)},
+		{Name: "weights.schedules.agents_replaced", Value: float64(seen.ReplacedAgents)},
 		{Name: "weights.schedules.agent_pauses", Value: float64(seen.AgentPauses)},
 		{Name: "weights.schedules.lost_answers", Value: float64(seen.LostAnswers)},
 		{Name: "weights.schedules.failed_loads", Value: float64(seen.FailedLoads)},
@@ -105,8 +105,10 @@
 }
 
 func measureRoles() ([]bounds.Figure, error) {
-	bad, seen := sum(schedules, func(seed uint64) (Violations, Faulted) { return RunRoleSchedule(seed, Sabotage{}) })
-	unguarded, _ := sum(schedules/10, func(seed uint64) (Violations, Faulted) { return RunRoleSchedule(seed, Sabotage{NoGuard: true}) })
+	bad, seen := sum(schedules, func(seed uint64) (Violations, FaultCounts) { return RunRoleSchedule(seed, DisabledSafeguards{}) })
+	unguarded, _ := sum(schedules/10, func(seed uint64) (Violations, FaultCounts) {
+		return RunRoleSchedule(seed, DisabledSafeguards{OrderFilter: true})
+	})
 	return []bounds.Figure{
 		{Name: "weights.roles.schedules", Value: schedules},
 		{Name: "weights.roles.changes", Value: float64(seen.RoleChanges)},
--- a/internal/lab/weights/faulty.go
+++ b/internal/lab/weights/faulty.go
@@ -78,7 +78,7 @@
 		old.pausedUntil = w.clock.Now().Add(longestRun)
 	}
 	e.agent = nil
-	w.seen.Replaced++
+	w.seen.ReplacedAgents++
 	if w.chance(0.8) { // else the connection goes silent
 		for _, tell := range old.broken {
 			w.clock.After(time.Millisecond, tell)
@@ -113,7 +113,7 @@
 	taken, versions, role := w.clock.Now(), map[string]int64{"": a.engine.version}, a.engine.role
 	w.clock.After(w.between(10*time.Millisecond, 400*time.Millisecond), func() {
 		a.wake(func() {
-			if w.harm.NoWait {
+			if w.harm.StartupWait {
 				taken = taken.Add(maxOrder)
 			}
 			a.guard.ReportRole(role, taken)
@@ -127,15 +127,15 @@
 	a.wake(func() {
 		w := a.engine.world
 		isLoad := o.Kind == wire.OrderSwap || o.Kind == wire.OrderRole
-		if isLoad && w.harm.NoAge {
+		if isLoad && w.harm.TargetAge {
 			o.Target = a.freshTarget()
 		}
-		if !isLoad && w.harm.NoVoid {
+		if !isLoad && w.harm.StatusInvalidation {
 			o.Sequence = 0
 		}
 		verdict := a.guard.Accept(o, w.clock.Now())
 		switch {
-		case isLoad && w.harm.NoGuard:
+		case isLoad && w.harm.OrderFilter:
 			a.engine.take(&load{order: o, deadline: w.clock.Now().Add(maxOrder), end: func(weights.LoadResult) {
 				reply(wire.OrderReply{Outcome: wire.Answered, Version: o.Version, Role: o.Role})
 			}})
--- a/internal/lab/weights/fleet.go
+++ b/internal/lab/weights/fleet.go
@@ -15,56 +15,56 @@
 
 // Fleet describes the fleet whose rollout is timed.
 type Fleet struct {
-	Engines    int
-	Domains    int
-	Bytes      float64 // of a version
-	Chunks     int
-	StoreRate  float64 // bytes per second of the whole store
-	LinkRate   float64 // bytes per second of each instance, each way
-	Latency    time.Duration
-	Load       time.Duration // mean time an engine takes to load; it does not serve meanwhile
-	LoadSpread float64       // of the load time, each way, as a share
-	FailLoads  float64       // share of loads that fail
-	Floor      float64       // declared capacity floor
-	Spread     weights.Distribution
-	Deaths     int           // agents that fall silent, with their engines, during the fetch
-	Takeover   time.Duration // when the owner dies; 0: never
-	Lease      time.Duration // from then until its successor begins
-	Seed       uint64
-
-	// FromStore and AtOnce make the baseline: every agent fetches everything from
+	Engines         int
+	Domains         int
+	VersionBytes    float64 // of a version
+	Chunks          int
+	StoreRate       float64 // bytes per second of the whole store
+	LinkRate        float64 // bytes per second of each instance, each way
+	Latency         time.Duration
+	LoadTime        time.Duration // mean time an engine takes to load; it does not serve meanwhile
+	LoadTimeJitter  float64       // of the load time, each way, as a share
+	LoadFailureRate float64       // share of loads that fail
+	CapacityFloor   float64       // declared capacity floor
+	Distribution    weights.Distribution
+	SilentAgents    int           // agents that fall silent, with their engines, during the fetch
+	OwnerCrashAt    time.Duration // when the owner dies; 0: never
+	TakeoverTime    time.Duration // from then until its successor begins
+	Seed            uint64
+
+	// FromStore and LoadAtOnce make the baseline: every agent fetches everything from
 	// the store, and every engine loads as soon as all agents are ready.
-	FromStore bool
-	AtOnce    bool
+	FromStore  bool
+	LoadAtOnce bool
 }
 
-// LetterFleet is the fleet of the bounds: 1,300 engines in 8 failure domains.
-func LetterFleet() Fleet {
+// ReferenceFleet is the fleet of the bounds: 1,300 engines in 8 failure domains.
+func ReferenceFleet() Fleet {
 	return Fleet{
-		Engines:    1300,
-		Domains:    8,
-		Bytes:      2 << 30,
-		Chunks:     64,
-		StoreRate:  2e9,
-		LinkRate:   1.25e9,
-		Latency:    time.Millisecond,
-		Load:       1500 * time.Millisecond,
-		LoadSpread: 0.2,
-		FailLoads:  0.01,
-		Floor:      0.75,
-		Spread:     weights.DefaultConfig().Distribution,
-		Seed:       1,
+		Engines:         1300,
+		Domains:         8,
+		VersionBytes:    2 << 30,
+		Chunks:          64,
+		StoreRate:       2e9,
+		LinkRate:        1.25e9,
+		Latency:         time.Millisecond,
+		LoadTime:        1500 * time.Millisecond,
+		LoadTimeJitter:  0.2,
+		LoadFailureRate: 0.01,
+		CapacityFloor:   0.75,
+		Distribution:    weights.DefaultConfig().Distribution,
+		Seed:            1,
 	}
 }
 
 // FleetResult is what a fleet's rollout took.
 type FleetResult struct {
-	Seconds    float64 // from the announcement to the last engine's load
-	Fetched    float64 // seconds until every agent held the version
-	Worst      float64 // least share of engines serving at any moment
-	StoreBytes float64 // sent by the store
-	Orders     int     // that the owners gave, repeats included
-	Done       bool
+	Seconds         float64 // from the announcement to the last engine's load
+	FetchSeconds    float64 // seconds until every agent held the version
+	MinServingShare float64 // least share of engines serving at any moment
+	StoreBytes      float64 // sent by the store
+	Orders          int     // that the owners gave, repeats included
+	Done            bool
 }
 
 const (
@@ -113,13 +113,13 @@
 		byAddr: map[string]*node{},
 	}
 	r.began = r.clock.Now()
-	r.result.Worst = 1
+	r.result.MinServingShare = 1
 	r.addNodes()
 	r.own(1)
 	r.clock.After(deathAfter, r.kill)
-	if f.Takeover > 0 {
-		r.clock.After(f.Takeover, func() { r.rollout = nil })
-		r.clock.After(f.Takeover+f.Lease, func() { r.own(2) })
+	if f.OwnerCrashAt > 0 {
+		r.clock.After(f.OwnerCrashAt, func() { r.rollout = nil })
+		r.clock.After(f.OwnerCrashAt+f.TakeoverTime, func() { r.own(2) })
 	}
 	took := r.clock.Run(fleetLimit, func() bool { return r.done == r.living() })
 	r.result.Seconds = took.Seconds()
@@ -132,7 +132,7 @@
 	config := weights.DefaultConfig()
 	config.Duty, config.Epoch = weights.Duty("fleet"), epoch
 	r.epoch = epoch
-	config.CapacityFloor, config.Distribution = r.Floor, r.Spread
+	config.CapacityFloor, config.Distribution = r.CapacityFloor, r.Distribution
 	config.PrepareTimeout = fleetLimit
 	r.rollout = weights.NewRollout(config)
 	r.rollout.SetMembers(r.members, r.clock.Now())
@@ -161,15 +161,15 @@
 
 // kill silences agents spread over the fleet, some near the roots of the trees.
 func (r *fleet) kill() {
-	for i := range r.Deaths {
-		r.nodes[i*r.Engines/r.Deaths].dead = true
+	for i := range r.SilentAgents {
+		r.nodes[i*r.Engines/r.SilentAgents].dead = true
 		r.dead++
 	}
 }
 
 // tick steps an owner until it dies.
 func (r *fleet) tick(owner *weights.Rollout) {
-	atOnce := r.AtOnce && r.clock.Now().Sub(r.began) > baselineTicks
+	atOnce := r.LoadAtOnce && r.clock.Now().Sub(r.began) > baselineTicks
 	if r.rollout != owner || atOnce { // the baseline's loads need no owner
 		return
 	}
@@ -199,7 +199,7 @@
 // transfer runs fn once a chunk has passed both links, each of which carries one
 // chunk at a time.
 func (r *fleet) transfer(from, to *link, fn func()) {
-	bytes := r.Bytes / float64(r.Chunks)
+	bytes := r.VersionBytes / float64(r.Chunks)
 	start := r.clock.Now()
 	if from.free.After(start) {
 		start = from.free
@@ -222,5 +222,5 @@
 
 func (r *fleet) setLoading(change int) {
 	r.loading += change
-	r.result.Worst = min(r.result.Worst, 1-float64(r.loading)/float64(r.Engines))
+	r.result.MinServingShare = min(r.result.MinServingShare, 1-float64(r.loading)/float64(r.Engines))
 }
--- a/internal/lab/weights/node.go
+++ b/internal/lab/weights/node.go
@@ -79,7 +79,7 @@
 
 func (n *node) ask(piece weights.ChunkSource) {
 	if piece.Source == weights.StoreSource {
-		n.fleet.result.StoreBytes += n.fleet.Bytes / float64(n.fleet.Chunks)
+		n.fleet.result.StoreBytes += n.fleet.VersionBytes / float64(n.fleet.Chunks)
 		n.fleet.transfer(&n.fleet.store, &n.down, func() { n.got(piece) })
 		return
 	}
@@ -136,12 +136,12 @@
 	r := n.fleet
 	r.holding++
 	if r.holding == r.living() {
-		r.result.Fetched = r.clock.Now().Sub(r.began).Seconds()
-		if r.AtOnce {
+		r.result.FetchSeconds = r.clock.Now().Sub(r.began).Seconds()
+		if r.LoadAtOnce {
 			r.loadAll()
 		}
 	}
-	if !r.AtOnce {
+	if !r.LoadAtOnce {
 		n.prepared()
 	}
 }
@@ -156,8 +156,8 @@
 func (n *node) load(o wire.Order) {
 	r := n.fleet
 	r.setLoading(1)
-	took := r.Load.Seconds() * (1 + r.LoadSpread*(2*r.rng.Float64()-1))
-	failed := r.rng.Float64() < r.FailLoads
+	took := r.LoadTime.Seconds() * (1 + r.LoadTimeJitter*(2*r.rng.Float64()-1))
+	failed := r.rng.Float64() < r.LoadFailureRate
 	r.clock.After(seconds(took), func() {
 		r.setLoading(-1)
 		if n.dead {
@@ -179,7 +179,7 @@
 func (r *fleet) loadAll() {
 	for _, n := range r.nodes {
 		r.setLoading(1)
-		r.clock.After(r.Load, func() {
+		r.clock.After(r.LoadTime, func() {
 			r.setLoading(-1)
 			n.version = fleetVersion
 			r.done++
--- a/internal/lab/weights/schedule.go
+++ b/internal/lab/weights/schedule.go
@@ -26,12 +26,12 @@
 	firstWeight = 1
 )
 
-// Sabotage takes a safeguard out, to show that the checks notice.
-type Sabotage struct {
-	NoGuard bool // agents pass every load to the engine as it comes
-	NoWait  bool // a new agent does not wait out its predecessor's orders
-	NoAge   bool // an agent takes an order however old its target is
-	NoVoid  bool // a status does not void the loads given before it
+// DisabledSafeguards takes a safeguard out, to show that the checks notice.
+type DisabledSafeguards struct {
+	OrderFilter        bool // agents pass every load to the engine as it comes
+	StartupWait        bool // a new agent does not wait out its predecessor's orders
+	TargetAge          bool // an agent takes an order however old its target is
+	StatusInvalidation bool // a status does not void the loads given before it
 }
 
 // Violations counts what must never happen. Reverts: an engine's version fell by
@@ -52,21 +52,21 @@
 	v.Unfinished += o.Unfinished
 }
 
-// Faulted counts the faults of a schedule.
-type Faulted struct {
-	Takeovers   int // owners that crashed or were paused past their lease
-	Replaced    int // agents
-	AgentPauses int
-	LostAnswers int
-	FailedLoads int
-	Versions    int // announced while a rollout was under way
-	RoleChanges int
-	NoFencing   int // engines that ignore fencing numbers
+// FaultCounts counts the faults of a schedule.
+type FaultCounts struct {
+	Takeovers      int // owners that crashed or were paused past their lease
+	ReplacedAgents int
+	AgentPauses    int
+	LostAnswers    int
+	FailedLoads    int
+	Versions       int // announced while a rollout was under way
+	RoleChanges    int
+	NoFencing      int // engines that ignore fencing numbers
 }
 
-func (f *Faulted) add(o Faulted) {
+func (f *FaultCounts) add(o FaultCounts) {
 	f.Takeovers += o.Takeovers
-	f.Replaced += o.Replaced
+	f.ReplacedAgents += o.ReplacedAgents
 	f.AgentPauses += o.AgentPauses
 	f.LostAnswers += o.LostAnswers
 	f.FailedLoads += o.FailedLoads
@@ -79,7 +79,7 @@
 type world struct {
 	clock   *timeline.Timeline
 	rng     *rand.Rand
-	harm    Sabotage
+	harm    DisabledSafeguards
 	began   time.Time
 	floor   float64
 	engines []*engine
@@ -87,24 +87,24 @@
 	target  int64          // the record in the key-value service
 	roles   []weights.Role // declared; nil: none
 	bad     Violations
-	seen    Faulted
+	seen    FaultCounts
 }
 
 // RunSchedule plays the schedule of a seed.
-func RunSchedule(seed uint64, harm Sabotage) (Violations, Faulted) {
+func RunSchedule(seed uint64, harm DisabledSafeguards) (Violations, FaultCounts) {
 	return newWorld(seed, harm).play()
 }
 
 // RunRoleSchedule plays the schedule of a seed with roles, which change as
 // versions do.
-func RunRoleSchedule(seed uint64, harm Sabotage) (Violations, Faulted) {
+func RunRoleSchedule(seed uint64, harm DisabledSafeguards) (Violations, FaultCounts) {
 	w := newWorld(seed, harm)
 	w.declareRoles()
 	w.plan(2*time.Second, 6*time.Second, w.declareRoles)
 	return w.play()
 }
 
-func newWorld(seed uint64, harm Sabotage) *world {
+func newWorld(seed uint64, harm DisabledSafeguards) *world {
 	w := &world{
 		clock:  timeline.New(),
 		rng:    rand.New(rand.NewPCG(seed, 7)),
@@ -119,7 +119,7 @@
 	return w
 }
 
-func (w *world) play() (Violations, Faulted) {
+func (w *world) play() (Violations, FaultCounts) {
 	w.addOwner()
 	w.plan(300*time.Millisecond, 2*time.Second, w.announce)
 	w.plan(time.Second, 6*time.Second, w.takeOver)
