--- a/internal/lab/weights/fleet.go
+++ b/internal/lab/weights/fleet.go
@@ -1,6 +1,7 @@
-// Package weights measures the rollout of weights in virtual time: a fleet with
-// limited links for its duration and capacity, and many small fleets with faults
-// for what must always hold. The decisions are those of internal/policy/weights.
+// Package weights measures the rollout of weights in virtual time. A large fleet
+// with limited links yields the duration of a rollout and the serving capacity
+// during it. Many small fleets with faults check the invariants. The decisions
+// are those of internal/policy/weights.
 package weights
 
 import (
@@ -13,32 +14,33 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Fleet describes the fleet whose rollout is timed.
+// Fleet describes a fleet whose rollout is measured.
 type Fleet struct {
 	Engines         int
 	Domains         int
-	VersionBytes    float64 // of a version
+	VersionBytes    float64 // size of a version
 	Chunks          int
-	StoreRate       float64 // bytes per second of the whole store
-	LinkRate        float64 // bytes per second of each instance, each way
+	StoreRate       float64 // bytes per second that the store sends in total
+	LinkRate        float64 // bytes per second of each instance in each direction
 	Latency         time.Duration
-	LoadTime        time.Duration // mean time an engine takes to load; it does not serve meanwhile
-	LoadTimeJitter  float64       // of the load time, each way, as a share
+	LoadTime        time.Duration // mean time an engine takes to load; it does not serve during a load
+	LoadTimeJitter  float64       // largest deviation from LoadTime, as a share of it
 	LoadFailureRate float64       // share of loads that fail
-	CapacityFloor   float64       // declared capacity floor
+	CapacityFloor   float64       // least share of engines that must keep serving
 	Distribution    weights.Distribution
-	SilentAgents    int           // agents that fall silent, with their engines, during the fetch
-	OwnerCrashAt    time.Duration // when the owner dies; 0: never
-	TakeoverTime    time.Duration // from then until its successor begins
+	SilentAgents    int           // number of agents that stop answering, with their engines, during the fetch
+	OwnerCrashAt    time.Duration // time from the start to the crash of the owner; 0: no crash
+	TakeoverTime    time.Duration // time from the crash until the successor starts
 	Seed            uint64
 
-	// FromStore and LoadAtOnce make the baseline: every agent fetches everything from
-	// the store, and every engine loads as soon as all agents are ready.
+	// FromStore and LoadAtOnce select the baseline: every agent fetches all chunks
+	// from the store, and all engines load as soon as every agent has the version.
 	FromStore  bool
 	LoadAtOnce bool
 }
 
-// ReferenceFleet is the fleet of the bounds: 1,300 engines in 8 failure domains.
+// ReferenceFleet returns the fleet that the bounds apply to: 1,300 engines in 8
+// failure domains.
 func ReferenceFleet() Fleet {
 	return Fleet{
 		Engines:         1300,
@@ -57,90 +59,92 @@
 	}
 }
 
-// FleetResult is what a fleet's rollout took.
+// FleetResult is the result of a fleet's rollout.
 type FleetResult struct {
-	Seconds         float64 // from the announcement to the last engine's load
-	FetchSeconds    float64 // seconds until every agent held the version
-	MinServingShare float64 // least share of engines serving at any moment
-	StoreBytes      float64 // sent by the store
-	Orders          int     // that the owners gave, repeats included
-	Done            bool
+	Seconds         float64 // from the announcement to the end of the last engine's load
+	FetchSeconds    float64 // until every live agent had all chunks of the version
+	MinServingShare float64 // lowest share of engines that served at any time
+	StoreBytes      float64 // bytes sent by the store
+	Orders          int     // orders sent by the owners, including repeats
+	Done            bool    // every live engine has loaded the version
 }
 
 const (
-	fleetTick     = 50 * time.Millisecond // the owner's, as in the entry
-	fleetLimit    = time.Hour
-	baselineTicks = 5 * time.Second
-	fleetVersion  = 2
-	orderLimit    = 2 * time.Second // as the owner waits for a silent agent
-	deathAfter    = 1500 * time.Millisecond
+	ownerStepInterval     = 50 * time.Millisecond // as in the entry
+	fleetTimeout          = time.Hour
+	baselinePreparePeriod = 5 * time.Second // after which the owner of the baseline stops
+	fleetVersion          = 2
+	orderTimeout          = 2 * time.Second // after which the owner regards an agent as silent
+	agentsSilentAt        = 1500 * time.Millisecond
 )
 
-// fleet is one run.
-type fleet struct {
+// fleetRun is the state of one rollout over a fleet.
+type fleetRun struct {
 	Fleet
-	clock   *timeline.Timeline
-	began   time.Time
-	rng     *rand.Rand
-	rollout *weights.Rollout // of the living owner; nil between two
-	epoch   int64            // of that owner
-	members []weights.Member
-	store   link
-	nodes   []*node
-	byID    map[string]*node
-	byAddr  map[string]*node
-	loading int
-	holding int
-	done    int // living engines that have loaded the version
-	dead    int
-	result  FleetResult
+	clock        *timeline.Timeline
+	startedAt    time.Time
+	rng          *rand.Rand
+	rollout      *weights.Rollout // of the current owner; nil after its crash until the successor starts
+	epoch        int64            // of the current owner
+	members      []weights.Member
+	store        link
+	nodes        []*node
+	byID         map[string]*node
+	byAddress    map[string]*node
+	loadingCount int // engines that are loading
+	fetchedCount int // agents that have all chunks
+	loadedCount  int // engines that have loaded the version
+	silentCount  int
+	result       FleetResult
 }
 
-// link is one direction of a network interface; transfers queue on it.
+// link is one direction of a network interface. It carries one transfer at a time;
+// further ones queue.
 type link struct {
-	rate float64
-	free time.Time
+	rate   float64   // bytes per second
+	freeAt time.Time // end of the last queued transfer
 }
 
-// Run rolls one version out.
+// Run rolls out one version and returns the result.
 func (f Fleet) Run() FleetResult {
-	r := &fleet{
-		Fleet:  f,
-		clock:  timeline.New(),
-		rng:    rand.New(rand.NewPCG(f.Seed, 0)),
-		store:  link{rate: f.StoreRate},
-		byID:   map[string]*node{},
-		byAddr: map[string]*node{},
+	r := &fleetRun{
+		Fleet:     f,
+		clock:     timeline.New(),
+		rng:       rand.New(rand.NewPCG(f.Seed, 0)),
+		store:     link{rate: f.StoreRate},
+		byID:      map[string]*node{},
+		byAddress: map[string]*node{},
 	}
-	r.began = r.clock.Now()
+	r.startedAt = r.clock.Now()
 	r.result.MinServingShare = 1
 	r.addNodes()
-	r.own(1)
-	r.clock.After(deathAfter, r.kill)
+	r.startOwner(1)
+	r.clock.After(agentsSilentAt, r.silenceAgents)
 	if f.OwnerCrashAt > 0 {
 		r.clock.After(f.OwnerCrashAt, func() { r.rollout = nil })
-		r.clock.After(f.OwnerCrashAt+f.TakeoverTime, func() { r.own(2) })
+		r.clock.After(f.OwnerCrashAt+f.TakeoverTime, func() { r.startOwner(2) })
 	}
-	took := r.clock.Run(fleetLimit, func() bool { return r.done == r.living() })
+	took := r.clock.Run(fleetTimeout, func() bool { return r.loadedCount == r.liveCount() })
 	r.result.Seconds = took.Seconds()
-	r.result.Done = r.done == r.living()
+	r.result.Done = r.loadedCount == r.liveCount()
 	return r.result
 }
 
-// own begins the rollout of an owner, which knows nothing of another's.
-func (r *fleet) own(epoch int64) {
+// startOwner starts an owner with a new rollout, which has no state from the
+// previous owner.
+func (r *fleetRun) startOwner(epoch int64) {
 	config := weights.DefaultConfig()
 	config.Duty, config.Epoch = weights.Duty("fleet"), epoch
 	r.epoch = epoch
 	config.CapacityFloor, config.Distribution = r.CapacityFloor, r.Distribution
-	config.PrepareTimeout = fleetLimit
+	config.PrepareTimeout = fleetTimeout
 	r.rollout = weights.NewRollout(config)
 	r.rollout.SetMembers(r.members, r.clock.Now())
 	r.rollout.SetTarget(weights.Key{Model: "model"}, fleetVersion)
 	r.tick(r.rollout)
 }
 
-func (r *fleet) addNodes() {
+func (r *fleetRun) addNodes() {
 	r.members = make([]weights.Member, r.Engines)
 	for i := range r.members {
 		m := weights.Member{
@@ -153,42 +157,45 @@
 		r.members[i] = m
 		r.nodes = append(r.nodes, n)
 		r.byID[m.ID] = n
-		r.byAddr[m.Address] = n
+		r.byAddress[m.Address] = n
 	}
 }
 
-func (r *fleet) living() int { return r.Engines - r.dead }
+func (r *fleetRun) liveCount() int { return r.Engines - r.silentCount }
 
-// kill silences agents spread over the fleet, some near the roots of the trees.
-func (r *fleet) kill() {
+// silenceAgents stops agents spread evenly over the fleet, some of them near the
+// roots of the distribution trees.
+func (r *fleetRun) silenceAgents() {
 	for i := range r.SilentAgents {
-		r.nodes[i*r.Engines/r.SilentAgents].dead = true
-		r.dead++
+		r.nodes[i*r.Engines/r.SilentAgents].silent = true
+		r.silentCount++
 	}
 }
 
-// tick steps an owner until it dies.
-func (r *fleet) tick(owner *weights.Rollout) {
-	atOnce := r.LoadAtOnce && r.clock.Now().Sub(r.began) > baselineTicks
-	if r.rollout != owner || atOnce { // the baseline's loads need no owner
+// tick calls Step of an owner at every interval until the owner crashes.
+func (r *fleetRun) tick(owner *weights.Rollout) {
+	atOnce := r.LoadAtOnce && r.clock.Now().Sub(r.startedAt) > baselinePreparePeriod
+	if r.rollout != owner || atOnce { // the owner takes no part in the baseline's loads
 		return
 	}
 	for _, send := range owner.Step(r.clock.Now()) {
 		r.result.Orders++
 		n := r.byID[send.Engine]
 		r.clock.After(r.Latency, func() { n.handle(send.Order) })
-		r.clock.After(orderLimit, func() {
-			// Only a dead agent's orders have no reply; another's is ignored as late.
-			if n.dead {
+		r.clock.After(orderTimeout, func() {
+			// Only orders to silent agents stay without a reply. The reply of a live
+			// agent arrives in any case, so no timeout is reported for it.
+			if n.silent {
 				owner.HandleReply(send.Engine, send.Order, wire.OrderReply{}, false, r.clock.Now())
 			}
 		})
 	}
-	r.clock.After(fleetTick, func() { r.tick(owner) })
+	r.clock.After(ownerStepInterval, func() { r.tick(owner) })
 }
 
-// reply brings an agent's reply to the owner that gave the order, if it lives.
-func (r *fleet) reply(id string, o wire.Order, reply wire.OrderReply) {
+// reply delivers an agent's reply to the owner that sent the order, unless that
+// owner has crashed.
+func (r *fleetRun) reply(id string, o wire.Order, reply wire.OrderReply) {
 	r.clock.After(r.Latency, func() {
 		if r.rollout != nil && r.epoch == o.Fence.Epoch {
 			r.rollout.HandleReply(id, o, reply, true, r.clock.Now())
@@ -196,31 +203,31 @@
 	})
 }
 
-// transfer runs fn once a chunk has passed both links, each of which carries one
+// transfer calls fn when a chunk has passed both links, each of which carries one
 // chunk at a time.
-func (r *fleet) transfer(from, to *link, fn func()) {
+func (r *fleetRun) transfer(from, to *link, fn func()) {
 	bytes := r.VersionBytes / float64(r.Chunks)
 	start := r.clock.Now()
-	if from.free.After(start) {
-		start = from.free
+	if from.freeAt.After(start) {
+		start = from.freeAt
 	}
 	sent := start.Add(seconds(bytes / from.rate))
-	from.free = sent
+	from.freeAt = sent
 	begin := start
-	if to.free.After(begin) {
-		begin = to.free
+	if to.freeAt.After(begin) {
+		begin = to.freeAt
 	}
 	end := begin.Add(seconds(bytes / to.rate))
 	if end.Before(sent) {
 		end = sent
 	}
-	to.free = end
+	to.freeAt = end
 	r.clock.After(end.Sub(r.clock.Now())+r.Latency, fn)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (r *fleet) setLoading(change int) {
-	r.loading += change
-	r.result.MinServingShare = min(r.result.MinServingShare, 1-float64(r.loading)/float64(r.Engines))
+func (r *fleetRun) addLoading(delta int) {
+	r.loadingCount += delta
+	r.result.MinServingShare = min(r.result.MinServingShare, 1-float64(r.loadingCount)/float64(r.Engines))
 }
--- a/internal/lab/weights/node.go
+++ b/internal/lab/weights/node.go
@@ -7,57 +7,57 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// node is an agent with its engine in a fleet.
+// node is an agent of a fleet with its engine.
 type node struct {
-	fleet   *fleet
-	id      string
-	up      link
-	down    link
-	guard   *weights.OrderFilter
-	held    []bool
-	waiting map[int][]func(found bool) // questions for chunks that have not come yet
-	prepare wire.Order
-	fetch   *weights.FetchPlan
-	version int64
-	dead    bool
+	fleet    *fleetRun
+	id       string
+	uplink   link
+	downlink link
+	filter   *weights.OrderFilter
+	chunks   []bool                     // which chunks the agent has
+	waiters  map[int][]func(found bool) // callbacks of requests for chunks that the agent lacks, by index
+	prepare  wire.Order                 // newest order to prepare
+	fetch    *weights.FetchPlan
+	version  int64
+	silent   bool
 }
 
-func newNode(r *fleet, id string) *node {
+func newNode(r *fleetRun, id string) *node {
 	n := &node{
-		fleet:   r,
-		id:      id,
-		up:      link{rate: r.LinkRate},
-		down:    link{rate: r.LinkRate},
-		held:    make([]bool, r.Chunks),
-		waiting: map[int][]func(bool){},
-		version: 1,
+		fleet:    r,
+		id:       id,
+		uplink:   link{rate: r.LinkRate},
+		downlink: link{rate: r.LinkRate},
+		chunks:   make([]bool, r.Chunks),
+		waiters:  map[int][]func(bool){},
+		version:  1,
 	}
-	// The agent has been up for long: it is settled.
+	// The agent started long ago: the startup wait of its filter is over.
 	now := r.clock.Now()
-	n.guard = weights.NewOrderFilter(id, weights.MaxOrderTimeout, now.Add(-2*weights.MaxOrderTimeout))
-	n.report(now)
+	n.filter = weights.NewOrderFilter(id, weights.MaxOrderTimeout, now.Add(-2*weights.MaxOrderTimeout))
+	n.reportVersion(now)
 	return n
 }
 
-func (n *node) report(now time.Time) {
-	n.guard.ReportVersions(map[string]int64{"": n.version}, now)
+func (n *node) reportVersion(now time.Time) {
+	n.filter.ReportVersions(map[string]int64{"": n.version}, now)
 }
 
 func (n *node) handle(o wire.Order) {
-	if n.dead {
+	if n.silent {
 		return
 	}
 	now := n.fleet.clock.Now()
-	n.report(now)
-	verdict := n.guard.Accept(o, now)
+	n.reportVersion(now)
+	verdict := n.filter.Accept(o, now)
 	switch {
 	case !verdict.Run:
 		n.fleet.reply(n.id, o, verdict.Reply)
 	case o.Kind == wire.OrderPrepare:
-		again := n.fetch != nil
+		repeated := n.fetch != nil
 		n.prepare = o
-		if again {
-			n.prepared()
+		if repeated {
+			n.replyPrepared()
 			return
 		}
 		sources := o.Sources
@@ -65,53 +65,54 @@
 			sources = nil
 		}
 		n.fetch = weights.NewFetchPlan(n.fleet.Chunks, sources)
-		n.next()
+		n.requestChunks()
 	default:
 		n.load(o)
 	}
 }
 
-func (n *node) next() {
-	for _, piece := range n.fetch.Next() {
-		n.fleet.clock.After(n.fleet.Latency, func() { n.ask(piece) })
+func (n *node) requestChunks() {
+	for _, chunk := range n.fetch.Next() {
+		n.fleet.clock.After(n.fleet.Latency, func() { n.requestChunk(chunk) })
 	}
 }
 
-func (n *node) ask(piece weights.ChunkSource) {
-	if piece.Source == weights.StoreSource {
+func (n *node) requestChunk(chunk weights.ChunkSource) {
+	if chunk.Source == weights.StoreSource {
 		n.fleet.result.StoreBytes += n.fleet.VersionBytes / float64(n.fleet.Chunks)
-		n.fleet.transfer(&n.fleet.store, &n.down, func() { n.got(piece) })
+		n.fleet.transfer(&n.fleet.store, &n.downlink, func() { n.chunkReceived(chunk) })
 		return
 	}
-	parent := n.fleet.byAddr[piece.Source]
-	parent.give(piece.Index, &n.down, func(found bool) {
+	parent := n.fleet.byAddress[chunk.Source]
+	parent.sendChunk(chunk.Index, &n.downlink, func(found bool) {
 		if found {
-			n.got(piece)
+			n.chunkReceived(chunk)
 			return
 		}
-		n.fetch.MarkFailed(piece)
-		n.next()
+		n.fetch.MarkFailed(chunk)
+		n.requestChunks()
 	})
 }
 
-// give sends a chunk down a link, once it is there.
-func (n *node) give(index int, to *link, end func(found bool)) {
-	if n.dead {
+// sendChunk sends a chunk over a link, once the node has it. If the node does not
+// get the chunk in time, it calls end with false.
+func (n *node) sendChunk(index int, to *link, end func(found bool)) {
+	if n.silent {
 		n.fleet.clock.After(weights.ChunkRequestTimeout, func() { end(false) })
 		return
 	}
-	if n.held[index] {
-		n.fleet.transfer(&n.up, to, func() { end(true) })
+	if n.chunks[index] {
+		n.fleet.transfer(&n.uplink, to, func() { end(true) })
 		return
 	}
 	answered := false
-	n.waiting[index] = append(n.waiting[index], func(bool) {
-		if !answered && !n.dead {
+	n.waiters[index] = append(n.waiters[index], func(bool) {
+		if !answered && !n.silent {
 			answered = true
-			n.fleet.transfer(&n.up, to, func() { end(true) })
+			n.fleet.transfer(&n.uplink, to, func() { end(true) })
 		}
 	})
-	n.fleet.clock.After(weights.ChunkHoldTimeout, func() { // a death while it waits is not told apart
+	n.fleet.clock.After(weights.ChunkHoldTimeout, func() { // also ends the request if the node has become silent since
 		if !answered {
 			answered = true
 			end(false)
@@ -119,35 +120,35 @@
 	})
 }
 
-func (n *node) got(piece weights.ChunkSource) {
-	if n.dead {
+func (n *node) chunkReceived(chunk weights.ChunkSource) {
+	if n.silent {
 		return
 	}
-	n.fetch.MarkReceived(piece)
-	n.held[piece.Index] = true
-	for _, answer := range n.waiting[piece.Index] {
+	n.fetch.MarkReceived(chunk)
+	n.chunks[chunk.Index] = true
+	for _, answer := range n.waiters[chunk.Index] {
 		answer(true)
 	}
-	delete(n.waiting, piece.Index)
+	delete(n.waiters, chunk.Index)
 	if !n.fetch.Done() {
-		n.next()
+		n.requestChunks()
 		return
 	}
 	r := n.fleet
-	r.holding++
-	if r.holding == r.living() {
-		r.result.FetchSeconds = r.clock.Now().Sub(r.began).Seconds()
+	r.fetchedCount++
+	if r.fetchedCount == r.liveCount() {
+		r.result.FetchSeconds = r.clock.Now().Sub(r.startedAt).Seconds()
 		if r.LoadAtOnce {
 			r.loadAll()
 		}
 	}
 	if !r.LoadAtOnce {
-		n.prepared()
+		n.replyPrepared()
 	}
 }
 
-// prepared replies to the newest order to prepare, once every chunk is held.
-func (n *node) prepared() {
+// replyPrepared replies to the newest order to prepare if the node has all chunks.
+func (n *node) replyPrepared() {
 	if n.fetch.Done() {
 		n.fleet.reply(n.id, n.prepare, wire.OrderReply{Outcome: wire.Answered, Version: n.prepare.Version})
 	}
@@ -155,12 +156,12 @@
 
 func (n *node) load(o wire.Order) {
 	r := n.fleet
-	r.setLoading(1)
+	r.addLoading(1)
 	took := r.LoadTime.Seconds() * (1 + r.LoadTimeJitter*(2*r.rng.Float64()-1))
 	failed := r.rng.Float64() < r.LoadFailureRate
 	r.clock.After(seconds(took), func() {
-		r.setLoading(-1)
-		if n.dead {
+		r.addLoading(-1)
+		if n.silent {
 			return
 		}
 		result := weights.LoadDone
@@ -168,21 +169,21 @@
 			result = weights.LoadFailed
 		} else {
 			n.version = o.Version
-			r.done++
+			r.loadedCount++
 		}
-		reply := n.guard.Finish(result, r.clock.Now())
+		reply := n.filter.Finish(result, r.clock.Now())
 		r.reply(n.id, o, reply)
 	})
 }
 
-// loadAll is the baseline's swap: every engine at the same moment.
-func (r *fleet) loadAll() {
+// loadAll starts the loads of all engines at the same time, for the baseline.
+func (r *fleetRun) loadAll() {
 	for _, n := range r.nodes {
-		r.setLoading(1)
+		r.addLoading(1)
 		r.clock.After(r.LoadTime, func() {
-			r.setLoading(-1)
+			r.addLoading(-1)
 			n.version = fleetVersion
-			r.done++
+			r.loadedCount++
 		})
 	}
 }
--- a/internal/lab/weights/roles.go
+++ b/internal/lab/weights/roles.go
@@ -2,18 +2,18 @@
 
 import "siskinloom.example/siskinloom/internal/policy/weights"
 
-// declareRoles has an operator declare another division of the engines.
+// declareRoles declares roles with random shares of the engines, as an operator may.
 func (w *world) declareRoles() {
-	w.seen.RoleChanges++
+	w.faults.RoleChanges++
 	w.roles = []weights.Role{
 		{Name: "prefill", Share: 1 + w.rng.IntN(2)},
 		{Name: "decode", Share: 1 + w.rng.IntN(3)},
 	}
 }
 
-// rolesHeld tells whether as many engines have each role as its share says,
-// give or take one for the remainder.
-func (w *world) rolesHeld() bool {
+// rolesAssigned reports whether the number of engines of each role differs by less
+// than one from the role's share and, if roles are declared, no engine lacks a role.
+func (w *world) rolesAssigned() bool {
 	total := 0
 	for _, r := range w.roles {
 		total += r.Share
--- a/internal/lab/weights/schedule.go
+++ b/internal/lab/weights/schedule.go
@@ -10,39 +10,37 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Times of a schedule. They are the product's, shortened by about five, so that
-// faults meet each other often.
+// Times of a schedule. They are about a fifth of those of the product, so that
+// faults often coincide.
 const (
-	maxOrder    = 2 * time.Second
-	ownerTick   = 200 * time.Millisecond
-	reportEvery = 500 * time.Millisecond
-	rpcTimeout  = 2 * time.Second
-	silentAfter = 500 * time.Millisecond // when an owner first gives a connection up
-	loadShort   = 50 * time.Millisecond
-	loadLong    = 2 * time.Second
-	faultsEnd   = 15 * time.Second
-	longestRun  = 60 * time.Second
-	firstOwner  = 1
-	firstWeight = 1
+	maxOrderTimeout   = 2 * time.Second
+	ownerPollInterval = 200 * time.Millisecond
+	reportInterval    = 500 * time.Millisecond
+	rpcTimeout        = 2 * time.Second
+	minSilenceTimeout = 500 * time.Millisecond // shortest time after which an owner gives up a silent connection
+	minLoadTime       = 50 * time.Millisecond
+	maxLoadTime       = 2 * time.Second
+	faultPeriod       = 15 * time.Second
+	scheduleTimeout   = 60 * time.Second
+	firstEpoch        = 1
+	firstVersion      = 1
 )
 
-// DisabledSafeguards takes a safeguard out, to show that the checks notice.
+// DisabledSafeguards selects safeguards that a schedule runs without, to show that
+// the checks detect the violations that follow.
 type DisabledSafeguards struct {
-	OrderFilter        bool // agents pass every load to the engine as it comes
-	StartupWait        bool // a new agent does not wait out its predecessor's orders
-	TargetAge          bool // an agent takes an order however old its target is
-	StatusInvalidation bool // a status does not void the loads given before it
+	OrderFilter        bool // agents pass every load to the engine on arrival
+	StartupWait        bool // a new agent does not wait until its predecessor's orders have expired
+	TargetAge          bool // an agent accepts orders whatever the age of their target
+	StatusInvalidation bool // a status order does not invalidate the loads issued before it
 }
 
-// Violations counts what must never happen. Reverts: an engine's version fell by
-// an order. TwoEffective: an engine obeyed a lower epoch after a higher one.
-// FloorBreaks: more engines were loading at once than the floor leaves.
-// Unfinished: an engine did not reach the last version after the faults ended.
+// Violations counts violations of the invariants.
 type Violations struct {
-	Reverts      int
-	TwoEffective int
-	FloorBreaks  int
-	Unfinished   int
+	Reverts      int // loads that lowered an engine's version
+	TwoEffective int // loads that took effect after one with a higher epoch
+	FloorBreaks  int // loads that began with too few engines left serving for the capacity floor
+	Unfinished   int // engines without the last version at the end; one more if the roles don't match
 }
 
 func (v *Violations) add(o Violations) {
@@ -52,16 +50,16 @@
 	v.Unfinished += o.Unfinished
 }
 
-// FaultCounts counts the faults of a schedule.
+// FaultCounts counts the faults of schedules.
 type FaultCounts struct {
-	Takeovers      int // owners that crashed or were paused past their lease
+	Takeovers      int // owners that crashed or were paused and replaced
 	ReplacedAgents int
 	AgentPauses    int
 	LostAnswers    int
 	FailedLoads    int
-	Versions       int // announced while a rollout was under way
-	RoleChanges    int
-	NoFencing      int // engines that ignore fencing numbers
+	Versions       int // announced after the first one
+	RoleChanges    int // declarations of roles
+	NoFencing      int // engines that ignore fencing tokens
 }
 
 func (f *FaultCounts) add(o FaultCounts) {
@@ -75,43 +73,43 @@
 	f.NoFencing += o.NoFencing
 }
 
-// world is one schedule: a small service with its owners, agents and engines.
+// world simulates one schedule: a small service with its owners, agents and engines.
 type world struct {
-	clock   *timeline.Timeline
-	rng     *rand.Rand
-	harm    DisabledSafeguards
-	began   time.Time
-	floor   float64
-	engines []*engine
-	owners  []*owner
-	target  int64          // the record in the key-value service
-	roles   []weights.Role // declared; nil: none
-	bad     Violations
-	seen    FaultCounts
+	clock      *timeline.Timeline
+	rng        *rand.Rand
+	disabled   DisabledSafeguards
+	startedAt  time.Time
+	floor      float64
+	engines    []*engine
+	owners     []*owner
+	target     int64          // newest version, as recorded in the key-value service
+	roles      []weights.Role // declared roles; nil if none
+	violations Violations
+	faults     FaultCounts
 }
 
-// RunSchedule plays the schedule of a seed.
-func RunSchedule(seed uint64, harm DisabledSafeguards) (Violations, FaultCounts) {
-	return newWorld(seed, harm).play()
+// RunSchedule simulates the schedule of a seed.
+func RunSchedule(seed uint64, disabled DisabledSafeguards) (Violations, FaultCounts) {
+	return newWorld(seed, disabled).run()
 }
 
-// RunRoleSchedule plays the schedule of a seed with roles, which change as
-// versions do.
-func RunRoleSchedule(seed uint64, harm DisabledSafeguards) (Violations, FaultCounts) {
-	w := newWorld(seed, harm)
+// RunRoleSchedule simulates the schedule of a seed with roles, which also change
+// during the schedule.
+func RunRoleSchedule(seed uint64, disabled DisabledSafeguards) (Violations, FaultCounts) {
+	w := newWorld(seed, disabled)
 	w.declareRoles()
-	w.plan(2*time.Second, 6*time.Second, w.declareRoles)
-	return w.play()
+	w.scheduleFault(2*time.Second, 6*time.Second, w.declareRoles)
+	return w.run()
 }
 
-func newWorld(seed uint64, harm DisabledSafeguards) *world {
+func newWorld(seed uint64, disabled DisabledSafeguards) *world {
 	w := &world{
-		clock:  timeline.New(),
-		rng:    rand.New(rand.NewPCG(seed, 7)),
-		harm:   harm,
-		target: firstWeight + 1,
+		clock:    timeline.New(),
+		rng:      rand.New(rand.NewPCG(seed, 7)),
+		disabled: disabled,
+		target:   firstVersion + 1,
 	}
-	w.began = w.clock.Now()
+	w.startedAt = w.clock.Now()
 	w.floor = []float64{0.5, 0.6, 0.75}[w.rng.IntN(3)]
 	for i := range 4 + w.rng.IntN(3) {
 		w.engines = append(w.engines, newEngine(w, i))
@@ -119,32 +117,33 @@
 	return w
 }
 
-func (w *world) play() (Violations, FaultCounts) {
+func (w *world) run() (Violations, FaultCounts) {
 	w.addOwner()
-	w.plan(300*time.Millisecond, 2*time.Second, w.announce)
-	w.plan(time.Second, 6*time.Second, w.takeOver)
-	w.plan(time.Second, 8*time.Second, w.replaceAgent)
-	w.plan(time.Second, 5*time.Second, w.pauseAgent)
-	w.clock.Run(longestRun, w.finished)
+	w.scheduleFault(300*time.Millisecond, 2*time.Second, w.announce)
+	w.scheduleFault(time.Second, 6*time.Second, w.takeOver)
+	w.scheduleFault(time.Second, 8*time.Second, w.replaceAgent)
+	w.scheduleFault(time.Second, 5*time.Second, w.pauseAgent)
+	w.clock.Run(scheduleTimeout, w.finished)
 	for _, e := range w.engines {
 		if e.version != w.target {
-			w.bad.Unfinished++
+			w.violations.Unfinished++
 		}
 	}
-	if !w.rolesHeld() {
-		w.bad.Unfinished++
+	if !w.rolesAssigned() {
+		w.violations.Unfinished++
 	}
-	return w.bad, w.seen
+	return w.violations, w.faults
 }
 
-// plan repeats a fault at random intervals until the faults end.
-func (w *world) plan(least, most time.Duration, fault func()) {
+// scheduleFault injects a fault repeatedly, at random intervals between least and
+// most, until the period of faults is over.
+func (w *world) scheduleFault(least, most time.Duration, fault func()) {
 	w.clock.After(w.between(least, most), func() {
-		if w.quiet() {
+		if w.faultsEnded() {
 			return
 		}
 		fault()
-		w.plan(least, most, fault)
+		w.scheduleFault(least, most, fault)
 	})
 }
 
@@ -154,10 +153,11 @@
 
 func (w *world) chance(p float64) bool { return w.rng.Float64() < p }
 
-func (w *world) quiet() bool { return w.clock.Now().Sub(w.began) > faultsEnd }
+// faultsEnded reports whether the period of faults is over.
+func (w *world) faultsEnded() bool { return w.clock.Now().Sub(w.startedAt) > faultPeriod }
 
 func (w *world) finished() bool {
-	if !w.quiet() {
+	if !w.faultsEnded() {
 		return false
 	}
 	for _, e := range w.engines {
@@ -165,40 +165,41 @@
 			return false
 		}
 	}
-	return w.rolesHeld()
+	return w.rolesAssigned()
 }
 
 func (w *world) announce() {
 	w.target += 1 + w.rng.Int64N(2)
-	w.seen.Versions++
+	w.faults.Versions++
 }
 
-// delay is the time of one message. Now and then it is stuck for long.
+// delay returns the time that a message takes. During the period of faults, 5% of
+// the messages take much longer.
 func (w *world) delay() time.Duration {
-	if !w.quiet() && w.chance(0.05) {
+	if !w.faultsEnded() && w.chance(0.05) {
 		return w.between(500*time.Millisecond, 5*time.Second)
 	}
 	return w.between(time.Millisecond, 20*time.Millisecond)
 }
 
-// owner is one holder of the duty.
+// owner is a process that holds the duty or has held it.
 type owner struct {
 	world       *world
 	rollout     *weights.Rollout
 	epoch       int64
-	dead        bool
+	crashed     bool
 	pausedUntil time.Time
 }
 
 func (w *world) addOwner() {
 	config := weights.DefaultConfig()
 	config.Duty = "weights/s"
-	config.Epoch = int64(firstOwner + len(w.owners))
+	config.Epoch = int64(firstEpoch + len(w.owners))
 	config.CapacityFloor = w.floor
-	config.PollInterval = ownerTick
+	config.PollInterval = ownerPollInterval
 	config.RecheckInterval = 3 * time.Second
 	config.PrepareTimeout = rpcTimeout
-	config.LoadTimeout = maxOrder * 3 / 4
+	config.LoadTimeout = maxOrderTimeout * 3 / 4
 	config.FailureCooldown = 2 * time.Second
 	config.DownGracePeriod = 2 * time.Second
 	o := &owner{world: w, rollout: weights.NewRollout(config), epoch: config.Epoch}
@@ -206,19 +207,19 @@
 	o.tick()
 }
 
-// takeOver gives the duty to a successor. The holder crashes, or is paused and
-// wakes up later beside its successor.
+// takeOver starts a successor to the current owner, which crashes or is paused. A
+// paused owner resumes later and may then run concurrently with its successor.
 func (w *world) takeOver() {
 	last := w.owners[len(w.owners)-1]
-	last.dead = w.chance(0.4)
+	last.crashed = w.chance(0.4)
 	last.pausedUntil = w.clock.Now().Add(w.between(0, 5*time.Second))
-	w.seen.Takeovers++
+	w.faults.Takeovers++
 	w.clock.After(w.between(0, time.Second), w.addOwner)
 }
 
 func (o *owner) tick() {
 	w := o.world
-	if o.dead {
+	if o.crashed {
 		return
 	}
 	now := w.clock.Now()
@@ -233,7 +234,7 @@
 		o.send(send)
 	}
 	if !o.rollout.Deposed() {
-		w.clock.After(ownerTick, o.tick)
+		w.clock.After(ownerPollInterval, o.tick)
 	}
 }
 
@@ -250,31 +251,31 @@
 	return all
 }
 
-// send carries an order to the agent that stands there now. A connection ends
-// with its agent, so nothing on its way reaches the successor, but a paused agent
-// still reads what lies in its socket.
+// send delivers an order to the engine's current agent. A connection ends with its
+// agent, so no message in transit reaches the agent's successor, but a paused agent
+// still reads what is in its socket after it resumes.
 func (o *owner) send(s weights.EngineOrder) {
 	w := o.world
 	e := w.engine(s.Engine)
 	agent := e.agent
 	answered := false
 	end := func(reply wire.OrderReply, delivered bool) {
-		if answered || o.dead {
+		if answered || o.crashed {
 			return
 		}
 		answered = true
-		o.wake(func() { o.rollout.HandleReply(s.Engine, s.Order, reply, delivered, w.clock.Now()) })
+		o.whenResumed(func() { o.rollout.HandleReply(s.Engine, s.Order, reply, delivered, w.clock.Now()) })
 	}
-	w.clock.After(w.between(silentAfter, rpcTimeout), func() { end(wire.OrderReply{}, false) })
+	w.clock.After(w.between(minSilenceTimeout, rpcTimeout), func() { end(wire.OrderReply{}, false) })
 	if agent == nil {
 		return
 	}
-	agent.broken = append(agent.broken, func() { end(wire.OrderReply{}, false) })
-	lost := !w.quiet() && w.chance(0.05)
+	agent.onDisconnect = append(agent.onDisconnect, func() { end(wire.OrderReply{}, false) })
+	lost := !w.faultsEnded() && w.chance(0.05)
 	w.clock.After(w.delay(), func() {
 		agent.receive(s.Order, func(reply wire.OrderReply) {
 			if lost {
-				w.seen.LostAnswers++
+				w.faults.LostAnswers++
 				return
 			}
 			w.clock.After(w.delay(), func() { end(reply, true) })
@@ -282,11 +283,11 @@
 	})
 }
 
-// wake runs fn once the owner is not paused.
-func (o *owner) wake(fn func()) {
+// whenResumed calls fn when the owner is not paused, at the earliest now.
+func (o *owner) whenResumed(fn func()) {
 	now := o.world.clock.Now()
 	if now.Before(o.pausedUntil) {
-		o.world.clock.After(o.pausedUntil.Sub(now), func() { o.wake(fn) })
+		o.world.clock.After(o.pausedUntil.Sub(now), func() { o.whenResumed(fn) })
 		return
 	}
 	fn()
--- a/internal/lab/weights/takeover.go
+++ b/internal/lab/weights/takeover.go
@@ -11,47 +11,47 @@
 )
 
 const (
-	takeoverRuns    = 500
-	takeoverEntries = 3
-	takeoverTick    = 100 * time.Millisecond // of the duties' runtime
-	takeoverSettled = 20 * time.Second       // the holder dies within a renewal after that
-	takeoverLimit   = time.Minute
-	storeSlowest    = 20 * time.Millisecond // of a call to the key-value service
-	duty            = weights.DutyPrefix + "fleet"
+	takeoverRuns         = 500
+	takeoverEntries      = 3
+	takeoverTickInterval = 100 * time.Millisecond // as in dutyrun
+	takeoverSettleTime   = 20 * time.Second       // the holder fails within one renewal interval after this time
+	takeoverTimeout      = time.Minute
+	maxStoreDelay        = 20 * time.Millisecond // each way, of a call to the key-value service
+	duty                 = weights.DutyPrefix + "fleet"
 )
 
-// takeover is one death of the holder of a weights duty: the entries' keepers
-// with the record of the duty.
+// takeover simulates the failure of the holder of a weights duty, with the keepers of
+// all entries and the duty's record in the key-value service.
 type takeover struct {
 	clock    *timeline.Timeline
 	rng      *rand.Rand
 	config   duties.Config
 	keepers  []*duties.Keeper
-	dead     int // index; -1: none yet
-	frozen   bool
+	crashed  int  // index of the failed entry; -1 before the failure
+	frozen   bool // the failed entry hangs instead of refusing connections
 	record   duties.Record
 	revision int64
 }
 
-// longestTakeover returns the longest time from an owner's death, killed or
-// frozen, to its successor's first step.
-func longestTakeover(early bool) time.Duration {
+// longestTakeover returns the longest time over all seeds from the failure of the
+// duty's holder, which is killed or frozen, until another entry holds the duty.
+func longestTakeover(earlyTakeover bool) time.Duration {
 	longest := time.Duration(0)
 	for seed := range uint64(takeoverRuns) {
-		longest = max(longest, runTakeover(seed, early))
+		longest = max(longest, runTakeover(seed, earlyTakeover))
 	}
 	return longest
 }
 
-func runTakeover(seed uint64, early bool) time.Duration {
+func runTakeover(seed uint64, earlyTakeover bool) time.Duration {
 	t := &takeover{
-		clock:  timeline.New(),
-		rng:    rand.New(rand.NewPCG(seed, 11)),
-		config: duties.DefaultConfig(),
-		dead:   -1,
-		frozen: seed%2 == 0,
+		clock:   timeline.New(),
+		rng:     rand.New(rand.NewPCG(seed, 11)),
+		config:  duties.DefaultConfig(),
+		crashed: -1,
+		frozen:  seed%2 == 0,
 	}
-	if early {
+	if earlyTakeover {
 		t.config.EarlyTakeoverPrefixes = []string{weights.DutyPrefix}
 	}
 	var members []duties.Member
@@ -63,25 +63,25 @@
 		k.SetNames(t.clock.Now(), []string{duty})
 		k.SetMembers(t.clock.Now(), members)
 		t.keepers = append(t.keepers, k)
-		t.clock.After(t.upTo(takeoverTick), func() { t.tick(i) })
+		t.clock.After(t.randomDelay(takeoverTickInterval), func() { t.tick(i) })
 	}
-	var died time.Time
-	t.clock.After(takeoverSettled+t.upTo(t.config.RenewInterval), func() {
-		t.dead = t.holder()
-		died = t.clock.Now()
+	var crashedAt time.Time
+	t.clock.After(takeoverSettleTime+t.randomDelay(t.config.RenewInterval), func() {
+		t.crashed = t.holder()
+		crashedAt = t.clock.Now()
 	})
-	t.clock.Run(takeoverLimit, func() bool { return t.dead >= 0 && t.holder() >= 0 })
-	return t.clock.Now().Sub(died)
+	t.clock.Run(takeoverTimeout, func() bool { return t.crashed >= 0 && t.holder() >= 0 })
+	return t.clock.Now().Sub(crashedAt)
 }
 
-func (t *takeover) upTo(most time.Duration) time.Duration {
-	return time.Duration(t.rng.Int64N(int64(most)))
+func (t *takeover) randomDelay(limit time.Duration) time.Duration {
+	return time.Duration(t.rng.Int64N(int64(limit)))
 }
 
-// holder returns the living entry that holds the duty, or -1.
+// holder returns the index of the live entry that holds the duty, or -1.
 func (t *takeover) holder() int {
 	for i, k := range t.keepers {
-		if _, holds := k.KnownHolder(t.clock.Now(), duty); holds && i != t.dead {
+		if _, holds := k.KnownHolder(t.clock.Now(), duty); holds && i != t.crashed {
 			return i
 		}
 	}
@@ -89,34 +89,34 @@
 }
 
 func (t *takeover) tick(i int) {
-	if i == t.dead {
+	if i == t.crashed {
 		return
 	}
 	k := t.keepers[i]
 	now := t.clock.Now()
 	for _, a := range k.Tick(now, t.rng) {
-		t.clock.After(t.upTo(storeSlowest), func() { t.call(k, a) })
+		t.clock.After(t.randomDelay(maxStoreDelay), func() { t.call(k, a) })
 	}
 	for _, o := range k.Probes(now) {
 		t.probe(k, o)
 	}
-	t.clock.After(takeoverTick, func() { t.tick(i) })
+	t.clock.After(takeoverTickInterval, func() { t.tick(i) })
 }
 
-// call carries out a call to the key-value service.
+// call executes a call to the key-value service.
 func (t *takeover) call(k *duties.Keeper, a duties.Action) {
-	swapped := a.Kind == duties.Write && a.Expected == t.revision
-	if swapped {
+	written := a.Kind == duties.Write && a.Expected == t.revision
+	if written {
 		t.record = a.Record
 		t.revision++
 	}
 	record, revision := t.record, t.revision
-	t.clock.After(t.upTo(storeSlowest), func() {
+	t.clock.After(t.randomDelay(maxStoreDelay), func() {
 		now := t.clock.Now()
 		switch {
 		case a.Kind == duties.Read:
 			k.ReadDone(now, a.Duty, record, revision, true)
-		case swapped:
+		case written:
 			k.WriteDone(now, a, duties.Swapped, record, revision)
 		default:
 			k.WriteDone(now, a, duties.Conflict, record, revision)
@@ -124,13 +124,13 @@
 	})
 }
 
-// probe asks a holder: a killed one refuses the connection, a frozen one does
-// not answer.
+// probe probes a holder. A killed one refuses the connection; a frozen one does not
+// answer, so the probe ends after the probe interval.
 func (t *takeover) probe(k *duties.Keeper, o duties.KnownHolder) {
-	took := t.upTo(2 * time.Millisecond)
-	gone := t.dead >= 0 && o.Address == fmt.Sprint(t.dead)
-	if gone && t.frozen {
-		took = t.config.ProbeInterval
+	delay := t.randomDelay(2 * time.Millisecond)
+	down := t.crashed >= 0 && o.Address == fmt.Sprint(t.crashed)
+	if down && t.frozen {
+		delay = t.config.ProbeInterval
 	}
-	t.clock.After(took, func() { k.ProbeDone(t.clock.Now(), o, !gone) })
+	t.clock.After(delay, func() { k.ProbeDone(t.clock.Now(), o, !down) })
 }
