--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -1,5 +1,6 @@
-// Package capacity measures what control work costs a process of each role at
-// several sizes, and extrapolates to the size the users expect from the slopes.
+// Package capacity measures the cost of control traffic for a process of each role
+// in fleets of several sizes, and extrapolates it linearly to the fleet size that
+// the users expect.
 package capacity
 
 import (
@@ -10,42 +11,42 @@
 	"github.com/pkg/errors"
 )
 
-// The size that the users expect within two years.
+// The fleet size that the users expect within two years.
 const (
 	TargetEntries = 370
 	TargetAgents  = 1300
 )
 
-// Sample is the mean cost of a role's processes at one size.
+// Sample is the mean cost of a process of one role at one fleet size.
 type Sample struct {
 	Entries    int     `json:"entries"`
 	Agents     int     `json:"agents"`
 	Role       string  `json:"role"`
 	Processes  int     `json:"processes"`
 	CPUPercent float64 `json:"cpu_percent"` // of one core
-	Kilobytes  float64 `json:"kilobytes"`   // read and written a second
-	Megabytes  float64 `json:"megabytes"`   // resident
-	// Uses are the bytes a second, sent and received, of each traffic counter's
-	// use, and of each use of the key-value service, of which "traffic.key_value"
-	// is the sum with the framing.
+	Kilobytes  float64 `json:"kilobytes"`   // read and written per second
+	Megabytes  float64 `json:"megabytes"`   // resident memory
+	// Uses holds the bytes per second, sent and received, by use: one entry for each
+	// use that the traffic counters distinguish and one for each use of the key-value
+	// service. "traffic.key_value" is the sum of the latter, including framing.
 	Uses map[string]float64 `json:"uses"`
-	// Connections are opened a second, by use: each one costs the description
-	// of its messages' types anew.
+	// Connections holds the connections opened per second, by use. Each new connection
+	// transfers the descriptions of the message types again.
 	Connections map[string]float64 `json:"connections"`
-	// Busiest is what the process with the most read and wrote, in kilobytes a
-	// second, and BusiestUses its bytes a second by use.
+	// Busiest is the kilobytes per second read and written by the process with the
+	// most, and BusiestUses its bytes per second by use.
 	Busiest     float64            `json:"busiest"`
 	BusiestUses map[string]float64 `json:"busiest_uses"`
 }
 
-// Process is one process to watch.
+// Process is a process to measure.
 type Process struct {
 	Role    string
 	PID     int
-	Metrics string // ip:port that its counters are read from
+	Metrics string // ip:port at which its counters are served
 }
 
-// Append adds samples to a file of a JSON object a line.
+// Append appends samples to a file, one JSON object per line.
 func Append(path string, samples []Sample) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// Load reads what Append wrote.
+// Load reads the samples from a file that Append wrote.
 func Load(path string) ([]Sample, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -37,14 +37,15 @@
 		sample("agent", 20, 180, 0.2, 2, 2),
 	}
 
-	// Costs that few processes share fall with the size at first. A line through
-	// them would promise less than was ever measured, or less than nothing.
-	It("follow a line that rises, and stop where one falls", func() {
+	// A cost that is shared among few processes falls at first as the fleet grows. A
+	// line through such samples would predict less than any measured cost, or even a
+	// negative one.
+	It("are extrapolated if they rise with the size, and are those of the largest size if they fall", func() {
 		Expect(figure(samples, "control.cpu_share")).To(Equal(1.0))
 		Expect(figure(samples, "control.bytes_per_s")).To(BeNumerically("~", (10+0.01*(1670-200))*1024, 1))
 	})
 
-	It("are kept in a file and printed with the bytes by use", func() {
+	It("can be written to a file, loaded and printed with the bytes by use", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "samples")
 		samples[0].Uses = map[string]float64{"traffic.list": 2600}
 		Expect(capacity.Append(path, samples[:2])).To(Succeed())
@@ -57,7 +58,7 @@
 		Expect(out.String()).To(ContainSubstring("traffic.list"))
 	})
 
-	It("fail over the bounds", func() {
+	It("fail if they exceed the bounds", func() {
 		limits, err := bounds.Load("../../../bench/capacity.ini")
 		Expect(err).NotTo(HaveOccurred())
 		var out bytes.Buffer
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -16,43 +16,46 @@
 	"siskinloom.example/siskinloom/internal/traffic"
 )
 
-// ticksPerSecond is the unit of processor time in /proc, fixed on Linux.
+// ticksPerSecond is the number of clock ticks per second in which /proc gives
+// processor time. It is fixed on Linux.
 const ticksPerSecond = 100
 
 const (
-	scrapeLimit    = 5 * time.Second
+	scrapeTimeout  = 5 * time.Second
 	keyValuePrefix = "kv.bytes."
 )
 
-// usage is one process's counters at a moment.
+// usage is a reading of a process's counters.
 type usage struct {
-	ticks    float64
-	bytes    float64
-	pages    float64
-	counters map[string]float64
+	ticks    float64            // processor time in clock ticks
+	bytes    float64            // read and written
+	pages    float64            // resident memory in pages
+	counters map[string]float64 // of traffic and of the key-value service, by name
 }
 
-// wholeReads lengthens a span to whole intervals between reads of the instance
-// list: otherwise chance gives some entries a read more than others, which at
-// these sizes would be most of what the busiest entry takes.
-func wholeReads(span time.Duration, instances int) time.Duration {
+// roundToPollInterval rounds a duration up to a multiple of the interval at which
+// the instance list is read. Otherwise some entries would by chance read the list
+// once more than others, which at these sizes would be most of the traffic of the
+// busiest entry.
+func roundToPollInterval(duration time.Duration, instances int) time.Duration {
 	interval := membership.PollInterval(instances)
-	return (span + interval - 1) / interval * interval
+	return (duration + interval - 1) / interval * interval
 }
 
-// Measure watches processes for a while, at least the span.
-func Measure(entries, agents int, processes []Process, span time.Duration) ([]Sample, error) {
+// Measure measures processes for at least the given duration and returns one sample
+// per role, sorted by role.
+func Measure(entries, agents int, processes []Process, duration time.Duration) ([]Sample, error) {
 	before, err := readAll(processes)
 	if err != nil {
 		return nil, err
 	}
-	begun := time.Now()
-	time.Sleep(wholeReads(span, entries+agents))
+	startedAt := time.Now()
+	time.Sleep(roundToPollInterval(duration, entries+agents))
 	after, err := readAll(processes)
 	if err != nil {
 		return nil, err
 	}
-	seconds := time.Since(begun).Seconds()
+	seconds := time.Since(startedAt).Seconds()
 	byRole := map[string]*Sample{}
 	for i, p := range processes {
 		s := byRole[p.Role]
@@ -71,7 +74,7 @@
 	return samples, nil
 }
 
-// add adds one process's use over the seconds to the sums.
+// add adds the usage of one process, over the given number of seconds, to the sums.
 func (s *Sample) add(before, after usage, seconds float64) {
 	kilobytes := (after.bytes - before.bytes) / seconds / 1024
 	s.Processes++
@@ -93,7 +96,7 @@
 	}
 }
 
-// divide turns sums into means.
+// divide turns the sums over the processes into means.
 func (s *Sample) divide() {
 	n := float64(s.Processes)
 	s.CPUPercent, s.Kilobytes, s.Megabytes = s.CPUPercent/n, s.Kilobytes/n, s.Megabytes/n
@@ -104,7 +107,7 @@
 	}
 }
 
-// useOf returns what a counter of bytes counts.
+// useOf returns the use whose bytes a counter counts, and false if it counts none.
 func useOf(counter string) (string, bool) {
 	if strings.HasPrefix(counter, keyValuePrefix) {
 		return counter, true
@@ -117,8 +120,9 @@
 	return "", false
 }
 
-// readAll reads the counters before what /proc has, in which the reading would
-// show. The answer to the second reading is outside of the span.
+// readAll reads the usage of all processes. It scrapes the counters of all processes
+// before it reads /proc, because /proc also counts the I/O of a scrape. The answer
+// to the second scrape is sent after the measured interval of the counters.
 func readAll(processes []Process) ([]usage, error) {
 	all := make([]usage, len(processes))
 	for i, p := range processes {
@@ -134,13 +138,14 @@
 	return all, nil
 }
 
-// scrape reads the process's traffic counters.
+// scrape reads the process's traffic counters over HTTP. Without an address there
+// are none.
 func (u *usage) scrape(address string) error {
 	u.counters = map[string]float64{}
 	if address == "" {
 		return nil
 	}
-	status, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/metrics", scrapeLimit)
+	status, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/metrics", scrapeTimeout)
 	if err != nil {
 		return err
 	}
@@ -161,15 +166,16 @@
 	return nil
 }
 
-// read takes a process's counters from /proc: processor time and resident pages
-// from stat, bytes of read and write calls, sockets included, from io.
+// read reads a process's usage from /proc: processor time and resident pages from
+// stat, and the bytes of read and write calls, including those on sockets, from io.
 func (u *usage) read(pid int) error {
-	folder := filepath.Join("/proc", strconv.Itoa(pid))
-	line, err := os.ReadFile(filepath.Join(folder, "stat"))
+	dir := filepath.Join("/proc", strconv.Itoa(pid))
+	line, err := os.ReadFile(filepath.Join(dir, "stat"))
 	if err != nil {
 		return err
 	}
-	// The name in parentheses may hold spaces; fields are counted behind it.
+	// The process name in parentheses may contain spaces, so the indexes count the
+	// fields after it.
 	fields := strings.Fields(string(line[strings.LastIndexByte(string(line), ')')+1:]))
 	const userTime, systemTime, resident = 11, 12, 21
 	if len(fields) <= resident {
@@ -185,10 +191,12 @@
 	if u.pages, err = strconv.ParseFloat(fields[resident], 64); err != nil {
 		return err
 	}
-	u.bytes, err = readBytes(filepath.Join(folder, "io"))
+	u.bytes, err = readBytes(filepath.Join(dir, "io"))
 	return err
 }
 
+// readBytes returns the sum of the bytes read and written according to an io file
+// of /proc.
 func readBytes(path string) (float64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/capacity/report.go
+++ b/internal/lab/capacity/report.go
@@ -14,22 +14,22 @@
 
 var roles = []string{"entry", "agent"}
 
-// Report prints the samples and, per role, the line through them at the
-// expected size, then the bytes by use.
+// Report prints a table of the samples with, for each role, the extrapolation to
+// TargetEntries and TargetAgents, and then tables of the bytes by use.
 func Report(out io.Writer, samples []Sample) error {
 	table := tablewriter.NewWriter(out)
 	table.Header("role", "entries", "agents", "CPU % of a core", "kB/s", "busiest kB/s", "MB")
 	for _, role := range roles {
-		own := ofRole(samples, role)
-		if len(own) == 0 {
+		roleSamples := samplesOf(samples, role)
+		if len(roleSamples) == 0 {
 			continue
 		}
-		for _, s := range own {
+		for _, s := range roleSamples {
 			if err := table.Append(row(s, "")...); err != nil {
 				return errors.Wrap(err, "capacity")
 			}
 		}
-		if err := table.Append(row(extrapolate(own), " (line)")...); err != nil {
+		if err := table.Append(row(extrapolate(roleSamples), " (line)")...); err != nil {
 			return errors.Wrap(err, "capacity")
 		}
 	}
@@ -37,28 +37,30 @@
 		return errors.Wrap(err, "capacity")
 	}
 	for _, role := range roles {
-		own := ofRole(samples, role)
-		if len(own) == 0 {
+		roleSamples := samplesOf(samples, role)
+		if len(roleSamples) == 0 {
 			continue
 		}
-		if err := reportUses(out, role, append(own, extrapolate(own))); err != nil {
+		if err := reportUses(out, role, append(roleSamples, extrapolate(roleSamples))); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func ofRole(samples []Sample, role string) []Sample {
-	var own []Sample
+// samplesOf returns the samples of a role.
+func samplesOf(samples []Sample, role string) []Sample {
+	var roleSamples []Sample
 	for _, s := range samples {
 		if s.Role == role {
-			own = append(own, s)
+			roleSamples = append(roleSamples, s)
 		}
 	}
-	return own
+	return roleSamples
 }
 
-// reportUses prints the bytes of each use by size, the line's last.
+// reportUses prints the traffic and the new connections of a role by use, with one
+// column per sample.
 func reportUses(out io.Writer, role string, columns []Sample) error {
 	table := tablewriter.NewWriter(out)
 	header := []any{role + ", bytes/s"}
@@ -66,11 +68,11 @@
 		header = append(header, fmt.Sprintf("%d : %d", s.Entries, s.Agents))
 	}
 	table.Header(header...)
-	rows := func(of func(Sample) map[string]float64, mark, format string) error {
-		for _, use := range names(columns, of) {
-			line := []any{use + mark}
+	rows := func(get func(Sample) map[string]float64, suffix, format string) error {
+		for _, use := range useNames(columns, get) {
+			line := []any{use + suffix}
 			for _, s := range columns {
-				line = append(line, fmt.Sprintf(format, of(s)[use]))
+				line = append(line, fmt.Sprintf(format, get(s)[use]))
 			}
 			if err := table.Append(line...); err != nil {
 				return err
@@ -94,11 +96,12 @@
 func busiestOf(s Sample) map[string]float64     { return s.BusiestUses }
 func connectionsOf(s Sample) map[string]float64 { return s.Connections }
 
-func names(samples []Sample, of func(Sample) map[string]float64) []string {
+// useNames returns the names of all uses in the samples, sorted.
+func useNames(samples []Sample, get func(Sample) map[string]float64) []string {
 	seen := map[string]bool{}
 	var all []string
 	for _, s := range samples {
-		for name := range of(s) {
+		for name := range get(s) {
 			if !seen[name] {
 				seen[name] = true
 				all = append(all, name)
@@ -109,22 +112,23 @@
 	return all
 }
 
-func row(s Sample, mark string) []any {
+func row(s Sample, suffix string) []any {
 	return []any{
-		s.Role + mark, s.Entries, s.Agents, fmt.Sprintf("%.2f", s.CPUPercent),
+		s.Role + suffix, s.Entries, s.Agents, fmt.Sprintf("%.2f", s.CPUPercent),
 		fmt.Sprintf("%.1f", s.Kilobytes), fmt.Sprintf("%.1f", s.Busiest), fmt.Sprintf("%.1f", s.Megabytes),
 	}
 }
 
-// Figures returns what a node of the costlier role takes at the expected size,
-// by the lines through the samples.
+// Figures returns the extrapolated cost of a process at the expected size, each for
+// the role with the higher cost. The bytes are those of the busiest process if it
+// exceeds the mean.
 func Figures(samples []Sample) []bounds.Figure {
 	var cpu, bytes, mb float64
 	for _, role := range roles {
-		at := extrapolate(ofRole(samples, role))
-		cpu = max(cpu, at.CPUPercent)
-		bytes = max(bytes, at.Kilobytes*1024, at.Busiest*1024)
-		mb = max(mb, at.Megabytes)
+		s := extrapolate(samplesOf(samples, role))
+		cpu = max(cpu, s.CPUPercent)
+		bytes = max(bytes, s.Kilobytes*1024, s.Busiest*1024)
+		mb = max(mb, s.Megabytes)
 	}
 	return []bounds.Figure{
 		{Name: "control.cpu_share", Value: cpu},
@@ -133,14 +137,15 @@
 	}
 }
 
-// extrapolate fits a line over the number of processes through each figure. A
-// line that falls is not followed: the figure at the largest size stands.
+// extrapolate returns the sample at the expected size. It fits a line to each figure
+// over the number of entries and agents. If the slope is negative, it uses the figure
+// of the last sample instead, which must be that of the largest size.
 func extrapolate(samples []Sample) Sample {
-	at := func(of func(Sample) float64) float64 {
+	extrapolateFigure := func(get func(Sample) float64) float64 {
 		var n, values []float64
 		for _, s := range samples {
 			n = append(n, float64(s.Entries+s.Agents))
-			values = append(values, of(s))
+			values = append(values, get(s))
 		}
 		offset, slope := stat.LinearRegression(n, values, nil, false)
 		if slope < 0 {
@@ -148,23 +153,23 @@
 		}
 		return offset + slope*(TargetEntries+TargetAgents)
 	}
-	each := func(of func(Sample) map[string]float64) map[string]float64 {
+	extrapolateUses := func(get func(Sample) map[string]float64) map[string]float64 {
 		all := map[string]float64{}
-		for _, name := range names(samples, of) {
-			all[name] = at(func(s Sample) float64 { return of(s)[name] })
+		for _, name := range useNames(samples, get) {
+			all[name] = extrapolateFigure(func(s Sample) float64 { return get(s)[name] })
 		}
 		return all
 	}
 	out := Sample{
 		Entries:     TargetEntries,
 		Agents:      TargetAgents,
-		CPUPercent:  at(func(s Sample) float64 { return s.CPUPercent }),
-		Kilobytes:   at(func(s Sample) float64 { return s.Kilobytes }),
-		Busiest:     at(func(s Sample) float64 { return s.Busiest }),
-		Megabytes:   at(func(s Sample) float64 { return s.Megabytes }),
-		Uses:        each(usesOf),
-		BusiestUses: each(busiestOf),
-		Connections: each(connectionsOf),
+		CPUPercent:  extrapolateFigure(func(s Sample) float64 { return s.CPUPercent }),
+		Kilobytes:   extrapolateFigure(func(s Sample) float64 { return s.Kilobytes }),
+		Busiest:     extrapolateFigure(func(s Sample) float64 { return s.Busiest }),
+		Megabytes:   extrapolateFigure(func(s Sample) float64 { return s.Megabytes }),
+		Uses:        extrapolateUses(usesOf),
+		BusiestUses: extrapolateUses(busiestOf),
+		Connections: extrapolateUses(connectionsOf),
 	}
 	if len(samples) > 0 {
 		out.Role = samples[0].Role
