--- a/internal/feedrun/fakes_test.go
+++ b/internal/feedrun/fakes_test.go
@@ -49,33 +49,33 @@
 	}
 }
 
-// memory is a key-value service that can be away.
-type memory struct {
+// memoryStore is a key-value service in memory that can be made unavailable.
+type memoryStore struct {
 	kv.Store
-	mu     sync.Mutex
-	record kv.Record
-	away   bool
+	mu          sync.Mutex
+	record      kv.Record
+	unavailable bool
 }
 
-func (m *memory) setAway(away bool) {
+func (m *memoryStore) setUnavailable(unavailable bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.away = away
+	m.unavailable = unavailable
 }
 
-func (m *memory) Get(context.Context, kv.Use, string) (kv.Record, error) {
+func (m *memoryStore) Get(context.Context, kv.Use, string) (kv.Record, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away {
+	if m.unavailable {
 		return kv.Record{}, kv.ErrUnavailable
 	}
 	return m.record, nil
 }
 
-func (m *memory) CompareAndSwap(_ context.Context, _ kv.Use, w kv.Write) (bool, kv.Record, error) {
+func (m *memoryStore) CompareAndSwap(_ context.Context, _ kv.Use, w kv.Write) (bool, kv.Record, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away {
+	if m.unavailable {
 		return false, kv.Record{}, kv.ErrUnknown
 	}
 	if w.Expected != m.record.Revision {
@@ -85,31 +85,31 @@
 	return true, m.record, nil
 }
 
-// engines generate in the stand-in's text form, a token a millisecond. A share
-// of the runs fails or reports a token without version.
-type engines struct {
+// fakeEngines generates text in the stand-in's form, one token per millisecond.
+// Some runs fail or report a token without a version.
+type fakeEngines struct {
 	mu      sync.Mutex
 	version int64
 	runs    int
-	poison  string // a prompt with this text crashes two engines, then it is refused
-	crashes int    // by it
+	poison  string // a prompt containing this text crashes two engines and is then refused
+	crashes int    // caused by it
 }
 
-func (e *engines) Engines(string) []entry.EngineState {
+func (e *fakeEngines) Engines(string) []entry.EngineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	load := wire.Load{Slots: 8, WeightVersion: e.version}
 	return []entry.EngineState{{ID: "a", Load: load}, {ID: "b", Load: load}}
 }
 
-func (e *engines) Announce(_ context.Context, _, _, _ string, version int64, _ string) (int64, error) {
+func (e *fakeEngines) Announce(_ context.Context, _, _, _ string, version int64, _ string) (int64, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.version = max(e.version, version)
 	return e.version, nil
 }
 
-func (e *engines) Generate(ctx context.Context, req wire.Request, onTokens func(wire.ReadReply)) wire.Answer {
+func (e *fakeEngines) Generate(ctx context.Context, req wire.Request, onTokens func(wire.ReadReply)) wire.Answer {
 	var c engineapi.CompletionRequest
 	Expect(json.Unmarshal(req.Body, &c)).To(Succeed())
 	e.mu.Lock()
@@ -152,38 +152,38 @@
 	return wire.Answer{Outcome: wire.Answered, Status: 200}
 }
 
-func (e *engines) current() int64 {
+func (e *fakeEngines) current() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.version
 }
 
-func (e *engines) Call(context.Context, wire.Request) wire.Answer {
+func (e *fakeEngines) Call(context.Context, wire.Request) wire.Answer {
 	return wire.Answer{Outcome: wire.Answered, Status: 200, Body: []byte(`{"score": 0.5}`)}
 }
 
-// cluster is a few entries of which one at a time is told to own the feed.
+// cluster is a group of entries, one of which at a time owns the feed.
 type cluster struct {
-	store   *memory
-	engines *engines
+	store   *memoryStore
+	engines *fakeEngines
 	mu      sync.Mutex
 	owner   string
 	epoch   int64
-	groups  int // of a step; 0: as declared first
-	entries map[string]*instance
+	groups  int // per step; 0: as declared initially
+	entries map[string]*clusterEntry
 }
 
-type instance struct {
-	c       *cluster
-	name    string
-	feeds   *feedrun.Feeds
-	address string
-	stop    context.CancelFunc
-	told    func(duties.Change)
+type clusterEntry struct {
+	c        *cluster
+	name     string
+	feeds    *feedrun.Feeds
+	address  string
+	stop     context.CancelFunc
+	onChange func(duties.Change)
 }
 
 func newCluster(names ...string) *cluster {
-	c := &cluster{store: &memory{}, engines: &engines{version: 1}, entries: map[string]*instance{}}
+	c := &cluster{store: &memoryStore{}, engines: &fakeEngines{version: 1}, entries: map[string]*clusterEntry{}}
 	for _, name := range names {
 		c.start(name)
 	}
@@ -193,7 +193,7 @@
 func (c *cluster) start(name string) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	i := &instance{c: c, name: name}
+	i := &clusterEntry{c: c, name: name}
 	i.feeds = feedrun.New(feedrun.Options{
 		Instance: name, Store: c.store, Duties: i, Peers: c, Config: i, Generator: c.engines,
 		Scorer: c.engines, Fleet: c.engines, Versions: c.engines, Log: log, Metrics: metrics.NewRegistry(),
@@ -213,9 +213,9 @@
 	DeferCleanup(i.stop)
 }
 
-// own gives the feed to an entry under the next epoch. The one before is told
-// only if it is not paused.
-func (c *cluster) own(name string, tellOld bool) {
+// setOwner gives the feed to an entry under the next epoch. The previous owner
+// is notified only if notifyOld is set; otherwise it is paused.
+func (c *cluster) setOwner(name string, notifyOld bool) {
 	c.mu.Lock()
 	old := c.entries[c.owner]
 	c.owner = name
@@ -224,10 +224,10 @@
 	next := c.entries[name]
 	c.mu.Unlock()
 	duty := wire.FeedDuty(deployment, feed)
-	if old != nil && tellOld {
-		old.told(duties.Change{Duty: duty, Epoch: epoch, LeaseState: duties.NotHolder})
+	if old != nil && notifyOld {
+		old.onChange(duties.Change{Duty: duty, Epoch: epoch, LeaseState: duties.NotHolder})
 	}
-	next.told(duties.Change{Duty: duty, Epoch: epoch, LeaseState: duties.Holder})
+	next.onChange(duties.Change{Duty: duty, Epoch: epoch, LeaseState: duties.Holder})
 }
 
 func (c *cluster) CallPeer(_ context.Context, address string, _ bool, _ string, args, reply any) error {
@@ -258,7 +258,7 @@
 	return all
 }
 
-func (i *instance) Current() *decl.Deployment {
+func (i *clusterEntry) Current() *decl.Deployment {
 	i.c.mu.Lock()
 	defer i.c.mu.Unlock()
 	d := declaration()
@@ -275,18 +275,18 @@
 	c.groups = n
 }
 
-func (i *instance) KnownHolder(string) (string, int64, bool) {
+func (i *clusterEntry) KnownHolder(string) (string, int64, bool) {
 	i.c.mu.Lock()
 	defer i.c.mu.Unlock()
 	return i.c.owner, i.c.epoch, i.c.owner == i.name
 }
 
-func (i *instance) LeaseState(string) duties.LeaseState { return duties.NotHolder }
+func (i *clusterEntry) LeaseState(string) duties.LeaseState { return duties.NotHolder }
 
-func (i *instance) OnChange(_ string, fn func(duties.Change)) { i.told = fn }
+func (i *clusterEntry) OnChange(_ string, fn func(duties.Change)) { i.onChange = fn }
 
-// train runs a trainer until the spec ends.
-func (c *cluster) train() *standin.Trainer {
+// startTrainer runs a trainer until the spec ends.
+func (c *cluster) startTrainer() *standin.Trainer {
 	t, err := standin.NewTrainer(standin.TrainerOptions{
 		Entries: c.addresses(), Key: trainerKey, Deployment: deployment, Feed: feed,
 		Model: "tone", Version: 1, Bound: 2, TrainTime: 20 * time.Millisecond,
--- a/internal/feedrun/feedrun_test.go
+++ b/internal/feedrun/feedrun_test.go
@@ -24,12 +24,12 @@
 
 const samplesPerStep = 16
 
-func reaches(t *standin.Trainer, steps int) {
+func expectSteps(t *standin.Trainer, steps int) {
 	Eventually(func() int { return t.Report().Steps }, "30s", "10ms").Should(BeNumerically(">=", steps))
-	faultless(t)
+	expectNoFaults(t)
 }
 
-func faultless(t *standin.Trainer) {
+func expectNoFaults(t *standin.Trainer) {
 	r := t.Report()
 	ExpectWithOffset(2, r.Duplicates).To(BeZero())
 	ExpectWithOffset(2, r.Mislabelled).To(BeZero())
@@ -39,67 +39,68 @@
 }
 
 var _ = Describe("Feeds", func() {
-	It("hands scored, labelled samples to a trainer while versions change", func() {
+	It("hands over scored, labelled samples to a trainer while weight versions change", func() {
 		c := newCluster("one")
-		c.own("one", true)
-		reaches(c.train(), 8)
+		c.setOwner("one", true)
+		expectSteps(c.startTrainer(), 8)
 		Expect(c.engines.current()).To(BeNumerically(">=", 7), "announced versions reach the engines")
 	})
 
-	It("takes pulls through entries that do not own the feed", func() {
+	It("accepts pulls through entries that do not own the feed", func() {
 		c := newCluster("one", "two", "three")
-		c.own("two", true)
-		reaches(c.train(), 4)
+		c.setOwner("two", true)
+		expectSteps(c.startTrainer(), 4)
 	})
 
-	It("goes on when the owner dies, without giving anything twice", func() {
-		// The trainer holds lots that the dead owner had not recorded: its
-		// pulls tell the successor.
+	It("continues after the owner dies, without handing over anything twice", func() {
+		// The trainer holds lots that the dead owner had not recorded. Its
+		// pulls report them to the successor.
 		c := newCluster("one", "two")
-		c.own("one", true)
-		t := c.train()
-		reaches(t, 2)
+		c.setOwner("one", true)
+		t := c.startTrainer()
+		expectSteps(t, 2)
 		c.crash("one")
-		c.own("two", true)
-		reaches(t, 6)
+		c.setOwner("two", true)
+		expectSteps(t, 6)
 	})
 
-	It("is not harmed by a paused owner beside its successor", func() {
-		// The old owner is not told, goes on answering the pulls that reach it
-		// and generating, and ends at its first write.
+	It("tolerates a paused owner beside its successor", func() {
+		// The old owner is not notified. It keeps answering the pulls that reach
+		// it and generating, until its first write fails.
 		c := newCluster("one", "two")
-		c.own("one", true)
-		t := c.train()
-		reaches(t, 2)
-		c.own("two", false)
-		reaches(t, 6)
+		c.setOwner("one", true)
+		t := c.startTrainer()
+		expectSteps(t, 2)
+		c.setOwner("two", false)
+		expectSteps(t, 6)
 	})
 
-	It("keeps the trainer going through an outage of the key-value service", func() {
+	It("keeps serving the trainer during an outage of the key-value service", func() {
 		c := newCluster("one", "two")
-		c.own("one", true)
-		t := c.train()
-		reaches(t, 1)
-		c.store.setAway(true)
-		reaches(t, 6)
-		c.store.setAway(false)
-		reaches(t, 8)
+		c.setOwner("one", true)
+		t := c.startTrainer()
+		expectSteps(t, 1)
+		c.store.setUnavailable(true)
+		expectSteps(t, 6)
+		c.store.setUnavailable(false)
+		expectSteps(t, 8)
 	})
 
-	It("goes on in a changed shape, also under the next owner", func() {
-		// Two groups of four instead of four; then the owner dies. The steps come
-		// in eight samples from the next one on, none twice.
+	It("continues with a changed shape, also under the next owner", func() {
+		// A step is changed to two groups of four samples instead of four groups;
+		// then the owner dies. From the next step on, a step has eight samples, none
+		// of them twice.
 		c := newCluster("one", "two")
-		c.own("one", true)
-		t := c.train()
-		reaches(t, 2)
+		c.setOwner("one", true)
+		t := c.startTrainer()
+		expectSteps(t, 2)
 		c.declareGroups(2)
-		began := t.Report().Steps
-		Eventually(func() int { return t.Report().Steps }, "30s", "10ms").Should(BeNumerically(">=", began+4))
+		stepsBefore := t.Report().Steps
+		Eventually(func() int { return t.Report().Steps }, "30s", "10ms").Should(BeNumerically(">=", stepsBefore+4))
 		c.crash("one")
-		c.own("two", true)
-		began = t.Report().Steps
-		Eventually(func() int { return t.Report().Steps }, "30s", "10ms").Should(BeNumerically(">=", began+4))
+		c.setOwner("two", true)
+		stepsBefore = t.Report().Steps
+		Eventually(func() int { return t.Report().Steps }, "30s", "10ms").Should(BeNumerically(">=", stepsBefore+4))
 		before := t.Report()
 		Eventually(func() int { return t.Report().Steps }, "30s", "10ms").Should(BeNumerically(">=", before.Steps+4))
 		after := t.Report()
@@ -107,21 +108,22 @@
 		Expect(after.Samples - before.Samples).To(BeNumerically("<=", (after.Steps-before.Steps+1)*samplesPerStep/2))
 	})
 
-	// The prompt of one group crashes every engine that runs it. Its samples end
-	// in quarantine, for an hour. Waited for, the step would idle the trainer as
-	// long; so it gets the word, once for each, that they cannot be made.
-	It("hands over that a group cannot be made whose prompt crashes engines", func() {
+	// The prompt of one group crashes every engine that runs it. Its samples
+	// are quarantined for an hour. If the step waited for them, the trainer
+	// would idle as long. So the trainer gets, once for each sample, the
+	// information that it can't be generated.
+	It("reports the samples of a group as failed if its prompt crashes engines", func() {
 		c := newCluster("one")
 		c.engines.poison = "remind 1 2"
-		c.own("one", true)
-		t := c.train()
-		reaches(t, 4)
+		c.setOwner("one", true)
+		t := c.startTrainer()
+		expectSteps(t, 4)
 		Expect(t.Report().Failed).To(Equal(4))
 	})
 
 	It("refuses a trainer without the feed's key", func() {
 		c := newCluster("one")
-		c.own("one", true)
+		c.setOwner("one", true)
 		conn, err := grpc.NewClient(c.addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = conn.Close() }()
--- a/internal/feedrun/feeds.go
+++ b/internal/feedrun/feeds.go
@@ -1,6 +1,6 @@
-// Package feedrun runs trainer feeds on an entry: it takes trainers' pulls,
-// sends them to the entry that owns the feed, and on the owner drives the
-// hand-over and the generation of samples.
+// Package feedrun runs trainer feeds on an entry. It accepts trainers' pulls
+// and forwards them to the entry that owns the feed. On the owner it drives the
+// handover and the generation of samples.
 package feedrun
 
 import (
@@ -26,72 +26,73 @@
 const (
 	dutyPrefix = "feed/"
 	methodPull = wire.FeedService + ".Pull"
-	// maxWait is how long a pull may wait for samples at most.
-	maxWait = 10 * time.Second
-	// forwardMargin is added to a forwarded pull's wait for the way there and back.
-	forwardMargin = 2 * time.Second
-	rerouteWait   = 50 * time.Millisecond
-	ownerTick     = 100 * time.Millisecond
-	retryStore    = time.Second
-	recordEvery   = 200 * time.Millisecond
-	storeLimit    = 2 * time.Second
+	// maxPullWait limits how long a pull waits for samples.
+	maxPullWait = 10 * time.Second
+	// forwardMargin is added to the wait of a forwarded pull for the network
+	// round trip.
+	forwardMargin      = 2 * time.Second
+	rerouteDelay       = 50 * time.Millisecond
+	tickInterval       = 100 * time.Millisecond
+	storeRetryInterval = time.Second
+	recordInterval     = 200 * time.Millisecond
+	storeTimeout       = 2 * time.Second
 )
 
-// Peers reaches the other entries. With fresh set, the call goes over a new
+// Peers calls the other entries. If newConn is set, the call is made over a new
 // connection.
 type Peers interface {
-	CallPeer(ctx context.Context, address string, fresh bool, method string, args, reply any) error
+	CallPeer(ctx context.Context, address string, newConn bool, method string, args, reply any) error
 }
 
-// Config gives the configuration in force; nil until one is known.
+// Config returns the configuration in force, or nil until one is known.
 type Config interface {
 	Current() *decl.Deployment
 }
 
-// Options sets up Feeds.
+// Options configures Feeds.
 type Options struct {
-	Instance  string // this process; unique over restarts
+	Instance  string // this process; unique across restarts
 	Store     kv.Store
 	Duties    entry.DutyLeases
 	Peers     Peers
 	Config    Config
 	Generator entry.Generator
 	Scorer    entry.ServiceClient
-	Caches    entry.CacheImporter // nil: no KV cache travels
+	Caches    entry.CacheImporter // nil: KV caches are not transferred
 	Fleet     entry.EngineLister
 	Versions  entry.VersionAnnouncer // nil: announcements are refused
 	Log       *logrus.Logger
 	Metrics   metrics.Registry
 }
 
-// Feeds owns the feeds whose duties this entry holds and sends pulls of the
-// others on. It is safe for concurrent use.
+// Feeds owns the feeds whose duties this entry holds, and forwards pulls of
+// other feeds to their owners. It is safe for concurrent use.
 type Feeds struct {
 	options Options
 	wake    chan struct{}
 
-	mu       sync.Mutex
-	standing map[string]duties.Change // by duty
-	owners   map[string]*owner        // by feed
-	services map[string]*generation   // by service
+	mu           sync.Mutex
+	leaseChanges map[string]duties.Change // last change by duty
+	owners       map[string]*owner        // by feed
+	generations  map[string]*generation   // by service
 }
 
-// New returns feeds that own nothing until Run.
+// New returns a Feeds that owns no feed until Run is called.
 func New(o Options) *Feeds {
 	f := &Feeds{
-		options:  o,
-		wake:     make(chan struct{}, 1),
-		standing: map[string]duties.Change{},
-		owners:   map[string]*owner{},
-		services: map[string]*generation{},
+		options:      o,
+		wake:         make(chan struct{}, 1),
+		leaseChanges: map[string]duties.Change{},
+		owners:       map[string]*owner{},
+		generations:  map[string]*generation{},
 	}
-	o.Duties.OnChange(dutyPrefix, f.changed)
+	o.Duties.OnChange(dutyPrefix, f.onLeaseChange)
 	return f
 }
 
-// Run keeps the owned feeds going until ctx ends.
+// Run serves the owned feeds until ctx is done.
 func (f *Feeds) Run(ctx context.Context) error {
-	ticker := time.NewTicker(ownerTick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		f.reconcile(ctx)
@@ -104,10 +105,10 @@
 	}
 }
 
-// changed notes a new standing; reconcile acts on it.
-func (f *Feeds) changed(c duties.Change) {
+// onLeaseChange records a change of lease state and triggers reconcile.
+func (f *Feeds) onLeaseChange(c duties.Change) {
 	f.mu.Lock()
-	f.standing[c.Duty] = c
+	f.leaseChanges[c.Duty] = c
 	f.mu.Unlock()
 	select {
 	case f.wake <- struct{}{}:
@@ -115,9 +116,9 @@
 	}
 }
 
-// reconcile starts and ends owners as duties and declarations have it. A lapsed
-// lease ends nothing: hand-over is safe beside a successor, and in an outage of
-// the platform there is none.
+// reconcile starts and stops owners according to duties and declarations. An
+// expired lease stops no owner: handover is safe with an old owner beside its
+// successor, and in an outage of the platform there is no successor.
 func (f *Feeds) reconcile(ctx context.Context) {
 	deployment := f.options.Config.Current()
 	if deployment == nil {
@@ -126,9 +127,9 @@
 	for _, feed := range deployment.Feeds {
 		f.reconcileFeed(ctx, deployment, feed)
 	}
-	for _, o := range f.owned() {
+	for _, o := range f.allOwners() {
 		if _, declared := findFeed(deployment, o.name); !declared {
-			f.drop(o)
+			f.stopOwner(o)
 			continue
 		}
 		o.deliver(handover.Tick{})
@@ -137,30 +138,30 @@
 
 func (f *Feeds) reconcileFeed(ctx context.Context, deployment *decl.Deployment, feed decl.Feed) {
 	f.mu.Lock()
-	change := f.standing[wire.FeedDuty(deployment.Name, feed.Name)]
+	change := f.leaseChanges[wire.FeedDuty(deployment.Name, feed.Name)]
 	current := f.owners[feed.Name]
 	f.mu.Unlock()
 	wanted := change.LeaseState != duties.NotHolder && change.Epoch > 0
 	switch {
 	case current != nil && (!wanted || current.epoch != change.Epoch):
-		f.drop(current)
+		f.stopOwner(current)
 		if wanted {
-			f.take(ctx, deployment.Name, feed, change.Epoch)
+			f.startOwner(ctx, deployment.Name, feed, change.Epoch)
 		}
 	case current == nil && wanted:
-		f.take(ctx, deployment.Name, feed, change.Epoch)
+		f.startOwner(ctx, deployment.Name, feed, change.Epoch)
 	case current != nil:
 		current.configure(feed)
 	}
 }
 
-func (f *Feeds) take(ctx context.Context, deployment string, feed decl.Feed, epoch int64) {
+func (f *Feeds) startOwner(ctx context.Context, deployment string, feed decl.Feed, epoch int64) {
 	events.FeedTaken.Log(f.options.Log, logrus.Fields{"feed": feed.Name, "epoch": epoch})
 	f.mu.Lock()
-	g := f.services[feed.Service]
+	g := f.generations[feed.Service]
 	if g == nil {
 		g = newGeneration(ctx, f.options, feed.Service)
-		f.services[feed.Service] = g
+		f.generations[feed.Service] = g
 	}
 	o := newOwner(ctx, f.options, g, deployment, feed, epoch)
 	f.owners[feed.Name] = o
@@ -169,18 +170,18 @@
 	o.deliver(handover.Tick{})
 }
 
-func (f *Feeds) drop(o *owner) {
+func (f *Feeds) stopOwner(o *owner) {
 	f.mu.Lock()
 	if f.owners[o.name] == o {
 		delete(f.owners, o.name)
 	}
 	f.mu.Unlock()
 	o.generation.remove(o)
-	o.end()
+	o.stop()
 	events.FeedDropped.Log(f.options.Log, logrus.Fields{"feed": o.name, "epoch": o.epoch})
 }
 
-func (f *Feeds) owned() []*owner {
+func (f *Feeds) allOwners() []*owner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := make([]*owner, 0, len(f.owners))
@@ -210,8 +211,8 @@
 		Shape:          shapeOf(feed),
 		LotSize:        max(1, feed.LotSize),
 		Limits:         limitsOf(feed),
-		RetryInterval:  retryStore,
-		RecordInterval: recordEvery,
+		RetryInterval:  storeRetryInterval,
+		RecordInterval: recordInterval,
 	}
 }
 
@@ -227,29 +228,30 @@
 	return sample.Limits{MaxVersionLag: int64(feed.StalenessBound), MaxAge: feed.StalenessTime}
 }
 
-// Pull answers a trainer's pull, here or at the feed's owner. While none can be
-// reached it looks for the owner again until the pull's time is over.
+// Pull answers a trainer's pull, here or at the feed's owner. While the owner
+// is unreachable, it looks the owner up again and retries until the pull's wait
+// is over.
 func (f *Feeds) Pull(ctx context.Context, req wire.PullRequest) wire.PullReply {
-	req.Wait = min(max(req.Wait, 0), maxWait)
+	req.Wait = min(max(req.Wait, 0), maxPullWait)
 	ctx, cancel := context.WithTimeout(ctx, req.Wait+forwardMargin)
 	defer cancel()
-	fresh := false
+	newConn := false
 	for {
-		reply, err := f.pullOnce(ctx, req, fresh)
-		again := err != nil || reply.Refusal == string(handover.NotOwner)
-		if !again {
+		reply, err := f.pullOnce(ctx, req, newConn)
+		retry := err != nil || reply.Refusal == string(handover.NotOwner)
+		if !retry {
 			return reply
 		}
-		fresh = err != nil
+		newConn = err != nil
 		select {
 		case <-ctx.Done():
 			return wire.PullReply{Refusal: string(handover.NotOwner)}
-		case <-time.After(rerouteWait):
+		case <-time.After(rerouteDelay):
 		}
 	}
 }
 
-func (f *Feeds) pullOnce(ctx context.Context, req wire.PullRequest, fresh bool) (wire.PullReply, error) {
+func (f *Feeds) pullOnce(ctx context.Context, req wire.PullRequest, newConn bool) (wire.PullReply, error) {
 	if o := f.owner(req.Feed); o != nil {
 		return o.pull(ctx, req), nil
 	}
@@ -258,11 +260,12 @@
 		return wire.PullReply{Refusal: string(handover.NotOwner)}, nil
 	}
 	var reply wire.PullReply
-	err := f.options.Peers.CallPeer(ctx, address, fresh, methodPull, req, &reply)
+	err := f.options.Peers.CallPeer(ctx, address, newConn, methodPull, req, &reply)
 	return reply, err
 }
 
-// Announce tells the owned feeds of the trainer's version and has it rolled out.
+// Announce tells the owned feed the trainer's weight version and requests its
+// rollout.
 func (f *Feeds) Announce(ctx context.Context, deployment, feed, model string, version int64, adapter string) (int64, error) {
 	if o := f.owner(feed); o != nil {
 		o.deliver(handover.Announced{Version: version})
@@ -273,28 +276,29 @@
 	return f.options.Versions.Announce(ctx, deployment, feed, model, version, adapter)
 }
 
-// Server is the net/rpc side for pulls that other entries forward here.
+// Server returns the net/rpc service for pulls that other entries forward to
+// this one.
 func (f *Feeds) Server() *Server { return &Server{feeds: f} }
 
 // Server answers forwarded pulls.
 type Server struct{ feeds *Feeds }
 
-// Pull answers a pull if this entry owns the feed; it never forwards again, so
-// that two entries with old views cannot send a pull in circles.
+// Pull answers a pull if this entry owns the feed. It never forwards a pull, so
+// that two entries with outdated views can't forward it in circles.
 func (s *Server) Pull(req wire.PullRequest, reply *wire.PullReply) error {
 	o := s.feeds.owner(req.Feed)
 	if o == nil {
 		reply.Refusal = string(handover.NotOwner)
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), maxWait+forwardMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), maxPullWait+forwardMargin)
 	defer cancel()
-	req.Wait = min(max(req.Wait, 0), maxWait)
+	req.Wait = min(max(req.Wait, 0), maxPullWait)
 	*reply = o.pull(ctx, req)
 	return nil
 }
 
-// Status is what an operator sees of an owned feed.
+// Status is the state of an owned feed as shown to operators.
 type Status struct {
 	Feed       string
 	Epoch      int64
@@ -305,10 +309,10 @@
 	Counters   handover.Counters
 }
 
-// Statuses lists the feeds owned here.
+// Statuses returns the status of each owned feed.
 func (f *Feeds) Statuses() []Status {
 	var all []Status
-	for _, o := range f.owned() {
+	for _, o := range f.allOwners() {
 		all = append(all, o.status())
 	}
 	return all
--- a/internal/feedrun/generation.go
+++ b/internal/feedrun/generation.go
@@ -11,39 +11,41 @@
 )
 
 const (
-	planEvery = 50 * time.Millisecond
-	// swapWait bounds how long a feed waits for engines that have not swapped yet.
-	swapWait = 5 * time.Second
+	planInterval = 50 * time.Millisecond
+	// maxSwapWait limits how long a feed waits for engines that have not
+	// swapped yet.
+	maxSwapWait = 5 * time.Second
 )
 
-// What is assumed of engines until their pace is seen.
+// Assumed pace and costs of engines until their pace has been measured.
 var (
-	assumedPace = rollout.Pace{Base: 20 * time.Millisecond, PerSample: 500 * time.Microsecond}
-	moveCost    = rollout.MoveCost{Fixed: 200 * time.Millisecond, PerToken: 100 * time.Microsecond}
+	defaultPace          = rollout.Pace{Base: 20 * time.Millisecond, PerSample: 500 * time.Microsecond}
+	defaultRecomputeCost = rollout.MoveCost{Fixed: 200 * time.Millisecond, PerToken: 100 * time.Microsecond}
 )
 
-// runKey names a run: a sample runs at most once at a time on this entry.
+// runKey identifies a run. A sample has at most one run at a time on this
+// entry.
 type runKey struct {
 	feed string
 	id   sample.ID
 }
 
-// generation runs the samples of the feeds owned here on one service's engines.
+// generation runs the samples of the owned feeds on the engines of one service.
 type generation struct {
 	options Options
 	service string
 	ctx     context.Context
 	wake    chan struct{}
 
-	mu        sync.Mutex
-	scheduler *rollout.Scheduler
-	owners    map[string]*owner
-	marks     map[string]demandMark
-	runs      map[runKey]*run
-	pace      paceMeter
-	carry     carryMeter
-	addresses map[string]string // of the agents beside the engines
-	poison    map[groupKey]bool // whose prompt crashes engines
+	mu           sync.Mutex
+	scheduler    *rollout.Scheduler
+	owners       map[string]*owner
+	demands      map[string]demandVersion // by feed, the version of the demand that the scheduler has
+	runs         map[runKey]*run
+	pace         paceEstimator
+	transferCost transferEstimator
+	addresses    map[string]string // of the agents beside the engines
+	poisoned     map[groupKey]bool // groups whose prompt crashes engines
 }
 
 func newGeneration(ctx context.Context, o Options, service string) *generation {
@@ -52,18 +54,18 @@
 		service:   service,
 		ctx:       ctx,
 		wake:      make(chan struct{}, 1),
-		scheduler: rollout.New(rollout.Options{Pace: assumedPace, RecomputeCost: moveCost, MaxSwapWait: swapWait}),
+		scheduler: rollout.New(rollout.Options{Pace: defaultPace, RecomputeCost: defaultRecomputeCost, MaxSwapWait: maxSwapWait}),
 		owners:    map[string]*owner{},
-		marks:     map[string]demandMark{},
+		demands:   map[string]demandVersion{},
 		runs:      map[runKey]*run{},
-		poison:    map[groupKey]bool{},
+		poisoned:  map[groupKey]bool{},
 	}
 	go g.loop()
 	return g
 }
 
 func (g *generation) loop() {
-	ticker := time.NewTicker(planEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -76,7 +78,7 @@
 	}
 }
 
-func (g *generation) kick() {
+func (g *generation) wakeUp() {
 	select {
 	case g.wake <- struct{}{}:
 	default:
@@ -87,10 +89,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.owners[o.name] = o
-	delete(g.marks, o.name)
+	delete(g.demands, o.name)
 }
 
-// remove ends a feed's runs: its next owner begins them again under the same ids.
+// remove ends a feed's runs. The feed's next owner starts them again under the
+// same IDs.
 func (g *generation) remove(o *owner) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -98,18 +101,18 @@
 		return
 	}
 	delete(g.owners, o.name)
-	delete(g.marks, o.name)
-	g.forgetPoison(o.name, math.MaxInt64)
+	delete(g.demands, o.name)
+	g.dropPoisonedBefore(o.name, math.MaxInt64)
 	g.scheduler.DropFeed(o.name)
 	for key, r := range g.runs {
 		if key.feed == o.name {
-			r.end()
+			r.cancel()
 			delete(g.runs, key)
 		}
 	}
 }
 
-// plan brings the scheduler up to date and carries out what it says.
+// plan updates the scheduler and executes its actions.
 func (g *generation) plan() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -119,10 +122,10 @@
 	now := time.Now()
 	for name, o := range g.owners {
 		g.scheduler.SetFeed(schedulerFeed(o.declaration()))
-		demand, mark, changed := o.demand(g.marks[name])
+		demand, version, changed := o.demand(g.demands[name])
 		if changed {
-			g.marks[name] = mark
-			g.forgetPoison(name, demand.Step)
+			g.demands[name] = version
+			g.dropPoisonedBefore(name, demand.Step)
 			g.scheduler.SetDemand(now, demand)
 		}
 	}
@@ -131,17 +134,17 @@
 	}
 	g.scheduler.SetPace(g.pace.estimate())
 	if g.options.Caches != nil {
-		g.scheduler.SetTransferCost(g.carry.estimate(now))
+		g.scheduler.SetTransferCost(g.transferCost.estimate(now))
 	}
-	g.scheduler.SetTotalShares(g.shares())
+	g.scheduler.SetTotalShares(g.totalShares())
 	g.scheduler.SetEngines(now, g.engines())
 	for _, a := range g.scheduler.Plan(now) {
-		g.carryOut(a)
+		g.execute(a)
 	}
 }
 
-// shares returns the sum of the shares of all feeds of the service.
-func (g *generation) shares() float64 {
+// totalShares returns the sum of the shares of all feeds of the service.
+func (g *generation) totalShares() float64 {
 	deployment := g.options.Config.Current()
 	if deployment == nil {
 		return 0
@@ -155,12 +158,12 @@
 	return sum
 }
 
-// engines lists the engines with what others use of them. The load told may be
-// a heartbeat old; what we began since is counted by the scheduler itself.
+// engines returns the engines with the slots that others use. The reported load
+// can be a heartbeat old; the scheduler itself counts the runs started since.
 func (g *generation) engines() []rollout.Engine {
-	ours := map[string]int{}
+	own := map[string]int{}
 	for _, r := range g.runs {
-		ours[r.engine]++
+		own[r.engine]++
 	}
 	var all []rollout.Engine
 	g.addresses = map[string]string{}
@@ -169,20 +172,20 @@
 			continue
 		}
 		g.addresses[e.ID] = e.Address
-		others := max(0, e.Load.Running+e.Load.Queued-ours[e.ID])
+		others := max(0, e.Load.Running+e.Load.Queued-own[e.ID])
 		all = append(all, rollout.Engine{
 			ID:               e.ID,
 			Domain:           e.Domain,
 			Slots:            e.Load.Slots,
 			UsedByOthers:     others,
-			UsedByOtherFeeds: min(others, max(0, e.Load.Rollouts-ours[e.ID])),
+			UsedByOtherFeeds: min(others, max(0, e.Load.Rollouts-own[e.ID])),
 			Version:          e.Load.WeightVersion,
 		})
 	}
 	return all
 }
 
-func (g *generation) carryOut(a rollout.Action) {
+func (g *generation) execute(a rollout.Action) {
 	switch a := a.(type) {
 	case rollout.Start:
 		o := g.owners[a.Feed]
@@ -192,7 +195,7 @@
 	case rollout.Cancel:
 		key := runKey{feed: a.Feed, id: a.ID}
 		if r := g.runs[key]; r != nil {
-			r.end()
+			r.cancel()
 			delete(g.runs, key)
 		}
 	case rollout.Move:
@@ -202,16 +205,16 @@
 		}
 		r.engine = a.To
 		if a.WithCache {
-			go r.carryTo(a.To, g.addresses[a.From])
+			go r.transferTo(a.To, g.addresses[a.From])
 			return
 		}
 		r.moveTo(a.To)
 	}
 }
 
-// ended takes the end of a run. One that was cancelled is no longer known, and
-// its end changes nothing.
-func (g *generation) ended(r *run, tokens int, complete bool) {
+// runEnded processes the end of a run. A cancelled run is no longer registered,
+// and its end has no effect.
+func (g *generation) runEnded(r *run, tokens int, complete bool) {
 	g.mu.Lock()
 	key := runKey{feed: r.feed.Name, id: r.id}
 	if g.runs[key] == r {
@@ -223,5 +226,5 @@
 		}
 	}
 	g.mu.Unlock()
-	g.kick()
+	g.wakeUp()
 }
--- a/internal/feedrun/owner.go
+++ b/internal/feedrun/owner.go
@@ -19,7 +19,7 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// owner drives the hand-over of one feed under one epoch.
+// owner drives the handover of one feed under one epoch.
 type owner struct {
 	options    Options
 	generation *generation
@@ -30,37 +30,38 @@
 	ctx        context.Context
 	cancel     context.CancelFunc
 
-	mu    sync.Mutex
-	feed  decl.Feed
-	state *handover.Owner
-	calls map[uint64]chan wire.PullReply // each takes one reply
-	next  uint64
+	mu           sync.Mutex
+	feed         decl.Feed
+	state        *handover.Owner
+	pendingPulls map[uint64]chan wire.PullReply // each channel takes one reply
+	lastCall     uint64
 }
 
 func newOwner(ctx context.Context, o Options, g *generation, deployment string, feed decl.Feed, epoch int64) *owner {
 	ctx, cancel := context.WithCancel(ctx)
 	return &owner{
-		options:    o,
-		generation: g,
-		deployment: deployment,
-		name:       feed.Name,
-		key:        handover.ManifestKey(deployment, feed.Name),
-		epoch:      epoch,
-		ctx:        ctx,
-		cancel:     cancel,
-		feed:       feed,
-		state:      handover.New(handoverConfig(feed), o.Instance+"/"+ulid.Make().String(), epoch),
-		calls:      map[uint64]chan wire.PullReply{},
+		options:      o,
+		generation:   g,
+		deployment:   deployment,
+		name:         feed.Name,
+		key:          handover.ManifestKey(deployment, feed.Name),
+		epoch:        epoch,
+		ctx:          ctx,
+		cancel:       cancel,
+		feed:         feed,
+		state:        handover.New(handoverConfig(feed), o.Instance+"/"+ulid.Make().String(), epoch),
+		pendingPulls: map[uint64]chan wire.PullReply{},
 	}
 }
 
-// end stops the owner's work; pulls that wait are sent on.
-func (o *owner) end() {
+// stop ends the owner's work. Waiting pulls are refused so that they look for
+// the next owner.
+func (o *owner) stop() {
 	o.cancel()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for call := range o.calls {
-		o.answer(call, wire.PullReply{Refusal: string(handover.NotOwner)})
+	for call := range o.pendingPulls {
+		o.sendReply(call, wire.PullReply{Refusal: string(handover.NotOwner)})
 	}
 }
 
@@ -71,42 +72,43 @@
 	o.deliver(handover.Configured{Config: handoverConfig(feed)})
 }
 
-// deliver steps the state and carries out what it says.
+// deliver passes an event to the state machine and executes the resulting
+// actions.
 func (o *owner) deliver(e handover.Event) {
 	o.mu.Lock()
 	for _, a := range o.state.Step(time.Now(), e) {
-		o.carryOut(a)
+		o.execute(a)
 	}
 	o.mu.Unlock()
-	o.generation.kick()
+	o.generation.wakeUp()
 }
 
-// carryOut begins an action; mu is held, so nothing here waits.
-func (o *owner) carryOut(a handover.Action) {
+// execute starts an action. The lock is held, so it must not block.
+func (o *owner) execute(a handover.Action) {
 	switch a := a.(type) {
 	case handover.Read:
 		go o.read()
 	case handover.Write:
 		go o.write(a)
 	case handover.Reply:
-		o.answer(a.Call, o.reply(a.Answer))
+		o.sendReply(a.Call, o.pullReply(a.Answer))
 	case handover.Refuse:
 		events.PullRefused.Log(o.options.Log, logrus.Fields{"feed": o.name, "reason": string(a.Reason)})
-		o.answer(a.Call, wire.PullReply{Refusal: string(a.Reason)})
+		o.sendReply(a.Call, wire.PullReply{Refusal: string(a.Reason)})
 	case handover.Deposed:
 		events.FeedDeposed.Log(o.options.Log, logrus.Fields{"feed": o.name, "epoch": o.epoch})
 	}
 }
 
-func (o *owner) answer(call uint64, reply wire.PullReply) {
-	if waiting := o.calls[call]; waiting != nil {
-		delete(o.calls, call)
-		waiting <- reply
+func (o *owner) sendReply(call uint64, reply wire.PullReply) {
+	if replyCh := o.pendingPulls[call]; replyCh != nil {
+		delete(o.pendingPulls, call)
+		replyCh <- reply
 	}
 }
 
 func (o *owner) read() {
-	ctx, cancel := context.WithTimeout(o.ctx, storeLimit)
+	ctx, cancel := context.WithTimeout(o.ctx, storeTimeout)
 	defer cancel()
 	record, err := o.options.Store.Get(ctx, kv.UseHandover, o.key)
 	if err != nil {
@@ -117,7 +119,7 @@
 }
 
 func (o *owner) write(w handover.Write) {
-	ctx, cancel := context.WithTimeout(o.ctx, storeLimit)
+	ctx, cancel := context.WithTimeout(o.ctx, storeTimeout)
 	defer cancel()
 	swapped, current, err := o.options.Store.CompareAndSwap(ctx, kv.UseHandover, kv.Write{
 		Key: o.key, Expected: w.Expected, Value: w.Value,
@@ -138,21 +140,21 @@
 
 // pull waits for the answer to a trainer's pull.
 func (o *owner) pull(ctx context.Context, req wire.PullRequest) wire.PullReply {
-	p, ok := o.parse(req)
+	p, ok := o.parsePull(req)
 	if !ok {
 		return wire.PullReply{Refusal: string(handover.Inconsistent)}
 	}
-	waiting := make(chan wire.PullReply, 1)
+	replyCh := make(chan wire.PullReply, 1)
 	o.mu.Lock()
-	o.next++
-	call := o.next
-	o.calls[call] = waiting
+	o.lastCall++
+	call := o.lastCall
+	o.pendingPulls[call] = replyCh
 	o.mu.Unlock()
 	o.deliver(handover.Pulled{Call: call, Pull: p})
 	timer := time.NewTimer(req.Wait)
 	defer timer.Stop()
 	select {
-	case reply := <-waiting:
+	case reply := <-replyCh:
 		return reply
 	case <-timer.C:
 	case <-ctx.Done():
@@ -160,14 +162,14 @@
 	}
 	o.deliver(handover.PullTimedOut{Call: call})
 	select {
-	case reply := <-waiting:
+	case reply := <-replyCh:
 		return reply
 	default:
 		return wire.PullReply{Refusal: string(handover.NotOwner)}
 	}
 }
 
-func (o *owner) parse(req wire.PullRequest) (handover.Pull, bool) {
+func (o *owner) parsePull(req wire.PullRequest) (handover.Pull, bool) {
 	p := handover.Pull{
 		Cursor:    req.Cursor,
 		Version:   req.WeightVersion,
@@ -188,7 +190,7 @@
 	return p, true
 }
 
-func (o *owner) reply(a handover.Answer) wire.PullReply {
+func (o *owner) pullReply(a handover.Answer) wire.PullReply {
 	reply := wire.PullReply{
 		Cursor:         a.Cursor,
 		Token:          a.Token,
@@ -217,39 +219,41 @@
 	return metrics.GetOrRegisterCounter(metricName(o.name, name), o.options.Metrics)
 }
 
-// demand returns what is to be generated, and false if that is as at changes.
-func (o *owner) demand(last demandMark) (rollout.Demand, demandMark, bool) {
+// demand returns the samples to generate with the demand's version, and false
+// if the version is still last.
+func (o *owner) demand(last demandVersion) (rollout.Demand, demandVersion, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.state.Serving() {
-		return rollout.Demand{Feed: o.name}, demandMark{}, last != demandMark{}
+		return rollout.Demand{Feed: o.name}, demandVersion{}, last != demandVersion{}
 	}
-	mark := demandMark{
-		serving:  true,
-		changes:  o.state.ChangeCount(),
-		training: o.state.Training(),
-		version:  o.state.Version(),
+	version := demandVersion{
+		serving:       true,
+		changes:       o.state.ChangeCount(),
+		training:      o.state.Training(),
+		weightVersion: o.state.Version(),
 	}
-	if mark == last {
-		return rollout.Demand{}, mark, false
+	if version == last {
+		return rollout.Demand{}, version, false
 	}
 	step := o.state.FirstStep()
 	return rollout.Demand{
 		Feed:     o.name,
 		Step:     step,
-		Version:  mark.version,
-		Training: mark.training,
+		Version:  version.weightVersion,
+		Training: version.training,
 		Current:  o.state.Wanted(step),
 		Next:     o.state.Wanted(step + 1),
-	}, mark, true
+	}, version, true
 }
 
-// demandMark tells one demand from the next.
-type demandMark struct {
-	serving  bool
-	changes  uint64
-	training bool
-	version  int64
+// demandVersion identifies the state from which a demand was derived. An equal
+// version means an equal demand.
+type demandVersion struct {
+	serving       bool
+	changes       uint64
+	training      bool
+	weightVersion int64
 }
 
 func (o *owner) declaration() decl.Feed {
--- a/internal/feedrun/pace.go
+++ b/internal/feedrun/pace.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	// paceWeight is how much one stream counts in the mean of the pace.
-	paceWeight = 0.05
-	// paceShare is the part of a token's time that is taken to come from the
-	// batch; streams do not tell the two apart.
-	paceShare = 0.02
-	// charsPerToken is what is assumed of the text of prompts.
+	// paceSmoothing is the weight of one stream in the exponential moving
+	// average of the pace.
+	paceSmoothing = 0.05
+	// perSampleShare is the assumed share of a token's time that each sample of
+	// the batch adds. Streams don't show the two parts separately.
+	perSampleShare = 0.02
+	// charsPerToken is the assumed number of characters per token of prompts.
 	charsPerToken = 4
 )
 
-// paceMeter estimates the engines' pace from streams. It is safe for
+// paceEstimator estimates the engines' pace from streams. It is safe for
 // concurrent use.
-type paceMeter struct {
+type paceEstimator struct {
 	mu    sync.Mutex
-	token time.Duration // mean time of one token; 0: none seen
+	token time.Duration // mean time of one token; 0: not measured yet
 }
 
-func (p *paceMeter) observe(took time.Duration, tokens int) {
-	if tokens < 2 || took <= 0 {
+func (p *paceEstimator) observe(duration time.Duration, tokens int) {
+	if tokens < 2 || duration <= 0 {
 		return
 	}
-	token := took / time.Duration(tokens)
+	token := duration / time.Duration(tokens)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.token == 0 {
 		p.token = token
 		return
 	}
-	p.token += time.Duration(paceWeight * float64(token-p.token))
+	p.token += time.Duration(paceSmoothing * float64(token-p.token))
 }
 
-func (p *paceMeter) estimate() rollout.Pace {
+func (p *paceEstimator) estimate() rollout.Pace {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.token == 0 {
-		return assumedPace
+		return defaultPace
 	}
-	return rollout.Pace{Base: p.token, PerSample: time.Duration(paceShare * float64(p.token))}
+	return rollout.Pace{Base: p.token, PerSample: time.Duration(perSampleShare * float64(p.token))}
 }
 
 func schedulerFeed(feed decl.Feed) rollout.Feed {
@@ -66,7 +67,7 @@
 	}
 }
 
-// promptTokens estimates the tokens of a usual prompt.
+// promptTokens estimates the mean number of tokens of a feed's prompts.
 func promptTokens(feed decl.Feed) int {
 	chars := 0
 	for _, p := range feed.Prompts {
--- a/internal/feedrun/poison.go
+++ b/internal/feedrun/poison.go
@@ -11,7 +11,8 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// groupKey names a group of a feed's step. Its samples share a prompt.
+// groupKey identifies a group of a feed's step. The samples of a group share a
+// prompt.
 type groupKey struct {
 	feed        string
 	step, group int64
@@ -21,30 +22,32 @@
 	return groupKey{feed: r.feed.Name, step: r.id.Step, group: r.id.Group}
 }
 
-// notePoison notes that a sample of the group is in quarantine: it crashed two
-// engines. What is left of the group is given up. Each of its samples is a
-// request of its own to the quarantine and would crash two more, and a sample
-// that is refused for as long as a quarantine lasts would idle the trainer.
-func (g *generation) notePoison(r *run) {
+// markPoisoned records that a sample of the group is in quarantine because it
+// crashed two engines. The rest of the group is given up: each of its samples
+// has a fingerprint of its own in the quarantine and would crash two more
+// engines, and samples that are refused until the quarantine expires would idle
+// the trainer.
+func (g *generation) markPoisoned(r *run) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.poison[r.group()] = true
+	g.poisoned[r.group()] = true
 }
 
-func (g *generation) isPoison(r *run) bool {
+func (g *generation) isPoisoned(r *run) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.poison[r.group()]
+	return g.poisoned[r.group()]
 }
 
-// forgetPoison forgets the groups of the steps before one that a feed is at. The
-// caller holds the lock.
-func (g *generation) forgetPoison(feed string, before int64) {
-	maps.DeleteFunc(g.poison, func(key groupKey, _ bool) bool { return key.feed == feed && key.step < before })
+// dropPoisonedBefore removes a feed's groups of the steps before the given one.
+// The lock must be held.
+func (g *generation) dropPoisonedBefore(feed string, before int64) {
+	maps.DeleteFunc(g.poisoned, func(key groupKey, _ bool) bool { return key.feed == feed && key.step < before })
 }
 
-// giveUp returns what the trainer gets in place of the sample.
-func (r *run) giveUp() sample.Sample {
+// failedSample returns the sample that the trainer gets instead of one that
+// can't be generated.
+func (r *run) failedSample() sample.Sample {
 	events.SampleGivenUp.Log(r.owner.options.Log, logrus.Fields{
 		"feed": r.feed.Name, "sample": r.id.Name(r.owner.deployment, r.feed.Name),
 	})
--- a/internal/feedrun/run.go
+++ b/internal/feedrun/run.go
@@ -24,24 +24,24 @@
 )
 
 const (
-	defaultMaxTokens = 256
-	runLimit         = 30 * time.Minute // a step is to be whole within 28
-	runTries         = 4                // attempts of one run that are cut off
-	scoreLimit       = 10 * time.Second
-	scoreTries       = 4
-	retryPause       = 100 * time.Millisecond
-	pathScore        = "/score"
-	contentJSON      = "application/json"
-	tokenSeconds     = 0.01 // first guess of engine time per token, for fair queueing
+	defaultMaxTokens      = 256
+	runTimeout            = 30 * time.Minute // a step must be complete within 28 minutes
+	maxAttempts           = 4                // attempts of one run that break off
+	scoreTimeout          = 10 * time.Second
+	maxScoreAttempts      = 4
+	retryDelay            = 100 * time.Millisecond
+	pathScore             = "/score"
+	contentJSON           = "application/json"
+	estimatedTokenSeconds = 0.01 // initial estimate of engine time per token, for fair queueing
 )
 
 var (
-	errRun     = errors.New("feedrun: generation failed")
-	errNoScore = errors.New("feedrun: no score")
-	errGivenUp = errors.New("feedrun: the prompt crashes engines")
+	errGeneration = errors.New("feedrun: generation failed")
+	errNoScore    = errors.New("feedrun: no score")
+	errPoisoned   = errors.New("feedrun: the prompt crashes engines")
 )
 
-// run is the generation of one sample, over the engines that it visits.
+// run is the generation of one sample, possibly on several engines in turn.
 type run struct {
 	generation *generation
 	owner      *owner
@@ -50,55 +50,55 @@
 	engine     string // guarded by generation.mu
 	prompt     string
 	ctx        context.Context
-	end        context.CancelFunc
+	cancel     context.CancelFunc
 
-	mu      sync.Mutex
-	builder labels.Builder
-	tokens  tokens.Text
-	stream  string // id of the attempt being read
-	began   time.Time
-	target  string             // engine to go to
-	moving  bool               // the attempt under way was cancelled to move
-	attempt context.CancelFunc // of the attempt under way
-	cache   importedCache      // for the next attempt
-	used    importedCache      // by the attempt under way
-	tries   int                // attempts so far
+	mu            sync.Mutex
+	builder       labels.Builder
+	tokens        tokens.Text
+	stream        string // ID of the stream being read
+	firstTokenAt  time.Time
+	targetEngine  string             // preferred engine of the next attempt; empty: any
+	moving        bool               // the current attempt was cancelled in order to move
+	cancelAttempt context.CancelFunc // cancels the current attempt
+	nextCache     importedCache      // for the next attempt
+	usedCache     importedCache      // used by the current attempt
+	attempts      int                // number of attempts so far
 }
 
 func newRun(g *generation, o *owner, id sample.ID, engine string) *run {
-	ctx, cancel := context.WithTimeout(o.ctx, runLimit)
+	ctx, cancel := context.WithTimeout(o.ctx, runTimeout)
 	feed := o.declaration()
 	return &run{
-		generation: g,
-		owner:      o,
-		feed:       feed,
-		id:         id,
-		engine:     engine,
-		target:     engine,
-		prompt:     promptOf(feed, id),
-		ctx:        ctx,
-		end:        cancel,
+		generation:   g,
+		owner:        o,
+		feed:         feed,
+		id:           id,
+		engine:       engine,
+		targetEngine: engine,
+		prompt:       promptOf(feed, id),
+		ctx:          ctx,
+		cancel:       cancel,
 	}
 }
 
-// run generates, labels and scores the sample and hands it to the owner. On any
-// failure the sample is begun again by the scheduler, under the same id.
+// run generates, labels and scores the sample and delivers it to the owner. On
+// a failure, the scheduler starts the sample again under the same ID.
 func (r *run) run() {
-	defer r.end()
+	defer r.cancel()
 	s, err := r.generate()
-	if errors.Is(err, errGivenUp) {
-		s, err = r.giveUp(), nil
+	if errors.Is(err, errPoisoned) {
+		s, err = r.failedSample(), nil
 	} else if err == nil {
 		s.Score, err = r.score(s)
 	}
 	if err != nil {
 		r.discard(err)
-		pause(r.ctx, retryPause)
-		r.generation.ended(r, 0, false)
+		sleep(r.ctx, retryDelay)
+		r.generation.runEnded(r, 0, false)
 		return
 	}
 	r.owner.deliver(handover.Completed{Sample: s})
-	r.generation.ended(r, r.tokens.Len(), true)
+	r.generation.runEnded(r, r.tokens.Len(), true)
 }
 
 func (r *run) discard(err error) {
@@ -128,52 +128,53 @@
 	return "generation"
 }
 
-// generate runs the sample to its end. It goes on behind the last token when
-// told to move, and when its engine left or was lost.
+// generate generates the complete sample. It resumes after the last token if
+// the run is moved and if its engine left or failed.
 func (r *run) generate() (sample.Sample, error) {
 	var last wire.Answer
-	for tries := 0; tries < runTries && r.ctx.Err() == nil; {
-		if r.generation.isPoison(r) {
-			return sample.Sample{}, errGivenUp
+	for lostAttempts := 0; lostAttempts < maxAttempts && r.ctx.Err() == nil; {
+		if r.generation.isPoisoned(r) {
+			return sample.Sample{}, errPoisoned
 		}
 		ctx, cancel := context.WithCancel(r.ctx)
-		req := r.request(cancel)
-		begun := time.Now()
+		req := r.nextRequest(cancel)
+		startedAt := time.Now()
 		before := len(req.Resume.Tokens)
-		answer := r.owner.options.Generator.Generate(ctx, req, r.read)
+		answer := r.owner.options.Generator.Generate(ctx, req, r.addTokens)
 		cancel()
 		r.mu.Lock()
 		moved := r.moving
 		r.moving = false
-		made := r.tokens.Len()
+		after := r.tokens.Len()
 		r.mu.Unlock()
-		r.generation.pace.observe(time.Since(begun), made-before)
+		r.generation.pace.observe(time.Since(startedAt), after-before)
 		if answer.Outcome == wire.Answered && answer.Status == http.StatusOK {
 			return r.finish(answer)
 		}
 		if answer.Reason == wire.ReasonQuarantined {
-			r.generation.notePoison(r)
-			return sample.Sample{}, errGivenUp
+			r.generation.markPoisoned(r)
+			return sample.Sample{}, errPoisoned
 		}
 		last = answer
 		if moved {
 			continue
 		}
-		tries++
-		pause(r.ctx, retryPause)
-		r.forgetTarget()
+		lostAttempts++
+		sleep(r.ctx, retryDelay)
+		r.clearTarget()
 	}
-	return sample.Sample{}, errors.Wrapf(errRun, "%s %s", last.Outcome, last.Reason)
+	return sample.Sample{}, errors.Wrapf(errGeneration, "%s %s", last.Outcome, last.Reason)
 }
 
-// forgetTarget lets any engine take the next attempt.
-func (r *run) forgetTarget() {
+// clearTarget allows the next attempt on any engine.
+func (r *run) clearTarget() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.target = ""
+	r.targetEngine = ""
 }
 
-func (r *run) request(cancel context.CancelFunc) wire.Request {
+// nextRequest starts an attempt and returns its request.
+func (r *run) nextRequest(cancel context.CancelFunc) wire.Request {
 	body, err := json.Marshal(engineapi.CompletionRequest{
 		Model:     r.feed.Model,
 		Prompt:    r.prompt,
@@ -182,13 +183,13 @@
 		Stream:    true,
 	})
 	if err != nil {
-		panic(err) // a struct of strings and numbers always encodes
+		panic(err) // encoding a struct of strings and numbers can't fail
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.attempt = cancel
-	r.used, r.cache = r.cache, importedCache{}
-	r.tries++
+	r.cancelAttempt = cancel
+	r.usedCache, r.nextCache = r.nextCache, importedCache{}
+	r.attempts++
 	return wire.Request{
 		CallID:      r.id.Name(r.owner.deployment, r.feed.Name),
 		Deployment:  r.owner.deployment,
@@ -201,28 +202,29 @@
 		Idempotent:  true,
 		Stream:      true,
 		Rollout:     true,
-		Cost:        tokenSeconds * float64(maxTokens(r.feed)),
-		Resume:      wire.Resume{Tokens: r.tokens.List(), Cache: r.used.id},
-		Prefer:      r.target,
+		Cost:        estimatedTokenSeconds * float64(maxTokens(r.feed)),
+		Resume:      wire.Resume{Tokens: r.tokens.List(), Cache: r.usedCache.id},
+		Prefer:      r.targetEngine,
 	}
 }
 
-// read takes tokens. A new stream goes on behind what was read of the last one;
-// every attempt has its own id, so an answer of an earlier one shows.
-func (r *run) read(reply wire.ReadReply) {
+// addTokens adds the tokens of a read. A new stream continues after the tokens
+// of the previous one. Every stream has its own ID, so a late reply of a
+// previous one is detected.
+func (r *run) addTokens(reply wire.ReadReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stream != reply.ID {
 		r.stream = reply.ID
-		_ = r.builder.Resume(r.builder.Tokens()) // an earlier failure stands
-		if r.used.id != "" {
-			_ = r.builder.Import(r.used.version)
+		_ = r.builder.Resume(r.builder.Tokens()) // the builder keeps the first error
+		if r.usedCache.id != "" {
+			_ = r.builder.Import(r.usedCache.version)
 		}
 	}
-	if len(reply.Tokens) > 0 && r.began.IsZero() {
-		r.began = time.Now()
+	if len(reply.Tokens) > 0 && r.firstTokenAt.IsZero() {
+		r.firstTokenAt = time.Now()
 	}
-	_ = r.builder.Add(reply) // told by finish
+	_ = r.builder.Add(reply) // finish returns the error
 	r.tokens.Append(reply.Tokens)
 }
 
@@ -238,7 +240,7 @@
 		Prompt:       r.prompt,
 		Text:         r.tokens.String(),
 		Segments:     segments,
-		FirstTokenAt: r.began,
+		FirstTokenAt: r.firstTokenAt,
 	}, nil
 }
 
@@ -248,8 +250,8 @@
 	return r.tokens.Len()
 }
 
-// moveTo ends the attempt under way so that generate goes on at another engine,
-// which computes the KV cache of the tokens so far anew.
+// moveTo ends the current attempt so that generate resumes at another engine,
+// which recomputes the KV cache of the tokens so far.
 func (r *run) moveTo(to string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -257,10 +259,10 @@
 }
 
 func (r *run) moveLocked(to string) {
-	r.target = to
+	r.targetEngine = to
 	r.moving = true
-	if r.attempt != nil {
-		r.attempt()
+	if r.cancelAttempt != nil {
+		r.cancelAttempt()
 	}
 }
 
@@ -286,19 +288,19 @@
 		return 0, errors.Wrap(err, "feedrun: score")
 	}
 	last := wire.Answer{}
-	for range scoreTries {
-		last = r.askScore(name, body)
+	for range maxScoreAttempts {
+		last = r.callScorer(name, body)
 		var reply scoreReply
 		if last.Status == http.StatusOK && json.Unmarshal(last.Body, &reply) == nil && reply.Score != nil {
 			return *reply.Score, nil
 		}
-		pause(r.ctx, retryPause)
+		sleep(r.ctx, retryDelay)
 	}
 	return 0, errors.Wrapf(errNoScore, "%s %s %d", last.Outcome, last.Reason, last.Status)
 }
 
-func (r *run) askScore(name string, body []byte) wire.Answer {
-	ctx, cancel := context.WithTimeout(r.ctx, scoreLimit)
+func (r *run) callScorer(name string, body []byte) wire.Answer {
+	ctx, cancel := context.WithTimeout(r.ctx, scoreTimeout)
 	defer cancel()
 	return r.owner.options.Scorer.Call(ctx, wire.Request{
 		CallID:      name,
@@ -310,7 +312,7 @@
 		ContentType: contentJSON,
 		Body:        body,
 		Idempotent:  true,
-		Cost:        tokenSeconds,
+		Cost:        estimatedTokenSeconds,
 	})
 }
 
@@ -333,12 +335,13 @@
 	).Replace(template)
 }
 
-// seedOf makes a second run of a sample draw the same tokens on the same weights.
+// seedOf returns a sample's seed. A second run of the sample draws the same
+// tokens on the same weights.
 func seedOf(deployment, feed string, id sample.ID) int64 {
 	return int64(xxhash.Sum64String(id.Name(deployment, feed)) >> 1)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/feedrun/trainer.go
+++ b/internal/feedrun/trainer.go
@@ -17,13 +17,13 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Trainer serves trainers' calls over gRPC.
+// Trainer implements the gRPC service for trainers.
 type Trainer struct {
 	trainerpb.UnimplementedTrainerServer
 	feeds *Feeds
 }
 
-// NewTrainer returns the gRPC side of feeds.
+// NewTrainer returns the gRPC service of the feeds.
 func NewTrainer(f *Feeds) *Trainer { return &Trainer{feeds: f} }
 
 // Pull implements trainerpb.TrainerServer.
@@ -50,8 +50,8 @@
 	return &trainerpb.AnnounceResponse{Version: version}, nil
 }
 
-// codeOf tells a trainer whether pulling again as it is can help (Unavailable,
-// Aborted) or not.
+// codeOf maps a refusal to a status code. Unavailable and Aborted tell a
+// trainer that retrying the same pull can succeed.
 func codeOf(reason handover.Refusal) codes.Code {
 	switch reason {
 	case handover.Late:
@@ -67,7 +67,7 @@
 	}
 }
 
-// authenticate checks the bearer key against the feed's declared digest.
+// authenticate compares the bearer key with the feed's declared digest.
 func (t *Trainer) authenticate(ctx context.Context, deployment, feed string) error {
 	current := t.feeds.options.Config.Current()
 	if current == nil {
@@ -78,7 +78,7 @@
 	digest := hex.EncodeToString(sum[:])
 	same := subtle.ConstantTimeCompare([]byte(digest), []byte(declared.TrainerSHA256)) == 1
 	if !found || current.Name != deployment || !same {
-		// One answer for all three: a stranger learns no feed's name.
+		// All three cases get the same answer, which reveals no feed's name.
 		return status.Error(codes.Unauthenticated, "a bearer key of the feed's trainer is needed")
 	}
 	return nil
--- a/internal/feedrun/carry_test.go
+++ b/internal/feedrun/transfer_test.go
@@ -15,21 +15,21 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// attempt is one call of the generator, which the spec plays.
+// attempt is one call of the generator, which the spec answers.
 type attempt struct {
 	req    wire.Request
 	tokens func(wire.ReadReply)
 	end    chan wire.Answer
 }
 
-// played is engines whose answers the spec gives.
-type played struct {
+// scriptedEngines is a set of engines whose answers the spec provides.
+type scriptedEngines struct {
 	attempts chan *attempt
 	imports  chan wire.ImportRequest
 	answers  chan wire.ImportReply
 }
 
-func (p *played) Generate(ctx context.Context, req wire.Request, onTokens func(wire.ReadReply)) wire.Answer {
+func (p *scriptedEngines) Generate(ctx context.Context, req wire.Request, onTokens func(wire.ReadReply)) wire.Answer {
 	a := &attempt{req: req, tokens: onTokens, end: make(chan wire.Answer, 1)}
 	p.attempts <- a
 	select {
@@ -40,7 +40,7 @@
 	}
 }
 
-func (p *played) ImportCache(ctx context.Context, _ string, req wire.ImportRequest) (wire.ImportReply, error) {
+func (p *scriptedEngines) ImportCache(ctx context.Context, _ string, req wire.ImportRequest) (wire.ImportReply, error) {
 	p.imports <- req
 	select {
 	case reply := <-p.answers:
@@ -54,20 +54,20 @@
 	a.tokens(wire.ReadReply{ID: stream, Offset: offset, Tokens: []string{"x"}, Versions: []int64{version}})
 }
 
-var _ = Describe("A sample that moves with its KV cache", func() {
+var _ = Describe("a sample that moves with its KV cache", func() {
 	type result struct {
 		sample sample.Sample
 		err    error
 	}
 	var (
-		p     *played
-		r     *run
-		first *attempt
-		whole chan result
-		moved chan struct{}
+		p       *scriptedEngines
+		r       *run
+		first   *attempt
+		results chan result
+		moved   chan struct{}
 	)
 
-	// next returns the attempt that follows.
+	// next returns the next attempt.
 	next := func() *attempt {
 		var a *attempt
 		Eventually(p.attempts).WithTimeout(10 * time.Second).Should(Receive(&a))
@@ -76,21 +76,21 @@
 	finish := func(a *attempt) result {
 		a.end <- wire.Answer{Outcome: wire.Answered, Status: 200}
 		var got result
-		Eventually(whole).WithTimeout(10 * time.Second).Should(Receive(&got))
+		Eventually(results).WithTimeout(10 * time.Second).Should(Receive(&got))
 		return got
 	}
 
 	BeforeEach(func() {
-		p = &played{attempts: make(chan *attempt, 4), imports: make(chan wire.ImportRequest, 1), answers: make(chan wire.ImportReply)}
+		p = &scriptedEngines{attempts: make(chan *attempt, 4), imports: make(chan wire.ImportRequest, 1), answers: make(chan wire.ImportReply)}
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		o := &owner{ctx: ctx, deployment: "d", name: "f", feed: decl.Feed{Name: "f", Prompts: []string{"p"}}}
 		o.options = Options{Generator: p, Caches: p, Metrics: metrics.NewRegistry()}
 		sampled := newRun(&generation{}, o, sample.ID{}, "a")
 		ended := make(chan result, 1)
-		r, whole = sampled, ended
+		r, results = sampled, ended
 		go func() {
-			defer sampled.end()
+			defer sampled.cancel()
 			s, err := sampled.generate()
 			ended <- result{sample: s, err: err}
 		}()
@@ -100,14 +100,14 @@
 		moved = left
 		go func() {
 			defer close(left)
-			sampled.carryTo("b", "source")
+			sampled.transferTo("b", "source")
 		}()
 		Eventually(p.imports).WithTimeout(10 * time.Second).Should(Receive(HaveField("Request", "one")))
 	})
 
-	It("runs on until the cache is there, then goes on from it", func() {
+	It("keeps running until the cache has arrived and then resumes from it", func() {
 		first.make("one", 1, 1)
-		Consistently(p.attempts, "50ms").ShouldNot(Receive(), "the old engine goes on meanwhile")
+		Consistently(p.attempts, "50ms").ShouldNot(Receive(), "the old engine continues meanwhile")
 		p.answers <- wire.ImportReply{Imported: true, Version: 1}
 		second := next()
 		Expect(second.req.Prefer).To(Equal("b"))
@@ -119,10 +119,10 @@
 		Expect(got.sample.Segments).To(Equal([]wire.Segment{{Version: 1, To: 2}, {Version: 2, From: 2, To: 3}}))
 	})
 
-	It("leaves a cache unused that another version exported than made its tokens", func() {
-		// The old engine swaps to 2 after the last token and before the export,
-		// and the other one to 3. The cache of 2 would shape the tokens of 3
-		// without any label of 2; it is computed anew and nothing is discarded.
+	It("doesn't use a cache of a version that generated none of its tokens", func() {
+		// The old engine swaps to version 2 between the last token and the export,
+		// and the other engine to version 3. The cache of version 2 would influence
+		// the tokens of version 3 without a label of 2, so it is recomputed.
 		p.answers <- wire.ImportReply{Imported: true, Version: 2}
 		second := next()
 		Expect(second.req.Resume.Cache).To(BeEmpty())
@@ -132,19 +132,19 @@
 		Expect(got.sample.OldestVersion()).To(Equal(int64(1)))
 	})
 
-	It("has its cache computed anew when it does not arrive, and no other is sent for a while", func() {
-		p.answers <- wire.ImportReply{Detail: "the engine dies while it exports, or the other refuses"}
+	It("has its cache recomputed if the transfer fails, and transfers are suspended", func() {
+		p.answers <- wire.ImportReply{Detail: "the engine dies during the export, or the other one refuses"}
 		second := next()
 		Expect(second.req.Prefer).To(Equal("b"))
 		Expect(second.req.Resume.Cache).To(BeEmpty())
 		Expect(second.req.Resume.Tokens).To(HaveLen(1))
-		Expect(r.generation.carry.estimate(time.Now())).To(Equal(rollout.MoveCost{}))
-		Expect(r.generation.carry.estimate(time.Now().Add(2 * carryPause))).To(Equal(assumedCarry))
+		Expect(r.generation.transferCost.estimate(time.Now())).To(Equal(rollout.MoveCost{}))
+		Expect(r.generation.transferCost.estimate(time.Now().Add(2 * transferBackoff))).To(Equal(defaultTransferCost))
 	})
 
-	It("stays where it was resumed after its engine died while it exported", func() {
-		// The entry resumes the lost stream at a third engine before the failed
-		// import is told: a move now would throw that engine's work away.
+	It("stays where it was resumed if its engine dies during the export", func() {
+		// The entry resumes the lost stream at a third engine before the failure of
+		// the import is reported. A move now would discard that engine's work.
 		first.make("two", 0, 1)
 		p.answers <- wire.ImportReply{}
 		Eventually(moved).WithTimeout(10 * time.Second).Should(BeClosed())
@@ -152,7 +152,7 @@
 		Expect(strings.Count(finish(first).sample.Text, "x")).To(Equal(2))
 	})
 
-	It("is whole once, though its cache arrives after its end", func() {
+	It("completes once, even if its cache arrives after its end", func() {
 		got := finish(first)
 		Expect(got.err).NotTo(HaveOccurred())
 		Eventually(moved).WithTimeout(10 * time.Second).Should(BeClosed())
