--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -235,7 +235,7 @@
 		Generator: e.server,
 		Scorer:    e.server,
 		Caches:    e.server,
-		Fleet:     e.pool,
+		Engines:   e.pool,
 		Versions:  e.weights,
 		Log:       e.log,
 		Metrics:   e.metrics,
--- a/internal/feedrun/fakes_test.go
+++ b/internal/feedrun/fakes_test.go
@@ -196,7 +196,7 @@
 	i := &clusterEntry{c: c, name: name}
 	i.feeds = feedrun.New(feedrun.Options{
 		Instance: name, Store: c.store, Duties: i, Peers: c, Config: i, Generator: c.engines,
-		Scorer: c.engines, Fleet: c.engines, Versions: c.engines, Log: log, Metrics: metrics.NewRegistry(),
+		Scorer: c.engines, Engines: c.engines, Versions: c.engines, Log: log, Metrics: metrics.NewRegistry(),
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/feedrun/feeds.go
+++ b/internal/feedrun/feeds.go
@@ -59,7 +59,7 @@
 	Generator entry.Generator
 	Scorer    entry.ServiceClient
 	Caches    entry.CacheImporter // nil: KV caches are not transferred
-	Fleet     entry.EngineLister
+	Engines   entry.EngineLister
 	Versions  entry.VersionAnnouncer // nil: announcements are refused
 	Log       *logrus.Logger
 	Metrics   metrics.Registry
--- a/internal/feedrun/generation.go
+++ b/internal/feedrun/generation.go
@@ -167,7 +167,7 @@
 	}
 	var all []rollout.Engine
 	g.addresses = map[string]string{}
-	for _, e := range g.options.Fleet.Engines(g.service) {
+	for _, e := range g.options.Engines.Engines(g.service) {
 		if e.Load.Leaving || e.Load.Down {
 			continue
 		}
--- a/internal/lab/path/inflight.go
+++ b/internal/lab/path/inflight.go
@@ -88,7 +88,7 @@
 	before := memory()
 	feeds := feedrun.New(feedrun.Options{
 		Instance: "entry", Store: store, Duties: holder{}, Config: config{s.deployment},
-		Generator: fleet, Fleet: fleet, Log: log, Metrics: metrics.NewRegistry(),
+		Generator: fleet, Engines: fleet, Log: log, Metrics: metrics.NewRegistry(),
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), flightLimit)
 	defer cancel()
--- a/internal/lab/path/samples.go
+++ b/internal/lab/path/samples.go
@@ -93,7 +93,7 @@
 	s.declareFeed()
 	feeds := feedrun.New(feedrun.Options{
 		Instance: "entry", Store: store, Duties: holder{}, Config: config{s.deployment},
-		Generator: s.server, Scorer: s.server, Fleet: s.pool, Log: s.log, Metrics: metrics.NewRegistry(),
+		Generator: s.server, Scorer: s.server, Engines: s.pool, Log: s.log, Metrics: metrics.NewRegistry(),
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
