--- a/internal/entry/claims_partition.go
+++ b/internal/entry/claims_partition.go
@@ -53,8 +53,8 @@
 
 func newClaimPartition(o ClaimsOptions, duty string) *claimPartition {
 	config := claims.DefaultConfig(duty+"/"+o.Deployment, duty, o.Instance)
-	if o.Config != nil {
-		o.Config(&config)
+	if o.AdjustConfig != nil {
+		o.AdjustConfig(&config)
 	}
 	p := &claimPartition{
 		options: o,
@@ -210,9 +210,9 @@
 	defer cancel()
 	start := time.Now()
 	swapped, current, err := p.options.Store.CompareAndSwap(ctx, kv.UseClaim, kv.Write{
-		Key:      w.Key,
-		Expected: w.Expected,
-		Value:    w.Value,
+		Key:              w.Key,
+		ExpectedRevision: w.Expected,
+		Value:            w.Value,
 	})
 	p.logStoreState(err)
 	metrics.GetOrRegisterTimer("claims.commit", p.options.Metrics).UpdateSince(start)
@@ -227,9 +227,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), claimCallTimeout)
 	defer cancel()
 	_, _, err := p.options.Store.CompareAndSwap(ctx, kv.UseClaim, kv.Write{
-		Key:      d.Key,
-		Expected: d.Revision,
-		Delete:   true,
+		Key:              d.Key,
+		ExpectedRevision: d.Revision,
+		Delete:           true,
 	})
 	if err != nil {
 		p.count("claims.bucket_left")
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -169,8 +169,8 @@
 		fresh.ApplyHeartbeat(nil, quarantines["entry-2"].List())
 		Expect(fresh.Blocked("tone", 7)).To(BeTrue())
 		Expect(quarantines["entry-3"].Release(7)).To(BeTrue())
-		for _, g := range quarantines {
-			Expect(g.Blocked("tone", 7)).To(BeFalse())
+		for _, q := range quarantines {
+			Expect(q.Blocked("tone", 7)).To(BeFalse())
 		}
 		fresh.ApplyHeartbeat(nil, quarantines["entry-2"].List())
 		Expect(fresh.Blocked("tone", 7)).To(BeFalse())
@@ -192,7 +192,7 @@
 		}
 		send := func(name, body string) wire.Answer {
 			server := New(settings.Settings{}, quarantines[name].log, metrics.NewRegistry(), Dependencies{
-				Picker: pool, Quarantine: quarantines[name], Retries: unlimitedRetries{}, Hedge: unlimitedRetries{},
+				Picker: pool, Quarantine: quarantines[name], RetryBudget: unlimitedRetries{}, Hedger: unlimitedRetries{},
 			})
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
--- a/internal/entry/weights.go
+++ b/internal/entry/weights.go
@@ -39,8 +39,8 @@
 	Dial       rpcpool.DialFunc // dials agents; nil means plain TCP
 	Deployment string
 	Log        *logrus.Logger
-	// Rollout adjusts the configuration of each rollout. Nil keeps the defaults.
-	Rollout func(*weights.Config)
+	// AdjustConfig adjusts the configuration of each rollout. Nil keeps the defaults.
+	AdjustConfig func(*weights.Config)
 }
 
 // Weights records announcements of new weight versions and rolls them out for each
@@ -135,7 +135,7 @@
 	if err != nil {
 		return 0, errors.Wrap(err, path)
 	}
-	swapped, current, err := w.options.Store.CompareAndSwap(ctx, kv.UseWeights, kv.Write{Key: path, Expected: found.Revision, Value: value})
+	swapped, current, err := w.options.Store.CompareAndSwap(ctx, kv.UseWeights, kv.Write{Key: path, ExpectedRevision: found.Revision, Value: value})
 	if err != nil {
 		return 0, err
 	}
