--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -65,7 +65,7 @@
 	inner           *tlsconf.Inner
 	traffic         *traffic.Meter
 	innerErr        error        // from loading the certificate files of inner; returned by Run
-	leaving         atomic.Bool  // a graceful stop has begun
+	leaving         atomic.Bool  // a graceful stop has started
 	listedLeavingAt atomic.Int64 // agent uptime of the last heartbeat which said that the list says this agent leaves; 0: never
 	down            atomic.Bool
 	version         atomic.Int64 // weight version last reported by the endpoint
--- a/internal/agent/chunks.go
+++ b/internal/agent/chunks.go
@@ -55,7 +55,7 @@
 }
 
 // existingVersionDirs returns the version directories that an earlier run of
-// the agent left in the data directory, oldest first. Without them, each
+// the agent left in the data directory, oldest first. Without this, each
 // restart would leave two versions behind.
 func existingVersionDirs(dir string) []string {
 	if dir == "" {
--- a/internal/agent/crashes.go
+++ b/internal/agent/crashes.go
@@ -56,13 +56,14 @@
 }
 
 // recordCrash records that the endpoint broke off a request that started at
-// begun while the given number of distinct requests were running, and returns
-// the crash. The requests of one crash break off one after the other. If each
-// counted only what still runs, the last one would seem to have been alone.
-func (c *crashTracker) recordCrash(now, begun time.Time, req wire.Request, running int) wire.Suspicion {
+// startedAt while the given number of distinct requests were running, and
+// returns the crash. The requests of one crash break off one after the other.
+// If each counted only what still runs, the last one would seem to have been
+// alone.
+func (c *crashTracker) recordCrash(now, startedAt time.Time, req wire.Request, running int) wire.Suspicion {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lastCrashAt.IsZero() || begun.After(c.lastCrashAt) {
+	if c.lastCrashAt.IsZero() || startedAt.After(c.lastCrashAt) {
 		c.lastCrashAt = now
 		c.lastBatch = max(1, running)
 	}
--- a/internal/agent/crashes_test.go
+++ b/internal/agent/crashes_test.go
@@ -14,11 +14,11 @@
 	// other, and the last one must not be reported as having run alone.
 	It("counts the same batch for every request of one crash", func() {
 		c := newCrashTracker("agent-1")
-		begun := time.Unix(100, 0)
-		now := begun.Add(time.Second)
+		startedAt := time.Unix(100, 0)
+		now := startedAt.Add(time.Second)
 		for i, running := range []int{3, 2, 1} {
 			req := wire.Request{Service: "tone", Fingerprint: uint64(i)}
-			Expect(c.recordCrash(now.Add(time.Duration(i)*time.Millisecond), begun, req, running).Batch).To(Equal(3))
+			Expect(c.recordCrash(now.Add(time.Duration(i)*time.Millisecond), startedAt, req, running).Batch).To(Equal(3))
 		}
 		later := now.Add(time.Second)
 		Expect(c.recordCrash(later.Add(time.Second), later, wire.Request{Service: "tone", Fingerprint: 9}, 1).Batch).To(Equal(1))
@@ -33,19 +33,19 @@
 	It("counts copies of one request once and identifies the crash", func() {
 		c := newCrashTracker("agent-1")
 		req := wire.Request{Service: "tone", Fingerprint: 7}
-		begun := time.Unix(100, 0)
+		startedAt := time.Unix(100, 0)
 		c.begin(req)
 		c.begin(req)
 		c.begin(wire.Request{Service: "tone", Fingerprint: 8})
 		Expect(c.distinctRunning()).To(Equal(2))
-		first := c.recordCrash(begun.Add(time.Second), begun, req, c.distinctRunning())
+		first := c.recordCrash(startedAt.Add(time.Second), startedAt, req, c.distinctRunning())
 		c.end(req)
-		second := c.recordCrash(begun.Add(time.Second+time.Millisecond), begun, req, c.distinctRunning())
+		second := c.recordCrash(startedAt.Add(time.Second+time.Millisecond), startedAt, req, c.distinctRunning())
 		Expect(second.Batch).To(Equal(2))
 		Expect(second.Crash).To(Equal(first.Crash))
 		c.end(req)
 		Expect(c.distinctRunning()).To(Equal(1))
-		again := c.recordCrash(begun.Add(3*time.Second), begun.Add(2*time.Second), req, c.distinctRunning())
+		again := c.recordCrash(startedAt.Add(3*time.Second), startedAt.Add(2*time.Second), req, c.distinctRunning())
 		Expect(again.Crash).NotTo(Equal(first.Crash))
 	})
 
--- a/internal/agent/queue.go
+++ b/internal/agent/queue.go
@@ -150,6 +150,7 @@
 	return q.drained
 }
 
+// enqueue offers a request to the admission policy.
 func (q *Queue) enqueue(req wire.Request, w *waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -187,24 +188,25 @@
 		q.apply(q.policy.Preempted(now, req.ID))
 		return true
 	}
-	took := now.Sub(w.startedAt)
+	latency := now.Sub(w.startedAt)
 	delete(q.waiters, req.ID)
 	running := q.policy.Load().Running
 	q.apply(q.policy.Done(now, req.ID))
-	q.observe(now, req, w, took, running, answer)
+	q.observe(now, req, w, latency, running, answer)
 	return false
 }
 
-func (q *Queue) observe(now time.Time, req wire.Request, w *waiter, took time.Duration, running int, answer wire.Answer) {
+// observe updates the estimates and the slot limit from a completed run.
+func (q *Queue) observe(now time.Time, req wire.Request, w *waiter, latency time.Duration, running int, answer wire.Answer) {
 	if answer.Reason == wire.ReasonCancelled || w.runs > 1 {
 		return // the duration of a partial run says nothing about the endpoint
 	}
 	failed := answer.Outcome != wire.Answered || answer.Status == 429 || answer.Status == 503
 	if q.estimator.Known(req.Class) {
-		q.adaptLimit(now, limit.Sample{Latency: took, Cost: w.baselineCost, Running: running, Failed: failed})
+		q.adaptLimit(now, limit.Sample{Latency: latency, Cost: w.baselineCost, Running: running, Failed: failed})
 	}
 	if !failed {
-		q.estimator.Observe(req.Class, req.Cost, took.Seconds())
+		q.estimator.Observe(req.Class, req.Cost, latency.Seconds())
 	}
 }
 
@@ -283,12 +285,15 @@
 	return answer
 }
 
+// resetTimer sets the timer to the policy's next expiry. The lock must be held.
 func (q *Queue) resetTimer() {
 	if at, ok := q.policy.NextExpiry(); ok {
 		q.timer.Reset(max(time.Until(at), 0) + time.Millisecond)
 	}
 }
 
+// checkDrained closes drained if the queue is draining and empty. The lock must
+// be held.
 func (q *Queue) checkDrained() {
 	if !q.draining || len(q.waiters) > 0 {
 		return
--- a/internal/agent/queue_test.go
+++ b/internal/agent/queue_test.go
@@ -30,15 +30,15 @@
 	// hold runs a request that keeps its slot until release is closed.
 	hold := func(id string) (release chan struct{}, answer chan wire.Answer) {
 		release, answer = make(chan struct{}), make(chan wire.Answer, 1)
-		begun := make(chan struct{})
+		started := make(chan struct{})
 		go func() {
 			answer <- q.Run(context.Background(), wire.Request{ID: id, Cost: 0.01}, func(context.Context) wire.Answer {
-				close(begun)
+				close(started)
 				<-release
 				return wire.Answer{ID: id, Outcome: wire.Answered}
 			})
 		}()
-		Eventually(begun, "5s").Should(BeClosed())
+		Eventually(started, "5s").Should(BeClosed())
 		return release, answer
 	}
 
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -224,12 +224,12 @@
 func (a *Agent) detectCrash(req wire.Request, run func() wire.Answer) wire.Answer {
 	a.crashes.begin(req)
 	defer a.crashes.end(req)
-	begun := time.Now()
+	startedAt := time.Now()
 	answer := run()
 	if answer.Reason != wire.ReasonCrashed {
 		return answer
 	}
-	crash := a.crashes.recordCrash(time.Now(), begun, req, a.crashes.distinctRunning())
+	crash := a.crashes.recordCrash(time.Now(), startedAt, req, a.crashes.distinctRunning())
 	answer.Batch, answer.Crash = crash.Batch, crash.Crash
 	events.EndpointBroke.Log(a.log, logrus.Fields{"request": req.ID, "batch": answer.Batch, "detail": answer.Detail})
 	return answer
--- a/internal/feedrun/run.go
+++ b/internal/feedrun/run.go
@@ -209,8 +209,8 @@
 }
 
 // addTokens adds the tokens of a read. A new stream continues after the tokens
-// of the previous one. Every stream has its own ID, so a late reply of a
-// previous one is detected.
+// of the previous one. Every stream has its own ID, so that a change of stream
+// is detected.
 func (r *run) addTokens(reply wire.ReadReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
