--- a/internal/agentless/storepath/service.go
+++ b/internal/agentless/storepath/service.go
@@ -40,7 +40,7 @@
 	case s.store.relaySlots <- struct{}{}:
 		defer func() { <-s.store.relaySlots }()
 	default:
-		*reply = Reply{Code: Unavailable, Text: "too many relayed calls in flight"}
+		*reply = Reply{Code: Unavailable, Text: "too many calls under way"}
 		return nil
 	}
 	if s.store.relaying() {
--- a/internal/confstate/change.go
+++ b/internal/confstate/change.go
@@ -19,7 +19,7 @@
 // of ctx. The verdict Failed means that the change was certainly not accepted.
 func (h *State) Change(ctx context.Context, request config.Request) (config.Result, error) {
 	if !h.MayAccept() {
-		return config.Result{Verdict: config.Failed}, errors.New("this entry is in contact with too few failure domains to accept a change")
+		return config.Result{Verdict: config.Failed}, errors.New("this entry hears too few failure domains to accept a change")
 	}
 	runner := &attemptRunner{store: h.options.Store, startedAt: time.Now()}
 	attempt, step := config.NewAttempt(request)
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -135,7 +135,7 @@
 // the endpoint, and returns "unknown".
 func (e *Server) abandon(ep Endpoint, req wire.Request) wire.Answer {
 	go cancelAt(ep, req.ID)
-	return wire.Answer{ID: req.ID, Outcome: wire.Unknown, Reason: wire.ReasonDeadline, Detail: "the deadline passed while the request was running"}
+	return wire.Answer{ID: req.ID, Outcome: wire.Unknown, Reason: wire.ReasonDeadline, Detail: "the deadline passed while the request ran"}
 }
 
 func cancelAt(ep Endpoint, id string) {
@@ -163,7 +163,7 @@
 // dispatchOnce dispatches a request that may run only once. It tries another
 // endpoint only if the last one certainly did not run the request.
 func (e *Server) dispatchOnce(ctx context.Context, req wire.Request) wire.Answer {
-	last := wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service is reachable"}
+	last := wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service can be reached"}
 	var tried []string
 	for range maxAttempts {
 		ep, ok := e.deps.Picker.Pick(req.Service, req.Principal.Business, req.Fingerprint, tried)
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -144,7 +144,7 @@
 		Outcome:    wire.Unknown,
 		Reason:     wire.ReasonOwnerAbsent,
 		RetryAfter: time.Second,
-		Detail:     "the entry that owns the request's claim was not reached before the deadline; repeat the request with the same key",
+		Detail:     "the entry that keeps the request's claim was not reached in time. Repeat it with the same key",
 	}
 }
 
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -52,6 +52,6 @@
 	return wire.Answer{
 		Outcome: wire.NotRun,
 		Reason:  wire.ReasonQuarantined,
-		Detail:  "the request is in quarantine because it crashed its endpoints",
+		Detail:  "this request crashed its endpoints and is in quarantine",
 	}
 }
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -96,7 +96,7 @@
 		}
 		sleep(ctx, suspectRetryDelay)
 		if ctx.Err() != nil {
-			return a, wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonDeadline, Detail: "another copy of the request is running, or no endpoint where it may run is usable"}, false
+			return a, wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonDeadline, Detail: "another copy of this request runs, or where it may run is down"}, false
 		}
 	}
 }
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -68,7 +68,7 @@
 	deployment := from.deployment
 	principal, known := from.authenticate(ctx)
 	if !known {
-		f.add(fasthttp.StatusUnauthorized, "Authorization: a bearer key of a declared caller is required")
+		f.add(fasthttp.StatusUnauthorized, "Authorization: a bearer key of a declared caller is needed")
 		return c, f
 	}
 	body := append([]byte(nil), ctx.PostBody()...)
@@ -114,7 +114,7 @@
 		return
 	}
 	if c.req.Method != fasthttp.MethodPost {
-		f.add(fasthttp.StatusMethodNotAllowed, "%s requires POST", path)
+		f.add(fasthttp.StatusMethodNotAllowed, "%s takes POST", path)
 		return
 	}
 	c.readCompletion(path, f)
@@ -152,7 +152,7 @@
 
 func (c *call) checkService(service decl.Service, f *findings) {
 	if c.plain != (service.Kind == decl.KindPlain) {
-		f.add(fasthttp.StatusNotFound, "service %q is of kind %s and cannot be reached by this path", service.Name, service.Kind)
+		f.add(fasthttp.StatusNotFound, "service %q is of kind %s and not reached by this path", service.Name, service.Kind)
 	}
 	if service.MaxBodyBytes > 0 && len(c.req.Body) > service.MaxBodyBytes {
 		f.add(fasthttp.StatusRequestEntityTooLarge, "body: %d bytes, service %q takes %d", len(c.req.Body), service.Name, service.MaxBodyBytes)
@@ -226,7 +226,7 @@
 		return
 	}
 	if key == "" && !c.class.Idempotent && f.status == 0 {
-		f.add(fasthttp.StatusBadRequest, "%s is required: requests of class %q cannot be repeated safely without it", headerIdempotencyKey, c.class.Name)
+		f.add(fasthttp.StatusBadRequest, "%s is needed: requests of class %q may not be repeated without it", headerIdempotencyKey, c.class.Name)
 		return
 	}
 	if key == "" {
--- a/internal/entry/retry.go
+++ b/internal/entry/retry.go
@@ -63,7 +63,7 @@
 	ep, ok := r.entry.deps.Picker.Pick(r.call.req.Service, r.call.req.Principal.Business, r.call.prefix, r.tried)
 	if !ok {
 		if len(r.tried) == 0 {
-			r.last = wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service is reachable"}
+			r.last = wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service can be reached"}
 		}
 		return false
 	}
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -29,7 +29,7 @@
 // engine after the last token that was passed on.
 func (e *Server) runStream(ctx context.Context, c call, onTokens func(wire.ReadReply)) wire.Answer {
 	s := &streamRun{entry: e, call: c, onTokens: onTokens, tokens: tokens.NewText(c.req.Resume.Tokens)}
-	last := wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service is reachable"}
+	last := wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonNoEndpoint, Detail: "no endpoint of the service can be reached"}
 	for range maxAttempts {
 		ep, ok := s.pick()
 		if !ok || ctx.Err() != nil {
