--- a/internal/confstate/confstate_test.go
+++ b/internal/confstate/confstate_test.go
@@ -160,7 +160,7 @@
 			defer mu.Unlock()
 			notified = append(notified, revision)
 		})
-		f.platform.LoseNextAnswer(1)
+		f.platform.LoseAnswers(1)
 		result, err := f.change(1, 1, "two", 2)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.Verdict).To(Equal(config.Accepted))
@@ -182,7 +182,7 @@
 	// continue with their configuration. An entry without contact to the others
 	// stops.
 	It("stays ready in an outage, except on an entry that is cut off", func() {
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		f.cutOff[2].Store(true)
 		Eventually(f.states[2].Ready).WithTimeout(timeout).Should(BeFalse())
 		Consistently(f.states[0].Ready).WithTimeout(2 * time.Second).Should(BeTrue())
--- a/internal/dutyrun/keeper_test.go
+++ b/internal/dutyrun/keeper_test.go
@@ -120,7 +120,7 @@
 	}
 
 	It("assigns each duty to one entry, even if a response is lost", func() {
-		platform.LoseNextAnswer(3)
+		platform.LoseAnswers(3)
 		Eventually(holderCount).WithTimeout(20 * time.Second).Should(Equal(len(names)))
 	})
 
@@ -146,9 +146,9 @@
 	// under a higher epoch.
 	It("lets every lease expire in an outage and acquires the duties again after it", func() {
 		Eventually(holderCount).WithTimeout(20 * time.Second).Should(Equal(len(names)))
-		platform.Outage(true)
+		platform.SetDown(true)
 		Eventually(holderCount).WithTimeout(20 * time.Second).Should(BeZero())
-		platform.Outage(false)
+		platform.SetDown(false)
 		Eventually(holderCount).WithTimeout(20 * time.Second).Should(Equal(len(names)))
 		_, epochs := countHolders()
 		Expect(epochs).To(BeNumerically(">=", 2*len(names)))
--- a/internal/operator/refused_test.go
+++ b/internal/operator/refused_test.go
@@ -151,10 +151,10 @@
 	// During an outage of the platform changes are refused. They must be in the audit
 	// trail after the outage.
 	It("keeps changes that were refused during an outage", func() {
-		platform.Outage(true)
+		platform.SetDown(true)
 		Expect(apply(demoKey, 1, "away", replaceText(exampleFiles(), "300ms", "400ms")).Outcome).To(Equal(operatorpb.ApplyOutcome_APPLY_OUTCOME_REFUSED))
 		time.Sleep(2 * time.Second) // a write is attempted and fails
-		platform.Outage(false)
+		platform.SetDown(false)
 		Eventually(auditLines("refused")).WithTimeout(auditTimeout).Should(ConsistOf(
 			"demo apply away: refused, the platform's service is not available x1"))
 	})
