--- a/internal/entry/pool/cache_test.go
+++ b/internal/entry/pool/cache_test.go
@@ -21,7 +21,7 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// startEngineHost starts an engine with its agent.
+// startEngineHost starts an engine and its agent.
 func startEngineHost(ctx context.Context, id string) (*standin.Engine, kv.Instance) {
 	engine := standin.NewEngine(standin.EngineOptions{Version: 4, Step: 5 * time.Millisecond})
 	endpoint, err := engine.Start("127.0.0.1:0")
@@ -29,25 +29,25 @@
 	DeferCleanup(engine.Crash)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	a := agent.New(settings.Settings{ID: id, Service: "tone", Endpoint: endpoint}, quiet(), metrics.NewRegistry())
+	a := agent.New(settings.Settings{ID: id, Service: "tone", Endpoint: endpoint}, discardLogger(), metrics.NewRegistry())
 	go func() { _ = a.Serve(ctx, listener) }()
 	return engine, kv.Instance{ID: id, Address: listener.Addr().String(), Role: "agent", Service: "tone"}
 }
 
 var _ = Describe("the KV cache of a sample", func() {
-	It("goes from engine to engine through the agents that the entry knows", func() {
-		// The entry runs a sample on one engine, has the other's agent fetch the
-		// cache from the first one's, and goes on there: the second engine
-		// computes nothing of what the first one had.
+	It("is transferred between engines by their agents", func() {
+		// The entry runs a sample on one engine, has the agent of the other engine fetch
+		// the KV cache from the first one's agent, and continues the sample there. The
+		// second engine must not recompute anything that the first one had computed.
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		_, one := startEngineHost(ctx, "one")
 		second, two := startEngineHost(ctx, "two")
-		instances := &list{}
+		instances := &instanceList{}
 		instances.set(one, two)
-		p := pool.New(pool.Options{ID: "entry-1", Deployment: "d", Lister: instances, HeartbeatInterval: 500 * time.Millisecond, Log: quiet()})
+		p := pool.New(pool.Options{ID: "entry-1", Deployment: "d", Lister: instances, HeartbeatInterval: 500 * time.Millisecond, Log: discardLogger()})
 		go func() { _ = p.Run(ctx) }()
-		server := entry.New(settings.Settings{}, quiet(), metrics.NewRegistry(), entry.Dependencies{Picker: p, Quarantine: noQuarantine{}, Retries: noRetries{}})
+		server := entry.New(settings.Settings{}, discardLogger(), metrics.NewRegistry(), entry.Dependencies{Picker: p, Quarantine: noQuarantine{}, Retries: noRetries{}})
 		Eventually(func() int { return len(p.Engines("tone")) }, "20s").Should(Equal(2))
 		addresses := map[string]string{}
 		for _, e := range p.Engines("tone") {
--- a/internal/entry/pool/link_test.go
+++ b/internal/entry/pool/heartbeat_test.go
@@ -15,50 +15,51 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// recorder is an agent that keeps the fences of each heartbeat.
+// recorder is an agent that records the fences of each heartbeat.
 type recorder struct {
-	mu   sync.Mutex
-	told [][]wire.Fence
+	mu       sync.Mutex
+	received [][]wire.Fence // of each heartbeat
 }
 
-// Heartbeat answers.
+// Heartbeat records the fences and replies.
 func (r *recorder) Heartbeat(req wire.HeartbeatRequest, reply *wire.HeartbeatReply) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told = append(r.told, req.Fences)
+	r.received = append(r.received, req.Fences)
 	*reply = wire.HeartbeatReply{From: "a", Target: wire.Target{Incarnation: "1"}, Ready: true}
 	return nil
 }
 
-// count returns the heartbeats, and those with fences.
+// count returns the number of heartbeats and of those with fences.
 func (r *recorder) count() (all, fenced int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, fences := range r.told {
+	for _, fences := range r.received {
 		if len(fences) > 0 {
 			fenced++
 		}
 	}
-	return len(r.told), fenced
+	return len(r.received), fenced
 }
 
+// last returns the fences that were received last.
 func (r *recorder) last() []wire.Fence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := len(r.told) - 1; i >= 0; i-- {
-		if len(r.told[i]) > 0 {
-			return r.told[i]
+	for i := len(r.received) - 1; i >= 0; i-- {
+		if len(r.received[i]) > 0 {
+			return r.received[i]
 		}
 	}
 	return nil
 }
 
 var _ = Describe("heartbeats to an agent", func() {
-	// An operator sees control traffic grow with the number of duties. Every
-	// heartbeat names the epoch of every duty, though they change with a duty's
-	// holder only. An agent must still learn a new epoch with the next heartbeat,
-	// and a new connection, which may lead to a new process, must tell all.
-	It("name the epochs of duties when they change and on new connections", func() {
+	// If every heartbeat contained the epoch of every duty, control traffic would grow
+	// with the number of duties, although an epoch changes only with the duty's
+	// holder. An agent must still get a new epoch with the next heartbeat, and all
+	// epochs on a new connection, which may lead to a new process.
+	It("contain the epochs of duties when they change and on new connections", func() {
 		agent := &recorder{}
 		server := rpc.NewServer()
 		Expect(server.RegisterName(wire.AgentService, agent)).To(Succeed())
@@ -67,12 +68,12 @@
 		defer listener.Close()
 		go server.Accept(listener)
 		proxy := newProxy(listener.Addr().String())
-		instances := &list{}
+		instances := &instanceList{}
 		instances.set(kv.Instance{ID: "a", Address: proxy.address(), Role: "agent", Service: "ledger"})
 
 		var mu sync.Mutex
 		epoch := int64(1)
-		p := pool.New(pool.Options{ID: "e", Lister: instances, HeartbeatInterval: 20 * time.Millisecond, Log: quiet(), FillRequest: func(req *wire.HeartbeatRequest) {
+		p := pool.New(pool.Options{ID: "e", Lister: instances, HeartbeatInterval: 20 * time.Millisecond, Log: discardLogger(), FillRequest: func(req *wire.HeartbeatRequest) {
 			mu.Lock()
 			defer mu.Unlock()
 			req.Fences = []wire.Fence{{Duty: "claims/0", Epoch: epoch}, {Duty: "claims/1", Epoch: 7}}
@@ -84,19 +85,19 @@
 			cancel()
 			Expect(<-done).To(Succeed())
 		}()
-		beats := func(n int) {
+		waitForHeartbeats := func(n int) {
 			from, _ := agent.count()
 			Eventually(func() int { all, _ := agent.count(); return all - from }, "20s").Should(BeNumerically(">=", n))
 		}
 		fenced := func() int { _, n := agent.count(); return n }
 
-		beats(10)
+		waitForHeartbeats(10)
 		Expect(fenced()).To(Equal(1))
 
 		mu.Lock()
 		epoch = 2
 		mu.Unlock()
-		beats(10)
+		waitForHeartbeats(10)
 		Expect(fenced()).To(Equal(2))
 		Expect(agent.last()).To(ContainElement(wire.Fence{Duty: "claims/0", Epoch: 2}))
 
--- a/internal/entry/pool/list.go
+++ b/internal/entry/pool/instances.go
@@ -15,12 +15,13 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
+// pollList reads the list of instances whenever it is this entry's turn.
 func (p *Pool) pollList(ctx context.Context) error {
 	for {
 		p.readList(ctx)
 		p.mu.Lock()
-		next := membership.NextPoll(time.Now(), p.opts.ID, p.entries, p.listed)
-		if p.listed == 0 {
+		next := membership.NextPoll(time.Now(), p.opts.ID, p.entries, p.listLen)
+		if p.listLen == 0 {
 			next = time.Now().Add(time.Second)
 		}
 		p.mu.Unlock()
@@ -32,24 +33,25 @@
 	}
 }
 
-// readList takes the list in. When it cannot be read the last one stands: the
-// agents' own heartbeats tell who lives.
+// readList reads and applies the list. If it cannot be read, the previous one stays
+// in use: the agents' heartbeats show which of them are alive.
 func (p *Pool) readList(ctx context.Context) {
 	all, err := p.opts.Lister.Instances(ctx, p.opts.Deployment)
 	if err != nil {
 		events.ListUnreadable.Log(p.opts.Log, logrus.Fields{"error": err.Error()})
 		return
 	}
-	agents, entries := split(all)
+	agents, entries := splitByRole(all)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.listed = len(all)
+	p.listLen = len(all)
 	p.entries = entries
-	p.apply(p.table.ApplyList(time.Now(), agents))
-	p.rewatch()
+	p.applyChanges(p.table.ApplyList(time.Now(), agents))
+	p.updateConnections()
 }
 
-func split(all []kv.Instance) (agents []membership.Instance, entries []string) {
+// splitByRole returns the agents and the IDs of the entries that are not leaving.
+func splitByRole(all []kv.Instance) (agents []membership.Instance, entries []string) {
 	for _, in := range all {
 		switch {
 		case in.Role == roleAgent:
@@ -68,31 +70,32 @@
 	return agents, entries
 }
 
-// rewatch connects to the agents that this entry has to keep and lets go of
-// the others. The caller holds the lock.
-func (p *Pool) rewatch() {
+// updateConnections connects to the agents that this entry has to stay connected to
+// and closes the connections to the others. p.mu must be held.
+func (p *Pool) updateConnections() {
 	reachable := p.table.ConnectionCandidates()
-	keep := map[string]time.Duration{}
-	for _, k := range membership.SelectConnections(p.opts.ID, p.entries, reachable, membership.DefaultFanout(), p.opts.HeartbeatInterval) {
-		keep[k.ID] = k.Interval
+	intervals := map[string]time.Duration{} // by ID of the agents to stay connected to
+	for _, c := range membership.SelectConnections(p.opts.ID, p.entries, reachable, membership.DefaultFanout(), p.opts.HeartbeatInterval) {
+		intervals[c.ID] = c.Interval
 	}
 	for id, peer := range p.peers {
-		if keep[id] == 0 || p.table.Get(id).Address != peer.address {
+		if intervals[id] == 0 || p.table.Get(id).Address != peer.address {
 			delete(p.peers, id)
 			peer.shard.remove(peer)
-			go peer.retire()
+			go peer.closeWhenIdle()
 		}
 	}
 	for _, in := range reachable {
-		if keep[in.ID] > 0 && p.peers[in.ID] == nil {
+		if intervals[in.ID] > 0 && p.peers[in.ID] == nil {
 			p.peers[in.ID] = p.newPeer(in)
 		}
 		if peer := p.peers[in.ID]; peer != nil {
-			peer.pace.Store(int64(keep[in.ID]))
+			peer.heartbeatInterval.Store(int64(intervals[in.ID]))
 		}
 	}
 }
 
+// newPeer adds a peer for an agent. p.mu must be held.
 func (p *Pool) newPeer(in membership.Instance) *peer {
 	s := p.shards[in.Service]
 	if s == nil {
@@ -101,30 +104,30 @@
 	}
 	peer := newPeer(p, s, in, rand.New(rand.NewPCG(p.rng.Uint64(), p.rng.Uint64())))
 	s.add(peer)
-	p.place(peer)
+	p.updateLeaving(peer)
 	return peer
 }
 
-// apply carries changes of the table over to the choice. The caller holds the
-// lock.
-func (p *Pool) apply(changes []membership.Change) {
+// applyChanges applies changes of the membership table to the peers. p.mu must be
+// held.
+func (p *Pool) applyChanges(changes []membership.Change) {
 	for _, c := range changes {
 		if c.From != c.To {
 			events.AgentState.Log(p.opts.Log, logrus.Fields{"agent": c.ID, "from": c.From.String(), "to": c.To.String()})
 		}
 		if peer := p.peers[c.ID]; peer != nil {
-			p.place(peer)
+			p.updateLeaving(peer)
 		}
 		if c.Notify {
-			go p.tellLeaving(p.ctx, c.Address)
+			go p.notifyLeaving(p.ctx, c.Address)
 		}
 	}
 }
 
-// tellLeaving tells an agent that the list says it leaves. Without it an entry
-// whose turn to read the list comes later would go on sending it work.
-func (p *Pool) tellLeaving(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, notifyLimit)
+// notifyLeaving tells an agent that the list marks it as leaving. Otherwise an entry
+// that reads the list later would continue to send it requests.
+func (p *Pool) notifyLeaving(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	conn, err := p.opts.Dial(ctx, address)
 	if err != nil {
--- a/internal/entry/pool/peer.go
+++ b/internal/entry/pool/peer.go
@@ -22,17 +22,18 @@
 )
 
 const (
-	// spareAge is how long a connection made by CallFresh serves further ones,
-	// so that many requests in flight on a connection that went silent are
-	// settled over one new connection and not one each.
-	spareAge = time.Second
-	// freshMargin is what a call on a fresh connection may take over what the
-	// agent was asked to wait, freshDefault what any other may.
-	freshMargin  = time.Second
-	freshDefault = 5 * time.Second
-	// retireLimit is how long a peer that is no longer kept may finish what is
-	// in flight on it.
-	retireLimit = time.Minute
+	// freshConnReuse is how long further calls of CallFresh reuse a connection that
+	// CallFresh opened, so that many requests in flight on a connection that went
+	// silent are settled on one new connection instead of one each.
+	freshConnReuse = time.Second
+	// freshCallMargin is the time that a call on a fresh connection may take in
+	// addition to the time for which the agent was asked to wait.
+	// defaultFreshCallTimeout is the timeout of calls without such a wait.
+	freshCallMargin         = time.Second
+	defaultFreshCallTimeout = 5 * time.Second
+	// maxCloseDelay is how long calls in flight may continue on the connections of a
+	// removed peer and on a replaced fresh connection.
+	maxCloseDelay = time.Minute
 )
 
 // errNoConnection is the cause of entry.ErrNotSent while an agent is not connected.
@@ -46,21 +47,22 @@
 	address string
 	service string
 
-	// Guarded by shard.mu.
-	candidate choose.Candidate
-	calls     int                   // not answered yet
-	streams   map[string]openStream // by request id
-
-	pace     atomic.Int64 // nanoseconds between heartbeats on an idle connection
-	mu       sync.Mutex
-	monitor  *conn.Monitor
-	standing *link
-	fresh    *link
-	opening  int // counts attempts to connect; an older one's outcome is not heard
-	spare    *link
-	spareAt  time.Time
-	target   wire.Target
-	closed   bool
+	// Protected by shard.mu.
+	candidate    choose.Candidate
+	pendingCalls int                   // calls without a response
+	streams      map[string]openStream // by request ID
+
+	heartbeatInterval atomic.Int64 // on an idle connection, in nanoseconds
+
+	mu            sync.Mutex
+	monitor       *conn.Monitor
+	activeConn    *agentConn  // carries the requests
+	candidateConn *agentConn  // opened to replace activeConn, or while there is none
+	openAttempt   int         // number of the last attempt to open candidateConn; the results of older ones are ignored
+	freshConn     *agentConn  // opened by CallFresh
+	freshConnAt   time.Time   // when freshConn was opened
+	target        wire.Target // the agent process that answered last
+	closed        bool
 }
 
 func newPeer(pool *Pool, s *shard, in membership.Instance, rng *rand.Rand) *peer {
@@ -91,138 +93,143 @@
 	return p.target
 }
 
-// Call implements entry.Endpoint. After an error the reply must not be read: the
-// answer may still come.
+// Call implements entry.Endpoint. After an error the caller must not read reply,
+// because the response may still arrive.
 func (p *peer) Call(ctx context.Context, method string, args, reply any) error {
 	p.mu.Lock()
-	l := p.standing
+	c := p.activeConn
 	p.mu.Unlock()
-	if l == nil {
+	if c == nil {
 		return errors.Wrap(entry.ErrNotSent, errNoConnection.Error())
 	}
-	p.shard.begin(p, method, args)
-	err := rpcconn.Call(ctx, l.client, method, args, reply)
-	p.shard.end(p, method, args, reply, err)
-	p.outcome(l, ctx, err, reply)
+	p.shard.startCall(p, method, args)
+	err := rpcconn.Call(ctx, c.client, method, args, reply)
+	p.shard.endCall(p, method, args, reply, err)
+	p.reportOutcome(c, ctx, err, reply)
 	return err
 }
 
 // CallFresh implements entry.Endpoint.
 func (p *peer) CallFresh(ctx context.Context, method string, args, reply any) error {
-	l, err := p.spareLink(ctx)
+	c, err := p.getFreshConn(ctx)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return errors.Wrap(entry.ErrGone, err.Error())
 	}
 	if err != nil {
 		return errors.Wrap(entry.ErrNotSent, err.Error())
 	}
-	limited, cancel := context.WithTimeout(ctx, freshLimit(args))
+	callCtx, cancel := context.WithTimeout(ctx, freshCallTimeout(args))
 	defer cancel()
-	if err := rpcconn.Call(limited, l.client, method, args, reply); err != nil {
+	if err := rpcconn.Call(callCtx, c.client, method, args, reply); err != nil {
 		if ctx.Err() == nil {
-			p.dropSpare(l)
+			p.closeFreshConn(c)
 		}
 		return err
 	}
-	p.reported(reply)
+	p.updateLoad(reply)
 	return nil
 }
 
-// freshLimit returns how long a call on a fresh connection may take. Without it
-// a second connection that goes silent too would hold its calls up to their
-// requests' deadlines, and they would end "unknown" though a third one works.
-func freshLimit(args any) time.Duration {
+// freshCallTimeout returns the timeout of a call on a fresh connection. Without it, a
+// fresh connection that goes silent too would block its calls until the deadlines of
+// their requests, which would end as "unknown" although a third connection works.
+func freshCallTimeout(args any) time.Duration {
 	switch a := args.(type) {
 	case wire.SettleRequest:
-		return a.Wait + freshMargin
+		return a.Wait + freshCallMargin
 	case wire.ReadRequest:
-		return a.Wait + freshMargin
+		return a.Wait + freshCallMargin
 	default:
-		return freshDefault
+		return defaultFreshCallTimeout
 	}
 }
 
-// spareLink returns a connection that was made within spareAge. Requests that
-// ask for one at the same moment share it.
-func (p *peer) spareLink(ctx context.Context) (*link, error) {
+// getFreshConn returns a connection that was opened within the last freshConnReuse,
+// and opens one if there is none. Concurrent callers share it.
+func (p *peer) getFreshConn(ctx context.Context) (*agentConn, error) {
 	p.mu.Lock()
-	if p.spare != nil && time.Since(p.spareAt) < spareAge {
+	if p.freshConn != nil && time.Since(p.freshConnAt) < freshConnReuse {
 		defer p.mu.Unlock()
-		return p.spare, nil
+		return p.freshConn, nil
 	}
 	p.mu.Unlock()
-	l, err := p.pool.dial(ctx, p.address)
+	c, err := p.pool.dial(ctx, p.address)
 	if err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.spare != nil && time.Since(p.spareAt) < spareAge {
-		go l.close()
-		return p.spare, nil
+	if p.freshConn != nil && time.Since(p.freshConnAt) < freshConnReuse {
+		go c.close()
+		return p.freshConn, nil
 	}
-	if old := p.spare; old != nil {
-		// Settle calls may still wait on it.
-		time.AfterFunc(retireLimit, old.close)
+	if old := p.freshConn; old != nil {
+		// Settle calls may still be in flight on it.
+		time.AfterFunc(maxCloseDelay, old.close)
 	}
-	p.spare, p.spareAt = l, time.Now()
-	return l, nil
+	p.freshConn, p.freshConnAt = c, time.Now()
+	return c, nil
 }
 
-func (p *peer) dropSpare(l *link) {
+// closeFreshConn closes a fresh connection.
+func (p *peer) closeFreshConn(c *agentConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.spare == l {
-		p.spare = nil
+	if p.freshConn == c {
+		p.freshConn = nil
 	}
-	go l.close()
+	go c.close()
 }
 
-// outcome tells the monitor what a call says about its connection.
-func (p *peer) outcome(l *link, ctx context.Context, err error, reply any) {
+// reportOutcome tells the monitor what the end of a call shows about the connection.
+func (p *peer) reportOutcome(c *agentConn, ctx context.Context, err error, reply any) {
 	if err == nil {
-		p.reported(reply)
+		p.updateLoad(reply)
 	}
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	which, current := p.which(l)
+	which, monitored := p.connectionOf(c)
 	switch {
-	case !current:
+	case !monitored:
 	case err == nil || rpcconn.IsServerError(err):
-		p.apply(p.monitor.Answered(now, which))
+		p.applyActions(p.monitor.Answered(now, which))
 	case ctx.Err() == nil:
-		p.broke(now, l, which)
+		p.connectionFailed(now, c, which)
 	}
 }
 
-// broke forgets a connection that ended by itself. The caller holds the lock.
-func (p *peer) broke(now time.Time, l *link, which conn.Connection) {
-	go l.close()
+// connectionFailed closes a connection that failed and reports it to the monitor.
+// p.mu must be held.
+func (p *peer) connectionFailed(now time.Time, c *agentConn, which conn.Connection) {
+	go c.close()
 	if which == conn.Candidate {
-		p.fresh = nil
+		p.candidateConn = nil
 	}
-	p.apply(p.monitor.Failed(now, which))
+	p.applyActions(p.monitor.Failed(now, which))
 }
 
-func (p *peer) which(l *link) (conn.Connection, bool) {
-	switch l {
-	case p.standing:
+// connectionOf returns which of the monitored connections c is. It returns false if
+// c is neither of them any more. p.mu must be held.
+func (p *peer) connectionOf(c *agentConn) (conn.Connection, bool) {
+	switch c {
+	case p.activeConn:
 		return conn.Active, true
-	case p.fresh:
+	case p.candidateConn:
 		return conn.Candidate, true
 	default:
 		return 0, false
 	}
 }
 
-// reported takes the load that rides on a reply into account.
-func (p *peer) reported(reply any) {
-	if load, some := loadOf(reply); some {
-		p.shard.report(p, time.Now(), load)
+// updateLoad sets the endpoint's load if the reply contains it.
+func (p *peer) updateLoad(reply any) {
+	if load, ok := loadOf(reply); ok {
+		p.shard.setLoad(p, time.Now(), load)
 	}
 }
 
+// loadOf returns the load that a reply contains, if any.
 func loadOf(reply any) (wire.Load, bool) {
 	switch r := reply.(type) {
 	case *wire.Answer:
@@ -238,125 +245,130 @@
 	}
 }
 
+// tick advances the monitor.
 func (p *peer) tick(now time.Time) {
-	busy := p.shard.waiting(p, now) > 0
+	busy := p.shard.countPendingCalls(p, now) > 0
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return
 	}
-	p.monitor.SetInterval(time.Duration(p.pace.Load()))
-	p.apply(p.monitor.Tick(now, busy))
+	p.monitor.SetInterval(time.Duration(p.heartbeatInterval.Load()))
+	p.applyActions(p.monitor.Tick(now, busy))
 }
 
-// apply carries out the monitor's actions. The caller holds the lock.
-func (p *peer) apply(actions []conn.Action) {
+// applyActions executes the monitor's actions. p.mu must be held.
+func (p *peer) applyActions(actions []conn.Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case conn.SendHeartbeat:
-			go p.beat(p.linkOf(a.Connection))
+			go p.sendHeartbeat(p.connFor(a.Connection))
 		case conn.OpenCandidate:
-			p.opening++
-			go p.open(p.opening)
+			p.openAttempt++
+			go p.openCandidate(p.openAttempt)
 		case conn.CloseCandidate:
-			p.opening++
-			p.closeLink(&p.fresh)
+			p.openAttempt++
+			p.closeConn(&p.candidateConn)
 		case conn.PromoteCandidate:
-			p.standing, p.fresh = p.fresh, nil
+			p.activeConn, p.candidateConn = p.candidateConn, nil
 		case conn.CloseActive:
-			p.giveUp(a.Verdict)
+			p.closeActive(a.Verdict)
 		case conn.Suspend:
 			p.shard.setSuspect(p, true)
 		case conn.Resume:
 			p.shard.setSuspect(p, false)
 		case conn.Unreachable:
-			go p.pool.silent(p.id)
+			go p.pool.markUnresponsive(p.id)
 		}
 	}
 }
 
-// giveUp closes the standing connection. The calls in flight on it end with an
-// error, and their requests are settled on a new connection.
-func (p *peer) giveUp(verdict conn.Verdict) {
-	p.closeLink(&p.standing)
+// closeActive closes the active connection. The calls in flight on it return an
+// error, and their requests are settled on a new connection. p.mu must be held.
+func (p *peer) closeActive(verdict conn.Verdict) {
+	p.closeConn(&p.activeConn)
 	switch verdict {
 	case conn.ConnectionSilent:
-		p.pool.count("connection_silent")
+		p.pool.incCounter("connection_silent")
 		events.ConnectionSilent.Log(p.pool.opts.Log, logrus.Fields{"agent": p.id})
 	case conn.PeerDown:
-		p.pool.count("agent_unreachable")
+		p.pool.incCounter("agent_unreachable")
 		events.AgentUnreachable.Log(p.pool.opts.Log, logrus.Fields{"agent": p.id})
 	}
 }
 
-func (p *peer) linkOf(which conn.Connection) *link {
+// connFor returns the given connection, or nil if there is none. p.mu must be held.
+func (p *peer) connFor(which conn.Connection) *agentConn {
 	if which == conn.Active {
-		return p.standing
+		return p.activeConn
 	}
-	return p.fresh
+	return p.candidateConn
 }
 
-func (p *peer) closeLink(l **link) {
-	if *l != nil {
-		go (*l).close()
-		*l = nil
+// closeConn closes a connection, if there is one, and clears its field.
+func (p *peer) closeConn(c **agentConn) {
+	if *c != nil {
+		go (*c).close()
+		*c = nil
 	}
 }
 
-// open makes a fresh connection.
-func (p *peer) open(attempt int) {
-	ctx, cancel := context.WithTimeout(context.Background(), dialLimit)
+// openCandidate opens the candidate connection.
+func (p *peer) openCandidate(attempt int) {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	l, err := p.pool.dial(ctx, p.address)
+	c, err := p.pool.dial(ctx, p.address)
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case p.closed || attempt != p.opening:
-		if l != nil {
-			go l.close()
+	case p.closed || attempt != p.openAttempt:
+		if c != nil {
+			go c.close()
 		}
 	case err != nil:
-		p.apply(p.monitor.Failed(now, conn.Candidate))
+		p.applyActions(p.monitor.Failed(now, conn.Candidate))
 	default:
-		p.fresh = l
-		p.apply(p.monitor.Opened(now))
+		p.candidateConn = c
+		p.applyActions(p.monitor.Opened(now))
 	}
 }
 
-// beat sends a heartbeat. Its answer may come after the connection was given
-// up; then it counts for nothing but the agent's word.
-func (p *peer) beat(l *link) {
-	if l == nil {
+// sendHeartbeat sends a heartbeat and handles the reply. If the reply arrives after
+// the connection was closed, the monitor ignores it, but its content is still used.
+func (p *peer) sendHeartbeat(c *agentConn) {
+	if c == nil {
 		return
 	}
 	var reply wire.HeartbeatReply
-	err := l.beat(context.Background(), p.pool.heartbeat(p), &reply)
+	err := c.heartbeat(context.Background(), p.pool.heartbeat(p), &reply)
 	if err == nil && reply.From == p.id {
-		p.heard(reply)
+		p.updateFromHeartbeat(reply)
 	}
 	if err == nil {
-		p.pool.heard(p, reply)
+		p.pool.handleHeartbeatReply(p, reply)
 	}
-	p.outcome(l, context.Background(), err, &reply)
+	p.reportOutcome(c, context.Background(), err, &reply)
 }
 
-// heard keeps the process that the next requests are pinned to.
-func (p *peer) heard(reply wire.HeartbeatReply) {
+// updateFromHeartbeat updates the process to which the next requests are pinned, and
+// whether the endpoint is ready.
+func (p *peer) updateFromHeartbeat(reply wire.HeartbeatReply) {
 	p.mu.Lock()
-	sameRun := p.target.Incarnation == reply.Target.Incarnation
-	if !sameRun || reply.Target.Uptime > p.target.Uptime {
+	sameProcess := p.target.Incarnation == reply.Target.Incarnation
+	if !sameProcess || reply.Target.Uptime > p.target.Uptime {
 		p.target = reply.Target
 	}
 	p.mu.Unlock()
 	p.shard.setReady(p, reply.Ready)
 }
 
-// retire lets what is in flight finish and closes the connections.
-func (p *peer) retire() {
-	end := time.Now().Add(retireLimit)
-	for p.shard.waiting(p, time.Now()) > 0 && time.Now().Before(end) {
-		time.Sleep(tickEvery)
+// closeWhenIdle waits until no calls are in flight, at most for maxCloseDelay, and
+// closes the connections.
+func (p *peer) closeWhenIdle() {
+	deadline := time.Now().Add(maxCloseDelay)
+	for p.shard.countPendingCalls(p, time.Now()) > 0 && time.Now().Before(deadline) {
+		time.Sleep(tickInterval)
 	}
 	p.close()
 }
@@ -365,7 +377,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	p.closeLink(&p.standing)
-	p.closeLink(&p.fresh)
-	p.closeLink(&p.spare)
+	p.closeConn(&p.activeConn)
+	p.closeConn(&p.candidateConn)
+	p.closeConn(&p.freshConn)
 }
--- a/internal/entry/pool/pool.go
+++ b/internal/entry/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool keeps an entry's connections to a bounded part of the agents,
-// hears their heartbeats, and chooses among them.
+// Package pool keeps an entry's connections to a limited number of agents, exchanges
+// heartbeats with them, and selects agents for requests.
 package pool
 
 import (
@@ -26,42 +26,45 @@
 
 const (
 	methodHeartbeat = wire.AgentService + ".Heartbeat"
-	// tickEvery is how often connections are judged; it adds to the time in
-	// which a silent one is found.
-	tickEvery   = 50 * time.Millisecond
-	dialLimit   = 2 * time.Second
-	notifyLimit = 2 * time.Second
-	roleAgent   = "agent"
-	roleEntry   = "entry"
+	// tickInterval is the interval at which the connections are checked. It adds to
+	// the time until a silent connection is detected.
+	tickInterval  = 50 * time.Millisecond
+	dialTimeout   = 2 * time.Second
+	notifyTimeout = 2 * time.Second
+	roleAgent     = "agent"
+	roleEntry     = "entry"
 )
 
-// InstanceLister reads the platform's lagging list of instances.
+// InstanceLister reads the platform's list of instances, which lags behind the actual
+// state.
 type InstanceLister interface {
 	Instances(ctx context.Context, deployment string) ([]kv.Instance, error)
 }
 
-// Options are what a pool is made of. Dial, Request and Reply may be nil.
+// Options holds the dependencies and settings of a pool. Dial, FillRequest and
+// HandleReply may be nil.
 type Options struct {
 	ID                string // of this instance
 	Deployment        string
 	Domain            string
-	HeartbeatInterval time.Duration // between heartbeats on an idle connection at least; 0: the default of the settings
+	HeartbeatInterval time.Duration // minimum on an idle connection; 0: the default of the settings
 	Lister            InstanceLister
 	Log               *logrus.Logger
 	Metrics           metrics.Registry // may be nil
 
 	// Dial connects to an agent's address.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// FillRequest adds what this entry knows to a heartbeat, Reply takes in what
-	// an agent answered. Both are called from many goroutines.
+	// FillRequest adds this entry's information to a heartbeat, and HandleReply
+	// processes an agent's reply. Both are called concurrently.
 	FillRequest func(*wire.HeartbeatRequest)
 	HandleReply func(wire.HeartbeatReply)
 }
 
-// Pool keeps connections to a bounded part of the agents and chooses among
-// them. It implements entry.Picker and entry.Fleet and is safe for concurrent use.
+// Pool keeps connections to a limited number of agents and selects agents for
+// requests. It implements entry.Picker and entry.EngineLister and is safe for
+// concurrent use.
 //
-// Locks are taken in the order peer, pool, shard.
+// Locks are acquired in the order peer, pool, shard.
 type Pool struct {
 	opts Options
 
@@ -69,14 +72,14 @@
 	table   *membership.Table
 	peers   map[string]*peer
 	shards  map[string]*shard // by service
-	entries []string          // ids of the entries that the list names, sorted
-	listed  int               // instances on the list
-	drained map[string]bool   // taken out by operators
+	entries []string          // IDs of the entries on the list, sorted
+	listLen int               // number of instances on the list
+	drained map[string]bool   // IDs of the instances that operators drained
 	rng     *rand.Rand
-	ctx     context.Context // of Run; ends every call in the background
+	ctx     context.Context // of Run; cancels background calls
 }
 
-// New prepares a pool; Run fills it.
+// New returns a pool without agents. Run adds them.
 func New(opts Options) *Pool {
 	if opts.HeartbeatInterval <= 0 {
 		opts.HeartbeatInterval = settings.DefaultHeartbeatInterval
@@ -111,7 +114,8 @@
 	return usable
 }
 
-func (p *Pool) count(name string) {
+// incCounter increments the counter "pool.<name>".
+func (p *Pool) incCounter(name string) {
 	metrics.GetOrRegisterCounter("pool."+name, p.opts.Metrics).Inc(1)
 }
 
@@ -121,8 +125,8 @@
 	return h.Sum64()
 }
 
-// Run reads the list, sends heartbeats and judges connections until ctx ends;
-// then it closes every connection.
+// Run reads the list, sends heartbeats and checks the connections until ctx ends.
+// Then it closes all connections.
 func (p *Pool) Run(ctx context.Context) error {
 	p.mu.Lock()
 	p.ctx = ctx
@@ -137,7 +141,7 @@
 	return err
 }
 
-// Configure takes out the instances that operators drained.
+// Configure stops sending requests to the instances that operators drained.
 func (p *Pool) Configure(d decl.Deployment) {
 	drained := map[string]bool{}
 	for _, id := range d.DrainInstances {
@@ -148,7 +152,7 @@
 	p.mu.Unlock()
 	for _, peer := range p.allPeers() {
 		p.mu.Lock()
-		p.place(peer)
+		p.updateLeaving(peer)
 		p.mu.Unlock()
 	}
 }
@@ -176,7 +180,8 @@
 	return peer, true
 }
 
-// Agent returns an agent that this entry keeps, whether or not it may be given work.
+// Agent returns an agent that this entry is connected to, even if it must not get
+// requests.
 func (p *Pool) Agent(id string) (entry.Endpoint, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,7 +189,7 @@
 	return peer, ok
 }
 
-// Engines implements entry.Fleet.
+// Engines implements entry.EngineLister.
 func (p *Pool) Engines(service string) []entry.EngineState {
 	p.mu.Lock()
 	s := p.shards[service]
@@ -203,7 +208,7 @@
 	return engines
 }
 
-// AgentStatus is what siskinctl shows of one agent.
+// AgentStatus is the status of an agent as siskinctl shows it.
 type AgentStatus struct {
 	ID      string
 	Address string
@@ -213,7 +218,8 @@
 	Load    wire.Load
 }
 
-// Snapshot lists the agents that this entry keeps, ordered by id.
+// Snapshot returns the status of the agents that this entry stays connected to,
+// sorted by ID.
 func (p *Pool) Snapshot() []AgentStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -235,7 +241,7 @@
 	return all
 }
 
-// EachAgent calls fn for every agent that has answered, with its service.
+// EachAgent calls fn for every agent that has answered a heartbeat, with its service.
 func (p *Pool) EachAgent(fn func(service string, agent entry.Endpoint)) {
 	for _, peer := range p.allPeers() {
 		if peer.Target().Incarnation != "" {
@@ -254,8 +260,9 @@
 	return all
 }
 
-// place tells the shard what the peer may be given. The caller holds the lock.
-func (p *Pool) place(peer *peer) {
+// updateLeaving sets whether the peer must not get new requests, because it is
+// leaving, gone or drained. p.mu must be held.
+func (p *Pool) updateLeaving(peer *peer) {
 	m := p.table.Get(peer.id)
 	leaving := m == nil || p.drained[peer.id]
 	if m != nil {
@@ -265,8 +272,9 @@
 	peer.shard.setLeaving(peer, leaving)
 }
 
+// tickPeers advances the membership table and the peers until ctx ends.
 func (p *Pool) tickPeers(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -274,7 +282,7 @@
 			return nil
 		case now := <-ticker.C:
 			p.mu.Lock()
-			p.apply(p.table.Tick(now))
+			p.applyChanges(p.table.Tick(now))
 			p.mu.Unlock()
 			for _, peer := range p.allPeers() {
 				peer.tick(now)
@@ -283,7 +291,7 @@
 	}
 }
 
-// heartbeat returns the heartbeat for one agent.
+// heartbeat returns the heartbeat to send to an agent.
 func (p *Pool) heartbeat(peer *peer) wire.HeartbeatRequest {
 	req := wire.HeartbeatRequest{From: p.opts.ID, Domain: p.opts.Domain, Peers: len(peer.shard.engines())}
 	p.mu.Lock()
@@ -295,20 +303,20 @@
 	return req
 }
 
-// heard takes an agent's word into account.
-func (p *Pool) heard(peer *peer, reply wire.HeartbeatReply) {
-	word := membership.SelfReport{
+// handleHeartbeatReply applies an agent's reply to the membership table.
+func (p *Pool) handleHeartbeatReply(peer *peer, reply wire.HeartbeatReply) {
+	report := membership.SelfReport{
 		From:        reply.From,
 		Incarnation: reply.Target.Incarnation,
 		Uptime:      reply.Target.Uptime,
 		Leaving:     reply.Load.Leaving,
 	}
 	p.mu.Lock()
-	p.apply(p.table.ApplyReport(time.Now(), peer.id, word))
+	p.applyChanges(p.table.ApplyReport(time.Now(), peer.id, report))
 	if reply.From != peer.id {
-		p.rewatch()
+		p.updateConnections()
 	} else {
-		p.place(peer)
+		p.updateLeaving(peer)
 	}
 	p.mu.Unlock()
 	if p.opts.HandleReply != nil {
@@ -316,9 +324,9 @@
 	}
 }
 
-// silent takes the verdict that an agent answers on no connection.
-func (p *Pool) silent(id string) {
+// markUnresponsive records that an agent answers on no connection.
+func (p *Pool) markUnresponsive(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.apply(p.table.MarkUnresponsive(time.Now(), id))
+	p.applyChanges(p.table.MarkUnresponsive(time.Now(), id))
 }
--- a/internal/entry/pool/pool_test.go
+++ b/internal/entry/pool/pool_test.go
@@ -27,25 +27,25 @@
 	RunSpecs(t, "pool")
 }
 
-// list is the platform's list of instances.
-type list struct {
+// instanceList is a fake of the platform's list of instances.
+type instanceList struct {
 	mu  sync.Mutex
 	all []kv.Instance
 }
 
-func (l *list) Instances(context.Context, string) ([]kv.Instance, error) {
+func (l *instanceList) Instances(context.Context, string) ([]kv.Instance, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]kv.Instance(nil), l.all...), nil
 }
 
-func (l *list) set(all ...kv.Instance) {
+func (l *instanceList) set(all ...kv.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all = all
 }
 
-// host is an agent beside a plain service, behind a proxy.
+// host is an agent of a plain service, reached through a proxy.
 type host struct {
 	instance kv.Instance
 	service  *standin.Service
@@ -54,7 +54,7 @@
 	stopped  chan struct{}
 }
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
@@ -67,7 +67,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	s := settings.Settings{ID: id, Service: "ledger", FailureDomain: "hall-" + id, Endpoint: endpoint, StopTimeout: 10 * time.Second}
-	a := agent.New(s, quiet(), metrics.NewRegistry())
+	a := agent.New(s, discardLogger(), metrics.NewRegistry())
 	ctx, cancel := context.WithCancel(context.Background())
 	h.stop = cancel
 	go func() {
@@ -81,40 +81,40 @@
 
 var _ = Describe("the pool", func() {
 	var (
-		instances *list
+		instances *instanceList
 		p         *pool.Pool
 		server    *entry.Server
 		stop      context.CancelFunc
 	)
 
-	start := func(id string) *pool.Pool {
+	startPool := func(id string) *pool.Pool {
 		ctx, cancel := context.WithCancel(context.Background())
-		fresh := pool.New(pool.Options{ID: id, Deployment: "d", Lister: instances, HeartbeatInterval: 500 * time.Millisecond, Log: quiet()})
+		newPool := pool.New(pool.Options{ID: id, Deployment: "d", Lister: instances, HeartbeatInterval: 500 * time.Millisecond, Log: discardLogger()})
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			_ = fresh.Run(ctx)
+			_ = newPool.Run(ctx)
 		}()
-		before := stop
+		stopOthers := stop
 		stop = func() {
 			cancel()
 			<-done
-			if before != nil {
-				before()
+			if stopOthers != nil {
+				stopOthers()
 			}
 		}
-		return fresh
+		return newPool
 	}
 
 	BeforeEach(func() {
 		stop = nil
-		instances = &list{}
+		instances = &instanceList{}
 		DeferCleanup(func() { stop() })
 	})
 
-	begin := func() {
-		p = start("entry-1")
-		server = entry.New(settings.Settings{}, quiet(), metrics.NewRegistry(), entry.Dependencies{Picker: p, Quarantine: noQuarantine{}, Retries: noRetries{}})
+	startEntry := func() {
+		p = startPool("entry-1")
+		server = entry.New(settings.Settings{}, discardLogger(), metrics.NewRegistry(), entry.Dependencies{Picker: p, Quarantine: noQuarantine{}, Retries: noRetries{}})
 	}
 
 	usable := func(p *pool.Pool) func() int {
@@ -126,15 +126,15 @@
 		return server.Call(ctx, wire.Request{Service: "ledger", Method: "POST", Path: "/sync", Body: []byte(`{"operation":"op"}`), Remaining: limit})
 	}
 
-	It("settles a request on a connection that went silent after it was sent", func() {
-		// The request reaches the endpoint; then something between the two
-		// ends loses the connection. The request runs once, its answer is
-		// dropped. The caller must get that very answer within its deadline,
-		// asked for over a new connection, not an error and not a second run.
+	It("settles a request whose connection went silent after the request was sent", func() {
+		// The request reaches the endpoint. Then a device between the two ends loses
+		// the connection's state, so the request runs once and its answer is dropped.
+		// The caller must get that answer within its deadline, requested on a new
+		// connection, and neither an error nor a second run.
 		h := startHost("a", 400*time.Millisecond)
 		defer h.stop()
 		instances.set(h.instance)
-		begin()
+		startEntry()
 		Eventually(usable(p), "10s").Should(Equal(1))
 		answer := make(chan wire.Answer, 1)
 		go func() { answer <- post(20 * time.Second) }()
@@ -146,14 +146,14 @@
 		Eventually(usable(p), "10s").Should(Equal(1))
 	})
 
-	It("gives a fresh connection up that goes silent too", func() {
-		// The request's connection went silent and the one opened to settle it
-		// does as well. The next call has to go over a third one, long before
-		// the request's deadline.
+	It("closes a fresh connection that goes silent too", func() {
+		// The request's connection went silent, and so does the one that was opened to
+		// settle it. The next call must use a third connection, long before the
+		// request's deadline.
 		h := startHost("a", 0)
 		defer h.stop()
 		instances.set(h.instance)
-		begin()
+		startEntry()
 		Eventually(usable(p), "10s").Should(Equal(1))
 		ep, _ := p.Find("a")
 		settle := func() error {
@@ -170,27 +170,29 @@
 		Expect(settle()).To(Succeed())
 	})
 
-	It("holds an agent suspect that answers on no connection", func() {
-		// Neither the standing connection nor a new one is answered: the agent
-		// is at fault and not the connection. It stays known, without work.
+	It("marks an agent as suspect that answers on no connection", func() {
+		// Heartbeats are answered neither on the active connection nor on a new one, so
+		// the agent has failed and not the connection. It stays in the membership table
+		// but gets no requests.
 		h := startHost("a", 0)
 		defer h.stop()
 		instances.set(h.instance)
-		begin()
+		startEntry()
 		Eventually(usable(p), "10s").Should(Equal(1))
 		h.proxy.silence(true)
-		h.proxy.mute()
+		h.proxy.silenceNew()
 		Eventually(func() string { return p.Snapshot()[0].State }, "15s").Should(Equal("suspect"))
 		Expect(usable(p)()).To(Equal(0))
 	})
 
-	It("says not run, truthfully, of a request that a silent connection swallowed", func() {
-		// The connection is lost before the request is sent. The agent, asked
-		// on a new connection, has never seen it and refuses it from then on.
+	It("returns NotRun for a request that was lost on a silent connection", func() {
+		// The connection goes silent before the request is sent. The agent, asked on a
+		// new connection, has never seen the request and refuses it from then on, so
+		// NotRun is correct.
 		h := startHost("a", 0)
 		defer h.stop()
 		instances.set(h.instance)
-		begin()
+		startEntry()
 		Eventually(usable(p), "10s").Should(Equal(1))
 		h.proxy.silence(true)
 		answer := post(20 * time.Second)
@@ -198,13 +200,13 @@
 		Expect(h.service.Stats().Effects).To(BeEmpty())
 	})
 
-	It("gives a leaving agent nothing new and cuts nothing in flight", func() {
-		// The agent is told to stop while a request runs. The request is
-		// answered; within 2 s no entry chooses the agent any more.
+	It("sends no new requests to a leaving agent and does not interrupt those in flight", func() {
+		// The agent is stopped while a request runs. The request is answered, and within
+		// 2 s no entry selects the agent any more.
 		a, b := startHost("a", 500*time.Millisecond), startHost("b", 0)
 		defer b.stop()
 		instances.set(a.instance, b.instance)
-		begin()
+		startEntry()
 		Eventually(usable(p), "10s").Should(Equal(2))
 		ep, _ := p.Find("a")
 		answer := make(chan wire.Answer, 1)
@@ -221,32 +223,32 @@
 		Eventually(a.stopped, "10s").Should(BeClosed())
 	})
 
-	It("stops at every entry once one of them read on the list that an agent leaves", func() {
-		// Entry 2 holds an old copy of the list that never says so. Entry 1
-		// reads that the agent leaves and tells the agent; the agent tells
-		// entry 2 on its next heartbeat.
+	It("stops sending requests to an agent at every entry once one of them reads on the list that it is leaving", func() {
+		// Entry 2 has an old copy of the list, on which the agent never leaves. Entry 1
+		// reads that the agent is leaving and tells the agent, which tells entry 2 in
+		// the reply to its next heartbeat.
 		h := startHost("a", 0)
 		defer h.stop()
 		instances.set(h.instance)
-		begin()
-		stale := &list{}
+		startEntry()
+		stale := &instanceList{}
 		stale.set(h.instance)
-		fresh := instances
+		current := instances
 		instances = stale
-		second := start("entry-2")
+		second := startPool("entry-2")
 		Eventually(usable(p), "10s").Should(Equal(1))
 		Eventually(usable(second), "10s").Should(Equal(1))
 		leaving := h.instance
 		leaving.Leaving = true
-		fresh.set(leaving)
+		current.set(leaving)
 		Eventually(usable(p), "10s").Should(Equal(0))
 		Eventually(usable(second), "10s").Should(Equal(0))
 	})
 
-	It("takes an agent back that restarted under its old address", func() {
+	It("uses an agent again that restarted at its old address", func() {
 		h := startHost("a", 0)
 		instances.set(h.instance)
-		begin()
+		startEntry()
 		Eventually(usable(p), "10s").Should(Equal(1))
 		ep, _ := p.Find("a")
 		before := ep.Target().Incarnation
--- a/internal/entry/pool/proxy_test.go
+++ b/internal/entry/pool/proxy_test.go
@@ -6,20 +6,21 @@
 	"sync/atomic"
 )
 
-// proxy forwards TCP connections and can lose track of those open now: they
-// stay open and carry nothing any more, while new ones work.
+// proxy forwards TCP connections. It can make the currently open ones go silent: they
+// stay open but carry nothing any more, while new ones work.
 type proxy struct {
 	listener net.Listener
 
-	mu    sync.Mutex
-	to    string
-	pairs []*pair
-	muted bool
+	mu      sync.Mutex
+	to      string
+	pairs   []*pair
+	dropNew bool // drop the answers on new connections
 }
 
+// pair is a forwarded connection.
 type pair struct {
-	in           net.Conn
-	silent, deaf atomic.Bool
+	in                        net.Conn
+	dropAnswers, dropRequests atomic.Bool
 }
 
 func newProxy(to string) *proxy {
@@ -50,21 +51,22 @@
 		}
 		track := &pair{in: in}
 		p.mu.Lock()
-		track.silent.Store(p.muted)
+		track.dropAnswers.Store(p.dropNew)
 		p.pairs = append(p.pairs, track)
 		p.mu.Unlock()
-		go forward(out, in, &track.deaf)
-		go forward(in, out, &track.silent)
+		go forward(out, in, &track.dropRequests)
+		go forward(in, out, &track.dropAnswers)
 	}
 }
 
-// forward copies until an end closes; once lost is set it reads on and drops.
-func forward(to, from net.Conn, lost *atomic.Bool) {
+// forward copies until one of the ends closes. While drop is set, it drops what it
+// reads.
+func forward(to, from net.Conn, drop *atomic.Bool) {
 	defer to.Close()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !lost.Load() {
+		if n > 0 && !drop.Load() {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
@@ -75,15 +77,15 @@
 	}
 }
 
-// mute drops the answers on new connections as well.
-func (p *proxy) mute() {
+// silenceNew makes the proxy drop the answers on new connections.
+func (p *proxy) silenceNew() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.muted = true
+	p.dropNew = true
 }
 
-// retarget closes the connections, as the end of a process does, and sends
-// new ones elsewhere.
+// retarget closes the open connections, as the exit of a process does, and forwards
+// new ones to another address.
 func (p *proxy) retarget(to string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,13 +95,13 @@
 	}
 }
 
-// silence drops the answers on the connections open now; with requests too,
-// nothing passes in either direction.
+// silence makes the proxy drop the answers on the currently open connections, and
+// also the requests if requests is set.
 func (p *proxy) silence(requests bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, track := range p.pairs {
-		track.silent.Store(true)
-		track.deaf.Store(requests)
+		track.dropAnswers.Store(true)
+		track.dropRequests.Store(requests)
 	}
 }
--- a/internal/entry/pool/shard.go
+++ b/internal/entry/pool/shard.go
@@ -11,12 +11,12 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// shard holds the endpoints of one service under a lock of its own.
+// shard holds the endpoints of one service, protected by its own lock.
 type shard struct {
 	mu         sync.Mutex
 	chooser    *choose.Chooser
-	candidates []*choose.Candidate // ordered by id
-	peers      map[string]*peer
+	candidates []*choose.Candidate // sorted by ID
+	peers      map[string]*peer    // by ID
 }
 
 func newShard(rng *rand.Rand) *shard {
@@ -43,6 +43,7 @@
 	}
 }
 
+// choose returns the peer for a request, or nil if there is none.
 func (s *shard) choose(request choose.Request) *peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,13 +54,14 @@
 	return s.peers[c.ID]
 }
 
-// usable tells whether the peer may be given a request.
+// usable reports whether the peer may get requests.
 func (s *shard) usable(p *peer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return p.candidate.Usable()
 }
 
+// engines returns the states of the usable endpoints.
 func (s *shard) engines() []entry.EngineState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +80,7 @@
 	return p.candidate.Load
 }
 
-func (s *shard) report(p *peer, now time.Time, load wire.Load) {
+func (s *shard) setLoad(p *peer, now time.Time, load wire.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p.candidate.SetLoad(now, load)
