--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -81,7 +81,7 @@
 		metrics:     registry,
 		incarnation: ulid.Make().String(),
 		started:     time.Now(),
-		endpoint:    newEndpointClient(s.Endpoint),
+		endpoint:    newEndpointClient(s.EndpointAddress),
 		requests:    newRequestTable(),
 		claims:      newClaimTable(),
 		queue:       NewQueue(s.Service, registry),
@@ -93,7 +93,7 @@
 	a.cacheTransfers = newCacheTransfers(a.endpoint, a.inner.Dial)
 	a.orders = NewOrderHandler(OrderHandlerOptions{
 		Incarnation: a.incarnation,
-		Endpoint:    s.Endpoint,
+		Endpoint:    s.EndpointAddress,
 		Store:       weightStore(s),
 		DataDir:     s.DataDir,
 		Dial:        a.inner.Dial,
@@ -138,7 +138,7 @@
 	if a.innerErr != nil {
 		return errors.Wrap(a.innerErr, "agent")
 	}
-	listener, err := a.inner.Listen(a.settings.Inner)
+	listener, err := a.inner.Listen(a.settings.InnerAddress)
 	if err != nil {
 		return errors.Wrap(err, "agent")
 	}
@@ -159,7 +159,7 @@
 	group.Go(func() error { return a.probe(background) })
 	group.Go(func() error { return a.orders.ServeWeights(background) })
 	group.Go(func() error { return a.conf.Run(background) })
-	events.AgentServing.Log(a.log, logrus.Fields{"inner": listener.Addr().String(), "endpoint": a.settings.Endpoint})
+	events.AgentServing.Log(a.log, logrus.Fields{"inner": listener.Addr().String(), "endpoint": a.settings.EndpointAddress})
 	<-ctx.Done()
 	a.drain()
 	stop()
@@ -223,7 +223,7 @@
 	if down {
 		event = events.EndpointDown
 	}
-	event.Log(a.log, logrus.Fields{"endpoint": a.settings.Endpoint})
+	event.Log(a.log, logrus.Fields{"endpoint": a.settings.EndpointAddress})
 }
 
 // load returns the load that is sent with every reply.
--- a/internal/agent/kvcache_test.go
+++ b/internal/agent/kvcache_test.go
@@ -21,7 +21,7 @@
 
 // serveAgent starts an agent for an engine and returns it with its address.
 func serveAgent(endpoint string) (*Agent, string) {
-	s := settings.Settings{ID: endpoint, Service: "tone", Endpoint: endpoint}
+	s := settings.Settings{ID: endpoint, Service: "tone", EndpointAddress: endpoint}
 	a := New(s, quietLogger(), metrics.NewRegistry())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/agent/preempt_test.go
+++ b/internal/agent/preempt_test.go
@@ -27,7 +27,7 @@
 		endpoint, err := engine.Start("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer engine.Crash()
-		a := New(settings.Settings{ID: "a1", Service: "tone", Endpoint: endpoint}, quietLogger(), metrics.NewRegistry())
+		a := New(settings.Settings{ID: "a1", Service: "tone", EndpointAddress: endpoint}, quietLogger(), metrics.NewRegistry())
 		a.Configure(decl.Deployment{Services: []decl.Service{{Name: "tone", Slots: 1, QueueLimit: 10}}})
 		target := wire.Target{Incarnation: a.incarnation, Uptime: a.uptime()}
 		request := func(id, prompt string, tokens int) wire.Request {
--- a/internal/agent/prepare.go
+++ b/internal/agent/prepare.go
@@ -71,14 +71,14 @@
 // settings name no platform. It connects on first use. The daemon has already
 // rejected certificate files that can't be read.
 func weightStore(s settings.Settings) platformpb.WeightStoreClient {
-	if s.Platform == "" {
+	if s.PlatformAddress == "" {
 		return nil
 	}
-	creds, err := tlsconf.PlatformCredentials(s.PlatformTLS, s.Platform)
+	creds, err := tlsconf.PlatformCredentials(s.PlatformTLS, s.PlatformAddress)
 	if err != nil {
 		return nil
 	}
-	conn, err := grpc.NewClient(s.Platform, grpc.WithTransportCredentials(creds))
+	conn, err := grpc.NewClient(s.PlatformAddress, grpc.WithTransportCredentials(creds))
 	if err != nil {
 		return nil
 	}
--- a/internal/agent/settle_test.go
+++ b/internal/agent/settle_test.go
@@ -39,7 +39,7 @@
 	f := &fixture{service: standin.NewService(standin.ServiceOptions{Name: "ledger", Latency: latency, Poison: "POISON"}), stopped: make(chan struct{})}
 	endpoint, err := f.service.Start(restartableAddr)
 	Expect(err).NotTo(HaveOccurred())
-	s := settings.Settings{ID: "a1", Service: "ledger", Endpoint: endpoint, StopTimeout: 10 * time.Second}
+	s := settings.Settings{ID: "a1", Service: "ledger", EndpointAddress: endpoint, StopTimeout: 10 * time.Second}
 	f.agent = New(s, quietLogger(), metrics.NewRegistry())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -153,7 +153,7 @@
 		target := f.target()
 		Expect(f.do(f.sync("r1", target)).Outcome).To(Equal(wire.Answered))
 		f.service.Crash()
-		_, err := f.service.Start(f.agent.settings.Endpoint)
+		_, err := f.service.Start(f.agent.settings.EndpointAddress)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.do(f.sync("r2", target)).Outcome).To(Equal(wire.Answered))
 		Expect(f.service.Stats().Effects).To(Equal(map[string]int{"r1": 1, "r2": 1}))
--- a/internal/agent/tls_test.go
+++ b/internal/agent/tls_test.go
@@ -17,7 +17,7 @@
 	// served anyway would use plain text without anyone noticing.
 	It("does not start", func() {
 		a := New(settings.Settings{
-			ID: "a", Deployment: "d", Service: "s", Inner: "127.0.0.1:0", Endpoint: "127.0.0.1:1", Platform: "127.0.0.1:1",
+			ID: "a", Deployment: "d", Service: "s", InnerAddress: "127.0.0.1:0", EndpointAddress: "127.0.0.1:1", PlatformAddress: "127.0.0.1:1",
 			TLS: settings.TLS{InnerCert: "absent.pem", InnerKey: "absent.key", InnerCA: "absent-ca.pem"},
 		}, logrus.New(), metrics.NewRegistry())
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	platformCreds, err := tlsconf.PlatformCredentials(s.PlatformTLS, s.Platform)
+	platformCreds, err := tlsconf.PlatformCredentials(s.PlatformTLS, s.PlatformAddress)
 	if err != nil {
 		return err
 	}
@@ -94,15 +94,15 @@
 	case platform.Slow.String():
 		event = events.PlatformSlow
 	}
-	event.Log(p.log, logrus.Fields{"platform": p.settings.Platform})
+	event.Log(p.log, logrus.Fields{"platform": p.settings.PlatformAddress})
 }
 
 // serveMetrics serves metrics and probes if their address is set.
 func (p *process) serveMetrics(ctx context.Context, group *errgroup.Group, ready func() bool) error {
-	if p.settings.Metrics == "" {
+	if p.settings.MetricsAddress == "" {
 		return nil
 	}
-	listener, err := net.Listen("tcp", p.settings.Metrics)
+	listener, err := net.Listen("tcp", p.settings.MetricsAddress)
 	if err != nil {
 		return errors.Wrap(err, "daemon: metrics")
 	}
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -115,7 +115,7 @@
 // answer the repeat of a non-idempotent request with "unknown", whereas a caller
 // whose connection is not accepted tries another entry at once.
 func (e *entryProcess) serveCallers(ctx context.Context) error {
-	listener, err := tlsconf.ListenCaller(e.settings.TLS, e.settings.HTTP, tlsconf.HTTP1)
+	listener, err := tlsconf.ListenCaller(e.settings.TLS, e.settings.HTTPAddress, tlsconf.HTTP1)
 	if err != nil {
 		return errors.Wrap(err, "daemon: http")
 	}
@@ -124,11 +124,11 @@
 
 // listen opens the listeners of an entry but for callers.
 func (p *process) listen() (l listeners, err error) {
-	if l.inner, err = p.inner.Listen(p.settings.Inner); err != nil {
+	if l.inner, err = p.inner.Listen(p.settings.InnerAddress); err != nil {
 		return l, errors.Wrap(err, "daemon: inner")
 	}
 	l.inner = p.traffic.Listener(traffic.Inner, l.inner)
-	if l.grpc, err = tlsconf.ListenCaller(p.settings.TLS, p.settings.GRPC, tlsconf.HTTP2); err != nil {
+	if l.grpc, err = tlsconf.ListenCaller(p.settings.TLS, p.settings.GRPCAddress, tlsconf.HTTP2); err != nil {
 		return l, errors.Wrap(err, "daemon: grpc")
 	}
 	return l, nil
@@ -148,14 +148,14 @@
 func (p *process) newEntry(background context.Context) (*entryProcess, error) {
 	e := &entryProcess{process: p, ctx: background, retries: entry.NewRetryPolicy(), reports: &agentReports{all: map[string]agentReport{}}, pushing: map[string]bool{}}
 	var err error
-	if e.store, err = kv.NewClient(kv.Options{Address: p.settings.Platform, Writer: p.settings.ID, CallsPerSec: p.settings.CallsPerSec, Metrics: p.metrics, OnState: p.logPlatformState, Dial: p.platformDialOptions(traffic.KeyValue)}); err != nil {
+	if e.store, err = kv.NewClient(kv.Options{Address: p.settings.PlatformAddress, Writer: p.settings.ID, CallsPerSec: p.settings.CallsPerSec, Metrics: p.metrics, OnState: p.logPlatformState, Dial: p.platformDialOptions(traffic.KeyValue)}); err != nil {
 		return nil, err
 	}
-	if e.lister, err = kv.NewLister(p.settings.Platform, p.platformDialOptions(traffic.List)...); err != nil {
+	if e.lister, err = kv.NewLister(p.settings.PlatformAddress, p.platformDialOptions(traffic.List)...); err != nil {
 		return nil, err
 	}
 	e.peers = peers.New(peers.Options{
-		ID: p.settings.ID, Address: p.settings.Inner, Domain: p.settings.FailureDomain,
+		ID: p.settings.ID, Address: p.settings.InnerAddress, Domain: p.settings.FailureDomain,
 		Deployment: p.settings.Deployment, HeartbeatInterval: p.settings.HeartbeatInterval,
 		Dial:          peers.Dial(p.traffic.Dial(traffic.Peers, p.inner.Dial)),
 		ExtendRequest: func(r *wire.HeartbeatRequest) { r.Quarantine = e.poison.List() },
@@ -175,7 +175,7 @@
 	e.keeper = dutyrun.New(dutyrun.Options{
 		Store:      e.store,
 		Deployment: p.settings.Deployment,
-		Self:       duties.Member{ID: p.settings.ID, Address: p.settings.Inner, Domain: p.settings.FailureDomain},
+		Self:       duties.Member{ID: p.settings.ID, Address: p.settings.InnerAddress, Domain: p.settings.FailureDomain},
 		Names:      e.dutyNames,
 		Members:    e.peers.Members,
 		Log:        p.log,
--- a/internal/entry/pool/cache_test.go
+++ b/internal/entry/pool/cache_test.go
@@ -29,7 +29,7 @@
 	DeferCleanup(engine.Crash)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	a := agent.New(settings.Settings{ID: id, Service: "tone", Endpoint: endpoint}, quiet(), metrics.NewRegistry())
+	a := agent.New(settings.Settings{ID: id, Service: "tone", EndpointAddress: endpoint}, quiet(), metrics.NewRegistry())
 	go func() { _ = a.Serve(ctx, listener) }()
 	return engine, kv.Instance{ID: id, Address: listener.Addr().String(), Role: "agent", Service: "tone"}
 }
--- a/internal/entry/pool/pool_test.go
+++ b/internal/entry/pool/pool_test.go
@@ -66,7 +66,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	s := settings.Settings{ID: id, Service: "ledger", FailureDomain: "hall-" + id, Endpoint: endpoint, StopTimeout: 10 * time.Second}
+	s := settings.Settings{ID: id, Service: "ledger", FailureDomain: "hall-" + id, EndpointAddress: endpoint, StopTimeout: 10 * time.Second}
 	a := agent.New(s, quiet(), metrics.NewRegistry())
 	ctx, cancel := context.WithCancel(context.Background())
 	h.stop = cancel
--- a/internal/lab/path/path.go
+++ b/internal/lab/path/path.go
@@ -183,7 +183,7 @@
 			return nil, errors.Wrap(err, "path")
 		}
 		id := "agent-" + b.service
-		a := agent.New(settings.Settings{ID: id, Service: b.service, Endpoint: b.endpoint}, log, metrics.NewRegistry())
+		a := agent.New(settings.Settings{ID: id, Service: b.service, EndpointAddress: b.endpoint}, log, metrics.NewRegistry())
 		a.Configure(*d)
 		group.Go(func() error { return a.Serve(ctx, inner) })
 		agents = append(agents, kv.Instance{ID: id, Address: inner.Addr().String(), Role: "agent", Service: b.service})
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -59,11 +59,11 @@
 }
 
 func decodeListen(section *inifile.Section, s *Settings) {
-	s.Inner = section.RequiredAddr("inner")
-	s.Metrics = section.RequiredAddr("metrics")
+	s.InnerAddress = section.RequiredAddr("inner")
+	s.MetricsAddress = section.RequiredAddr("metrics")
 	if s.Role != RoleAgent {
-		s.HTTP = section.RequiredAddr("http")
-		s.GRPC = section.RequiredAddr("grpc")
+		s.HTTPAddress = section.RequiredAddr("http")
+		s.GRPCAddress = section.RequiredAddr("grpc")
 		return
 	}
 	rejectKeys(section, "only an entry has it", "http", "grpc")
@@ -72,7 +72,7 @@
 func decodeEndpoint(section *inifile.Section, s *Settings) {
 	if s.Role == RoleAgent {
 		s.Service = section.Required("service")
-		s.Endpoint = section.RequiredAddr("address")
+		s.EndpointAddress = section.RequiredAddr("address")
 		return
 	}
 	rejectKeys(section, "only an agent has it", "service", "address")
@@ -91,7 +91,7 @@
 // certificate authority, because TLS is off then and the process would send
 // plain text although its operator configured TLS.
 func decodePlatform(section *inifile.Section, s *Settings) {
-	s.Platform = section.RequiredAddr("address")
+	s.PlatformAddress = section.RequiredAddr("address")
 	s.CallsPerSec = section.Float("calls_per_second", DefaultCallsPerSec, 0.1, 10000)
 	t := &s.PlatformTLS
 	t.CA = section.String("ca", "")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,14 +25,14 @@
 	DataDir       string // empty: the instance stores nothing on disk
 	StopTimeout   time.Duration
 
-	Inner    string // address of the inner protocol between entries and agents
-	HTTP     string // address for callers; entries only
-	GRPC     string // address for operators and trainers; entries only
-	Metrics  string // address of metrics, health and readiness
-	Platform string // address of the key-value service, the instance list and the weight store
-
-	Service  string // service of the endpoint; agents only
-	Endpoint string // address of the endpoint; agents only
+	InnerAddress    string // address of the inner protocol between entries and agents
+	HTTPAddress     string // address for callers; entries only
+	GRPCAddress     string // address for operators and trainers; entries only
+	MetricsAddress  string // address of metrics, health and readiness
+	PlatformAddress string // address of the key-value service, the instance list and the weight store
+
+	Service         string // service of the endpoint; agents only
+	EndpointAddress string // address of the endpoint; agents only
 
 	HeartbeatInterval time.Duration // interval between two heartbeats
 	CallsPerSec       float64       // limit of this process's key-value calls per second
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -35,7 +35,7 @@
 		s, err := settings.Parse("agent.ini", []byte(agentINI))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Role).To(Equal(settings.RoleAgent))
-		Expect(s.Endpoint).To(Equal("127.0.0.1:9001"))
+		Expect(s.EndpointAddress).To(Equal("127.0.0.1:9001"))
 		Expect(s.HeartbeatInterval).To(Equal(time.Second))
 		Expect(s.StopTimeout).To(Equal(30 * time.Second))
 	})
