--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -44,7 +44,7 @@
 	ctx     context.Context // context of the background work; ends after the server for callers has stopped
 	store   *kv.Client
 	lister  *kv.Lister
-	holder  *confstate.Holder
+	holder  *confstate.State
 	keeper  *dutyrun.Keeper
 	pool    *pool.Pool
 	peers   *peers.Peers
@@ -151,7 +151,7 @@
 	if e.store, err = kv.NewClient(kv.Options{Address: p.settings.PlatformAddress, Writer: p.settings.ID, CallsPerSec: p.settings.CallsPerSec, Metrics: p.metrics, OnState: p.logPlatformState, Dial: p.platformDialOptions(traffic.KeyValue)}); err != nil {
 		return nil, err
 	}
-	if e.lister, err = kv.NewLister(p.settings.PlatformAddress, p.platformDialOptions(traffic.List)...); err != nil {
+	if e.lister, err = kv.NewLister(p.settings.PlatformAddress, p.platformDialOptions(traffic.InstanceList)...); err != nil {
 		return nil, err
 	}
 	e.peers = peers.New(peers.Options{
@@ -187,9 +187,9 @@
 	e.pool = pool.New(pool.Options{
 		Metrics: e.metrics,
 		ID:      p.settings.ID, Deployment: p.settings.Deployment, Domain: p.settings.FailureDomain,
-		Heartbeat: p.settings.HeartbeatInterval, Lister: e.peers.WrapLister(e.lister), Log: p.log,
-		Dial:    p.traffic.Dial(traffic.Agents, p.inner.Dial),
-		Request: e.fillAgentRequest, Reply: e.handleAgentReply,
+		HeartbeatInterval: p.settings.HeartbeatInterval, Lister: e.peers.WrapLister(e.lister), Log: p.log,
+		Dial:        p.traffic.Dial(traffic.Agents, p.inner.Dial),
+		FillRequest: e.fillAgentRequest, HandleReply: e.handleAgentReply,
 	})
 	e.readiness.hasEngine = func(service string) bool { return len(e.pool.Engines(service)) > 0 }
 	e.newServer()
@@ -210,12 +210,12 @@
 // it calls.
 func (e *entryProcess) newServer() {
 	e.server = entry.New(e.settings, e.log, e.metrics, entry.Dependencies{
-		Config:     e,
-		Picker:     e.pool,
-		Claimer:    claimer{e},
-		Quarantine: e.poison,
-		Retries:    e.retries,
-		Hedge:      e.retries,
+		Config:      e,
+		Picker:      e.pool,
+		Claimer:     claimer{e},
+		Quarantine:  e.poison,
+		RetryBudget: e.retries,
+		Hedger:      e.retries,
 	})
 	e.claims = entry.NewClaims(entry.ClaimsOptions{
 		Store:      e.store,
--- a/internal/daemon/heartbeats.go
+++ b/internal/daemon/heartbeats.go
@@ -28,7 +28,7 @@
 func (e *entryProcess) handleAgentReply(reply wire.HeartbeatReply) {
 	e.reports.record(reply)
 	e.poison.ApplyHeartbeat(reply.Suspects, reply.Quarantine)
-	missing, ok := e.holder.Lacks(reply.Revisions)
+	missing, ok := e.holder.UpdateFor(reply.Revisions)
 	if !ok || !e.beginPush(reply.From) {
 		return
 	}
--- a/internal/operator/refused.go
+++ b/internal/operator/refused.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		host = address
 	}
-	s.sources.Config.NoteRefused(config.RefusedChanges{
+	s.sources.Config.RecordRefused(config.RefusedChanges{
 		Operator: operator,
 		Host:     host,
 		Action:   t.action,
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -42,7 +42,7 @@
 // Sources provides the data that the service reports. All fields but Config may be
 // nil.
 type Sources struct {
-	Config     *confstate.Holder
+	Config     *confstate.State
 	Instances  func() []Instance
 	Holders    func() []wire.Holder
 	Platform   func() string
