--- a/internal/agentless/modelrun/modelrun.go
+++ b/internal/agentless/modelrun/modelrun.go
@@ -158,7 +158,7 @@
 func (r *Runner) nextOrders(service string, models []string, listed []directory.EndpointStatus) []modelplan.Order {
 	engines := make([]modelplan.Engine, len(listed))
 	for i, e := range listed {
-		engines[i] = modelplan.Engine{ID: e.ID, Born: e.StartedAtMillis, Leaving: e.Leaving, InFlight: e.InFlight, Slots: e.Slots, Versions: e.Versions}
+		engines[i] = modelplan.Engine{ID: e.ID, StartedAtMillis: e.StartedAtMillis, Leaving: e.Leaving, InFlight: e.InFlight, Slots: e.Slots, Versions: e.Versions}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/policy/modelplan/modelplan.go
+++ b/internal/policy/modelplan/modelplan.go
@@ -64,12 +64,12 @@
 
 // Engine is the state of an engine as the platform lists it.
 type Engine struct {
-	ID       string
-	Born     int64 // start time of the process; tells incarnations of one ID apart
-	Leaving  bool
-	InFlight int              // last known number of requests in flight
-	Slots    int              // maximum number of concurrent requests
-	Versions map[string]int64 // loaded weight version by model
+	ID              string
+	StartedAtMillis int64 // start time of the process in Unix milliseconds; distinguishes incarnations of an ID
+	Leaving         bool
+	InFlight        int              // last known number of requests in flight
+	Slots           int              // maximum number of concurrent requests
+	Versions        map[string]int64 // loaded weight version by model
 }
 
 // Mode says how an engine treats its running requests when it loads new weights.
@@ -83,10 +83,10 @@
 
 // Order is a load that an engine should be told to perform.
 type Order struct {
-	Engine  string
-	Born    int64
-	Model   string
-	Version int64
+	Engine          string
+	StartedAtMillis int64
+	Model           string
+	Version         int64
 }
 
 // Result is the outcome of an order.
@@ -181,7 +181,7 @@
 		}
 		ready := float64(p.countReady(model, assigned[model])) / float64(len(assigned[model]))
 		if !found || ready < lowest {
-			best = Order{Engine: engine.ID, Born: engine.Born, Model: model, Version: p.newest[model]}
+			best = Order{Engine: engine.ID, StartedAtMillis: engine.StartedAtMillis, Model: model, Version: p.newest[model]}
 			found, lowest = true, ready
 		}
 	}
@@ -222,7 +222,7 @@
 	for id, w := range p.pending {
 		e, found := byID[id]
 		switch {
-		case !found, e.Born != w.order.Born, e.Versions[w.order.Model] >= w.order.Version:
+		case !found, e.StartedAtMillis != w.order.StartedAtMillis, e.Versions[w.order.Model] >= w.order.Version:
 			delete(p.pending, id)
 		case w.loading && now.Sub(w.startedAt) > confirmTimeout:
 			w.loading = false
--- a/internal/policy/modelplan/modelplan_test.go
+++ b/internal/policy/modelplan/modelplan_test.go
@@ -33,7 +33,7 @@
 		for _, m := range models {
 			versions[m] = 1
 		}
-		f.engines = append(f.engines, modelplan.Engine{ID: fmt.Sprintf("e%d", i), Born: 1, Versions: versions})
+		f.engines = append(f.engines, modelplan.Engine{ID: fmt.Sprintf("e%d", i), StartedAtMillis: 1, Versions: versions})
 	}
 	return f
 }
@@ -175,7 +175,7 @@
 		now := f.now.Add(time.Second)
 		order := p.Next(now, f.engines)[0]
 		p.RecordResult(now, order, modelplan.Accepted)
-		f.engines[0].Born = 2
+		f.engines[0].StartedAtMillis = 2
 		Expect(p.Next(now.Add(100*time.Millisecond), f.engines)).To(HaveLen(1))
 	})
 
