--- a/internal/operator/change.go
+++ b/internal/operator/change.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// change carries out a change, logs its outcome and records in the audit trail if
-// it was not accepted.
+// change carries out a change and logs its outcome. It records a change that was
+// refused or whose outcome is unknown in the audit trail.
 func (s *Server) change(ctx context.Context, caller identity, request config.Request) (config.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -74,7 +74,7 @@
 type identity struct {
 	operator string
 	address  string
-	initial  bool // the service holds no configuration, so the proposed declarations name the operator
+	initial  bool // there is no stored configuration yet, so the proposed declarations name the operator
 }
 
 // authenticate identifies the operator of a read-only call by the configuration in
