--- a/internal/entry/claimtest/claims_test.go
+++ b/internal/entry/claimtest/claims_test.go
@@ -271,7 +271,7 @@
 	It("answers repeats through every entry, also if answers of the platform are lost", func() {
 		for i := range 6 {
 			if i%2 == 1 {
-				platform.LoseNextAnswer(1)
+				platform.LoseAnswers(1)
 			}
 			for _, p := range processes {
 				expectAnswer(ask(p, fmt.Sprint("sync-", i), testTimeout))
@@ -340,11 +340,11 @@
 			}
 			return values.String()
 		}, testTimeout).Should(ContainSubstring(`"s":"d"`))
-		platform.Outage(true)
+		platform.SetDown(true)
 		answer := ask(processes[1], "during", 600*time.Millisecond)
 		Expect(answer.Outcome).NotTo(Equal(wire.Answered))
 		Expect(ledger.count("during")).To(BeZero())
-		platform.Outage(false)
+		platform.SetDown(false)
 		Eventually(func() wire.Outcome { return ask(processes[2], "during", 5*time.Second).Outcome }, testTimeout).Should(Equal(wire.Answered))
 		Expect(ledger.count("during")).To(Equal(1))
 		expectAnswer(ask(processes[2], "before", testTimeout))
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -162,7 +162,7 @@
 
 	It("serves status during an outage and reports that a change was not accepted", func() {
 		apply(0, "one", exampleFiles())
-		platform.Outage(true)
+		platform.SetDown(true)
 		answer, err := client.Status(withKey(demoKey), &operatorpb.StatusRequest{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Revision).To(Equal(int64(1)))
--- a/internal/standin/shared.go
+++ b/internal/standin/transactional_store.go
@@ -12,76 +12,76 @@
 	"siskinloom.example/siskinloom/internal/kv"
 )
 
-// Shared is a key-value service in memory that speaks kv.Shared and misbehaves
-// on demand. It is safe for concurrent use.
-type Shared struct {
+// TransactionalStore is an in-memory implementation of kv.TransactionalStore with
+// switchable faults. It is safe for concurrent use.
+type TransactionalStore struct {
 	mu       sync.Mutex
 	revision int64
-	oldest   int64 // watches from before it get ErrHistoryGone
+	oldest   int64 // watches from an earlier revision get ErrHistoryGone
 	records  map[string]kv.Record
 	history  []kv.Change
 	leases   map[kv.LeaseID]time.Time
-	news     chan struct{}
+	changed  chan struct{}
 	nextID   kv.LeaseID
 
-	down bool
-	deaf bool
-	lose int // commits whose answer is lost, from now on
+	down           bool
+	watchesStalled bool
+	answersToLose  int // number of next commits whose answer is lost
 	// Calls counts calls by kind.
 	Calls map[string]int
 }
 
-// NewShared returns an empty service.
-func NewShared() *Shared {
-	return &Shared{revision: 1, records: map[string]kv.Record{}, leases: map[kv.LeaseID]time.Time{}, news: make(chan struct{}), Calls: map[string]int{}}
+// NewTransactionalStore returns an empty store.
+func NewTransactionalStore() *TransactionalStore {
+	return &TransactionalStore{revision: 1, records: map[string]kv.Record{}, leases: map[kv.LeaseID]time.Time{}, changed: make(chan struct{}), Calls: map[string]int{}}
 }
 
-// SetDown has the service refuse every call, or serve again.
-func (s *Shared) SetDown(down bool) {
+// SetDown makes the store refuse every call, or serve again.
+func (s *TransactionalStore) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// LoseAnswers has the next n commits take effect without an answer.
-func (s *Shared) LoseAnswers(n int) {
+// LoseAnswers makes the next n commits take effect without an answer.
+func (s *TransactionalStore) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.answersToLose = n
 }
 
-// SetDeaf keeps watches that wait from hearing changes.
-func (s *Shared) SetDeaf(deaf bool) {
+// StallWatches sets whether waiting watches get no changes.
+func (s *TransactionalStore) StallWatches(watchesStalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = deaf
+	s.watchesStalled = watchesStalled
 }
 
-// DropHistory forgets all changes so far.
-func (s *Shared) DropHistory() {
+// DropHistory discards all changes so far.
+func (s *TransactionalStore) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
 	s.oldest = s.revision
 }
 
-// Revoke takes a key away without a word to its writer.
-func (s *Shared) Revoke(key string) {
+// Revoke deletes a key without notifying its writer.
+func (s *TransactionalStore) Revoke(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	s.remove(key)
-	s.wake()
+	s.notifyWatches()
 }
 
-// Count returns how many calls of a kind were made.
-func (s *Shared) Count(kind string) int {
+// Count returns the number of calls of a kind.
+func (s *TransactionalStore) Count(kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Calls[kind]
 }
 
-func (s *Shared) begin(kind string) error {
+func (s *TransactionalStore) startCall(kind string) error {
 	s.Calls[kind]++
 	if s.down {
 		return errors.Wrap(kv.ErrUnavailable, kind)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func (s *Shared) expire() {
+func (s *TransactionalStore) expire() {
 	for id, until := range s.leases {
 		if time.Now().After(until) {
 			s.endLease(id)
@@ -98,7 +98,7 @@
 	}
 }
 
-func (s *Shared) endLease(id kv.LeaseID) {
+func (s *TransactionalStore) endLease(id kv.LeaseID) {
 	delete(s.leases, id)
 	s.revision++
 	for key, r := range s.records {
@@ -106,10 +106,10 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-func (s *Shared) remove(key string) {
+func (s *TransactionalStore) remove(key string) {
 	if _, found := s.records[key]; !found {
 		return
 	}
@@ -117,16 +117,16 @@
 	s.history = append(s.history, kv.Change{Record: kv.Record{Key: key, Revision: s.revision}, Deleted: true})
 }
 
-func (s *Shared) wake() {
-	close(s.news)
-	s.news = make(chan struct{})
+func (s *TransactionalStore) notifyWatches() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Read implements kv.Shared.
-func (s *Shared) Read(_ context.Context, key string) (kv.Record, error) {
+// Read implements kv.TransactionalStore.
+func (s *TransactionalStore) Read(_ context.Context, key string) (kv.Record, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin("read"); err != nil {
+	if err := s.startCall("read"); err != nil {
 		return kv.Record{}, err
 	}
 	r, found := s.records[key]
@@ -136,14 +136,14 @@
 	return r, nil
 }
 
-// pageRecords is small, so that tests read by page.
-const pageRecords = 3
+// maxPageRecords is small, so that tests read several pages.
+const maxPageRecords = 3
 
-// ReadPage implements kv.Shared.
-func (s *Shared) ReadPage(_ context.Context, prefix, after string) (kv.Page, error) {
+// ReadPage implements kv.TransactionalStore.
+func (s *TransactionalStore) ReadPage(_ context.Context, prefix, after string) (kv.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin("page"); err != nil {
+	if err := s.startCall("page"); err != nil {
 		return kv.Page{}, err
 	}
 	page := kv.Page{AsOf: s.revision}
@@ -153,42 +153,42 @@
 		}
 	}
 	sort.Slice(page.Records, func(i, j int) bool { return page.Records[i].Key < page.Records[j].Key })
-	if len(page.Records) > pageRecords {
-		page.Records, page.Truncated = page.Records[:pageRecords], true
+	if len(page.Records) > maxPageRecords {
+		page.Records, page.Truncated = page.Records[:maxPageRecords], true
 	}
 	return page, nil
 }
 
-// Await implements kv.Shared.
-func (s *Shared) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
+// Await implements kv.TransactionalStore.
+func (s *TransactionalStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	waited := false
 	for {
 		s.mu.Lock()
-		if err := s.begin("watch"); err != nil {
+		if err := s.startCall("watch"); err != nil {
 			s.mu.Unlock()
 			return kv.Changes{}, err
 		}
-		deaf := s.deaf && waited
-		if after < s.oldest && !deaf {
+		watchesStalled := s.watchesStalled && waited
+		if after < s.oldest && !watchesStalled {
 			s.mu.Unlock()
 			return kv.Changes{}, kv.ErrHistoryGone
 		}
 		changes := kv.Changes{AsOf: s.revision}
 		for _, c := range s.history {
-			if c.Record.Revision > after && strings.HasPrefix(c.Record.Key, prefix) && !deaf {
+			if c.Record.Revision > after && strings.HasPrefix(c.Record.Key, prefix) && !watchesStalled {
 				changes.Changes = append(changes.Changes, c)
 			}
 		}
-		news := s.news
+		changed := s.changed
 		s.mu.Unlock()
 		if len(changes.Changes) > 0 {
 			return changes, nil
 		}
 		waited = true
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
 			return kv.Changes{AsOf: after}, nil
 		case <-ctx.Done():
@@ -197,22 +197,22 @@
 	}
 }
 
-// Commit implements kv.Shared.
-func (s *Shared) Commit(_ context.Context, t kv.Transaction) (kv.Committed, error) {
+// Commit implements kv.TransactionalStore.
+func (s *TransactionalStore) Commit(_ context.Context, t kv.Transaction) (kv.Committed, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin("commit"); err != nil {
+	if err := s.startCall("commit"); err != nil {
 		return kv.Committed{}, err
 	}
 	committed, err := s.apply(t)
-	if s.lose > 0 {
-		s.lose--
+	if s.answersToLose > 0 {
+		s.answersToLose--
 		return kv.Committed{}, errors.Wrap(kv.ErrUnknown, "answer lost")
 	}
 	return committed, err
 }
 
-func (s *Shared) apply(t kv.Transaction) (kv.Committed, error) {
+func (s *TransactionalStore) apply(t kv.Transaction) (kv.Committed, error) {
 	for _, e := range t.Expect {
 		if s.records[e.Key].Revision != e.Revision {
 			return kv.Committed{}, nil
@@ -232,15 +232,15 @@
 	for _, key := range t.Remove {
 		s.remove(key)
 	}
-	s.wake()
+	s.notifyWatches()
 	return kv.Committed{Done: true, Revision: s.revision}, nil
 }
 
-// GrantLease implements kv.Shared.
-func (s *Shared) GrantLease(_ context.Context, ttl time.Duration) (kv.LeaseID, time.Duration, error) {
+// GrantLease implements kv.TransactionalStore.
+func (s *TransactionalStore) GrantLease(_ context.Context, ttl time.Duration) (kv.LeaseID, time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin("lease"); err != nil {
+	if err := s.startCall("lease"); err != nil {
 		return 0, 0, err
 	}
 	s.nextID++
@@ -248,11 +248,11 @@
 	return s.nextID, ttl, nil
 }
 
-// KeepLease implements kv.Shared.
-func (s *Shared) KeepLease(_ context.Context, id kv.LeaseID) error {
+// KeepLease implements kv.TransactionalStore.
+func (s *TransactionalStore) KeepLease(_ context.Context, id kv.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin("keep"); err != nil {
+	if err := s.startCall("keep"); err != nil {
 		return err
 	}
 	if _, found := s.leases[id]; !found {
@@ -262,11 +262,11 @@
 	return nil
 }
 
-// RevokeLease implements kv.Shared.
-func (s *Shared) RevokeLease(_ context.Context, id kv.LeaseID) error {
+// RevokeLease implements kv.TransactionalStore.
+func (s *TransactionalStore) RevokeLease(_ context.Context, id kv.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin("revoke"); err != nil {
+	if err := s.startCall("revoke"); err != nil {
 		return err
 	}
 	if _, found := s.leases[id]; !found {
