--- a/cmd/siskinlab/bench.go
+++ b/cmd/siskinlab/bench.go
@@ -18,10 +18,10 @@
 // and have no bounds; each benchmark measures its own baseline in the same run.
 func benchmarks() []bounds.Measurement {
 	return []bounds.Measurement{
-		{Name: "path", Run: path.Benchmark},
+		{Name: "path", Run: path.LookupBenchmark},
 		{Name: "tokens", Run: path.TokenBenchmark},
 		{Name: "samples", Run: path.SampleBenchmark},
-		{Name: "flight", Run: path.FlightBenchmark},
+		{Name: "flight", Run: path.InFlightBenchmark},
 		{Name: "routing", Run: routing.WallClock},
 		{Name: "rollout", Run: rollout.WallClock},
 	}
--- a/internal/lab/enginemodel/enginemodel.go
+++ b/internal/lab/enginemodel/enginemodel.go
@@ -13,14 +13,14 @@
 
 // Job is one sample on an engine.
 type Job struct {
-	Feed     string
-	ID       sample.ID
-	Prompt   int // tokens
-	Length   int // tokens in all
-	Tokens   int // generated so far
-	Cached   int // tokens, of the prompt first, whose KV cache the engine has
-	Segments []wire.Segment
-	Began    time.Time
+	Feed         string
+	ID           sample.ID
+	Prompt       int // tokens
+	Length       int // tokens in all
+	Tokens       int // generated so far
+	Cached       int // tokens, of the prompt first, whose KV cache the engine has
+	Segments     []wire.Segment
+	FirstTokenAt time.Time
 }
 
 func (j *Job) generate(version int64) {
@@ -35,15 +35,15 @@
 
 // Engine generates the jobs in its slots; those beyond wait in order.
 type Engine struct {
-	Pace    rollout.Pace
-	Prefill time.Duration // of one token whose KV cache the engine has not; 0: nothing
-	Slots   int
-	Version int64
-	others  int // slots that callers' requests use
-	running []*Job
-	waiting []*Job
-	pending time.Duration // prefill of the jobs that came to a slot since the last step
-	prompts map[prompt]bool
+	Pace            rollout.Pace
+	PrefillPerToken time.Duration // of one token whose KV cache the engine has not; 0: nothing
+	Slots           int
+	Version         int64
+	others          int // slots that callers' requests use
+	running         []*Job
+	waiting         []*Job
+	pending         time.Duration // prefill of the jobs that came to a slot since the last step
+	prompts         map[prompt]bool
 }
 
 // prompt is a group's prompt whose KV cache a version computed; the group's
@@ -56,7 +56,7 @@
 
 // prefill returns the time that a job's KV cache takes that the engine has not.
 func (e *Engine) prefill(j *Job) time.Duration {
-	if e.Prefill == 0 {
+	if e.PrefillPerToken == 0 {
 		return 0
 	}
 	key := prompt{feed: j.Feed, step: j.ID.Step, group: j.ID.Group, version: e.Version}
@@ -67,15 +67,15 @@
 		e.prompts = map[prompt]bool{}
 	}
 	e.prompts[key] = true
-	return time.Duration(j.Prompt+j.Tokens-j.Cached) * e.Prefill
+	return time.Duration(j.Prompt+j.Tokens-j.Cached) * e.PrefillPerToken
 }
 
-// Others returns the number of slots that callers' requests use.
-func (e *Engine) Others() int { return e.others }
+// UsedByOthers returns the number of slots that callers' requests use.
+func (e *Engine) UsedByOthers() int { return e.others }
 
-// SetOthers has callers' requests use n slots. The jobs that lose theirs wait
+// SetUsedByOthers has callers' requests use n slots. The jobs that lose theirs wait
 // for one and keep no KV cache.
-func (e *Engine) SetOthers(n int) {
+func (e *Engine) SetUsedByOthers(n int) {
 	e.others = n
 	for len(e.running) > max(0, e.Slots-n) {
 		last := len(e.running) - 1
@@ -127,8 +127,8 @@
 	return found
 }
 
-// Jobs returns the number of jobs in slots.
-func (e *Engine) Jobs() int { return len(e.running) }
+// RunningJobs returns the number of jobs in slots.
+func (e *Engine) RunningJobs() int { return len(e.running) }
 
 // Each calls fn with every job.
 func (e *Engine) Each(fn func(*Job)) {
@@ -154,7 +154,7 @@
 	var done, left []*Job
 	for _, j := range e.running {
 		if j.Tokens == 0 {
-			j.Began = now
+			j.FirstTokenAt = now
 		}
 		j.generate(e.Version)
 		j.Cached = j.Prompt + j.Tokens
--- a/internal/lab/path/inflight.go
+++ b/internal/lab/path/inflight.go
@@ -53,9 +53,9 @@
 	return []entry.EngineState{{ID: "agent", Load: wire.Load{Slots: flightGroups * sampleSize, WeightVersion: 1}}}
 }
 
-// FlightBenchmark measures the memory that the owner of a feed has for each
+// InFlightBenchmark measures the memory that the owner of a feed has for each
 // sample in flight, heap and stacks, with all samples of a step in flight.
-func FlightBenchmark() ([]bounds.Figure, error) {
+func InFlightBenchmark() ([]bounds.Figure, error) {
 	short, err := bytesInFlight(flightShort)
 	if err != nil {
 		return nil, err
--- a/internal/lab/path/path.go
+++ b/internal/lab/path/path.go
@@ -59,9 +59,9 @@
 	cpu       float64                 // processor seconds a lookup, many clients
 }
 
-// Benchmark returns the figures of both ways and what the way through entry
+// LookupBenchmark returns the figures of both ways and what the way through entry
 // and agent adds.
-func Benchmark() ([]bounds.Figure, error) {
+func LookupBenchmark() ([]bounds.Figure, error) {
 	s, err := start()
 	if err != nil {
 		return nil, err
--- a/internal/lab/rollout/generation.go
+++ b/internal/lab/rollout/generation.go
@@ -39,7 +39,7 @@
 func (l *pipeline) engineStates() []policy.Engine {
 	states := make([]policy.Engine, len(l.engines))
 	for i, e := range l.engines {
-		states[i] = policy.Engine{ID: strconv.Itoa(i), Slots: e.Slots, UsedByOthers: e.Others(), Version: e.Version}
+		states[i] = policy.Engine{ID: strconv.Itoa(i), Slots: e.Slots, UsedByOthers: e.UsedByOthers(), Version: e.Version}
 	}
 	return states
 }
@@ -105,7 +105,7 @@
 		if (i+turn)%l.crowd.every == 0 {
 			taken = l.crowd.slots
 		}
-		e.SetOthers(taken)
+		e.SetUsedByOthers(taken)
 	}
 	l.plan()
 	for i := range l.engines {
@@ -135,7 +135,7 @@
 
 // wake has an idle engine begin to step.
 func (l *pipeline) wake(i int) {
-	if l.active[i] || l.loading[i] || l.engines[i].Jobs() == 0 {
+	if l.active[i] || l.loading[i] || l.engines[i].RunningJobs() == 0 {
 		return
 	}
 	l.active[i] = true
@@ -147,7 +147,7 @@
 	for _, j := range l.engines[i].Step(l.time.Now()) {
 		delete(l.places, j.ID)
 		l.planner.Complete(feedName, j.ID, j.Tokens)
-		l.deliver(handover.Completed{Sample: sample.Sample{ID: j.ID, Segments: j.Segments, FirstTokenAt: j.Began}})
+		l.deliver(handover.Completed{Sample: sample.Sample{ID: j.ID, Segments: j.Segments, FirstTokenAt: j.FirstTokenAt}})
 	}
 	l.wake(i)
 }
--- a/internal/lab/rollout/outage.go
+++ b/internal/lab/rollout/outage.go
@@ -29,7 +29,7 @@
 	l.time.After(outageAt+ownerDiesAfter, func() {
 		l.alive = false
 		for i, e := range l.engines {
-			l.engines[i] = &enginemodel.Engine{Pace: e.Pace, Prefill: e.Prefill, Slots: e.Slots, Version: e.Version}
+			l.engines[i] = &enginemodel.Engine{Pace: e.Pace, PrefillPerToken: e.PrefillPerToken, Slots: e.Slots, Version: e.Version}
 		}
 		l.places = map[sample.ID]int{}
 	})
--- a/internal/lab/rollout/pipeline.go
+++ b/internal/lab/rollout/pipeline.go
@@ -87,7 +87,7 @@
 func newPipeline(s scenario, p planner) *pipeline {
 	l := &pipeline{scenario: s, time: timeline.New(), planner: p, places: map[sample.ID]int{}, version: 1}
 	for range s.engines {
-		l.engines = append(l.engines, &enginemodel.Engine{Pace: s.pace, Prefill: s.prefill, Slots: s.slots, Version: 1})
+		l.engines = append(l.engines, &enginemodel.Engine{Pace: s.pace, PrefillPerToken: s.prefill, Slots: s.slots, Version: 1})
 	}
 	l.active = make([]bool, s.engines)
 	l.loading = make([]bool, s.engines)
--- a/internal/lab/rollout/shares.go
+++ b/internal/lab/rollout/shares.go
@@ -146,7 +146,7 @@
 }
 
 func (m *sharing) wake(i int) {
-	if m.active[i] || m.engines[i].Jobs() == 0 {
+	if m.active[i] || m.engines[i].RunningJobs() == 0 {
 		return
 	}
 	m.active[i] = true
