--- a/internal/lab/fleetnews/fleetnews.go
+++ b/internal/lab/fleetnews/fleetnews.go
@@ -1,9 +1,9 @@
-// Package fleetnews measures, at the size expected within two years, what news of
-// the fleet cost the processes that take them: in an ordinary minute, and in the
-// moment at which a scout is lost and its followers turn to another one.
+// Package fleetnews measures, at the fleet size expected within two years, how many
+// bytes of fleet updates a process receives: in an ordinary minute, and when it
+// turns to another relay, which has either run for long or just restarted.
 //
-// What it leaves out: packet headers, and the calls themselves; it counts what an
-// answer's topics take, encoded as they are between processes.
+// The figures cover the topics of an answer, encoded as they are between processes.
+// They leave out packet headers and the calls themselves.
 package fleetnews
 
 import (
@@ -21,35 +21,35 @@
 	"siskinloom.example/siskinloom/internal/policy/news"
 )
 
-// The letter's size: engines in services of models, of which a few are plain
-// services that entries send requests to.
+// The expected fleet: endpoints of model services, and a few of plain services that
+// entries send requests to.
 const (
-	endpoints     = 1300
-	plainServices = 4
-	plainEach     = 10
-	modelServices = 14
-	// versionEvery is how often each model's weights change; a load of them writes an
-	// engine's entry twice.
-	versionEvery   = 11 * time.Minute
-	writesPerLoad  = 2
-	restartsPerDay = 434
-	entryBytes     = 350 // of one endpoint's entry
-	minute         = 60 * time.Second
-	listSeed       = 17
+	endpoints                = 1300
+	plainServices            = 4
+	endpointsPerPlainService = 10
+	modelServices            = 14
+	// versionInterval is the time between new weights of a model. Loading them writes
+	// an engine's entry writesPerLoad times.
+	versionInterval = 11 * time.Minute
+	writesPerLoad   = 2
+	restartsPerDay  = 434
+	entryBytes      = 350 // size of the entry of one endpoint
+	minute          = 60 * time.Second
+	listSeed        = 17
 )
 
 const prefix = "endpoints/"
 
-// Bounds lists the package's measurements.
+// Bounds returns the measurements of this package.
 func Bounds() []bounds.Measurement {
 	return []bounds.Measurement{{Name: "news", Run: measure}}
 }
 
-// fleet is the list of endpoints with the processes that pass it on.
+// fleet is the list of endpoints with the relays that serve it.
 type fleet struct {
 	random   *rand.Rand
 	revision int64
-	scouts   []*news.Topics[kv.Change]
+	relays   []*news.Topics[kv.Change]
 	service  map[string]string
 	keys     []string
 }
@@ -58,28 +58,28 @@
 	f := &fleet{random: rand.New(rand.NewPCG(listSeed, 1)), service: map[string]string{}}
 	for i := range endpoints {
 		service := fmt.Sprintf("model-%02d", i%modelServices)
-		if i < plainServices*plainEach {
+		if i < plainServices*endpointsPerPlainService {
 			service = fmt.Sprintf("plain-%d", i%plainServices)
 		}
 		key := fmt.Sprintf("%si-%010x", prefix, f.random.Uint64N(1<<40))
 		f.keys = append(f.keys, key)
 		f.service[key] = service
 	}
-	f.scouts = []*news.Topics[kv.Change]{f.scout(1), f.scout(2)}
+	f.relays = []*news.Topics[kv.Change]{f.newRelay(1), f.newRelay(2)}
 	for _, key := range f.keys {
 		f.write(key)
 	}
-	f.listed(f.scouts...)
+	f.markSynced(f.relays...)
 	return f
 }
 
-func (f *fleet) scout(boot int64) *news.Topics[kv.Change] {
+func (f *fleet) newRelay(boot int64) *news.Topics[kv.Change] {
 	t := news.NewTopics[kv.Change](boot)
 	t.Add(prefix, time.Second)
 	return t
 }
 
-// write changes an endpoint's entry, and every scout hears of it.
+// write changes the entry of an endpoint in every relay.
 func (f *fleet) write(key string) {
 	f.revision++
 	value := make([]byte, entryBytes)
@@ -87,7 +87,7 @@
 		value[i] = byte(f.random.Uint32())
 	}
 	record := kv.Record{Key: key, Value: value, Revision: f.revision}
-	for _, s := range f.scouts {
+	for _, s := range f.relays {
 		s.Get(prefix).Put(change(record, f.service[key]))
 	}
 }
@@ -96,43 +96,43 @@
 	return news.Change[kv.Change]{Key: r.Key, Revision: r.Revision, Scope: scope, Payload: kv.Change{Record: r}}
 }
 
-func (f *fleet) listed(scouts ...*news.Topics[kv.Change]) {
-	for _, s := range scouts {
+func (f *fleet) markSynced(relays ...*news.Topics[kv.Change]) {
+	for _, s := range relays {
 		s.Get(prefix).MarkListed(f.revision)
 		s.Get(prefix).MarkSynced(time.Time{}, f.revision)
 	}
 }
 
-// restarted returns a scout that has just listed everything.
-func (f *fleet) restarted(from *news.Topics[kv.Change]) (*news.Topics[kv.Change], error) {
-	whole := from.Get(prefix).Since(news.Position{}, &news.Interest{Prefix: prefix})
-	if len(whole.Changes) != endpoints {
-		return nil, errors.Errorf("fleetnews: %d of %d endpoints are known", len(whole.Changes), endpoints)
+// restartedRelay returns a new relay that has just listed all endpoints.
+func (f *fleet) restartedRelay(from *news.Topics[kv.Change]) (*news.Topics[kv.Change], error) {
+	update := from.Get(prefix).Since(news.Position{}, &news.Interest{Prefix: prefix})
+	if len(update.Changes) != endpoints {
+		return nil, errors.Errorf("fleetnews: the relay knows %d of %d endpoints", len(update.Changes), endpoints)
 	}
-	fresh := f.scout(3)
-	for _, c := range whole.Changes {
-		fresh.Get(prefix).Put(change(c.Record, f.service[c.Record.Key]))
+	restarted := f.newRelay(3)
+	for _, c := range update.Changes {
+		restarted.Get(prefix).Put(change(c.Record, f.service[c.Record.Key]))
 	}
-	f.listed(fresh)
-	return fresh, nil
+	f.markSynced(restarted)
+	return restarted, nil
 }
 
-// follower is a process that takes news.
+// follower is a process that receives updates from a relay.
 type follower struct {
 	interest news.Interest
-	at       news.Position
+	position news.Position
 }
 
-// ask takes news from a scout and returns how many bytes they are.
-func (p *follower) ask(s *news.Topics[kv.Change]) (float64, error) {
-	n := s.Get(prefix).Since(p.at, &p.interest)
-	p.at, p.interest.AsOf = s.Position(), n.AsOf
+// fetch gets an update from a relay and returns its size in bytes.
+func (p *follower) fetch(s *news.Topics[kv.Change]) (float64, error) {
+	update := s.Get(prefix).Since(p.position, &p.interest)
+	p.position, p.interest.AsOf = s.Position(), update.AsOf
 	var b bytes.Buffer
-	err := gob.NewEncoder(&b).Encode(cluster.TopicNews(n))
+	err := gob.NewEncoder(&b).Encode(cluster.TopicNews(update))
 	return float64(b.Len()), err
 }
 
-func entry() *follower {
+func newEntry() *follower {
 	p := &follower{interest: news.Interest{Prefix: prefix, Scopes: []string{}}}
 	for i := range plainServices {
 		p.interest.Scopes = append(p.interest.Scopes, fmt.Sprintf("plain-%d", i))
@@ -140,27 +140,27 @@
 	return p
 }
 
-func worker() *follower { return &follower{interest: news.Interest{Prefix: prefix}} }
+func newWorker() *follower { return &follower{interest: news.Interest{Prefix: prefix}} }
 
-// ordinaryMinute plays a minute's changes, with one ask a second, and returns the
-// bytes a second.
+// ordinaryMinute makes the changes of one minute while the follower fetches once a
+// second, and returns the bytes per second that it received.
 func (f *fleet) ordinaryMinute(p *follower) (float64, error) {
-	loads := float64(endpoints) * writesPerLoad * minute.Seconds() / versionEvery.Seconds()
+	loads := float64(endpoints) * writesPerLoad * minute.Seconds() / versionInterval.Seconds()
 	restarts := restartsPerDay * minute.Hours() / 24
 	perSecond := (loads + restarts) / minute.Seconds()
-	sum, due := 0.0, 0.0
+	total, pending := 0.0, 0.0
 	for range int(minute.Seconds()) {
-		for due += perSecond; due >= 1; due-- {
+		for pending += perSecond; pending >= 1; pending-- {
 			f.write(f.keys[f.random.IntN(len(f.keys))])
 		}
-		f.listed(f.scouts...)
-		n, err := p.ask(f.scouts[0])
+		f.markSynced(f.relays...)
+		n, err := p.fetch(f.relays[0])
 		if err != nil {
 			return 0, err
 		}
-		sum += n
+		total += n
 	}
-	return sum / minute.Seconds(), nil
+	return total / minute.Seconds(), nil
 }
 
 func measure() ([]bounds.Figure, error) {
@@ -168,32 +168,32 @@
 	for _, kind := range []struct {
 		name string
 		new  func() *follower
-	}{{"entry", entry}, {"worker", worker}} {
+	}{{"entry", newEntry}, {"worker", newWorker}} {
 		f, p := newFleet(), kind.new()
-		if _, err := p.ask(f.scouts[0]); err != nil {
+		if _, err := p.fetch(f.relays[0]); err != nil {
 			return nil, err
 		}
 		rate, err := f.ordinaryMinute(p)
 		if err != nil {
 			return nil, err
 		}
-		lost, err := p.ask(f.scouts[1])
+		afterLoss, err := p.fetch(f.relays[1])
 		if err != nil {
 			return nil, err
 		}
 		f.write(f.keys[0])
-		fresh, err := f.restarted(f.scouts[1])
+		restarted, err := f.restartedRelay(f.relays[1])
 		if err != nil {
 			return nil, err
 		}
-		anew, err := p.ask(fresh)
+		afterRestart, err := p.fetch(restarted)
 		if err != nil {
 			return nil, err
 		}
 		figures = append(figures,
 			bounds.Figure{Name: "news.bytes_per_s." + kind.name, Value: rate},
-			bounds.Figure{Name: "news.scout_lost_bytes." + kind.name, Value: lost},
-			bounds.Figure{Name: "news.scout_restarted_bytes." + kind.name, Value: anew},
+			bounds.Figure{Name: "news.scout_lost_bytes." + kind.name, Value: afterLoss},
+			bounds.Figure{Name: "news.scout_restarted_bytes." + kind.name, Value: afterRestart},
 		)
 	}
 	return figures, nil
