--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -1,10 +1,10 @@
-// Package steps replays trainers' steps in virtual time: batches of items that
-// arrive at once, at engines that are slower the more they run, with estimates of
-// lengths that err. Between them stand the decisions of the product's batch jobs
-// themselves (policy/batch, schedule and endpoints).
+// Package steps replays trainers' steps in virtual time: batches of items that are
+// submitted together, engines that slow down with the number of their runs, and
+// inaccurate estimates of lengths. The decisions are made by the product's own code
+// (policy/batch, policy/schedule and policy/endpoints).
 //
-// What it leaves out: loads of weights but for the engines that cannot serve a
-// step at first, prompts, scores, the store and its durable writes, and faults.
+// The replay leaves out prompts, scores, the store and its durable writes, faults,
+// and loads of weights except that some engines cannot serve a new step at first.
 package steps
 
 import (
@@ -21,85 +21,89 @@
 	"siskinloom.example/siskinloom/internal/policy/schedule"
 )
 
-// Trainer is one trainer's load.
+// Trainer is the load of one trainer.
 type Trainer struct {
-	Groups    int
-	GroupSize int
-	Want      int     // groups that a step needs
-	Mean      float64 // events of a text that is none of the long ones
-	Longest   int64   // most events of a text
-	Train     time.Duration
+	Groups     int
+	GroupSize  int
+	WantGroups int           // number of complete groups that a step needs
+	MeanEvents float64       // mean number of events of a text, leaving out the long texts
+	MaxEvents  int64         // largest number of events of a text
+	TrainTime  time.Duration // time to train on a step
 }
 
-// Load is a deployment with its trainers.
+// Load describes a deployment and its trainers.
 type Load struct {
-	Seed     uint64
-	Engines  int
-	Slots    int
-	Event    time.Duration // an event's time at an engine without others
-	Slowdown float64       // share by which a full batch is slower
-	Period   time.Duration // between a trainer's steps on schedule
-	Trainers []Trainer
-	Steps    int
-	// LateEngines is how long half of the engines cannot serve a new step, as they
-	// load its weights.
-	LateEngines time.Duration
-	Behind      time.Duration // that the trainers are behind their schedules at first
+	Seed         uint64
+	Engines      int
+	Slots        int
+	EventTime    time.Duration // time of an event at an engine with a single run
+	Slowdown     float64       // share by which an event takes longer in a full batch
+	StepInterval time.Duration // scheduled time between the steps of a trainer
+	Trainers     []Trainer
+	Steps        int
+	// EngineLoadTime is how long half of the engines cannot serve a new step, because
+	// they are loading its weights.
+	EngineLoadTime time.Duration
+	InitialDelay   time.Duration // delay of the second step of each trainer behind its schedule
 }
 
-// Decisions are the mechanisms that may be left out.
-type Decisions struct {
-	ByLoad  bool // engines are chosen by their load alone, not by delay
-	NoMoves bool // runs stay where they began
-	MoveAny bool // runs move though no step waits for them
+// Options switches mechanisms off, to compare results without them.
+type Options struct {
+	PlaceByLoad     bool // choose engines by their load alone, not by the delay of steps
+	DisableMoves    bool // never move a run to another engine
+	MoveNonCritical bool // move runs even if no step waits for them
 }
 
-// Outcome is what became of one trainer's steps.
+// Outcome holds the results of one trainer.
 type Outcome struct {
-	Took []time.Duration // from a step's submission until enough groups were whole
-	Slip []time.Duration // of each step's submission behind its schedule
-	// Bound is the least time that each step could have taken: the longest of the
-	// texts that it needed at an engine without others.
-	Bound []time.Duration
-	Moves int // of its runs
+	StepTimes []time.Duration // time of each step from its submission until enough groups were complete
+	Delays    []time.Duration // delay of the submission of each step behind its schedule
+	// MinStepTimes is a lower bound of each step's time: the time of the longest text
+	// that the step needed, at an engine with a single run.
+	MinStepTimes []time.Duration
+	Moves        int // number of moved runs
 }
 
 const (
 	tick = 5 * time.Millisecond
-	// hintSpread is how far estimates are off, in units of the logarithm.
-	hintSpread = 0.5
-	// tailShare of the texts are tailTimes as long as the others.
-	tailShare, tailTimes = 0.08, 5.0
-	bodySpread           = 0.84
-	tokensAnEvent        = 49
-	model                = "m"
-	moveEvery, moveGain  = 8, 8.0
+	// hintSigma is the standard deviation of the logarithm of the estimates' error.
+	hintSigma = 0.5
+	// longShare of the texts are longFactor times as long as the others.
+	longShare, longFactor = 0.08, 5.0
+	lengthSigma           = 0.84
+	tokensPerEvent        = 49
+	model                 = "m"
+	// Every moveCheckEvents events, a run may move to an engine with a gain of at least
+	// minMoveGain (see endpoints.Set.HasLessLoaded).
+	moveCheckEvents, minMoveGain = 8, 8.0
 )
 
+// run is the generation of one text at an engine.
 type run struct {
-	job    *job
-	item   int
-	engine *endpoints.State
-	placed endpoints.Placement
-	made   int64
-	left   time.Duration // until the next event
-	total  int64
+	job       *job
+	item      int
+	engine    *endpoints.State
+	placement endpoints.Placement
+	events    int64         // events generated so far
+	untilNext time.Duration // time until the next event
+	total     int64         // events of the complete text
 }
 
+// job is one step of a trainer.
 type job struct {
 	*batch.Job
-	trainer int
-	step    int
-	asked   time.Time
-	lengths []int64
-	carried int // groups that came again, the first ones
-	whole   bool
+	trainer     int
+	step        int
+	submitted   time.Time
+	lengths     []int64
+	resubmitted int // number of groups of earlier steps submitted again; they come first
+	complete    bool
 }
 
-// world is one replay.
+// world is the state of one replay.
 type world struct {
 	load      Load
-	decisions Decisions
+	options   Options
 	random    *rand.Rand
 	start     time.Time
 	now       time.Time
@@ -108,20 +112,21 @@
 	open      []*job
 	trainers  []*trainer
 	lengths   *batch.LengthEstimator
-	survey    schedule.Load // as of the last dispatch
+	totalLoad schedule.Load // as of the last dispatch
 }
 
+// trainer is the state of one trainer.
 type trainer struct {
 	Trainer
-	asked int         // steps submitted so far
-	named []time.Time // when each step's training ended
-	again [][]int64   // lengths of the texts of groups that were not whole
+	submitted  int         // number of steps submitted so far
+	trainedAt  []time.Time // time when the training of each step ended
+	incomplete [][]int64   // lengths of the texts of groups that were incomplete when their step ended
 	Outcome
 }
 
-// Replay plays the load.
-func Replay(load Load, decisions Decisions) []Outcome {
-	w := &world{load: load, decisions: decisions, random: rand.New(rand.NewPCG(load.Seed, 11)), start: time.Unix(1000, 0), set: endpoints.NewSet("owner"), lengths: batch.NewLengthEstimator()}
+// Replay replays the load and returns the outcome of each trainer.
+func Replay(load Load, options Options) []Outcome {
+	w := &world{load: load, options: options, random: rand.New(rand.NewPCG(load.Seed, 11)), start: time.Unix(1000, 0), set: endpoints.NewSet("owner"), lengths: batch.NewLengthEstimator()}
 	w.now = w.start
 	for i := range load.Engines {
 		w.set.Put(deployment.Endpoint{ID: fmt.Sprintf("e%03d", i), Slots: load.Slots, Versions: map[string]int64{model: 1}})
@@ -129,7 +134,7 @@
 	for _, t := range load.Trainers {
 		w.trainers = append(w.trainers, &trainer{Trainer: t})
 	}
-	for !w.over() {
+	for !w.finished() {
 		w.submit()
 		w.dispatch()
 		w.advance()
@@ -142,110 +147,110 @@
 	return outcomes
 }
 
-func (w *world) over() bool {
+func (w *world) finished() bool {
 	for _, t := range w.trainers {
-		if len(t.Took) < w.load.Steps {
+		if len(t.StepTimes) < w.load.Steps {
 			return false
 		}
 	}
 	return true
 }
 
-// submit submits each step that is due: on its schedule, once the step two before
-// it was trained on.
+// submit submits each step that is due according to its schedule, once the training
+// on the step two before it has ended.
 func (w *world) submit() {
 	for i, t := range w.trainers {
-		for t.asked < w.load.Steps {
-			due := w.start.Add(time.Duration(t.asked) * w.load.Period)
-			ready := due.Add(w.load.Behind * time.Duration(min(1, t.asked)))
-			if t.asked >= 2 {
-				if len(t.named) < t.asked-1 {
+		for t.submitted < w.load.Steps {
+			due := w.start.Add(time.Duration(t.submitted) * w.load.StepInterval)
+			ready := due.Add(w.load.InitialDelay * time.Duration(min(1, t.submitted)))
+			if t.submitted >= 2 {
+				if len(t.trainedAt) < t.submitted-1 {
 					break
 				}
 				ready = due
-				if named := t.named[t.asked-2]; named.After(ready) {
-					ready = named
+				if trained := t.trainedAt[t.submitted-2]; trained.After(ready) {
+					ready = trained
 				}
 			}
 			if w.now.Before(ready) {
 				break
 			}
-			t.Slip = append(t.Slip, w.now.Sub(due))
+			t.Delays = append(t.Delays, w.now.Sub(due))
 			w.open = append(w.open, w.draw(i, t))
-			t.asked++
+			t.submitted++
 		}
 	}
 }
 
-// draw draws a step's texts and their estimates.
+// draw draws the texts of a step and their estimates.
 func (w *world) draw(index int, t *trainer) *job {
-	body := distuv.LogNormal{Mu: 0, Sigma: bodySpread, Src: w.random}
-	errs := distuv.LogNormal{Mu: 0, Sigma: hintSpread, Src: w.random}
-	scale := t.Mean / body.Mean()
-	spec := &batch.Spec{ID: fmt.Sprintf("t%d-%d", index, t.asked), Model: model, WantGroups: t.Want, Submitted: w.now}
-	j := &job{trainer: index, step: t.asked, asked: w.now}
-	j.carried = min(len(t.again), t.Want/2)
-	again := t.again[:j.carried]
-	t.again = t.again[j.carried:]
+	body := distuv.LogNormal{Mu: 0, Sigma: lengthSigma, Src: w.random}
+	errs := distuv.LogNormal{Mu: 0, Sigma: hintSigma, Src: w.random}
+	scale := t.MeanEvents / body.Mean()
+	spec := &batch.Spec{ID: fmt.Sprintf("t%d-%d", index, t.submitted), Model: model, WantGroups: t.WantGroups, Submitted: w.now}
+	j := &job{trainer: index, step: t.submitted, submitted: w.now}
+	j.resubmitted = min(len(t.incomplete), t.WantGroups/2)
+	earlier := t.incomplete[:j.resubmitted]
+	t.incomplete = t.incomplete[j.resubmitted:]
 	for g := range t.Groups {
 		for k := range t.GroupSize {
-			events := drawLength(scale*body.Rand(), w.random.Float64() < tailShare, t.Longest)
-			if g < len(again) {
-				events = again[g][k]
+			events := drawLength(scale*body.Rand(), w.random.Float64() < longShare, t.MaxEvents)
+			if g < len(earlier) {
+				events = earlier[g][k]
 			}
 			j.lengths = append(j.lengths, events)
 			spec.Items = append(spec.Items, batch.Item{
 				ID: fmt.Sprintf("%s-%d", spec.ID, len(spec.Items)), Group: fmt.Sprint(g),
-				LengthHint: max(1, int(float64(events*tokensAnEvent)*errs.Rand())), MaxTokens: int(t.Longest) * tokensAnEvent,
+				LengthHint: max(1, int(float64(events*tokensPerEvent)*errs.Rand())), MaxTokens: int(t.MaxEvents) * tokensPerEvent,
 			})
 		}
 	}
 	j.Job = batch.NewJob(spec, nil)
 	j.SetEstimator(w.lengths)
-	t.Bound = append(t.Bound, time.Duration(needed(j, t.Trainer))*w.load.Event)
+	t.MinStepTimes = append(t.MinStepTimes, time.Duration(requiredEvents(j, t.Trainer))*w.load.EventTime)
 	return j
 }
 
-func drawLength(length float64, long bool, most int64) int64 {
+func drawLength(length float64, long bool, maxEvents int64) int64 {
 	if long {
-		length *= tailTimes
+		length *= longFactor
 	}
-	return min(most, max(1, int64(length)))
+	return min(maxEvents, max(1, int64(length)))
 }
 
-// needed returns the events of the longest text without which a step has too few
-// groups, whichever groups are left out.
-func needed(j *job, t Trainer) int64 {
+// requiredEvents returns the events of the longest text that a step needs: it leaves
+// out the groups with the longest texts, as many as the step can do without.
+func requiredEvents(j *job, t Trainer) int64 {
 	longest := make([]int64, t.Groups)
 	for i, events := range j.lengths {
 		longest[i/t.GroupSize] = max(longest[i/t.GroupSize], events)
 	}
-	for range t.Groups - t.Want {
-		worst := j.carried
-		for g := j.carried; g < len(longest); g++ {
-			if longest[g] > longest[worst] {
-				worst = g
+	for range t.Groups - t.WantGroups {
+		longestGroup := j.resubmitted
+		for g := j.resubmitted; g < len(longest); g++ {
+			if longest[g] > longest[longestGroup] {
+				longestGroup = g
 			}
 		}
-		longest[worst] = 0
+		longest[longestGroup] = 0
 	}
-	most := int64(0)
+	maxEvents := int64(0)
 	for _, events := range longest {
-		most = max(most, events)
+		maxEvents = max(maxEvents, events)
 	}
-	return most
+	return maxEvents
 }
 
-// dispatch starts what has room, as an owner of all the jobs does.
+// dispatch starts runs while there is room, as an owner of all jobs does.
 func (w *world) dispatch() {
 	pace := w.set.TypicalPace()
 	views := make([]schedule.Job, len(w.open))
 	for i, j := range w.open {
 		work, longest := j.TotalRemainingWork()
-		views[i] = schedule.Job{Age: w.now.Sub(j.asked).Seconds(), Work: work, Longest: longest, EventSeconds: pace}
+		views[i] = schedule.Job{Age: w.now.Sub(j.submitted).Seconds(), Work: work, Longest: longest, EventSeconds: pace}
 	}
 	load := schedule.TotalLoad(views)
-	w.survey = load
+	w.totalLoad = load
 	blocked := make([]bool, len(w.open))
 	for {
 		var waiting []schedule.Candidate
@@ -267,8 +272,8 @@
 }
 
 func (w *world) startRun(j *job, view *schedule.Job, item batch.Candidate, load *schedule.Load) bool {
-	request := endpoints.Request{Now: w.now, Model: model, MinVersion: 1, RequireFreeSlot: true, Tried: w.notYet(j)}
-	if !w.decisions.ByLoad {
+	request := endpoints.Request{Now: w.now, Model: model, MinVersion: 1, RequireFreeSlot: true, Tried: w.loadingEngines(j)}
+	if !w.options.PlaceByLoad {
 		weight := load.Weight(view, item.RemainingWork, item.Spare)
 		request.Placement = endpoints.Placement{RemainingWork: item.RemainingWork, Weight: weight, Critical: weight >= schedule.CriticalWeight, CriticalBatchLimit: load.CriticalBatchLimit(view, w.load.Engines)}
 	}
@@ -277,61 +282,62 @@
 		return false
 	}
 	start := j.StartRun(item.Index)
-	w.runs = append(w.runs, &run{job: j, item: item.Index, engine: engine, placed: request.Placement, total: j.lengths[item.Index], made: start.ResumeAfter})
+	w.runs = append(w.runs, &run{job: j, item: item.Index, engine: engine, placement: request.Placement, total: j.lengths[item.Index], events: start.ResumeAfter})
 	return true
 }
 
-// notYet returns the engines that cannot serve the step yet.
-func (w *world) notYet(j *job) []string {
-	if w.now.Sub(j.asked) >= w.load.LateEngines {
+// loadingEngines returns the engines that are still loading the weights of the step.
+func (w *world) loadingEngines(j *job) []string {
+	if w.now.Sub(j.submitted) >= w.load.EngineLoadTime {
 		return nil
 	}
-	var late []string
+	var loading []string
 	for i, e := range w.set.All() {
 		if i%2 == j.step%2 {
-			late = append(late, e.ID)
+			loading = append(loading, e.ID)
 		}
 	}
-	return late
+	return loading
 }
 
-// advance lets a tick's time pass at the engines.
+// advance advances all runs by one tick.
 func (w *world) advance() {
-	going := w.runs[:0]
+	active := w.runs[:0]
 	for _, r := range w.runs {
-		if !w.proceed(r) {
-			going = append(going, r)
+		if !w.advanceRun(r) {
+			active = append(active, r)
 		}
 	}
-	w.runs = going
-	still := w.open[:0]
+	w.runs = active
+	open := w.open[:0]
 	for _, j := range w.open {
-		if w.finish(j); !j.whole {
-			still = append(still, j)
+		if w.completeStep(j); !j.complete {
+			open = append(open, j)
 		}
 	}
-	w.open = still
+	w.open = open
 }
 
-// proceed lets a run make events, and tells whether it ended.
-func (w *world) proceed(r *run) bool {
-	if r.job.whole {
+// advanceRun generates the events of a run within one tick and reports whether the
+// run ended.
+func (w *world) advanceRun(r *run) bool {
+	if r.job.complete {
 		w.end(r, batch.RunInterrupted)
 		return true
 	}
-	r.left -= tick
-	for r.left <= 0 {
-		beside := float64(r.engine.InFlight-1) / float64(w.load.Slots)
-		event := time.Duration(float64(w.load.Event) * (1 + w.load.Slowdown*beside))
-		r.left += event
-		r.made++
+	r.untilNext -= tick
+	for r.untilNext <= 0 {
+		fullness := float64(r.engine.InFlight-1) / float64(w.load.Slots)
+		event := time.Duration(float64(w.load.EventTime) * (1 + w.load.Slowdown*fullness))
+		r.untilNext += event
+		r.events++
 		r.engine.ObservePace(event.Seconds())
-		r.job.AddEvent(r.item, r.made, nil, 1)
-		if r.made >= r.total {
+		r.job.AddEvent(r.item, r.events, nil, 1)
+		if r.events >= r.total {
 			w.end(r, batch.RunComplete)
 			return true
 		}
-		if !w.decisions.NoMoves && r.made%moveEvery == 0 && w.roomier(r) {
+		if !w.options.DisableMoves && r.events%moveCheckEvents == 0 && w.shouldMove(r) {
 			w.end(r, batch.RunCancelledToMove)
 			return true
 		}
@@ -339,60 +345,61 @@
 	return false
 }
 
-func (w *world) roomier(r *run) bool {
-	request := endpoints.Request{Now: w.now, Model: model, MinVersion: 1, Tried: w.notYet(r.job)}
+// shouldMove reports whether a run should move to an engine with less load.
+func (w *world) shouldMove(r *run) bool {
+	request := endpoints.Request{Now: w.now, Model: model, MinVersion: 1, Tried: w.loadingEngines(r.job)}
 	request.RemainingWork = r.job.RemainingWork(r.item)
-	view := schedule.Job{Age: w.now.Sub(r.job.asked).Seconds(), EventSeconds: w.set.TypicalPace()}
-	if !w.decisions.MoveAny && !w.survey.IsCritical(&view, request.RemainingWork, r.job.Spare(r.item)) {
+	view := schedule.Job{Age: w.now.Sub(r.job.submitted).Seconds(), EventSeconds: w.set.TypicalPace()}
+	if !w.options.MoveNonCritical && !w.totalLoad.IsCritical(&view, request.RemainingWork, r.job.Spare(r.item)) {
 		return false
 	}
-	return w.set.HasLessLoaded(request, r.engine, moveGain)
+	return w.set.HasLessLoaded(request, r.engine, minMoveGain)
 }
 
-func (w *world) end(r *run, how batch.RunOutcome) {
-	if how == batch.RunCancelledToMove {
+func (w *world) end(r *run, outcome batch.RunOutcome) {
+	if outcome == batch.RunCancelledToMove {
 		w.trainers[r.job.trainer].Moves++
 	}
-	r.engine.ReleasePlacement(&r.placed)
+	r.engine.ReleasePlacement(&r.placement)
 	r.engine.End(w.now, endpoints.Answered, time.Second, 0)
-	r.job.RunEnded(w.now, r.item, how, "")
+	r.job.RunEnded(w.now, r.item, outcome, "")
 }
 
-// finish takes in that a step may be whole.
-func (w *world) finish(j *job) {
+// completeStep records the end of a step if its groups are complete.
+func (w *world) completeStep(j *job) {
 	t := w.trainers[j.trainer]
-	if j.CompleteGroups() < t.Want {
+	if j.CompleteGroups() < t.WantGroups {
 		return
 	}
-	whole := wholeGroups(j, t.Trainer)
-	if slices.Contains(whole[:j.carried], false) {
+	complete := completeGroups(j, t.Trainer)
+	if slices.Contains(complete[:j.resubmitted], false) {
 		return
 	}
-	j.whole = true
+	j.complete = true
 	j.Close()
-	for g, done := range whole {
-		if !done {
-			t.again = append(t.again, j.lengths[g*t.GroupSize:(g+1)*t.GroupSize])
+	for g, isComplete := range complete {
+		if !isComplete {
+			t.incomplete = append(t.incomplete, j.lengths[g*t.GroupSize:(g+1)*t.GroupSize])
 		}
 	}
-	t.Took = append(t.Took, w.now.Sub(j.asked))
+	t.StepTimes = append(t.StepTimes, w.now.Sub(j.submitted))
 	trained := w.now
-	if n := len(t.named); n > 0 && t.named[n-1].After(trained) {
-		trained = t.named[n-1]
+	if n := len(t.trainedAt); n > 0 && t.trainedAt[n-1].After(trained) {
+		trained = t.trainedAt[n-1]
 	}
-	t.named = append(t.named, trained.Add(t.Train))
+	t.trainedAt = append(t.trainedAt, trained.Add(t.TrainTime))
 }
 
-// wholeGroups tells of each group whether all its texts are complete.
-func wholeGroups(j *job, t Trainer) []bool {
-	whole := make([]bool, t.Groups)
-	for g := range whole {
-		whole[g] = true
+// completeGroups returns for each group whether all its texts are complete.
+func completeGroups(j *job, t Trainer) []bool {
+	complete := make([]bool, t.Groups)
+	for g := range complete {
+		complete[g] = true
 	}
 	for i := range j.lengths {
 		if j.RemainingWork(i) > 0 {
-			whole[i/t.GroupSize] = false
+			complete[i/t.GroupSize] = false
 		}
 	}
-	return whole
+	return complete
 }
--- a/internal/lab/steps/steps_test.go
+++ b/internal/lab/steps/steps_test.go
@@ -18,13 +18,13 @@
 	return sum / time.Duration(len(d))
 }
 
-// today is the load of two trainers with steps of 115 and 144 items every 4 s.
-func today(seed uint64) steps.Load {
+// currentLoad is the load of two trainers with steps of 115 and 144 items every 4 s.
+func currentLoad(seed uint64) steps.Load {
 	return steps.Load{
-		Seed: seed, Engines: 9, Slots: 16, Event: 31700 * time.Microsecond, Slowdown: 0.35, Period: 4 * time.Second, Steps: 14, LateEngines: time.Second,
+		Seed: seed, Engines: 9, Slots: 16, EventTime: 31700 * time.Microsecond, Slowdown: 0.35, StepInterval: 4 * time.Second, Steps: 14, EngineLoadTime: time.Second,
 		Trainers: []steps.Trainer{
-			{Groups: 14, GroupSize: 8, Want: 13, Mean: 12.4, Longest: 89, Train: time.Second},
-			{Groups: 36, GroupSize: 4, Want: 33, Mean: 23.4, Longest: 168, Train: time.Second},
+			{Groups: 14, GroupSize: 8, WantGroups: 13, MeanEvents: 12.4, MaxEvents: 89, TrainTime: time.Second},
+			{Groups: 36, GroupSize: 4, WantGroups: 33, MeanEvents: 23.4, MaxEvents: 168, TrainTime: time.Second},
 		},
 	}
 }
@@ -32,101 +32,101 @@
 var _ = Describe("steps of two trainers at the worst load", func() {
 	seeds := []uint64{1, 2, 3}
 
-	// over returns the mean time of the larger trainer's steps over the seeds.
-	over := func(load func(uint64) steps.Load, decisions steps.Decisions) time.Duration {
+	// meanStepTime returns the mean time of the larger trainer's steps over the seeds.
+	meanStepTime := func(load func(uint64) steps.Load, options steps.Options) time.Duration {
 		var took []time.Duration
 		for _, seed := range seeds {
-			took = append(took, steps.Replay(load(seed), decisions)[1].Took...)
+			took = append(took, steps.Replay(load(seed), options)[1].StepTimes...)
 		}
 		return mean(took)
 	}
 
-	It("keep to their schedules: two steps are open, and the third is asked a training after the first", func() {
-		// Two periods less the training are 7.0 s. Steps that take longer push all later
-		// ones back for good.
+	It("stay on schedule: two steps are open, and the third is submitted after the training on the first", func() {
+		// Two step intervals less the training are 7.0 s. A longer step delays all later
+		// steps permanently.
 		for _, seed := range seeds {
-			for i, o := range steps.Replay(today(seed), steps.Decisions{}) {
-				Expect(mean(o.Took)).To(BeNumerically("<", 7*time.Second), fmt.Sprintf("seed %d trainer %d", seed, i))
-				Expect(o.Slip[len(o.Slip)-1]).To(BeNumerically("<", 500*time.Millisecond), fmt.Sprintf("seed %d trainer %d", seed, i))
+			for i, o := range steps.Replay(currentLoad(seed), steps.Options{}) {
+				Expect(mean(o.StepTimes)).To(BeNumerically("<", 7*time.Second), fmt.Sprintf("seed %d trainer %d", seed, i))
+				Expect(o.Delays[len(o.Delays)-1]).To(BeNumerically("<", 500*time.Millisecond), fmt.Sprintf("seed %d trainer %d", seed, i))
 			}
 		}
 	})
 
-	It("take less with runs placed by delay and moved than by load alone", func() {
-		all := over(today, steps.Decisions{})
-		plain := over(today, steps.Decisions{ByLoad: true, NoMoves: true})
+	It("take less time if runs are placed by delay and moved than if placed by load alone", func() {
+		all := meanStepTime(currentLoad, steps.Options{})
+		plain := meanStepTime(currentLoad, steps.Options{PlaceByLoad: true, DisableMoves: true})
 		GinkgoWriter.Println("all in:", all, "by load, without moves:", plain)
 		Expect(plain - all).To(BeNumerically(">", 200*time.Millisecond))
 	})
 
-	It("are as short with half the moves, as only runs that a step waits for are moved", func() {
-		// Each move ends a connection to an engine and opens another, and has the text
-		// read in again. Most runs that could be moved end long before their step.
-		all, few := 0, 0
+	It("take as long with half the moves, because only critical runs are moved", func() {
+		// Each move closes a connection to an engine, opens another and repeats the
+		// prefill of the text. Most runs that could be moved end long before their step.
+		all, critical := 0, 0
 		for _, seed := range seeds {
-			for _, o := range steps.Replay(today(seed), steps.Decisions{MoveAny: true}) {
+			for _, o := range steps.Replay(currentLoad(seed), steps.Options{MoveNonCritical: true}) {
 				all += o.Moves
 			}
-			for _, o := range steps.Replay(today(seed), steps.Decisions{}) {
-				few += o.Moves
+			for _, o := range steps.Replay(currentLoad(seed), steps.Options{}) {
+				critical += o.Moves
 			}
 		}
-		Expect(few).To(BeNumerically("<=", all/2), fmt.Sprintf("%d of %d moves", few, all))
-		Expect(over(today, steps.Decisions{})).To(BeNumerically("<", over(today, steps.Decisions{MoveAny: true})+100*time.Millisecond))
+		Expect(critical).To(BeNumerically("<=", all/2), fmt.Sprintf("%d of %d moves", critical, all))
+		Expect(meanStepTime(currentLoad, steps.Options{})).To(BeNumerically("<", meanStepTime(currentLoad, steps.Options{MoveNonCritical: true})+100*time.Millisecond))
 	})
 
-	It("are no faster than their longest needed texts alone, and not a fourth slower", func() {
+	It("take at least as long as their longest required texts, and less than a fourth longer", func() {
 		for _, seed := range seeds {
-			o := steps.Replay(today(seed), steps.Decisions{})[1]
-			for i, took := range o.Took {
-				Expect(took).To(BeNumerically(">=", o.Bound[i]), "a step cannot beat its bound")
+			o := steps.Replay(currentLoad(seed), steps.Options{})[1]
+			for i, took := range o.StepTimes {
+				Expect(took).To(BeNumerically(">=", o.MinStepTimes[i]), "a step cannot take less than its lower bound")
 			}
-			Expect(float64(mean(o.Took))/float64(mean(o.Bound))).To(BeNumerically("<", 1.25), fmt.Sprintf("seed %d", seed))
+			Expect(float64(mean(o.StepTimes))/float64(mean(o.MinStepTimes))).To(BeNumerically("<", 1.25), fmt.Sprintf("seed %d", seed))
 		}
 	})
 
-	It("are on schedule again within four steps of being 3 s behind", func() {
-		behind := 0
+	It("are on schedule again four steps after a delay of 3 s", func() {
+		delayed := 0
 		for _, seed := range seeds {
-			load := today(seed)
-			load.Behind = 3 * time.Second
-			slip := steps.Replay(load, steps.Decisions{})[1].Slip
-			if slip[1+4+1] > 500*time.Millisecond { // the fourth step after the one that was late, and the other of the pair
-				behind++
+			load := currentLoad(seed)
+			load.InitialDelay = 3 * time.Second
+			delays := steps.Replay(load, steps.Options{})[1].Delays
+			if delays[1+4+1] > 500*time.Millisecond { // the fourth step after the delayed one; one more as two steps are open
+				delayed++
 			}
 		}
-		Expect(behind).To(BeZero())
+		Expect(delayed).To(BeZero())
 	})
 
-	DescribeTable("keep to their schedules at other speeds, batches and periods",
+	DescribeTable("stay on schedule with other event times, batch sizes and step intervals",
 		func(change func(*steps.Load)) {
 			for _, seed := range seeds {
-				load := today(seed)
+				load := currentLoad(seed)
 				change(&load)
-				limit := 2*load.Period - time.Second
-				for i, o := range steps.Replay(load, steps.Decisions{}) {
-					Expect(mean(o.Took)).To(BeNumerically("<", limit), fmt.Sprintf("seed %d trainer %d", seed, i))
+				limit := 2*load.StepInterval - time.Second
+				for i, o := range steps.Replay(load, steps.Options{}) {
+					Expect(mean(o.StepTimes)).To(BeNumerically("<", limit), fmt.Sprintf("seed %d trainer %d", seed, i))
 				}
 			}
 		},
-		Entry("periods of 5 s and engines a quarter slower", func(l *steps.Load) {
-			l.Period, l.Event = 5*time.Second, 40*time.Millisecond
+		Entry("step intervals of 5 s and engines a quarter slower", func(l *steps.Load) {
+			l.StepInterval, l.EventTime = 5*time.Second, 40*time.Millisecond
 		}),
-		Entry("eighteen engines of eight places that are hardly slower full", func(l *steps.Load) {
+		Entry("eighteen engines of eight slots that slow down little in a full batch", func(l *steps.Load) {
 			l.Engines, l.Slots, l.Slowdown = 18, 8, 0.16
 		}),
-		Entry("steps twice as large at three times the engines", func(l *steps.Load) {
+		Entry("steps twice as large with three times the engines", func(l *steps.Load) {
 			l.Engines = 27
 			for i := range l.Trainers {
 				l.Trainers[i].Groups *= 2
-				l.Trainers[i].Want *= 2
+				l.Trainers[i].WantGroups *= 2
 			}
 		}),
-		Entry("events of a third of the time, texts three times as long", func(l *steps.Load) {
-			l.Event /= 3
+		Entry("event times a third as long and texts three times as long", func(l *steps.Load) {
+			l.EventTime /= 3
 			for i := range l.Trainers {
-				l.Trainers[i].Mean *= 3
-				l.Trainers[i].Longest *= 3
+				l.Trainers[i].MeanEvents *= 3
+				l.Trainers[i].MaxEvents *= 3
 			}
 		}),
 	)
