--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -309,13 +309,13 @@
 		}
 	}
 	w.runs = active
-	open := w.open[:0]
+	unfinished := w.open[:0]
 	for _, j := range w.open {
 		if w.completeStep(j); !j.complete {
-			open = append(open, j)
+			unfinished = append(unfinished, j)
 		}
 	}
-	w.open = open
+	w.open = unfinished
 }
 
 // advanceRun generates the events of a run within one tick and reports whether the
