--- a/internal/lab/routing/bounds.go
+++ b/internal/lab/routing/bounds.go
@@ -11,10 +11,10 @@
 		{Name: "callers.slow_engine", Run: slowEngine},
 		{Name: "callers.drain", Run: drain},
 		{Name: "route.allocs", Run: allocations, Exclusive: true},
-		{Name: "route.hot_prefix", Run: hotShare},
+		{Name: "route.hot_prefix", Run: hotPrefixShare},
 		{Name: "membership.fanout", Run: fanout},
 		{Name: "control.parts", Run: controlParts},
-		{Name: "membership.list", Run: listNoticed},
+		{Name: "membership.list", Run: listReadDelay},
 		{Name: "recovery.storm", Run: storm},
 	}
 }
--- a/internal/lab/routing/choice.go
+++ b/internal/lab/routing/choice.go
@@ -14,27 +14,28 @@
 
 const (
 	choiceCandidates = 32
-	choices          = 100_000
+	choiceCount      = 100_000
 	hotPrefix        = 42
 )
 
-// allocations counts what a choice among 32 candidates allocates.
+// allocations measures the allocations per choice among 32 candidates.
 func allocations() ([]bounds.Figure, error) {
-	chooser, candidates := choiceOf(choiceCandidates)
+	chooser, candidates := newChoice(choiceCandidates)
 	request := choose.Request{Now: epoch, Business: "b", Prefix: hotPrefix, Exclude: []string{"agent-3"}}
 	chooser.Choose(request, candidates)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	for range choices {
+	for range choiceCount {
 		chooser.Choose(request, candidates)
 	}
 	runtime.ReadMemStats(&after)
-	// The runtime's own few allocations in the background round to nothing.
-	each := (after.Mallocs - before.Mallocs) / choices
-	return []bounds.Figure{{Name: "route.allocs_per_choice", Value: float64(each)}}, nil
+	// The division rounds away the few background allocations of the runtime.
+	perChoice := (after.Mallocs - before.Mallocs) / choiceCount
+	return []bounds.Figure{{Name: "route.allocs_per_choice", Value: float64(perChoice)}}, nil
 }
 
-func choiceOf(n int) (*choose.Chooser, []*choose.Candidate) {
+// newChoice returns a chooser and n candidates for it.
+func newChoice(n int) (*choose.Chooser, []*choose.Candidate) {
 	var candidates []*choose.Candidate
 	for i := range n {
 		id := fmt.Sprint("agent-", i)
@@ -45,32 +46,32 @@
 	return choose.New(rand.New(rand.NewPCG(seed, 9))), candidates
 }
 
-// hotShare measures which part of the requests with one prefix its home gets
-// while they alone fill half of the fleet: with a bonus that had no cap it would
-// be all of them.
-func hotShare() ([]bounds.Figure, error) {
-	const steps, held = 20_000, 16
-	chooser, candidates := choiceOf(8)
+// hotPrefixShare measures the share of the requests with one prefix that goes to the
+// most used engine while these requests alone fill half of the fleet. If the bonus
+// for the prefix had no limit, it would be all of them.
+func hotPrefixShare() ([]bounds.Figure, error) {
+	const requests, maxInFlight = 20_000, 16
+	chooser, candidates := newChoice(8)
 	for _, c := range candidates {
 		c.SetLoad(epoch, wire.Load{Slots: 4})
 	}
 	counts := map[*choose.Candidate]int{}
-	var open []*choose.Candidate
-	for range steps {
+	var inFlight []*choose.Candidate
+	for range requests {
 		c := chooser.Choose(choose.Request{Now: epoch, Business: "b", Prefix: hotPrefix}, candidates)
 		c.InFlight++
 		c.InFlightCounts.Add("b", 1)
 		counts[c]++
-		open = append(open, c)
-		if len(open) > held {
-			open[0].InFlight--
-			open[0].InFlightCounts.Add("b", -1)
-			open = open[1:]
+		inFlight = append(inFlight, c)
+		if len(inFlight) > maxInFlight {
+			inFlight[0].InFlight--
+			inFlight[0].InFlightCounts.Add("b", -1)
+			inFlight = inFlight[1:]
 		}
 	}
 	most := 0
 	for _, n := range counts {
 		most = max(most, n)
 	}
-	return []bounds.Figure{{Name: "route.hot_prefix_share", Value: float64(most) / steps}}, nil
+	return []bounds.Figure{{Name: "route.hot_prefix_share", Value: float64(most) / requests}}, nil
 }
--- a/internal/lab/routing/clock.go
+++ b/internal/lab/routing/clock.go
@@ -1,6 +1,6 @@
-// Package routing measures endpoint choice, admission and membership in
-// virtual time: the real decision packages are stepped against a small model of
-// engines, with one seed and one verdict.
+// Package routing measures endpoint choice, admission and membership in virtual
+// time. It runs the real decision packages against a small model of engines, with a
+// fixed seed, so that the results are reproducible.
 package routing
 
 import (
@@ -17,39 +17,40 @@
 
 type event struct {
 	at     time.Time
-	serial uint64 // keeps the order of events at the same time
-	do     func()
+	serial uint64 // preserves the order of events at the same time
+	fn     func()
 }
 
 var epoch = time.Unix(1_700_000_000, 0)
 
 func newClock() *clock { return &clock{now: epoch} }
 
-func (c *clock) after(d time.Duration, do func()) {
+func (c *clock) after(d time.Duration, fn func()) {
 	c.serial++
-	heap.Push(&c.queue, event{at: c.now.Add(d), serial: c.serial, do: do})
+	heap.Push(&c.queue, event{at: c.now.Add(d), serial: c.serial, fn: fn})
 }
 
-// every calls do in intervals, the first after the first interval.
-func (c *clock) every(d time.Duration, do func()) {
+// every calls fn at every interval, for the first time after one interval.
+func (c *clock) every(d time.Duration, fn func()) {
 	c.after(d, func() {
-		do()
-		c.every(d, do)
+		fn()
+		c.every(d, fn)
 	})
 }
 
-// run steps the events up to the end.
-func (c *clock) run(length time.Duration) {
-	end := epoch.Add(length)
+// run executes the events up to the given time since epoch.
+func (c *clock) run(duration time.Duration) {
+	end := epoch.Add(duration)
 	for len(c.queue) > 0 && !c.queue[0].at.After(end) {
 		e := heap.Pop(&c.queue).(event)
 		c.now = e.at
-		e.do()
+		e.fn()
 	}
 	c.now = end
 }
 
-func (c *clock) since() time.Duration { return c.now.Sub(epoch) }
+// elapsed returns the time since epoch.
+func (c *clock) elapsed() time.Duration { return c.now.Sub(epoch) }
 
 type eventHeap []event
 
--- a/internal/lab/routing/control.go
+++ b/internal/lab/routing/control.go
@@ -24,37 +24,40 @@
 
 const (
 	gossipRounds = 300
-	// keptClients is how many connections to other entries an entry keeps.
-	keptClients = 32
-	// connectPackets are the headers of the packets that open and close a
+	// maxPeerConnections is the number of connections to other entries that an entry
+	// keeps open.
+	maxPeerConnections = 32
+	// connectBytes is the bytes of the headers of the packets that open and close a
 	// connection.
-	connectPackets = 7 * 52
-	// grpcOverhead is what a call of the key-value service takes beside its two
-	// messages: frames, headers and trailers once they are indexed, and the
-	// headers of four packets.
-	grpcOverhead = 130 + 4*52
-	letterDuties = 64
-	dutyChanges  = 420 // instances restarted a day; each has a share of the duties
-	day          = 24 * 60 * 60
-	// dutyChangeRate is of the holders of all duties, a second.
-	dutyChangeRate = float64(dutyChanges) * letterDuties / fleetEntries / day
-	// spreading is in how many rounds an entry's news of a duty crosses the
-	// fleet; heartbeats carry the whole list meanwhile.
-	spreading   = 5
-	configTrail = config.MaxTrailEntries
-	letterFeeds = 14
-	// letterCallers is assumed; the letter does not tell it.
-	letterCallers = 600
+	connectBytes = 7 * 52
+	// grpcOverhead is the bytes of a call of the key-value service without its two
+	// messages: frames, headers and trailers once they are indexed, and the headers
+	// of four packets.
+	grpcOverhead   = 130 + 4*52
+	expectedDuties = 64
+	restartsPerDay = 420 // instances restarted per day; each holds a share of the duties
+	secondsPerDay  = 24 * 60 * 60
+	// dutyChangeRate is the number of changes of duty holders per second, over all
+	// duties.
+	dutyChangeRate = float64(restartsPerDay) * expectedDuties / fleetEntries / secondsPerDay
+	// spreadRounds is the number of gossip rounds until a change of a duty's holder has
+	// reached the whole fleet. Until then heartbeats carry the whole list.
+	spreadRounds  = 5
+	trailLength   = config.MaxTrailEntries
+	expectedFeeds = 14
+	// assumedCallers is an assumption; the users gave no number.
+	assumedCallers = 600
 )
 
-// gossipLoad is what an entry takes part in, per round.
+// gossipLoad is the heartbeats and new connections of an entry per round, in both
+// directions.
 type gossipLoad struct {
-	beats, connects float64
+	heartbeats, connects float64
 }
 
-// controlParts measures, at the letter's size, what an entry sends and receives
-// by use. The sums, with the rates that other runs measure, are made where all
-// are known.
+// controlParts measures what an entry sends and receives by use, at the expected
+// fleet size. The totals also need rates from other measurements and are calculated
+// where all of them are known.
 func controlParts() ([]bounds.Figure, error) {
 	h, err := measureHeartbeats()
 	if err != nil {
@@ -70,12 +73,12 @@
 	}
 	leaseRead, leaseWrite := leaseCallSizes()
 	return []bounds.Figure{
-		{Name: "control.bytes_per_s.heartbeats", Value: slices.Max(h.all)},
-		{Name: "control.bytes_per_s.entries", Value: h.between},
+		{Name: "control.bytes_per_s.heartbeats", Value: slices.Max(h.byEntry)},
+		{Name: "control.bytes_per_s.entries", Value: h.maxBetweenEntries},
 		{Name: "control.bytes_per_s.list", Value: listBytesPerSecond()},
-		{Name: "control.bytes_per_s.fences", Value: dutyChangeRate * fences * h.kept},
+		{Name: "control.bytes_per_s.fences", Value: dutyChangeRate * fences * h.maxConnections},
 		{Name: "control.peer_heartbeat_bytes", Value: h.pair},
-		{Name: "control.peer_connects_per_s", Value: h.connects},
+		{Name: "control.peer_connects_per_s", Value: h.maxConnects},
 		{Name: "control.lease_read_bytes", Value: leaseRead},
 		{Name: "control.lease_write_bytes", Value: leaseWrite},
 		{Name: "control.config_read_bytes", Value: float64(configReadSize())},
@@ -83,13 +86,13 @@
 	}, nil
 }
 
-// heartbeats are what the entries of the fleet exchange.
+// heartbeats is the heartbeat traffic of the entries of the fleet.
 type heartbeats struct {
-	all      []float64 // bytes a second of each entry, to agents and entries
-	between  float64   // of the busiest, between entries
-	connects float64   // a second, of the entry with the most
-	kept     float64   // agents of the entry that keeps the most
-	pair     float64   // bytes of one between entries and its answer
+	byEntry           []float64 // bytes per second of each entry, with agents and entries
+	maxBetweenEntries float64   // bytes per second of the busiest entry, with other entries
+	maxConnects       float64   // new connections per second of the entry with the most
+	maxConnections    float64   // agents that the entry with the most is connected to
+	pair              float64   // bytes of a heartbeat between entries and its reply
 }
 
 func measureHeartbeats() (heartbeats, error) {
@@ -102,41 +105,41 @@
 	if err != nil {
 		return h, err
 	}
-	if h.all, err = entryHeartbeats(); err != nil {
+	if h.byEntry, err = entryHeartbeats(); err != nil {
 		return h, err
 	}
-	for _, kept := range keptByEntry() {
-		h.kept = max(h.kept, float64(len(kept)))
+	for _, connections := range connectionsByEntry() {
+		h.maxConnections = max(h.maxConnections, float64(len(connections)))
 	}
 	h.pair = pair
 	for i, load := range gossipLoads() {
-		own := load.beats*(pair+dutyChangeRate*spreading*holders) + load.connects*(opening+connectPackets)
+		own := load.heartbeats*(pair+dutyChangeRate*spreadRounds*holders) + load.connects*(opening+connectBytes)
 		own /= heartbeat.Seconds()
-		h.all[i] += own
-		h.between = max(h.between, own)
-		h.connects = max(h.connects, load.connects/heartbeat.Seconds())
+		h.byEntry[i] += own
+		h.maxBetweenEntries = max(h.maxBetweenEntries, own)
+		h.maxConnects = max(h.maxConnects, load.connects/heartbeat.Seconds())
 	}
 	return h, nil
 }
 
-// entryHeartbeats returns the bytes a second of each entry's heartbeats to agents.
+// entryHeartbeats returns the bytes per second of each entry's heartbeats with agents.
 func entryHeartbeats() ([]float64, error) {
 	pair, err := heartbeatSize()
 	if err != nil {
 		return nil, err
 	}
 	rates := make([]float64, fleetEntries)
-	for i, kept := range keptByEntry() {
-		for _, k := range kept {
+	for i, connections := range connectionsByEntry() {
+		for _, k := range connections {
 			rates[i] += pair / k.Interval.Seconds()
 		}
 	}
 	return rates, nil
 }
 
-// keptByEntry returns the agents that each entry keeps.
-func keptByEntry() [][]membership.Connection {
-	entries, agents := fullFleet()
+// connectionsByEntry returns the connections that each entry keeps to agents.
+func connectionsByEntry() [][]membership.Connection {
+	entries, agents := expectedFleet()
 	all := make([][]membership.Connection, len(entries))
 	for i, e := range entries {
 		all[i] = membership.SelectConnections(e, entries, agents, membership.DefaultFanout(), heartbeat)
@@ -144,31 +147,33 @@
 	return all
 }
 
-// listBytesPerSecond is what an entry's reads of the platform's list take.
+// listBytesPerSecond returns the bytes per second of an entry's reads of the
+// platform's list.
 func listBytesPerSecond() float64 {
-	return (fleetEntries + fleetAgents) * listBytes / membership.PollInterval(fleetEntries+fleetAgents).Seconds()
+	return (fleetEntries + fleetAgents) * listBytesPerInstance / membership.PollInterval(fleetEntries+fleetAgents).Seconds()
 }
 
-// gossipLoads runs rounds of all entries.
+// gossipLoads simulates gossip rounds of all entries and returns the mean load of each
+// entry per round.
 func gossipLoads() []gossipLoad {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	peersOf := make([]gossip.Peer, fleetEntries)
+	gossipPeers := make([]gossip.Peer, fleetEntries)
 	partners := make([]*gossip.Partners, fleetEntries)
 	open := make([][]string, fleetEntries)
 	index := map[string]int{}
 	for i := range fleetEntries {
-		peersOf[i] = gossip.Peer{ID: fmt.Sprint("entry-", i), Domain: fmt.Sprint(i % fleetDomains)}
-		partners[i] = gossip.NewPartners(peersOf[i].Domain)
-		index[peersOf[i].ID] = i
+		gossipPeers[i] = gossip.Peer{ID: fmt.Sprint("entry-", i), Domain: fmt.Sprint(i % fleetDomains)}
+		partners[i] = gossip.NewPartners(gossipPeers[i].Domain)
+		index[gossipPeers[i].ID] = i
 	}
 	loads := make([]gossipLoad, fleetEntries)
 	for range gossipRounds {
 		for i := range fleetEntries {
-			others := append(append([]gossip.Peer(nil), peersOf[:i]...), peersOf[i+1:]...)
+			others := append(append([]gossip.Peer(nil), gossipPeers[:i]...), gossipPeers[i+1:]...)
 			for _, p := range partners[i].Choose(rnd, others, peers.Fanout) {
 				to := &loads[index[p.ID]]
-				loads[i].beats++
-				to.beats++
+				loads[i].heartbeats++
+				to.heartbeats++
 				var opened bool
 				if open[i], opened = connect(open[i], p.ID); opened {
 					loads[i].connects++
@@ -178,14 +183,14 @@
 		}
 	}
 	for i := range loads {
-		loads[i].beats /= gossipRounds
+		loads[i].heartbeats /= gossipRounds
 		loads[i].connects /= gossipRounds
 	}
 	return loads
 }
 
-// connect adds a peer to the open connections, the oldest of too many of which
-// is closed; opened is false if it was among them.
+// connect adds a peer to the open connections and closes the oldest one if there are
+// too many. It returns false if the peer was already connected.
 func connect(open []string, id string) (now []string, opened bool) {
 	for _, o := range open {
 		if o == id {
@@ -193,14 +198,15 @@
 		}
 	}
 	open = append(open, id)
-	if len(open) > keptClients {
+	if len(open) > maxPeerConnections {
 		open = open[1:]
 	}
 	return open, true
 }
 
-// peerHeartbeatSize returns the bytes of a heartbeat between entries and its
-// answer on a standing connection, and what the first on a new one takes more.
+// peerHeartbeatSize returns the bytes of a heartbeat between entries and its reply on
+// an established connection, and the additional bytes of the first one on a new
+// connection.
 func peerHeartbeatSize() (pair, opening float64, err error) {
 	toAgent, fromAgent := sampleHeartbeat()
 	req := wire.HeartbeatRequest{From: toAgent.From, Domain: toAgent.Domain, Revisions: toAgent.Revisions, Quarantine: toAgent.Quarantine, HoldersHash: 1 << 63}
@@ -214,7 +220,7 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		first, err := firstSize(m.header, m.body)
+		first, err := firstMessageSize(m.header, m.body)
 		if err != nil {
 			return 0, 0, err
 		}
@@ -224,9 +230,9 @@
 	return pair + packetBytes, opening, nil
 }
 
-// firstSize is the size of a message on a new connection, with the description
-// of its types.
-func firstSize(header, body any) (int, error) {
+// firstMessageSize returns the size of the first message on a new connection, with the
+// descriptions of its types.
+func firstMessageSize(header, body any) (int, error) {
 	var buffer bytes.Buffer
 	encoder := gob.NewEncoder(&buffer)
 	for _, v := range []any{header, body} {
@@ -237,10 +243,10 @@
 	return buffer.Len(), nil
 }
 
-// holdersSize is what the list of all duties' holders takes.
+// holdersSize returns the bytes of the list of the holders of all duties.
 func holdersSize() (float64, error) {
 	var reply wire.HeartbeatReply
-	for i := range letterDuties {
+	for i := range expectedDuties {
 		reply.Holders = append(reply.Holders, wire.Holder{Duty: fmt.Sprint("feed/kartli-maritime/exam-marking-", i), Address: "10.3.117.200:7400", Epoch: 300})
 	}
 	with, err := steadySize(struct{}{}, reply)
@@ -251,7 +257,7 @@
 	return float64(with - without), err
 }
 
-// orderSize is what an order to an engine and its reply take.
+// orderSize returns the bytes of an order to an engine and its reply.
 func orderSize() (float64, error) {
 	_, reply := sampleHeartbeat()
 	o := wire.Order{
@@ -268,10 +274,10 @@
 	return float64(sent + answered + packetBytes), err
 }
 
-// leaseCallSizes returns what a read and a renewal of a duty's record take.
+// leaseCallSizes returns the bytes of a read and of a renewal of a duty's record.
 func leaseCallSizes() (read, write float64) {
 	key := "duty/kartli-maritime/weights/kartli-maritime/examiner"
-	value := make([]byte, 260) // the record in JSON and its envelope
+	value := make([]byte, 260) // size of the record in JSON with its envelope
 	request := &platformpb.CompareAndSwapRequest{Key: key, ExpectedRevision: 1 << 40, Value: value}
 	response := &platformpb.CompareAndSwapResponse{Swapped: true, Current: &platformpb.Record{Key: key, Value: value, Revision: 1 << 40}}
 	write = float64(proto.Size(request) + proto.Size(response) + grpcOverhead)
@@ -280,18 +286,18 @@
 	return float64(proto.Size(get) + proto.Size(found) + grpcOverhead), write
 }
 
-// fencesSize is what the epochs of all duties take on a heartbeat.
+// fencesSize returns the bytes of a heartbeat with the epochs of all duties.
 func fencesSize() (float64, error) {
 	var req wire.HeartbeatRequest
-	for i := range letterDuties {
+	for i := range expectedDuties {
 		req.Fences = append(req.Fences, wire.Fence{Duty: fmt.Sprint("feed/kartli-maritime/exam-marking-", i), Epoch: 300})
 	}
 	size, err := steadySize(struct{}{}, req)
 	return float64(size), err
 }
 
-// configReadSize is what a read of the configuration's record takes with a full
-// trail.
+// configReadSize returns the bytes of a read of the configuration's record with a
+// full audit trail.
 func configReadSize() int {
 	digest := fmt.Sprintf("%064x", 1)
 	d := decl.Deployment{Name: "kartli-maritime"}
@@ -300,14 +306,14 @@
 		d.Services = append(d.Services, decl.Service{Name: name, Kind: decl.KindModel, Slots: 16, QueueLimit: 1000, CapacityFloor: 0.75, MaxBodyBytes: 1 << 20})
 		d.Classes = append(d.Classes, decl.Class{Name: name + "-lookup", Service: name, Match: []string{"GET /status/*"}, Idempotent: true, Deadline: time.Second, Priority: 3})
 	}
-	for i := range letterFeeds {
+	for i := range expectedFeeds {
 		d.Feeds = append(d.Feeds, decl.Feed{Name: fmt.Sprint("exam-marking-", i), Service: "examiner-model-1", Model: "examiner", Scorer: "scorer", TrainerSHA256: digest, GroupSize: 8, GroupsPerStep: 512})
 	}
-	for i := range letterCallers {
+	for i := range assumedCallers {
 		d.Callers = append(d.Callers, decl.Caller{Name: fmt.Sprint("kiosk-", i), Agency: "batumi-crewing", Weight: 1, KeySHA256: digest, RateLimit: 20, Burst: 40})
 	}
 	r := config.Record{Revision: 1 << 20, Deployment: d}
-	for i := range configTrail {
+	for i := range trailLength {
 		r.Trail = append(r.Trail, config.Audit{
 			Revision: 1<<20 + int64(i), UnixMilli: 1_800_000_000_000, Operator: "port-operations", From: "10.3.117.200:50000",
 			ChangeID: "01JDXW7K3M9Q5V8Z2B4C6D8F0G", Action: config.ActionApply, Outcome: config.OutcomeAccepted,
--- a/internal/lab/routing/drain.go
+++ b/internal/lab/routing/drain.go
@@ -11,79 +11,81 @@
 
 const (
 	drainRuns = 10
-	// todayInstances is Kartli's size of today: 3 entries and 13 agents.
-	todayInstances = 16
+	// currentInstances is the present size of Kartli's fleet: 3 entries and 13 agents.
+	currentInstances = 16
 )
 
-// drain measures, over seeds and with much and little traffic, when the last request was sent to an engine after
-// its agent announced that it leaves, or after the list says so, and the
-// requests that it had taken and did not answer.
+// drain measures how long after an agent announces its leaving, or after the platform's
+// list shows it, the last request is sent to its engine, and the number of accepted
+// requests that the engine does not answer. It covers several seeds, with high and
+// low traffic.
 func drain() ([]bounds.Figure, error) {
-	var byAgent, byList, cut float64
+	var byAgent, byList, unanswered float64
 	for run := range drainRuns {
-		// Few requests: entries hear of the leaving by heartbeats alone.
+		// At low load, entries learn of the leaving by heartbeats alone.
 		for _, load := range []float64{0.02, 0.7} {
-			told := drainOnce(uint64(run), load, false)
+			announced := drainOnce(uint64(run), load, false)
 			listed := drainOnce(uint64(run), load, true)
-			byAgent = max(byAgent, told.last.Seconds())
-			byList = max(byList, listed.last.Seconds())
-			cut += float64(told.cut + listed.cut)
+			byAgent = max(byAgent, announced.lastSent.Seconds())
+			byList = max(byList, listed.lastSent.Seconds())
+			unanswered += float64(announced.unanswered + listed.unanswered)
 		}
 	}
 	return []bounds.Figure{
 		{Name: "callers.drain_s", Value: max(byAgent, byList)},
 		{Name: "callers.drain_s_agent", Value: byAgent},
-		{Name: "callers.cut_by_drain", Value: cut},
+		{Name: "callers.cut_by_drain", Value: unanswered},
 	}, nil
 }
 
-type drained struct {
-	last time.Duration // the last request sent, after the word was given
-	cut  int           // taken and not answered
+// drainResult is the result of a drain.
+type drainResult struct {
+	lastSent   time.Duration // time from the announcement to the last request sent
+	unanswered int           // accepted requests that were not answered
 }
 
-func drainOnce(run uint64, load float64, byList bool) drained {
-	const word = 10 * time.Second
+func drainOnce(run uint64, load float64, byList bool) drainResult {
+	const announcedAt = 10 * time.Second
 	f := newFleet(false, admissionDefaults(), 1000+run)
-	f.open(stream{principal: agency("b", "a"), class: "lookup", perSecond: load * capacity, deadline: 2 * time.Second}, 20*time.Second)
+	f.startStream(stream{principal: agency("b", "a"), class: "lookup", perSecond: load * capacity, deadline: 2 * time.Second}, 20*time.Second)
 	if load > 0.5 {
 		f.fillWithRollouts(engines * slots)
 	}
 	leaving := f.engines[0].(*fairEngine)
-	var result drained
+	var result drainResult
 	open := 0
-	leaving.accepted = func(r *request) {
+	leaving.onAccepted = func(r *request) {
 		open++
 		end := r.end
 		r.end = func(outcome wire.Outcome) {
 			open--
 			if r.runs > 0 && outcome != wire.Answered {
-				result.cut++
+				result.unanswered++
 			}
 			end(outcome)
 		}
 	}
-	f.sent = func(engine int) {
-		if engine == 0 && f.clock.since() > word {
-			result.last = f.clock.since() - word
+	f.onSent = func(engine int) {
+		if engine == 0 && f.clock.elapsed() > announcedAt {
+			result.lastSent = f.clock.elapsed() - announcedAt
 		}
 	}
-	told := word
+	drainAt := announcedAt
 	if byList {
-		told += firstRead(epoch.Add(word)) + network
+		drainAt += firstListRead(epoch.Add(announcedAt)) + networkDelay
 	}
-	f.clock.after(told, leaving.drain)
+	f.clock.after(drainAt, leaving.drain)
 	f.clock.run(60 * time.Second)
-	result.cut += open
+	result.unanswered += open
 	return result
 }
 
-// firstRead returns how long after the list changed an entry reads it first.
-func firstRead(changed time.Time) time.Duration {
-	return firstReadOf(changed, entries, todayInstances)
+// firstListRead returns the time from a change of the list until an entry first reads it.
+func firstListRead(changed time.Time) time.Duration {
+	return firstListReadOf(changed, entries, currentInstances)
 }
 
-func firstReadOf(changed time.Time, entries, instances int) time.Duration {
+func firstListReadOf(changed time.Time, entries, instances int) time.Duration {
 	var names []string
 	for i := range entries {
 		names = append(names, fmt.Sprintf("entry-%03d", i))
@@ -95,17 +97,17 @@
 	return first
 }
 
-// listNoticed measures how long after a change of the list the first entry
-// reads it, at the letter's size and whenever the change comes.
-func listNoticed() ([]bounds.Figure, error) {
+// listReadDelay measures the longest time from a change of the list until the first
+// entry reads it, at the expected fleet size and for changes at various times.
+func listReadDelay() ([]bounds.Figure, error) {
 	worst := time.Duration(0)
 	for step := range 40 {
 		changed := epoch.Add(time.Duration(step) * 1370 * time.Millisecond)
-		worst = max(worst, firstReadOf(changed, fleetEntries, fleetEntries+fleetAgents))
+		worst = max(worst, firstListReadOf(changed, fleetEntries, fleetEntries+fleetAgents))
 	}
-	alone := membership.PollInterval(fleetEntries + fleetAgents)
+	baseline := membership.PollInterval(fleetEntries + fleetAgents)
 	return []bounds.Figure{
 		{Name: "membership.list_noticed_s", Value: worst.Seconds()},
-		{Name: "membership.list_noticed_s.baseline", Value: alone.Seconds()},
+		{Name: "membership.list_noticed_s.baseline", Value: baseline.Seconds()},
 	}, nil
 }
--- a/internal/lab/routing/engine.go
+++ b/internal/lab/routing/engine.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// network is one way between entry and agent.
-	network = time.Millisecond
-	// preemption is from the order to stop a rollout to its slot being free.
-	preemption = 10 * time.Millisecond
+	// networkDelay is the one-way delay between entry and agent.
+	networkDelay = time.Millisecond
+	// preemptionDelay is the time from the order to stop a rollout until its slot is free.
+	preemptionDelay = 10 * time.Millisecond
 )
 
-// request is one request with what the model knows of it.
+// request is a request with its state in the model.
 type request struct {
-	item    admission.Item
-	class   string
-	service float64 // seconds it holds a slot on an engine of usual speed
-	begun   time.Time
-	left    float64 // of service; less than it after a preemption
-	runs    int     // guards the end of a run that was preempted
-	end     func(outcome wire.Outcome)
+	item      admission.Item
+	class     string
+	service   float64 // seconds that it holds a slot on an engine of speed 1
+	startedAt time.Time
+	remaining float64 // remaining service seconds; less than service after a preemption
+	runs      int     // number of the current run; the end of a preempted run is ignored
+	end       func(outcome wire.Outcome)
 }
 
 // engine is an endpoint with its queue.
@@ -34,29 +34,29 @@
 	setSpeed(speed float64)
 }
 
-// fairEngine queues by the admission policy and the concurrency limit, wired
-// as the agent wires them.
+// fairEngine queues requests by the admission policy and the concurrency limit,
+// connected as in the agent.
 type fairEngine struct {
-	clock    *clock
-	queue    *admission.Queue
-	limiter  *limit.Limiter
-	estimate *limit.Estimator
-	requests map[string]*request
-	speed    float64
-	served   func(r *request, held float64)
-	accepted func(r *request)
+	clock      *clock
+	queue      *admission.Queue
+	limiter    *limit.Limiter
+	estimate   *limit.Estimator
+	requests   map[string]*request
+	speed      float64
+	onServed   func(r *request, held float64)
+	onAccepted func(r *request)
 }
 
 func newFairEngine(c *clock, cfg admission.Config) *fairEngine {
 	e := &fairEngine{
-		clock:    c,
-		queue:    admission.New(cfg),
-		limiter:  limit.New(limit.Config{Max: cfg.Slots}),
-		estimate: limit.NewEstimator(),
-		requests: map[string]*request{},
-		speed:    1,
-		served:   func(*request, float64) {},
-		accepted: func(*request) {},
+		clock:      c,
+		queue:      admission.New(cfg),
+		limiter:    limit.New(limit.Config{Max: cfg.Slots}),
+		estimate:   limit.NewEstimator(),
+		requests:   map[string]*request{},
+		speed:      1,
+		onServed:   func(*request, float64) {},
+		onAccepted: func(*request) {},
 	}
 	c.every(5*time.Millisecond, func() { e.apply(e.queue.Tick(c.now)) })
 	return e
@@ -70,10 +70,10 @@
 	item := r.item
 	item.Cost = e.estimate.Cost(r.class, claimed)
 	item.TailCost = e.estimate.TailCost(r.class, claimed)
-	r.left = r.service
+	r.remaining = r.service
 	e.apply(e.queue.Offer(e.clock.now, item))
 	if e.requests[r.item.ID] != nil {
-		e.accepted(r)
+		e.onAccepted(r)
 	}
 }
 
@@ -85,7 +85,7 @@
 }
 
 func (e *fairEngine) apply(actions []admission.Action) {
-	// The queue reuses its slice, and starting a request may call it again.
+	// The queue reuses its slice, and starting a request may call the queue again.
 	actions = append([]admission.Action(nil), actions...)
 	for _, a := range actions {
 		r := e.requests[a.ID]
@@ -93,7 +93,7 @@
 		case admission.Start:
 			e.start(r)
 		case admission.Preempt:
-			e.clock.after(preemption, func() { e.preempted(r, r.runs) })
+			e.clock.after(preemptionDelay, func() { e.preempted(r, r.runs) })
 		case admission.Refuse:
 			delete(e.requests, a.ID)
 			r.end(wire.NotRun)
@@ -103,9 +103,9 @@
 
 func (e *fairEngine) start(r *request) {
 	r.runs++
-	r.begun = e.clock.now
+	r.startedAt = e.clock.now
 	run := r.runs
-	e.clock.after(time.Duration(r.left/e.speed*float64(time.Second)), func() { e.finish(r, run) })
+	e.clock.after(time.Duration(r.remaining/e.speed*float64(time.Second)), func() { e.finish(r, run) })
 }
 
 func (e *fairEngine) preempted(r *request, run int) {
@@ -113,9 +113,9 @@
 		return
 	}
 	r.runs++
-	held := e.clock.now.Sub(r.begun).Seconds()
-	r.left = max(r.left-held*e.speed, 0)
-	e.served(r, held)
+	held := e.clock.now.Sub(r.startedAt).Seconds()
+	r.remaining = max(r.remaining-held*e.speed, 0)
+	e.onServed(r, held)
 	e.apply(e.queue.Preempted(e.clock.now, r.item.ID))
 }
 
@@ -123,22 +123,22 @@
 	if r.runs != run {
 		return
 	}
-	held := e.clock.now.Sub(r.begun)
+	held := e.clock.now.Sub(r.startedAt)
 	delete(e.requests, r.item.ID)
 	running := e.queue.Load().Running
-	e.served(r, held.Seconds())
+	e.onServed(r, held.Seconds())
 	e.apply(e.queue.Done(e.clock.now, r.item.ID))
-	e.learn(r, held, running)
+	e.observe(r, held, running)
 	r.end(wire.Answered)
 }
 
-func (e *fairEngine) learn(r *request, held time.Duration, running int) {
+func (e *fairEngine) observe(r *request, held time.Duration, running int) {
 	if r.runs > 1 {
-		return // its last part says nothing of the whole
+		return // after a preemption, the last run does not give the total time
 	}
 	if e.estimate.Known(r.class) {
-		usual := e.estimate.BaselineCost(r.class, r.item.Cost)
-		e.adapt(limit.Sample{Latency: held, Cost: usual, Running: running})
+		baseline := e.estimate.BaselineCost(r.class, r.item.Cost)
+		e.adapt(limit.Sample{Latency: held, Cost: baseline, Running: running})
 	}
 	e.estimate.Observe(r.class, r.item.Cost, held.Seconds())
 }
@@ -150,18 +150,18 @@
 	}
 }
 
-// fifoEngine is the baseline: first in, first out, nothing refused or stopped.
+// fifoEngine is the baseline: a FIFO queue that refuses and preempts nothing.
 type fifoEngine struct {
-	clock   *clock
-	slots   int
-	running int
-	waiting []*request
-	speed   float64
-	served  func(r *request, held float64)
+	clock    *clock
+	slots    int
+	running  int
+	waiting  []*request
+	speed    float64
+	onServed func(r *request, held float64)
 }
 
 func newFIFOEngine(c *clock, slots int) *fifoEngine {
-	return &fifoEngine{clock: c, slots: slots, speed: 1, served: func(*request, float64) {}}
+	return &fifoEngine{clock: c, slots: slots, speed: 1, onServed: func(*request, float64) {}}
 }
 
 func (e *fifoEngine) setSpeed(speed float64) { e.speed = speed }
@@ -170,14 +170,14 @@
 
 func (e *fifoEngine) offer(r *request) {
 	e.waiting = append(e.waiting, r)
-	e.next()
+	e.startNext()
 }
 
 func (e *fifoEngine) load() wire.Load {
 	return wire.Load{Running: e.running, Queued: len(e.waiting), Slots: e.slots}
 }
 
-func (e *fifoEngine) next() {
+func (e *fifoEngine) startNext() {
 	for e.running < e.slots && len(e.waiting) > 0 {
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
@@ -185,9 +185,9 @@
 		held := r.service / e.speed
 		e.clock.after(time.Duration(held*float64(time.Second)), func() {
 			e.running--
-			e.served(r, held)
+			e.onServed(r, held)
 			r.end(wire.Answered)
-			e.next()
+			e.startNext()
 		})
 	}
 }
--- a/internal/lab/routing/fairness.go
+++ b/internal/lab/routing/fairness.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	lookupDeadline = 500 * time.Millisecond
-	scenarioLength = 60 * time.Second
-	// settleTime passes before a share is counted.
+	lookupDeadline   = 500 * time.Millisecond
+	scenarioDuration = 60 * time.Second
+	// settleTime is the time at the start of a scenario that shares do not count.
 	settleTime = 5 * time.Second
 )
 
@@ -22,8 +22,9 @@
 	return wire.Principal{Business: business, Agency: name}
 }
 
-// onTime measures the lookups of a business that keeps to its share while
-// another sends ten times its own and rollouts fill the engines.
+// onTime measures the share of lookups answered on time for a business that stays
+// within its share, while another one sends ten times its own and rollouts fill the
+// engines.
 func onTime() ([]bounds.Figure, error) {
 	return []bounds.Figure{
 		{Name: "callers.ontime", Value: onTimeUnder(false)},
@@ -31,19 +32,19 @@
 	}, nil
 }
 
-func onTimeUnder(plain bool) float64 {
-	f := newFleet(plain, admissionDefaults(), 1)
+func onTimeUnder(baseline bool) float64 {
+	f := newFleet(baseline, admissionDefaults(), 1)
 	f.fillWithRollouts(2 * engines * slots)
 	share := capacity / 2.0
-	f.open(stream{principal: agency("greedy", "g"), class: "bulk", perSecond: 10 * share, deadline: lookupDeadline, priority: 9}, scenarioLength)
-	modest := f.open(stream{principal: agency("modest", "m"), class: "lookup", perSecond: share / 2, deadline: lookupDeadline}, scenarioLength)
-	f.clock.run(scenarioLength + 10*time.Second)
+	f.startStream(stream{principal: agency("greedy", "g"), class: "bulk", perSecond: 10 * share, deadline: lookupDeadline, priority: 9}, scenarioDuration)
+	modest := f.startStream(stream{principal: agency("modest", "m"), class: "lookup", perSecond: share / 2, deadline: lookupDeadline}, scenarioDuration)
+	f.clock.run(scenarioDuration + 10*time.Second)
 	return modest.share()
 }
 
-// shares measures how far the served share of any agency is from its weight
-// when all of them ask for three times what there is, with claimed costs that
-// are up to twice or half the true ones.
+// shares measures the largest deviation of an agency's served share from its declared
+// share, when all agencies together send several times the capacity and claim between
+// half and twice the true costs.
 func shares() ([]bounds.Figure, error) {
 	return []bounds.Figure{
 		{Name: "callers.share_error", Value: shareError(false)},
@@ -51,14 +52,15 @@
 	}, nil
 }
 
-type declared struct {
+// agencyLoad is an agency with its declared share and the load that it sends.
+type agencyLoad struct {
 	principal wire.Principal
-	share     float64 // of the whole, by the declared weights
+	share     float64 // of the capacity, by the declared weights
 	rate      float64 // sent, as a multiple of capacity
-	claim     float64
+	claim     float64 // claimed cost over the true mean
 }
 
-func declaredAgencies() (map[wire.Principal]float64, []declared) {
+func declaredAgencies() (map[wire.Principal]float64, []agencyLoad) {
 	weights := map[wire.Principal]float64{
 		business("kheda"):            2,
 		business("kartli"):           1,
@@ -68,7 +70,7 @@
 		agency("kartli", "kobuleti"): 1,
 		agency("kartli", "poti"):     1,
 	}
-	return weights, []declared{
+	return weights, []agencyLoad{
 		{principal: agency("kheda", "anand"), share: 2.0 / 3 * 3 / 4, rate: 1.5, claim: 0.5},
 		{principal: agency("kheda", "nadiad"), share: 2.0 / 3 / 4, rate: 0.5, claim: 2},
 		{principal: agency("kartli", "batumi"), share: 1.0 / 3 / 2, rate: 0.5, claim: 1},
@@ -77,25 +79,25 @@
 	}
 }
 
-func shareError(plain bool) float64 {
+func shareError(baseline bool) float64 {
 	weights, agencies := declaredAgencies()
-	f := newFleet(plain, admission.Config{Slots: slots, QueueLimit: queueLimit, Weights: weights}, 2)
+	f := newFleet(baseline, admission.Config{Slots: slots, QueueLimit: queueLimit, Weights: weights}, 2)
 	served := map[wire.Principal]float64{}
 	total := 0.0
 	count := func(r *request, held float64) {
-		if f.clock.since() < settleTime || f.clock.since() > scenarioLength {
+		if f.clock.elapsed() < settleTime || f.clock.elapsed() > scenarioDuration {
 			return
 		}
 		served[r.item.Principal] += held
 		total += held
 	}
 	for _, e := range f.engines {
-		setServed(e, count)
+		setOnServed(e, count)
 	}
 	for _, a := range agencies {
-		f.open(stream{principal: a.principal, class: a.principal.Agency, perSecond: a.rate * capacity, deadline: 4 * time.Second, claim: a.claim}, scenarioLength)
+		f.startStream(stream{principal: a.principal, class: a.principal.Agency, perSecond: a.rate * capacity, deadline: 4 * time.Second, claim: a.claim}, scenarioDuration)
 	}
-	f.clock.run(scenarioLength)
+	f.clock.run(scenarioDuration)
 	worst := 0.0
 	for _, a := range agencies {
 		worst = math.Max(worst, math.Abs(served[a.principal]/total-a.share))
@@ -103,43 +105,43 @@
 	return worst
 }
 
-func setServed(e engine, count func(*request, float64)) {
+func setOnServed(e engine, count func(*request, float64)) {
 	switch e := e.(type) {
 	case *fairEngine:
-		e.served = count
+		e.onServed = count
 	case *fifoEngine:
-		e.served = count
+		e.onServed = count
 	}
 }
 
-// goodput measures answers on time a second at three times capacity over the
-// best at any load.
+// goodput measures the rate of answers on time at three times the capacity, relative to
+// the highest rate at any load.
 func goodput() ([]bounds.Figure, error) {
 	return []bounds.Figure{
-		{Name: "callers.goodput_3x", Value: goodputAt3(false)},
-		{Name: "callers.goodput_3x.baseline", Value: goodputAt3(true)},
+		{Name: "callers.goodput_3x", Value: relativeGoodput(false)},
+		{Name: "callers.goodput_3x.baseline", Value: relativeGoodput(true)},
 	}, nil
 }
 
-func goodputAt3(plain bool) float64 {
+func relativeGoodput(baseline bool) float64 {
 	best, last := 0.0, 0.0
 	for _, load := range []float64{0.6, 0.8, 0.9, 1, 1.2, 1.5, 2, 3} {
-		last = goodputUnder(plain, load)
+		last = goodputUnder(baseline, load)
 		best = max(best, last)
 	}
 	return last / best
 }
 
-func goodputUnder(plain bool, load float64) float64 {
-	const length = 20 * time.Second
-	f := newFleet(plain, admissionDefaults(), 3)
-	t := f.open(stream{principal: agency("b", "a"), class: "lookup", perSecond: load * capacity, deadline: lookupDeadline}, length)
-	f.clock.run(length + time.Minute)
-	return float64(t.onTime) / length.Seconds()
+func goodputUnder(baseline bool, load float64) float64 {
+	const duration = 20 * time.Second
+	f := newFleet(baseline, admissionDefaults(), 3)
+	t := f.startStream(stream{principal: agency("b", "a"), class: "lookup", perSecond: load * capacity, deadline: lookupDeadline}, duration)
+	f.clock.run(duration + time.Minute)
+	return float64(t.onTime) / duration.Seconds()
 }
 
-// slowEngine measures lookups on time while one engine of six turns ten times
-// slower for half a minute.
+// slowEngine measures the share of lookups answered on time while one of six engines
+// is ten times slower for half a minute.
 func slowEngine() ([]bounds.Figure, error) {
 	return []bounds.Figure{
 		{Name: "callers.slow_engine_ontime", Value: slowEngineUnder(false)},
@@ -147,11 +149,11 @@
 	}, nil
 }
 
-func slowEngineUnder(plain bool) float64 {
-	f := newFleet(plain, admissionDefaults(), 4)
-	t := f.open(stream{principal: agency("b", "a"), class: "lookup", perSecond: 0.5 * capacity, deadline: 2 * time.Second}, scenarioLength)
+func slowEngineUnder(baseline bool) float64 {
+	f := newFleet(baseline, admissionDefaults(), 4)
+	t := f.startStream(stream{principal: agency("b", "a"), class: "lookup", perSecond: 0.5 * capacity, deadline: 2 * time.Second}, scenarioDuration)
 	f.clock.after(15*time.Second, func() { f.engines[0].setSpeed(0.1) })
 	f.clock.after(45*time.Second, func() { f.engines[0].setSpeed(1) })
-	f.clock.run(scenarioLength + 10*time.Second)
+	f.clock.run(scenarioDuration + 10*time.Second)
 	return t.share()
 }
--- a/internal/lab/routing/fleet.go
+++ b/internal/lab/routing/fleet.go
@@ -24,76 +24,76 @@
 	heartbeat     = settings.DefaultHeartbeatInterval
 )
 
-// capacity is what the fleet can serve, in requests a second.
+// capacity is the number of requests per second that the fleet can serve.
 const capacity = engines * slots / meanService
 
 func admissionDefaults() admission.Config {
 	return admission.Config{Slots: slots, QueueLimit: queueLimit}
 }
 
-// fleet is a few entries before a few engines.
+// fleet is a small fleet of entries and engines.
 type fleet struct {
 	clock   *clock
 	rng     *rand.Rand
 	engines []engine
 	entries []*entry
 	serial  int
-	sent    func(engine int)
+	onSent  func(engine int)
 }
 
-// entry chooses by the choose package, or in turn for the baseline.
+// entry selects engines by the choose package, or round robin for the baseline.
 type entry struct {
 	fleet      *fleet
 	chooser    *choose.Chooser
 	candidates []*choose.Candidate
-	turn       int
-	plain      bool
+	nextTurn   int
+	baseline   bool
 }
 
-// newFleet returns a fleet under the real policies, or under round robin and
-// first in, first out.
-func newFleet(plain bool, cfg admission.Config, salt uint64) *fleet {
-	f := &fleet{clock: newClock(), rng: rand.New(rand.NewPCG(seed, salt)), sent: func(int) {}}
+// newFleet returns a fleet with the real policies or, for the baseline, with round
+// robin and FIFO queues.
+func newFleet(baseline bool, cfg admission.Config, salt uint64) *fleet {
+	f := &fleet{clock: newClock(), rng: rand.New(rand.NewPCG(seed, salt)), onSent: func(int) {}}
 	for range engines {
-		if plain {
+		if baseline {
 			f.engines = append(f.engines, newFIFOEngine(f.clock, cfg.Slots))
 		} else {
 			f.engines = append(f.engines, newFairEngine(f.clock, cfg))
 		}
 	}
 	for i := range entries {
-		f.entries = append(f.entries, f.newEntry(i, plain))
+		f.entries = append(f.entries, f.newEntry(i, baseline))
 	}
 	return f
 }
 
-func (f *fleet) newEntry(i int, plain bool) *entry {
-	e := &entry{fleet: f, plain: plain, chooser: choose.New(rand.New(rand.NewPCG(seed, uint64(100+i))))}
+func (f *fleet) newEntry(i int, baseline bool) *entry {
+	e := &entry{fleet: f, baseline: baseline, chooser: choose.New(rand.New(rand.NewPCG(seed, uint64(100+i))))}
 	for j := range f.engines {
 		id := fmt.Sprint("agent-", j)
 		e.candidates = append(e.candidates, &choose.Candidate{ID: id, Key: rendezvous.Key(id), Ready: true})
 	}
-	// Heartbeats of the entries fall at different times.
+	// The entries send their heartbeats at different times.
 	first := heartbeat * time.Duration(i) / entries
 	f.clock.after(first, func() {
-		e.beat()
-		f.clock.every(heartbeat, e.beat)
+		e.sendHeartbeats()
+		f.clock.every(heartbeat, e.sendHeartbeats)
 	})
 	return e
 }
 
-func (e *entry) beat() {
+func (e *entry) sendHeartbeats() {
 	for j, c := range e.candidates {
 		f := e.fleet
-		f.clock.after(network, func() {
+		f.clock.after(networkDelay, func() {
 			load := f.engines[j].load()
-			f.clock.after(network, func() { c.SetLoad(f.clock.now, load) })
+			f.clock.after(networkDelay, func() { c.SetLoad(f.clock.now, load) })
 		})
 	}
 }
 
-// send gives the request to an engine; done is called with its outcome at the
-// time the entry learns it.
+// send sends the request to an engine and calls done with its outcome when the entry
+// receives it.
 func (e *entry) send(r *request, done func(wire.Outcome)) {
 	business := r.item.Principal.Business
 	j := e.pick(business)
@@ -102,25 +102,25 @@
 		return
 	}
 	f, c := e.fleet, e.candidates[j]
-	f.sent(j)
+	f.onSent(j)
 	c.InFlight++
 	c.InFlightCounts.Add(business, 1)
 	r.end = func(outcome wire.Outcome) {
 		load := f.engines[j].load()
-		f.clock.after(network, func() {
+		f.clock.after(networkDelay, func() {
 			c.InFlight--
 			c.InFlightCounts.Add(business, -1)
 			c.SetLoad(f.clock.now, load)
 			done(outcome)
 		})
 	}
-	f.clock.after(network, func() { f.engines[j].offer(r) })
+	f.clock.after(networkDelay, func() { f.engines[j].offer(r) })
 }
 
 func (e *entry) pick(business string) int {
-	if e.plain {
-		e.turn++
-		return e.turn % len(e.candidates)
+	if e.baseline {
+		e.nextTurn++
+		return e.nextTurn % len(e.candidates)
 	}
 	c := e.chooser.Choose(choose.Request{Now: e.fleet.clock.now, Business: business}, e.candidates)
 	for j, other := range e.candidates {
@@ -141,7 +141,7 @@
 	priority  int
 }
 
-// tally counts a stream's outcomes.
+// tally counts the outcomes of a stream's requests.
 type tally struct {
 	sent   int
 	onTime int
@@ -149,25 +149,26 @@
 	notRun int
 }
 
-// share returns the part of the requests sent that were answered on time.
+// share returns the share of the sent requests that were answered on time.
 func (t *tally) share() float64 { return float64(t.onTime) / float64(max(t.sent, 1)) }
 
-// open sends the stream until the end, at random times.
-func (f *fleet) open(s stream, end time.Duration) *tally {
+// startStream sends the requests of a stream at random times until the end.
+func (f *fleet) startStream(s stream, end time.Duration) *tally {
 	t := &tally{}
 	var next func()
 	next = func() {
-		if f.clock.since() >= end {
+		if f.clock.elapsed() >= end {
 			return
 		}
 		f.sendOne(s, t)
-		f.clock.after(f.gap(s.perSecond), next)
+		f.clock.after(f.randomInterval(s.perSecond), next)
 	}
-	f.clock.after(f.gap(s.perSecond), next)
+	f.clock.after(f.randomInterval(s.perSecond), next)
 	return t
 }
 
-func (f *fleet) gap(perSecond float64) time.Duration {
+// randomInterval returns a random interval between two requests.
+func (f *fleet) randomInterval(perSecond float64) time.Duration {
 	return time.Duration(f.rng.ExpFloat64() / perSecond * float64(time.Second))
 }
 
@@ -202,13 +203,14 @@
 	})
 }
 
-// serviceTime draws a log-normal time with mean meanService.
+// serviceTime returns a random service time in seconds, log-normal with mean
+// meanService.
 func (f *fleet) serviceTime() float64 {
 	mu := math.Log(meanService) - serviceSpread*serviceSpread/2
 	return math.Exp(mu + serviceSpread*f.rng.NormFloat64())
 }
 
-// fillWithRollouts keeps so many rollouts at the fleet, each of 5 to 20 s.
+// fillWithRollouts keeps n rollouts running or queued, each of 5 to 20 s.
 func (f *fleet) fillWithRollouts(n int) {
 	for range n {
 		f.clock.after(time.Duration(f.rng.Float64()*float64(time.Second)), f.rollout)
@@ -217,18 +219,18 @@
 
 func (f *fleet) rollout() {
 	f.serial++
-	length := 5 + 15*f.rng.Float64()
+	duration := 5 + 15*f.rng.Float64()
 	r := &request{
 		class:   "rollout",
-		service: length,
+		service: duration,
 		item: admission.Item{
 			ID:        fmt.Sprint("rollout-", f.serial),
 			Principal: wire.Principal{Business: "trainer"},
-			Cost:      length,
+			Cost:      duration,
 			Rollout:   true,
 		},
 	}
 	f.entries[f.rng.IntN(len(f.entries))].send(r, func(wire.Outcome) {
-		f.clock.after(network, f.rollout)
+		f.clock.after(networkDelay, f.rollout)
 	})
 }
--- a/internal/lab/routing/membership.go
+++ b/internal/lab/routing/membership.go
@@ -20,14 +20,15 @@
 	fleetAgents   = 1300
 	fleetServices = 8
 	fleetDomains  = 8
-	// packetBytes are the headers of the packets that carry a heartbeat, its
-	// answer and the acknowledgement: IPv4, TCP and its time stamps.
+	// packetBytes is the bytes of the headers of the packets that carry a heartbeat,
+	// its reply and the acknowledgement: IPv4 and TCP with time stamps.
 	packetBytes = 3 * 52
-	// listBytes is what one instance takes in the platform's list.
-	listBytes = 96
+	// listBytesPerInstance is the bytes of one instance in the platform's list.
+	listBytesPerInstance = 96
 )
 
-func fullFleet() (entries []string, agents []membership.Instance) {
+// expectedFleet returns the entries and agents of a fleet of the expected size.
+func expectedFleet() (entries []string, agents []membership.Instance) {
 	for i := range fleetEntries {
 		entries = append(entries, fmt.Sprintf("entry-%03d.batumi-port", i))
 	}
@@ -42,8 +43,8 @@
 	return entries, agents
 }
 
-// serviceOf gives half of the agents to the first service, half of the rest to
-// the second, and so on; the last two are small.
+// serviceOf returns the service of an agent. Half of the agents belong to the first
+// service, half of the rest to the second, and so on; the last two services are small.
 func serviceOf(i int) int {
 	rest := fleetAgents
 	for s := range fleetServices - 1 {
@@ -56,60 +57,60 @@
 	return fleetServices - 1
 }
 
-// fanout measures, at the letter's size, who keeps whom, and the busiest
-// entry's and the busiest agent's heartbeats and list reads from the encoded
-// size of real messages.
+// fanout measures, at the expected fleet size, which agents the entries connect to,
+// and the heartbeat traffic of the busiest entry and of the busiest agent from the
+// encoded size of real messages. The baseline also includes the list reads.
 func fanout() ([]bounds.Figure, error) {
 	pair, err := heartbeatSize()
 	if err != nil {
 		return nil, err
 	}
-	entries, agents := fullFleet()
-	c := newCensus(agents)
+	entries, agents := expectedFleet()
+	c := newConnectionStats(agents)
 	for _, e := range entries {
 		c.add(membership.SelectConnections(e, entries, agents, membership.DefaultFanout(), heartbeat), pair)
 	}
-	fewest, crowded, busiest := math.MaxInt, 0, 0.0
+	minWatchers, maxKeepers, maxAgentBytes := math.MaxInt, 0, 0.0
 	for _, a := range agents {
-		fewest = min(fewest, c.watchers[a.ID])
-		crowded = max(crowded, c.keepers[a.ID])
-		busiest = max(busiest, c.agentBytes[a.ID])
+		minWatchers = min(minWatchers, c.watchers[a.ID])
+		maxKeepers = max(maxKeepers, c.keepers[a.ID])
+		maxAgentBytes = max(maxAgentBytes, c.agentBytes[a.ID])
 	}
 	return []bounds.Figure{
-		{Name: "membership.coverage", Value: float64(fewest)},
-		{Name: "membership.keepers_most", Value: float64(crowded)},
-		{Name: "membership.kept_most", Value: float64(c.mostKept)},
-		{Name: "membership.services_reached", Value: float64(c.services)},
-		{Name: "membership.domains_reached", Value: float64(c.domains)},
-		{Name: "membership.heartbeat_s_most", Value: c.slowest.Seconds()},
+		{Name: "membership.coverage", Value: float64(minWatchers)},
+		{Name: "membership.keepers_most", Value: float64(maxKeepers)},
+		{Name: "membership.kept_most", Value: float64(c.maxConnections)},
+		{Name: "membership.services_reached", Value: float64(c.minServices)},
+		{Name: "membership.domains_reached", Value: float64(c.minDomains)},
+		{Name: "membership.heartbeat_s_most", Value: c.maxInterval.Seconds()},
 		{Name: "control.heartbeat_pair_bytes", Value: pair},
 		{Name: "control.bytes_per_s.agents", Value: c.entryBytes},
-		{Name: "control.bytes_per_s_agent", Value: busiest},
+		{Name: "control.bytes_per_s_agent", Value: maxAgentBytes},
 		{Name: "control.bytes_per_s.baseline", Value: fleetAgents*pair/heartbeat.Seconds() + listBytesPerSecond()},
 	}, nil
 }
 
-// census counts over all entries what each keeps.
-type census struct {
-	agents     map[string]membership.Instance
-	watchers   map[string]int
-	keepers    map[string]int
-	agentBytes map[string]float64
-	entryBytes float64 // of the busiest entry
-	mostKept   int
-	services   int // fewest that an entry reaches
-	domains    int // fewest of a service that an entry reaches
-	slowest    time.Duration
+// connectionStats accumulates statistics on the connections of all entries.
+type connectionStats struct {
+	agents         map[string]membership.Instance
+	watchers       map[string]int     // entries that watch an agent, by agent
+	keepers        map[string]int     // entries connected to an agent, by agent
+	agentBytes     map[string]float64 // per second, by agent
+	entryBytes     float64            // per second, of the busiest entry
+	maxConnections int
+	minServices    int // fewest that any entry is connected to
+	minDomains     int // fewest of a service that any entry is connected to
+	maxInterval    time.Duration
 }
 
-func newCensus(agents []membership.Instance) *census {
-	c := &census{
-		agents:     map[string]membership.Instance{},
-		watchers:   map[string]int{},
-		keepers:    map[string]int{},
-		agentBytes: map[string]float64{},
-		services:   math.MaxInt,
-		domains:    math.MaxInt,
+func newConnectionStats(agents []membership.Instance) *connectionStats {
+	c := &connectionStats{
+		agents:      map[string]membership.Instance{},
+		watchers:    map[string]int{},
+		keepers:     map[string]int{},
+		agentBytes:  map[string]float64{},
+		minServices: math.MaxInt,
+		minDomains:  math.MaxInt,
 	}
 	for _, a := range agents {
 		c.agents[a.ID] = a
@@ -117,7 +118,7 @@
 	return c
 }
 
-func (c *census) add(kept []membership.Connection, pair float64) {
+func (c *connectionStats) add(kept []membership.Connection, pair float64) {
 	domains := map[string]map[string]bool{}
 	total := 0.0
 	for _, k := range kept {
@@ -133,18 +134,18 @@
 		if k.Watched {
 			c.watchers[k.ID]++
 		}
-		c.slowest = max(c.slowest, k.Interval)
+		c.maxInterval = max(c.maxInterval, k.Interval)
 	}
 	c.entryBytes = max(c.entryBytes, total)
-	c.mostKept = max(c.mostKept, len(kept))
-	c.services = min(c.services, len(domains))
+	c.maxConnections = max(c.maxConnections, len(kept))
+	c.minServices = min(c.minServices, len(domains))
 	for _, d := range domains {
-		c.domains = min(c.domains, len(d))
+		c.minDomains = min(c.minDomains, len(d))
 	}
 }
 
-// heartbeatSize returns the bytes of a heartbeat and its answer on a
-// connection that has carried some before, as net/rpc encodes them.
+// heartbeatSize returns the bytes of a heartbeat and its reply as net/rpc encodes them
+// on an established connection.
 func heartbeatSize() (float64, error) {
 	req, reply := sampleHeartbeat()
 	sent, err := steadySize(&rpc.Request{ServiceMethod: "Agent.Heartbeat", Seq: 100000}, req)
@@ -158,6 +159,8 @@
 	return float64(sent + answered + packetBytes), nil
 }
 
+// steadySize returns the size of a message on a connection that has already carried
+// one of its types.
 func steadySize(header, body any) (int, error) {
 	var buffer bytes.Buffer
 	encoder := gob.NewEncoder(&buffer)
@@ -173,8 +176,9 @@
 	return buffer.Len(), nil
 }
 
-// sampleHeartbeat fills what a busy deployment's heartbeats carry. Fences are
-// sent when they change only, and agents send none back.
+// sampleHeartbeat returns a heartbeat and its reply with the contents that a busy
+// deployment sends. They have no fences: these are sent only when they change, and
+// never by agents.
 func sampleHeartbeat() (wire.HeartbeatRequest, wire.HeartbeatReply) {
 	revisions := []wire.Revision{{
 		Deployment: "kartli-maritime", Revision: 4711, ConfirmedAgo: 1_234_567_890,
--- a/internal/lab/routing/nodes.go
+++ b/internal/lab/routing/nodes.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// rankedEntries is how many entries are looked at for candidates of
-	// different failure domains, as policy/duties does.
-	rankedEntries = 8
-	assignments   = 16 // of the duties, by other names
+	// rankedEntries is the number of highest-ranked entries among which candidates of
+	// different failure domains are selected, as in policy/duties.
+	rankedEntries   = 8
+	assignmentCount = 16 // number of simulated assignments, each by other duty names
 )
 
-// Node is what one entry takes part in.
+// Node is the control work of one entry.
 type Node struct {
-	Heartbeats float64 // bytes a second, to agents and entries
-	Holds      int     // duties
-	StandsBy   int     // for duties of others
-	Engines    int     // of the services whose weights duty it holds
+	Heartbeats float64 // bytes per second, with agents and entries
+	Holds      int     // number of duties that it holds
+	StandsBy   int     // number of duties for which it is a candidate behind the holder
+	Engines    int     // number of engines of the services whose weights duty it holds
 }
 
-// ControlNodes returns every entry of the fleet under several assignments of the
-// duties to entries.
+// ControlNodes returns the entries of the fleet under each of several assignments of
+// the duties.
 func ControlNodes() ([]Node, error) {
 	h, err := measureHeartbeats()
 	if err != nil {
 		return nil, err
 	}
 	var all []Node
-	for salt := range assignments {
+	for salt := range assignmentCount {
 		nodes := make([]Node, fleetEntries)
 		for i := range nodes {
-			nodes[i].Heartbeats = h.all[i]
+			nodes[i].Heartbeats = h.byEntry[i]
 		}
 		assign(nodes, salt)
 		all = append(all, nodes...)
@@ -42,10 +42,10 @@
 	return all, nil
 }
 
-// assign gives each duty its holder and those that stand by.
+// assign adds each duty to the counts of its holder and its standby entries.
 func assign(nodes []Node, salt int) {
 	hashes := make([]uint64, fleetEntries)
-	entries, agents := fullFleet()
+	entries, agents := expectedFleet()
 	for i, e := range entries {
 		hashes[i] = rendezvous.Key(e)
 	}
@@ -53,7 +53,7 @@
 	for _, a := range agents {
 		engines[a.Service]++
 	}
-	for d := range letterDuties {
+	for d := range expectedDuties {
 		name := wire.ClaimDuty(d)
 		if d < fleetServices {
 			name = "weights/service-" + fmt.Sprint(d)
@@ -71,7 +71,8 @@
 	}
 }
 
-// candidates lists entries of different failure domains, the holder first.
+// candidates returns the indexes of the candidates for a duty, which are in different
+// failure domains. The first one is the holder.
 func candidates(hashes []uint64, duty string) []int {
 	var chosen []int
 	domains := map[int]bool{}
--- a/internal/lab/routing/storm.go
+++ b/internal/lab/routing/storm.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// stormDown is how long the failure domain is away; long enough for the
-	// pauses between attempts to have grown to their longest.
-	stormDown  = time.Minute
-	stormBegin = 10 * time.Second
-	stormTick  = 50 * time.Millisecond
-	// stormSlice is the time over which connection attempts are counted.
-	stormSlice = 100 * time.Millisecond
-	stormEnd   = 2 * time.Minute
+	// outageDuration is the duration of the outage of the failure domain, long enough for
+	// the backoff between attempts to reach its maximum.
+	outageDuration    = time.Minute
+	outageStart       = 10 * time.Second
+	stormTickInterval = 50 * time.Millisecond
+	// attemptWindow is the interval over which connection attempts are counted.
+	attemptWindow = 100 * time.Millisecond
+	stormTimeout  = 2 * time.Minute
 )
 
-// storm measures the return of a failure domain, a third of the letter's fleet,
-// at one moment: how long until every entry trusts every agent there again, and
-// how many connection attempts an agent meets in a tenth of a second at most.
-// No call to the platform is made for it: the list is read in its usual turns.
+// storm measures the sudden return of a failure domain of the expected fleet after an
+// outage: the time until every entry has resumed every agent there, and the highest
+// number of connection attempts at an agent in a tenth of a second. The return causes
+// no call to the platform: the list is read at its usual interval.
 func storm() ([]bounds.Figure, error) {
-	s := &stormRun{now: epoch, up: true, opens: map[string]int{}}
+	s := &stormRun{now: epoch, up: true, attempts: map[string]int{}}
 	recovered := s.run(conn.DefaultConfig(heartbeat))
 	return []bounds.Figure{
 		{Name: "recovery.storm_s", Value: recovered.Seconds()},
-		{Name: "recovery.connects_peak", Value: float64(s.peak)},
+		{Name: "recovery.connects_peak", Value: float64(s.peakAttempts)},
 	}, nil
 }
 
@@ -40,37 +40,37 @@
 }
 
 type stormRun struct {
-	now     time.Time
-	back    time.Time // when the domain returns
-	up      bool
-	peers   []*stormPeer
-	opens   map[string]int // attempts by agent in the present slice
-	peak    int
-	doubted int
+	now          time.Time
+	returnsAt    time.Time // time at which the domain returns
+	up           bool
+	peers        []*stormPeer
+	attempts     map[string]int // attempts in the current interval, by agent
+	peakAttempts int
+	suspended    int
 }
 
 func (s *stormRun) run(cfg conn.Config) time.Duration {
 	s.connectAll(cfg)
-	away := epoch.Add(stormBegin)
-	s.back = away.Add(stormDown)
-	for s.now.Before(epoch.Add(stormEnd)) {
-		s.now = s.now.Add(stormTick)
-		if s.now.Sub(epoch)%stormSlice == 0 {
-			clear(s.opens)
+	away := epoch.Add(outageStart)
+	s.returnsAt = away.Add(outageDuration)
+	for s.now.Before(epoch.Add(stormTimeout)) {
+		s.now = s.now.Add(stormTickInterval)
+		if s.now.Sub(epoch)%attemptWindow == 0 {
+			clear(s.attempts)
 		}
-		s.up = s.now.Before(away) || !s.now.Before(s.back)
+		s.up = s.now.Before(away) || !s.now.Before(s.returnsAt)
 		s.step()
-		if s.now.After(s.back) && s.doubted == 0 {
-			return s.now.Sub(s.back)
+		if s.now.After(s.returnsAt) && s.suspended == 0 {
+			return s.now.Sub(s.returnsAt)
 		}
 	}
-	return stormEnd
+	return stormTimeout
 }
 
-// connectAll makes a monitor for every agent of the failure domain that an
-// entry keeps.
+// connectAll adds a monitor for every connection of an entry to an agent of the failure
+// domain.
 func (s *stormRun) connectAll(cfg conn.Config) {
-	entries, agents := fullFleet()
+	entries, agents := expectedFleet()
 	domain := map[string]bool{}
 	for _, a := range agents {
 		domain[a.ID] = a.Domain == "domain-0"
@@ -84,40 +84,40 @@
 			s.peers = append(s.peers, &stormPeer{monitor: conn.New(cfg, rng, s.now), agent: k.ID})
 		}
 	}
-	s.doubted = len(s.peers)
+	s.suspended = len(s.peers)
 }
 
 func (s *stormRun) step() {
 	for _, p := range s.peers {
-		s.take(p, p.monitor.Tick(s.now, false))
+		s.apply(p, p.monitor.Tick(s.now, false))
 	}
 }
 
-func (s *stormRun) take(p *stormPeer, actions []conn.Action) {
+func (s *stormRun) apply(p *stormPeer, actions []conn.Action) {
 	for _, a := range append([]conn.Action(nil), actions...) {
 		switch a.Kind {
 		case conn.OpenCandidate:
-			s.open(p)
+			s.connect(p)
 		case conn.SendHeartbeat:
 			if s.up {
-				s.take(p, p.monitor.Answered(s.now, a.Connection))
+				s.apply(p, p.monitor.Answered(s.now, a.Connection))
 			}
 		case conn.Suspend:
-			s.doubted++
+			s.suspended++
 		case conn.Resume:
-			s.doubted--
+			s.suspended--
 		}
 	}
 }
 
-func (s *stormRun) open(p *stormPeer) {
-	s.opens[p.agent]++
-	if !s.now.Before(s.back) {
-		s.peak = max(s.peak, s.opens[p.agent])
+func (s *stormRun) connect(p *stormPeer) {
+	s.attempts[p.agent]++
+	if !s.now.Before(s.returnsAt) {
+		s.peakAttempts = max(s.peakAttempts, s.attempts[p.agent])
 	}
 	if s.up {
-		s.take(p, p.monitor.Opened(s.now))
+		s.apply(p, p.monitor.Opened(s.now))
 		return
 	}
-	s.take(p, p.monitor.Failed(s.now, conn.Candidate))
+	s.apply(p, p.monitor.Failed(s.now, conn.Candidate))
 }
--- a/internal/lab/routing/wallclock.go
+++ b/internal/lab/routing/wallclock.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	queuedItems  = 10_000
+	queueLength  = 10_000
 	queueBatch   = 1_000
 	queueBatches = 100
 )
 
-// WallClock times a choice among 32 candidates and a queue of 10,000, each
-// beside its baseline, in nanoseconds.
+// WallClock measures the time in nanoseconds of a choice among 32 candidates and of
+// operations on a queue of 10,000 requests, each with its baseline.
 func WallClock() ([]bounds.Figure, error) {
 	enqueue, dequeue := timeQueue()
 	return []bounds.Figure{
@@ -36,7 +36,7 @@
 }
 
 func benchChoice(b *testing.B) {
-	chooser, candidates := choiceOf(choiceCandidates)
+	chooser, candidates := newChoice(choiceCandidates)
 	request := choose.Request{Now: epoch, Business: "b", Prefix: hotPrefix, Exclude: []string{"agent-3"}}
 	for b.Loop() {
 		chooser.Choose(request, candidates)
@@ -44,7 +44,7 @@
 }
 
 func benchRoundRobin(b *testing.B) {
-	_, candidates := choiceOf(choiceCandidates)
+	_, candidates := newChoice(choiceCandidates)
 	var chosen *choose.Candidate
 	turn := 0
 	for b.Loop() {
@@ -54,33 +54,34 @@
 	_ = chosen
 }
 
-// timeQueue times batches of enqueues on top of 10,000 waiting requests of 100
-// callers, and of dequeues back to them: the end of the running request, which
-// starts the next in fair order. It returns nanoseconds for one of each.
+// timeQueue measures batches of enqueues to a queue of 10,000 waiting requests of 100
+// callers, and of dequeues back to that length. A dequeue is the end of the running
+// request, which starts the next one in fair order. It returns the nanoseconds of one
+// enqueue and one dequeue.
 func timeQueue() (enqueue, dequeue float64) {
-	q := admission.New(admission.Config{Slots: 1, QueueLimit: 4 * queuedItems})
+	q := admission.New(admission.Config{Slots: 1, QueueLimit: 4 * queueLength})
 	next := 0
 	offer := func(n int) time.Duration {
-		begun := time.Now()
+		startedAt := time.Now()
 		for range n {
 			q.Offer(epoch, queueItem(next))
 			next++
 		}
-		return time.Since(begun)
+		return time.Since(startedAt)
 	}
-	offer(queuedItems + 1)
+	offer(queueLength + 1)
 	running := "0"
-	var in, out time.Duration
+	var enqueueTime, dequeueTime time.Duration
 	for range queueBatches {
-		in += offer(queueBatch)
-		begun := time.Now()
+		enqueueTime += offer(queueBatch)
+		startedAt := time.Now()
 		for range queueBatch {
 			running = q.Done(epoch, running)[0].ID
 		}
-		out += time.Since(begun)
+		dequeueTime += time.Since(startedAt)
 	}
 	const ops = queueBatches * queueBatch
-	return float64(in.Nanoseconds()) / ops, float64(out.Nanoseconds()) / ops
+	return float64(enqueueTime.Nanoseconds()) / ops, float64(dequeueTime.Nanoseconds()) / ops
 }
 
 func queueItem(i int) admission.Item {
@@ -92,7 +93,7 @@
 	}
 }
 
-// Names of the benchmark's businesses, agencies and callers.
+// Names of the businesses, agencies and callers of the benchmark.
 var businesses, agencies, callers = names(4), names(20), names(100)
 
 func names(n int) []string {
@@ -104,8 +105,8 @@
 }
 
 func benchFIFO(b *testing.B) {
-	fifo := make(chan admission.Item, queuedItems+1)
-	for range queuedItems {
+	fifo := make(chan admission.Item, queueLength+1)
+	for range queueLength {
 		fifo <- admission.Item{}
 	}
 	for b.Loop() {
