--- a/cmd/siskinlab/control.go
+++ b/cmd/siskinlab/control.go
@@ -29,7 +29,7 @@
 	}
 	standbyDuties := 0
 	for _, n := range nodes {
-		standbyDuties += n.StandsBy
+		standbyDuties += n.StandbyDuties
 	}
 	standbysPerDuty := float64(standbyDuties) * entries / float64(len(nodes)) / fleetDuties
 	holdBytes := m["duties.kv_writes_per_s"] / fleetDuties * m["control.lease_write_bytes"]
@@ -39,7 +39,7 @@
 	common := m["control.bytes_per_s.list"] + m["control.bytes_per_s.fences"] + config
 	busiest, maxLeases, maxOrders := m["control.bytes_per_s_agent"]+orders, 0.0, 0.0
 	for _, n := range nodes {
-		lease := float64(n.Holds)*holdBytes + float64(n.StandsBy)*standbyBytes
+		lease := float64(n.HeldDuties)*holdBytes + float64(n.StandbyDuties)*standbyBytes
 		order := float64(n.Engines) * orders
 		maxLeases, maxOrders = max(maxLeases, lease), max(maxOrders, order)
 		busiest = max(busiest, n.Heartbeats+common+lease+order)
--- a/internal/lab/routing/nodes.go
+++ b/internal/lab/routing/nodes.go
@@ -17,10 +17,10 @@
 
 // Node is the control work of one entry.
 type Node struct {
-	Heartbeats float64 // bytes per second, with agents and entries
-	Holds      int     // number of duties that it holds
-	StandsBy   int     // number of duties for which it is a candidate behind the holder
-	Engines    int     // number of engines of the services whose weights duty it holds
+	Heartbeats    float64 // bytes per second, with agents and entries
+	HeldDuties    int     // number of duties that it holds
+	StandbyDuties int     // number of duties for which it is a candidate behind the holder
+	Engines       int     // number of engines of the services whose weights duty it holds
 }
 
 // ControlNodes returns the entries of the fleet under each of several assignments of
@@ -60,10 +60,10 @@
 		}
 		for rank, i := range candidates(hashes, fmt.Sprint(name, "/", salt)) {
 			if rank > 0 {
-				nodes[i].StandsBy++
+				nodes[i].StandbyDuties++
 				continue
 			}
-			nodes[i].Holds++
+			nodes[i].HeldDuties++
 			if d < fleetServices {
 				nodes[i].Engines += engines[fmt.Sprint("service-", d)]
 			}
