--- a/internal/lab/seeds/seeds.go
+++ b/internal/lab/seeds/seeds.go
@@ -1,4 +1,4 @@
-// Package seeds plays seeded schedules side by side.
+// Package seeds runs seeded schedules concurrently.
 package seeds
 
 import (
@@ -6,17 +6,17 @@
 	"sync"
 )
 
-// Each calls play once for each seed from 1 to n, several at once, and returns
-// when all have ended. What is added up from the calls must not depend on their
-// order, so that a verdict is the same on every machine.
-func Each(n int, play func(seed uint64)) {
+// Each calls run once for each seed from 1 to n, several at a time, and returns when
+// all calls have returned. What callers accumulate must not depend on the order of
+// the calls, so that a verdict is the same on every machine.
+func Each(n int, run func(seed uint64)) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2))
 	for seed := 1; seed <= n; seed++ {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			play(uint64(seed))
+			run(uint64(seed))
 		})
 	}
 	wg.Wait()
