--- a/internal/lab/timeline/timeline.go
+++ b/internal/lab/timeline/timeline.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// Timeline runs functions in the order of their times and, at the same time, in
-// the order they were put in. It is not safe for concurrent use.
+// Timeline runs functions in the order of their times, and those with the same time
+// in the order in which they were added. It is not safe for concurrent use.
 type Timeline struct {
 	now   time.Time
-	items items
-	count uint64
+	queue itemQueue
+	added uint64
 }
 
 type item struct {
-	at    time.Time
-	order uint64
-	run   func()
+	at       time.Time
+	sequence uint64
+	run      func()
 }
 
-type items []item
+type itemQueue []item
 
 // Len implements heap.Interface.
-func (s items) Len() int { return len(s) }
+func (s itemQueue) Len() int { return len(s) }
 
 // Less implements heap.Interface.
-func (s items) Less(i, j int) bool {
+func (s itemQueue) Less(i, j int) bool {
 	if c := s[i].at.Compare(s[j].at); c != 0 {
 		return c < 0
 	}
-	return s[i].order < s[j].order
+	return s[i].sequence < s[j].sequence
 }
 
 // Swap implements heap.Interface.
-func (s items) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s itemQueue) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
 
 // Push implements heap.Interface.
-func (s *items) Push(x any) { *s = append(*s, x.(item)) }
+func (s *itemQueue) Push(x any) { *s = append(*s, x.(item)) }
 
 // Pop implements heap.Interface.
-func (s *items) Pop() any {
+func (s *itemQueue) Pop() any {
 	last := len(*s) - 1
 	popped := (*s)[last]
 	*s = (*s)[:last]
@@ -54,25 +54,26 @@
 // Now returns the virtual time.
 func (t *Timeline) Now() time.Time { return t.now }
 
-// After runs fn once d has passed; at once, but after what is due now, for 0.
+// After schedules fn to run after d. If d is 0, fn runs at the current time, after
+// the functions that are already due.
 func (t *Timeline) After(d time.Duration, fn func()) {
-	t.count++
-	heap.Push(&t.items, item{at: t.now.Add(d), order: t.count, run: fn})
+	t.added++
+	heap.Push(&t.queue, item{at: t.now.Add(d), sequence: t.added, run: fn})
 }
 
-// Run runs until done returns true, the time limit has passed or nothing is left,
-// and returns the time that took.
+// Run runs the scheduled functions until done returns true, the time limit has
+// passed or none is left, and returns the virtual time that has passed.
 func (t *Timeline) Run(limit time.Duration, done func() bool) time.Duration {
-	began := t.now
-	end := began.Add(limit)
-	for len(t.items) > 0 && !done() {
-		if t.items[0].at.After(end) {
-			t.now = end // the item stays for the next run
+	start := t.now
+	end := start.Add(limit)
+	for len(t.queue) > 0 && !done() {
+		if t.queue[0].at.After(end) {
+			t.now = end // the function stays scheduled for the next call of Run
 			break
 		}
-		next := heap.Pop(&t.items).(item)
+		next := heap.Pop(&t.queue).(item)
 		t.now = next.at
 		next.run()
 	}
-	return t.now.Sub(began)
+	return t.now.Sub(start)
 }
