--- a/internal/lab/enginemodel/enginemodel.go
+++ b/internal/lab/enginemodel/enginemodel.go
@@ -1,6 +1,6 @@
-// Package enginemodel is a small model of a batching engine in virtual time: a
-// fixed number of slots, one token for every sample of the batch at each step,
-// and a step that takes longer the fuller the batch is.
+// Package enginemodel is a small model of a batching engine in virtual time. The
+// engine has a fixed number of slots, generates one token for every sample of the
+// batch in each step, and takes longer for a step the fuller the batch is.
 package enginemodel
 
 import (
@@ -11,16 +11,16 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// Job is one sample on an engine.
+// Job is the generation of one sample at an engine.
 type Job struct {
 	Feed         string
 	ID           sample.ID
-	Prompt       int // tokens
-	Length       int // tokens in all
-	Tokens       int // generated so far
-	Cached       int // tokens, of the prompt first, whose KV cache the engine has
+	Prompt       int // tokens of the prompt
+	Length       int // tokens to generate
+	Tokens       int // tokens generated so far
+	Cached       int // number of leading tokens, the prompt included, whose KV cache the engine holds
 	Segments     []wire.Segment
-	FirstTokenAt time.Time
+	FirstTokenAt time.Time // when the first token was generated
 }
 
 func (j *Job) generate(version int64) {
@@ -33,50 +33,51 @@
 	j.Segments[last].To = j.Tokens
 }
 
-// Engine generates the jobs in its slots; those beyond wait in order.
+// Engine generates the jobs in its slots; further jobs wait in the order of arrival.
 type Engine struct {
 	Pace            rollout.Pace
-	PrefillPerToken time.Duration // of one token whose KV cache the engine has not; 0: nothing
+	PrefillPerToken time.Duration // time to compute the KV cache of one token; 0 means no time
 	Slots           int
 	Version         int64
-	others          int // slots that callers' requests use
+	usedByOthers    int // slots used by callers' requests
 	running         []*Job
 	waiting         []*Job
-	pending         time.Duration // prefill of the jobs that came to a slot since the last step
-	prompts         map[prompt]bool
+	pendingPrefill  time.Duration // prefill of the jobs that got a slot since the last step
+	prompts         map[promptKey]bool
 }
 
-// prompt is a group's prompt whose KV cache a version computed; the group's
-// samples share it.
-type prompt struct {
+// promptKey identifies the KV cache of a group's prompt, computed with one weight
+// version. The samples of the group share it.
+type promptKey struct {
 	feed        string
 	step, group int64
 	version     int64
 }
 
-// prefill returns the time that a job's KV cache takes that the engine has not.
+// prefill returns the time to compute the part of a job's KV cache that the engine
+// doesn't hold.
 func (e *Engine) prefill(j *Job) time.Duration {
 	if e.PrefillPerToken == 0 {
 		return 0
 	}
-	key := prompt{feed: j.Feed, step: j.ID.Step, group: j.ID.Group, version: e.Version}
+	key := promptKey{feed: j.Feed, step: j.ID.Step, group: j.ID.Group, version: e.Version}
 	if e.prompts[key] {
 		j.Cached = max(j.Cached, j.Prompt)
 	}
 	if e.prompts == nil {
-		e.prompts = map[prompt]bool{}
+		e.prompts = map[promptKey]bool{}
 	}
 	e.prompts[key] = true
 	return time.Duration(j.Prompt+j.Tokens-j.Cached) * e.PrefillPerToken
 }
 
-// UsedByOthers returns the number of slots that callers' requests use.
-func (e *Engine) UsedByOthers() int { return e.others }
+// UsedByOthers returns the number of slots used by callers' requests.
+func (e *Engine) UsedByOthers() int { return e.usedByOthers }
 
-// SetUsedByOthers has callers' requests use n slots. The jobs that lose theirs wait
-// for one and keep no KV cache.
+// SetUsedByOthers sets the number of slots used by callers' requests to n. Jobs that
+// lose their slots wait for another one and lose their KV cache.
 func (e *Engine) SetUsedByOthers(n int) {
-	e.others = n
+	e.usedByOthers = n
 	for len(e.running) > max(0, e.Slots-n) {
 		last := len(e.running) - 1
 		j := e.running[last]
@@ -87,22 +88,22 @@
 	e.fill()
 }
 
-// Add gives the engine a job.
+// Add adds a job to the engine.
 func (e *Engine) Add(j *Job) {
 	e.waiting = append(e.waiting, j)
 	e.fill()
 }
 
 func (e *Engine) fill() {
-	for len(e.waiting) > 0 && len(e.running) < e.Slots-e.others {
+	for len(e.waiting) > 0 && len(e.running) < e.Slots-e.usedByOthers {
 		j := e.waiting[0]
-		e.pending += e.prefill(j)
+		e.pendingPrefill += e.prefill(j)
 		e.running = append(e.running, j)
 		e.waiting = e.waiting[1:]
 	}
 }
 
-// Remove takes a job away and returns it; nil if it is not here.
+// Remove removes a job and returns it, or returns nil if the engine doesn't have it.
 func (e *Engine) Remove(feed string, id sample.ID) *Job {
 	for _, list := range []*[]*Job{&e.running, &e.waiting} {
 		for i, j := range *list {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// Find returns a job; nil if it is not here.
+// Find returns a job, or nil if the engine doesn't have it.
 func (e *Engine) Find(feed string, id sample.ID) *Job {
 	var found *Job
 	e.Each(func(j *Job) {
@@ -130,7 +131,7 @@
 // RunningJobs returns the number of jobs in slots.
 func (e *Engine) RunningJobs() int { return len(e.running) }
 
-// Each calls fn with every job.
+// Each calls fn with every job, running or waiting.
 func (e *Engine) Each(fn func(*Job)) {
 	for _, j := range e.running {
 		fn(j)
@@ -140,18 +141,18 @@
 	}
 }
 
-// BeginStep returns the time that the next step takes, with the prefill of the
-// jobs that came to a slot since the last one.
+// BeginStep returns the duration of the next step, including the prefill of the jobs
+// that got a slot since the last step.
 func (e *Engine) BeginStep() time.Duration {
-	took := e.Pace.TokenTime(len(e.running)+e.others) + e.pending
-	e.pending = 0
-	return took
+	duration := e.Pace.TokenTime(len(e.running)+e.usedByOthers) + e.pendingPrefill
+	e.pendingPrefill = 0
+	return duration
 }
 
-// Step generates one token for every job in a slot and returns those that are
-// complete; their slots are free again.
+// Step generates one token for every job in a slot, removes the completed jobs from
+// their slots and returns them.
 func (e *Engine) Step(now time.Time) []*Job {
-	var done, left []*Job
+	var completed, unfinished []*Job
 	for _, j := range e.running {
 		if j.Tokens == 0 {
 			j.FirstTokenAt = now
@@ -159,12 +160,12 @@
 		j.generate(e.Version)
 		j.Cached = j.Prompt + j.Tokens
 		if j.Tokens >= j.Length {
-			done = append(done, j)
+			completed = append(completed, j)
 			continue
 		}
-		left = append(left, j)
+		unfinished = append(unfinished, j)
 	}
-	e.running = left
+	e.running = unfinished
 	e.fill()
-	return done
+	return completed
 }
