--- a/internal/lab/path/inflight.go
+++ b/internal/lab/path/inflight.go
@@ -20,23 +20,23 @@
 )
 
 const (
-	flightGroups = 512 // of sampleSize: the 4,096 samples of a step
-	flightLimit  = time.Minute
-	// Tokens that each sample has when the memory is counted: a line through two
-	// lengths tells what a token takes.
-	flightShort = 256
-	flightLong  = 2048
+	inFlightGroups  = 512 // groups of sampleSize: the 4,096 samples of a step
+	inFlightTimeout = time.Minute
+	// Numbers of tokens of each sample when the memory is measured. The memory of a
+	// token is the slope between the two measurements.
+	shortTokens = 256
+	longTokens  = 2048
 )
 
-// stalled generates some tokens of each sample and no more, so that all samples
-// of a step are in flight at once.
-type stalled struct {
+// stalledGenerator generates a fixed number of tokens of each sample and then blocks
+// until the call is cancelled, so that all samples of a step are in flight at once.
+type stalledGenerator struct {
 	tokens   int
 	inFlight atomic.Int64
 }
 
 // Generate implements entry.Generator.
-func (s *stalled) Generate(ctx context.Context, req wire.Request, onTokens func(wire.ReadReply)) wire.Answer {
+func (s *stalledGenerator) Generate(ctx context.Context, req wire.Request, onTokens func(wire.ReadReply)) wire.Answer {
 	for position := range s.tokens {
 		onTokens(wire.ReadReply{
 			ID: req.CallID, Offset: position,
@@ -48,63 +48,64 @@
 	return wire.Answer{Outcome: wire.Unknown, Reason: wire.ReasonCancelled}
 }
 
-// Engines implements entry.EngineLister: one engine with a slot for every sample.
-func (s *stalled) Engines(string) []entry.EngineState {
-	return []entry.EngineState{{ID: "agent", Load: wire.Load{Slots: flightGroups * sampleSize, WeightVersion: 1}}}
+// Engines implements entry.EngineLister. It returns one engine with a slot for every
+// sample.
+func (s *stalledGenerator) Engines(string) []entry.EngineState {
+	return []entry.EngineState{{ID: "agent", Load: wire.Load{Slots: inFlightGroups * sampleSize, WeightVersion: 1}}}
 }
 
-// InFlightBenchmark measures the memory that the owner of a feed has for each
-// sample in flight, heap and stacks, with all samples of a step in flight.
+// InFlightBenchmark measures the memory, heap and stacks, that the owner of a feed
+// uses for each sample while all samples of a step are in flight.
 func InFlightBenchmark() ([]bounds.Figure, error) {
-	short, err := bytesInFlight(flightShort)
+	short, err := bytesInFlight(shortTokens)
 	if err != nil {
 		return nil, err
 	}
-	long, err := bytesInFlight(flightLong)
+	long, err := bytesInFlight(longTokens)
 	if err != nil {
 		return nil, err
 	}
-	perToken := (long - short) / (flightLong - flightShort)
+	perToken := (long - short) / (longTokens - shortTokens)
 	return []bounds.Figure{
-		{Name: "bench.sample_in_flight_bytes", Value: short - perToken*flightShort},
+		{Name: "bench.sample_in_flight_bytes", Value: short - perToken*shortTokens},
 		{Name: "bench.sample_in_flight_bytes_per_token", Value: perToken},
 	}, nil
 }
 
-// bytesInFlight returns the memory of each sample with so many tokens.
+// bytesInFlight returns the bytes used per sample if each has the number of tokens.
 func bytesInFlight(tokens int) (float64, error) {
-	store, stop, err := memoryStore()
+	store, stop, err := newStore()
 	if err != nil {
 		return 0, err
 	}
 	defer stop()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	fleet := &stalled{tokens: tokens}
+	generator := &stalledGenerator{tokens: tokens}
 	s := &site{deployment: deployment([]backend{{service: service, kind: decl.KindModel}})}
 	s.declareFeed()
 	feed := &s.deployment.Feeds[0]
-	feed.GroupsPerStep, feed.LotSize, feed.MaxTokens = flightGroups, flightGroups*sampleSize, 2*tokens
-	before := memory()
+	feed.GroupsPerStep, feed.LotSize, feed.MaxTokens = inFlightGroups, inFlightGroups*sampleSize, 2*tokens
+	before := memoryInUse()
 	feeds := feedrun.New(feedrun.Options{
-		Instance: "entry", Store: store, Duties: holder{}, Config: config{s.deployment},
-		Generator: fleet, Fleet: fleet, Log: log, Metrics: metrics.NewRegistry(),
+		Instance: "entry", Store: store, Duties: permanentHolder{}, Config: fixedConfig{s.deployment},
+		Generator: generator, Fleet: generator, Log: log, Metrics: metrics.NewRegistry(),
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), flightLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), inFlightTimeout)
 	defer cancel()
 	go func() { _ = feeds.Run(ctx) }()
-	const all = flightGroups * sampleSize
-	for fleet.inFlight.Load() < all {
+	const samples = inFlightGroups * sampleSize
+	for generator.inFlight.Load() < samples {
 		if ctx.Err() != nil {
-			return 0, errors.Errorf("%d of %d samples in flight within %s", fleet.inFlight.Load(), all, flightLimit)
+			return 0, errors.Errorf("%d of %d samples in flight within %s", generator.inFlight.Load(), samples, inFlightTimeout)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	return float64(memory()-before) / all, nil
+	return float64(memoryInUse()-before) / samples, nil
 }
 
-// memory returns the bytes of live heap and of stacks.
-func memory() int64 {
+// memoryInUse returns the bytes of live heap and of stacks.
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/lab/path/path.go
+++ b/internal/lab/path/path.go
@@ -1,5 +1,7 @@
-// Package path times a lookup through an entry and an agent against the same
-// lookup straight to its endpoint, all on loopback in one process.
+// Package path measures what entry and agent add to a request: the latency and
+// processor time of a lookup and of streamed tokens through them, compared with the
+// same request sent directly to its endpoint, and the cost of the samples of a feed.
+// Everything runs on loopback in one process.
 package path
 
 import (
@@ -30,20 +32,20 @@
 )
 
 const (
-	service    = "ledger"
-	callerKey  = "bench-key"
-	lookupPath = "/status/42"
-	warmUp     = 500
-	alone      = 4000 // lookups one after the other, for latency
-	crowd      = 32   // clients at once, for throughput
-	perClient  = 1000 // lookups of each
-	maxMicros  = 10e6 // longest latency recorded
-	startLimit = 10 * time.Second
+	service           = "ledger"
+	callerKey         = "bench-key"
+	lookupPath        = "/status/42"
+	warmUpLookups     = 500
+	sequentialLookups = 4000 // lookups sent one after the other, to measure latency
+	clients           = 32   // concurrent clients, to measure throughput
+	lookupsPerClient  = 1000 // lookups sent by each of them
+	maxLatencyMicros  = 10e6 // largest latency that is recorded
+	startTimeout      = 10 * time.Second
 )
 
-// site is the process under test.
+// site is the system under test: endpoints with their agents and an entry.
 type site struct {
-	endpoint   string // of the first service
+	endpoint   string // address of the first endpoint
 	entry      string
 	server     *entry.Server
 	pool       *pool.Pool
@@ -52,15 +54,15 @@
 	stop       func()
 }
 
-// sample is what one way of sending lookups gave.
-type sample struct {
-	latency   *hdrhistogram.Histogram // microseconds, one client
-	perSecond float64                 // many clients
-	cpu       float64                 // processor seconds a lookup, many clients
+// measurement holds the results of one way of sending lookups.
+type measurement struct {
+	latency   *hdrhistogram.Histogram // in microseconds, with one client
+	perSecond float64                 // lookups per second with many clients
+	cpu       float64                 // processor seconds per lookup with many clients
 }
 
-// LookupBenchmark returns the figures of both ways and what the way through entry
-// and agent adds.
+// LookupBenchmark returns the figures of lookups through entry and agent and of
+// direct ones, and the latency that entry and agent add.
 func LookupBenchmark() ([]bounds.Figure, error) {
 	s, err := start()
 	if err != nil {
@@ -91,24 +93,24 @@
 	}, nil
 }
 
-// measure sends lookups one after the other, then by many clients at once.
-func measure(url string) (sample, error) {
-	client := &fasthttp.Client{MaxConnsPerHost: 2 * crowd}
-	s := sample{latency: hdrhistogram.New(1, maxMicros, 3)}
-	for i := range warmUp + alone {
-		begun := time.Now()
+// measure sends lookups one after the other, then by many clients concurrently.
+func measure(url string) (measurement, error) {
+	client := &fasthttp.Client{MaxConnsPerHost: 2 * clients}
+	s := measurement{latency: hdrhistogram.New(1, maxLatencyMicros, 3)}
+	for i := range warmUpLookups + sequentialLookups {
+		startedAt := time.Now()
 		if err := lookup(client, url); err != nil {
 			return s, err
 		}
-		if i >= warmUp {
-			_ = s.latency.RecordValue(time.Since(begun).Microseconds())
+		if i >= warmUpLookups {
+			_ = s.latency.RecordValue(time.Since(startedAt).Microseconds())
 		}
 	}
-	cpu, begun := processorTime(), time.Now()
+	cpu, startedAt := processorTime(), time.Now()
 	var group errgroup.Group
-	for range crowd {
+	for range clients {
 		group.Go(func() error {
-			for range perClient {
+			for range lookupsPerClient {
 				if err := lookup(client, url); err != nil {
 					return err
 				}
@@ -117,8 +119,8 @@
 		})
 	}
 	err := group.Wait()
-	s.perSecond = crowd * perClient / time.Since(begun).Seconds()
-	s.cpu = (processorTime() - cpu) / (crowd * perClient)
+	s.perSecond = clients * lookupsPerClient / time.Since(startedAt).Seconds()
+	s.cpu = (processorTime() - cpu) / (clients * lookupsPerClient)
 	return s, err
 }
 
@@ -153,31 +155,31 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "path")
 	}
-	return startBefore(backend{service: service, kind: decl.KindPlain, endpoint: endpoint, crash: plain.Crash})
+	return startAgents(backend{service: service, kind: decl.KindPlain, endpoint: endpoint, crash: plain.Crash})
 }
 
-// backend is an endpoint to put an agent before.
+// backend is an endpoint that gets an agent.
 type backend struct {
 	service  string
 	kind     decl.ServiceKind
 	endpoint string
-	crash    func() // ends it
+	crash    func() // stops the endpoint
 }
 
-// startBefore runs an agent for each endpoint and an entry before them.
-func startBefore(all ...backend) (*site, error) {
+// startAgents runs an agent for each endpoint and an entry in front of the agents.
+func startAgents(all ...backend) (*site, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	entryListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "path")
 	}
 	d := deployment(all)
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
-	var agents lister
+	var agents fixedLister
 	for _, b := range all {
-		inner, err := net.Listen("tcp", "127.0.0.1:0")
+		agentListener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			cancel()
 			return nil, errors.Wrap(err, "path")
@@ -185,32 +187,32 @@
 		id := "agent-" + b.service
 		a := agent.New(settings.Settings{ID: id, Service: b.service, Endpoint: b.endpoint}, log, metrics.NewRegistry())
 		a.Configure(*d)
-		group.Go(func() error { return a.Serve(ctx, inner) })
-		agents = append(agents, kv.Instance{ID: id, Address: inner.Addr().String(), Role: "agent", Service: b.service})
+		group.Go(func() error { return a.Serve(ctx, agentListener) })
+		agents = append(agents, kv.Instance{ID: id, Address: agentListener.Addr().String(), Role: "agent", Service: b.service})
 	}
 	p := pool.New(pool.Options{ID: "entry", Lister: agents, Log: log})
 	group.Go(func() error { return p.Run(ctx) })
 	retries := entry.NewRetryPolicy()
 	e := entry.New(settings.Settings{}, log, metrics.NewRegistry(), entry.Dependencies{
-		Config: config{d}, Picker: p, Quarantine: clean{}, RetryBudget: retries, Hedger: retries,
+		Config: fixedConfig{d}, Picker: p, Quarantine: emptyQuarantine{}, RetryBudget: retries, Hedger: retries,
 	})
-	group.Go(func() error { return e.ServeHTTP(ctx, front) })
-	s := &site{endpoint: all[0].endpoint, entry: front.Addr().String(), server: e, pool: p, deployment: d, log: log, stop: func() {
+	group.Go(func() error { return e.ServeHTTP(ctx, entryListener) })
+	s := &site{endpoint: all[0].endpoint, entry: entryListener.Addr().String(), server: e, pool: p, deployment: d, log: log, stop: func() {
 		cancel()
 		_ = group.Wait()
 		for _, b := range all {
 			b.crash()
 		}
 	}}
-	return s, waitUsable(p, len(all))
+	return s, waitForAgents(p, len(all))
 }
 
-// waitUsable waits until the agents of so many endpoints are heard.
-func waitUsable(p *pool.Pool, agents int) error {
-	for end := time.Now().Add(startLimit); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		heard := 0
-		p.EachAgent(func(string, entry.Endpoint) { heard++ })
-		if heard == agents {
+// waitForAgents blocks until the entry has contact with the number of agents.
+func waitForAgents(p *pool.Pool, agents int) error {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		connected := 0
+		p.EachAgent(func(string, entry.Endpoint) { connected++ })
+		if connected == agents {
 			return nil
 		}
 	}
@@ -221,7 +223,7 @@
 	digest := sha256.Sum256([]byte(callerKey))
 	var services []decl.Service
 	for _, b := range all {
-		services = append(services, decl.Service{Name: b.service, Kind: b.kind, Slots: crowd, QueueLimit: 1000, MaxBodyBytes: 1 << 10})
+		services = append(services, decl.Service{Name: b.service, Kind: b.kind, Slots: clients, QueueLimit: 1000, MaxBodyBytes: 1 << 10})
 	}
 	return &decl.Deployment{
 		Name:     "bench",
@@ -236,21 +238,22 @@
 	}
 }
 
-// lister is a list that never changes.
-type lister []kv.Instance
+// fixedLister is an instance list that never changes.
+type fixedLister []kv.Instance
 
-func (l lister) Instances(context.Context, string) ([]kv.Instance, error) { return l, nil }
+func (l fixedLister) Instances(context.Context, string) ([]kv.Instance, error) { return l, nil }
 
-type config struct{ d *decl.Deployment }
+// fixedConfig is a configuration that never changes.
+type fixedConfig struct{ d *decl.Deployment }
 
-func (c config) Current() *decl.Deployment { return c.d }
+func (c fixedConfig) Current() *decl.Deployment { return c.d }
 
-// clean is a quarantine that knows no request.
-type clean struct{}
+// emptyQuarantine is a quarantine without entries: it admits every request.
+type emptyQuarantine struct{}
 
-func (clean) Blocked(string, uint64) bool             { return false }
-func (clean) ReportCrash(wire.Suspicion)              {}
-func (clean) EndCopy(entry.RequestCopy, string, bool) {}
-func (clean) StartCopy(_ context.Context, v entry.RequestCopy) (entry.Admission, wire.Answer, bool) {
+func (emptyQuarantine) Blocked(string, uint64) bool             { return false }
+func (emptyQuarantine) ReportCrash(wire.Suspicion)              {}
+func (emptyQuarantine) EndCopy(entry.RequestCopy, string, bool) {}
+func (emptyQuarantine) StartCopy(_ context.Context, v entry.RequestCopy) (entry.Admission, wire.Answer, bool) {
 	return entry.Admission{Endpoint: v.Endpoint}, wire.Answer{}, true
 }
--- a/internal/lab/path/samples.go
+++ b/internal/lab/path/samples.go
@@ -23,20 +23,21 @@
 )
 
 const (
-	sampleFeed   = "drafts"
-	scorer       = "scorer"
-	sampleTokens = 150
-	sampleGroups = 16
-	sampleSize   = 8
-	sampleSteps  = 4 // measured, after one to warm up
-	sampleLimit  = 2 * time.Minute
-	// looseBound keeps every sample: the engine stays at one version.
-	looseBound = 1 << 20
+	sampleFeed    = "drafts"
+	scorer        = "scorer"
+	sampleTokens  = 150
+	sampleGroups  = 16
+	sampleSize    = 8
+	sampleSteps   = 4 // measured steps, after one to warm up
+	sampleTimeout = 2 * time.Minute
+	// unlimitedStaleness keeps every sample although the engine stays at one version
+	// while the trainer's version advances.
+	unlimitedStaleness = 1 << 20
 )
 
-// SampleBenchmark measures the processor time of a sample through generation at
-// an engine of 50 tokens a second and stream, scoring and hand-over to a trainer,
-// beside the same tokens streamed straight from the engine.
+// SampleBenchmark measures the processor time of a sample: generation at an engine
+// of 50 tokens a second, streaming, scoring and handover to a trainer. The baseline
+// is the processor time of the same tokens streamed directly from the engine.
 func SampleBenchmark() ([]bounds.Figure, error) {
 	s, err := startFeedSite()
 	if err != nil {
@@ -48,17 +49,17 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "direct")
 	}
-	whole, err := s.feedCost()
+	feed, err := s.feedCost()
 	if err != nil {
 		return nil, errors.Wrap(err, "feed")
 	}
-	added := whole.cpu - direct.cpu*whole.tokens
+	added := feed.cpu - direct.cpu*feed.tokens
 	return []bounds.Figure{
 		{Name: "bench.sample_cpu_ms", Value: added * 1e3},
-		{Name: "bench.sample_cpu_ms.baseline", Value: direct.cpu * whole.tokens * 1e3},
-		{Name: "bench.sample_tokens", Value: whole.tokens},
+		{Name: "bench.sample_cpu_ms.baseline", Value: direct.cpu * feed.tokens * 1e3},
+		{Name: "bench.sample_tokens", Value: feed.tokens},
 		{Name: "bench.samples_per_core_s", Value: 1 / added},
-		{Name: "bench.samples_per_s", Value: whole.perSecond},
+		{Name: "bench.samples_per_s", Value: feed.perSecond},
 	}, nil
 }
 
@@ -73,26 +74,26 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "path")
 	}
-	return startBefore(engine, backend{service: scorer, kind: decl.KindPlain, endpoint: scoringAddress, crash: scoring.Crash})
+	return startAgents(engine, backend{service: scorer, kind: decl.KindPlain, endpoint: scoringAddress, crash: scoring.Crash})
 }
 
-// feedResult is what a feed's samples took of the whole process.
+// feedResult is the cost of the samples of a feed, over the whole process.
 type feedResult struct {
-	cpu       float64 // processor seconds a sample
-	tokens    float64 // of a sample, in the mean
-	perSecond float64 // samples
+	cpu       float64 // processor seconds per sample
+	tokens    float64 // mean number of tokens of a sample
+	perSecond float64 // samples per second
 }
 
-// feedCost runs a feed and its trainer for some steps.
+// feedCost runs a feed and its trainer and measures some of its steps.
 func (s *site) feedCost() (feedResult, error) {
-	store, stop, err := memoryStore()
+	store, stop, err := newStore()
 	if err != nil {
 		return feedResult{}, err
 	}
 	defer stop()
 	s.declareFeed()
 	feeds := feedrun.New(feedrun.Options{
-		Instance: "entry", Store: store, Duties: holder{}, Config: config{s.deployment},
+		Instance: "entry", Store: store, Duties: permanentHolder{}, Config: fixedConfig{s.deployment},
 		Generator: s.server, Scorer: s.server, Fleet: s.pool, Log: s.log, Metrics: metrics.NewRegistry(),
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,12 +104,12 @@
 	trainerpb.RegisterTrainerServer(server, feedrun.NewTrainer(feeds))
 	go func() { _ = server.Serve(listener) }()
 	defer server.Stop()
-	ctx, cancel := context.WithTimeout(context.Background(), sampleLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), sampleTimeout)
 	defer cancel()
 	go func() { _ = feeds.Run(ctx) }()
 	trainer, err := standin.NewTrainer(standin.TrainerOptions{
 		Entries: []string{listener.Addr().String()}, Key: callerKey, Deployment: s.deployment.Name, Feed: sampleFeed,
-		Version: 1, StalenessBound: looseBound, AnnounceInterval: looseBound,
+		Version: 1, StalenessBound: unlimitedStaleness, AnnounceInterval: unlimitedStaleness,
 	})
 	if err != nil {
 		return feedResult{}, err
@@ -117,13 +118,13 @@
 	return measureSteps(ctx, trainer)
 }
 
-// measureSteps measures from the end of the first step on.
+// measureSteps measures sampleSteps steps, beginning after the first one.
 func measureSteps(ctx context.Context, trainer *standin.Trainer) (feedResult, error) {
-	if err := awaitSteps(ctx, trainer, 1); err != nil {
+	if err := waitForSteps(ctx, trainer, 1); err != nil {
 		return feedResult{}, err
 	}
-	began, cpu, before := time.Now(), processorTime(), trainer.Report()
-	if err := awaitSteps(ctx, trainer, 1+sampleSteps); err != nil {
+	startedAt, cpu, before := time.Now(), processorTime(), trainer.Report()
+	if err := waitForSteps(ctx, trainer, 1+sampleSteps); err != nil {
 		return feedResult{}, err
 	}
 	cpu = processorTime() - cpu
@@ -135,14 +136,14 @@
 	return feedResult{
 		cpu:       cpu / samples,
 		tokens:    float64(after.Tokens-before.Tokens) / samples,
-		perSecond: samples / time.Since(began).Seconds(),
+		perSecond: samples / time.Since(startedAt).Seconds(),
 	}, nil
 }
 
-func awaitSteps(ctx context.Context, trainer *standin.Trainer, n int) error {
+func waitForSteps(ctx context.Context, trainer *standin.Trainer, n int) error {
 	for trainer.Report().Steps < n {
 		if ctx.Err() != nil {
-			return errors.Errorf("%d of %d steps within %s", trainer.Report().Steps, n, sampleLimit)
+			return errors.Errorf("%d of %d steps within %s", trainer.Report().Steps, n, sampleTimeout)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -153,14 +154,15 @@
 	digest := sha256.Sum256([]byte(callerKey))
 	s.deployment.Feeds = []decl.Feed{{
 		Name: sampleFeed, Service: service, Business: "b", Model: service, Scorer: scorer,
-		TrainerSHA256: hex.EncodeToString(digest[:]), StalenessBound: looseBound,
+		TrainerSHA256: hex.EncodeToString(digest[:]), StalenessBound: unlimitedStaleness,
 		GroupSize: sampleSize, GroupsPerStep: sampleGroups, LotSize: sampleSize * sampleGroups, MaxTokens: sampleTokens,
 		WeightIdle: 1, Share: 1, Prompts: []string{"remind {step} {group} {index}"},
 	}}
 }
 
-// memoryStore is a client of a key-value service of this process.
-func memoryStore() (kv.Store, func(), error) {
+// newStore starts an in-memory key-value service and returns a client of it and a
+// function that stops both.
+func newStore() (kv.Store, func(), error) {
 	platform := standin.NewPlatform(standin.PlatformOptions{})
 	address, err := platform.Start("127.0.0.1:0")
 	if err != nil {
@@ -176,11 +178,11 @@
 	}, nil
 }
 
-// holder holds every duty for good.
-type holder struct{}
+// permanentHolder holds every duty permanently.
+type permanentHolder struct{}
 
-func (holder) KnownHolder(string) (string, int64, bool) { return "", 1, true }
-func (holder) LeaseState(string) duties.LeaseState      { return duties.Holder }
-func (holder) OnChange(_ string, fn func(duties.Change)) {
+func (permanentHolder) KnownHolder(string) (string, int64, bool) { return "", 1, true }
+func (permanentHolder) LeaseState(string) duties.LeaseState      { return duties.Holder }
+func (permanentHolder) OnChange(_ string, fn func(duties.Change)) {
 	fn(duties.Change{Duty: wire.FeedDuty("bench", sampleFeed), Epoch: 1, LeaseState: duties.Holder})
 }
--- a/internal/lab/path/streams.go
+++ b/internal/lab/path/streams.go
@@ -21,28 +21,28 @@
 )
 
 const (
-	// An engine of the expected size makes 1,308 tokens a second; so many
-	// streams at a step of 20 ms make 1,600.
-	streams        = crowd
-	engineStep     = 20 * time.Millisecond
-	streamTokens   = 150
-	streamLimit    = time.Minute
-	tokensPerS     = 1.7e6 // of the whole fleet at the expected size
-	completionPath = "/v1/completions"
+	// An engine of the expected size generates 1,308 tokens a second; this number of
+	// streams with a step of 20 ms generates 1,600.
+	streams              = clients
+	engineStep           = 20 * time.Millisecond
+	streamTokens         = 150
+	streamTimeout        = time.Minute
+	fleetTokensPerSecond = 1.7e6 // of all engines at the expected fleet size
+	completionPath       = "/v1/completions"
 )
 
-// way is one way of streaming completions; it returns the tokens it received.
-type way func(prompt string) (int, error)
+// streamFunc streams one completion and returns the number of tokens it received.
+type streamFunc func(prompt string) (int, error)
 
-// TokenBenchmark measures the processor time of a streamed token over three
-// ways: straight from the engine, through entry and agent to a caller, and as a
-// rollout of the entry. The engine's own work is in each of them.
+// TokenBenchmark measures the processor time of a streamed token in three setups:
+// directly from the engine, through entry and agent to a caller, and as a rollout of
+// the entry. Each includes the work of the engine itself.
 func TokenBenchmark() ([]bounds.Figure, error) {
 	engine, err := startEngine()
 	if err != nil {
 		return nil, err
 	}
-	s, err := startBefore(engine)
+	s, err := startAgents(engine)
 	if err != nil {
 		return nil, err
 	}
@@ -65,11 +65,11 @@
 		{Name: "bench.token_cpu_us", Value: (through.cpu - direct.cpu) * micros},
 		{Name: "bench.token_cpu_us.baseline", Value: direct.cpu * micros},
 		{Name: "bench.token_cpu_ratio", Value: through.cpu / direct.cpu},
-		{Name: "bench.token_cores", Value: (through.cpu - direct.cpu) * tokensPerS},
+		{Name: "bench.token_cores", Value: (through.cpu - direct.cpu) * fleetTokensPerSecond},
 		{Name: "bench.token_allocs", Value: through.allocs - direct.allocs},
 		{Name: "bench.rollout_token_cpu_us", Value: (rollout.cpu - direct.cpu) * micros},
 		{Name: "bench.rollout_token_cpu_ratio", Value: rollout.cpu / direct.cpu},
-		{Name: "bench.rollout_token_cores", Value: (rollout.cpu - direct.cpu) * tokensPerS},
+		{Name: "bench.rollout_token_cores", Value: (rollout.cpu - direct.cpu) * fleetTokensPerSecond},
 		{Name: "bench.rollout_token_allocs", Value: rollout.allocs - direct.allocs},
 	}, nil
 }
@@ -81,14 +81,14 @@
 	return backend{service: service, kind: decl.KindModel, endpoint: endpoint, crash: engine.Crash}, errors.Wrap(err, "path")
 }
 
-// cost is what a token takes of the whole process.
+// cost is the cost of a token, over the whole process.
 type cost struct {
 	cpu    float64 // processor seconds
 	allocs float64
 }
 
-// tokenCost streams once to warm up and once to measure, by many at once.
-func tokenCost(run way) (cost, error) {
+// tokenCost runs the concurrent streams once to warm up and once to measure.
+func tokenCost(run streamFunc) (cost, error) {
 	if _, err := runStreams(run); err != nil {
 		return cost{}, err
 	}
@@ -101,7 +101,7 @@
 	return cost{cpu: cpu / float64(tokens), allocs: float64(after.Mallocs-before.Mallocs) / float64(tokens)}, err
 }
 
-func runStreams(run way) (int, error) {
+func runStreams(run streamFunc) (int, error) {
 	var group errgroup.Group
 	counts := make([]int, streams)
 	for i := range streams {
@@ -127,8 +127,8 @@
 	return json.Marshal(engineapi.CompletionRequest{Model: service, Prompt: prompt, MaxTokens: streamTokens, Stream: true})
 }
 
-// overHTTP streams as a caller does and counts the events with text.
-func overHTTP(client *fasthttp.Client, url string) way {
+// overHTTP streams as a caller does and counts the events that carry a token.
+func overHTTP(client *fasthttp.Client, url string) streamFunc {
 	return func(prompt string) (int, error) {
 		body, err := completion(prompt)
 		if err != nil {
@@ -142,7 +142,7 @@
 		req.Header.SetContentType("application/json")
 		req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+callerKey)
 		req.SetBody(body)
-		if err := client.DoTimeout(req, resp, streamLimit); err != nil {
+		if err := client.DoTimeout(req, resp, streamTimeout); err != nil {
 			return 0, errors.Wrap(err, "stream")
 		}
 		if resp.StatusCode() != fasthttp.StatusOK {
@@ -152,38 +152,38 @@
 	}
 }
 
-// countEvents counts the tokens' events until the stream's end.
+// countEvents counts the token events until the end of the stream.
 func countEvents(body io.Reader) (int, error) {
 	buffer := make([]byte, 16<<10)
-	mark, done := []byte(`"tokens":1`), []byte(engineapi.StreamDone)
-	count, kept := 0, 0
+	tokenField, endOfStream := []byte(`"tokens":1`), []byte(engineapi.StreamDone)
+	count, carried := 0, 0
 	for {
-		n, err := body.Read(buffer[kept:])
-		text := buffer[:kept+n]
+		n, err := body.Read(buffer[carried:])
+		text := buffer[:carried+n]
 		end := bytes.LastIndexByte(text, '\n') + 1
-		count += bytes.Count(text[:end], mark)
-		if bytes.Contains(text[:end], done) {
+		count += bytes.Count(text[:end], tokenField)
+		if bytes.Contains(text[:end], endOfStream) {
 			return count, nil
 		}
 		if err != nil {
 			return count, errors.Wrap(err, "stream: no end")
 		}
-		kept = copy(buffer, text[end:])
+		carried = copy(buffer, text[end:])
 	}
 }
 
-// generate streams as a feed's rollout does.
+// generate streams as a rollout of a feed does.
 func (s *site) generate(prompt string) (int, error) {
 	body, err := completion(prompt)
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), streamLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), streamTimeout)
 	defer cancel()
 	count := 0
 	answer := s.server.Generate(ctx, wire.Request{
 		ID: ulid.Make().String(), Service: service, Method: fasthttp.MethodPost, Path: completionPath,
-		ContentType: "application/json", Body: body, Remaining: streamLimit,
+		ContentType: "application/json", Body: body, Remaining: streamTimeout,
 	}, func(reply wire.ReadReply) { count += len(reply.Tokens) })
 	if answer.Outcome != wire.Answered {
 		return count, errors.Errorf("rollout: %s %s %s", answer.Outcome, answer.Reason, answer.Detail)
