--- a/internal/lab/path/inflight.go
+++ b/internal/lab/path/inflight.go
@@ -89,7 +89,7 @@
 	before := memoryInUse()
 	feeds := feedrun.New(feedrun.Options{
 		Instance: "entry", Store: store, Duties: permanentHolder{}, Config: fixedConfig{s.deployment},
-		Generator: generator, Fleet: generator, Log: log, Metrics: metrics.NewRegistry(),
+		Generator: generator, Engines: generator, Log: log, Metrics: metrics.NewRegistry(),
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), inFlightTimeout)
 	defer cancel()
