--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -21,7 +21,7 @@
 	return e.runStream(ctx, call{req: req}, onTokens)
 }
 
-// ImportCache implements CacheMover.
+// ImportCache implements CacheImporter.
 func (e *Server) ImportCache(ctx context.Context, to string, req wire.ImportRequest) (wire.ImportReply, error) {
 	ep, ok := e.deps.Picker.Find(to)
 	if !ok {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -79,7 +79,7 @@
 		return status.Error(codes.Unavailable, "outage")
 	}
 	if f.limiter != nil && !f.limiter.Allow() {
-		return status.Error(codes.ResourceExhausted, "call budget exhausted")
+		return status.Error(codes.ResourceExhausted, "call budget")
 	}
 	select {
 	case <-ctx.Done():
