--- a/internal/policy/batch/batch_test.go
+++ b/internal/policy/batch/batch_test.go
@@ -132,11 +132,11 @@
 		spec := spec(4)
 		spec.WantGroups = 2
 		j := batch.NewJob(spec, nil)
-		run := func(started, ended time.Duration, how batch.RunOutcome) {
+		run := func(started, ended time.Duration, outcome batch.RunOutcome) {
 			s := mustStartNext(j, start.Add(started))
 			j.RunPlaced(start.Add(started), s.Index)
 			addEvents(j, s.Index, s.ResumeAfter+1, s.ResumeAfter+1, 3)
-			j.RunEnded(start.Add(ended), s.Index, how, "e")
+			j.RunEnded(start.Add(ended), s.Index, outcome, "e")
 		}
 		run(0, time.Second, batch.RunComplete)
 		run(0, time.Second, batch.RunComplete)
@@ -388,11 +388,11 @@
 			Expect(j.AddEvent(run.Index, next, []byte(fmt.Sprintf("e%d", next)), 3+int64(random.IntN(2)))).To(BeTrue())
 			next++
 		}
-		how := batch.RunInterrupted
+		outcome := batch.RunInterrupted
 		if next > 5 {
-			how = batch.RunComplete
+			outcome = batch.RunComplete
 		}
-		j.RunEnded(now, run.Index, how, "e")
+		j.RunEnded(now, run.Index, outcome, "e")
 	}
 	Expect(j.Finished()).To(BeTrue(), "seed %d", seed)
 	seen := map[string]bool{}
--- a/internal/policy/batch/job.go
+++ b/internal/policy/batch/job.go
@@ -156,7 +156,7 @@
 
 // RunEnded records that an item's run at an engine ended. The item is then scored,
 // retried or aborted, or gets its result.
-func (j *Job) RunEnded(now time.Time, i int, how RunOutcome, engine string) {
+func (j *Job) RunEnded(now time.Time, i int, outcome RunOutcome, engine string) {
 	it := &j.items[i]
 	if it.phase != running {
 		return
@@ -164,7 +164,7 @@
 	it.phase = waiting
 	it.lastEngine = engine
 	defer j.estimate(i)
-	switch how {
+	switch outcome {
 	case RunComplete:
 		j.estimator.Observe(&j.Spec.Items[i], it.lastEvent)
 		j.finishText(i)
--- a/internal/policy/batch/score.go
+++ b/internal/policy/batch/score.go
@@ -58,19 +58,19 @@
 const (
 	ScoreGiven     ScoreOutcome = iota
 	ScoreFailed                 // the scorer reported a failure
-	ScoreRetryable              // the call was refused or its answer was incomplete
+	ScoreRetryable              // the call was refused, or no complete answer arrived
 )
 
 // ScoringEnded records that a scoring call ended. maxAttempts is the number of failures that
 // the scorer's route allows.
-func (j *Job) ScoringEnded(now time.Time, i int, how ScoreOutcome, score string, maxAttempts int) {
+func (j *Job) ScoringEnded(now time.Time, i int, outcome ScoreOutcome, score string, maxAttempts int) {
 	it := &j.items[i]
 	if it.phase != scoring {
 		return // another call determined the result
 	}
 	it.scoringCalls.inFlight--
 	it.scoringCalls.maxAttempts = max(1, maxAttempts, j.Spec.MaxAttempts)
-	switch how {
+	switch outcome {
 	case ScoreGiven:
 		j.complete(i, score)
 		return
--- a/internal/policy/batch/standby_test.go
+++ b/internal/policy/batch/standby_test.go
@@ -15,12 +15,12 @@
 	spec := &batch.Spec{ID: "j", MinVersion: 3, MaxAttempts: 2, Items: []batch.Item{{ID: "listed"}, {ID: "done"}, {ID: "half"}, {ID: "failed", Scorer: scored}, {ID: "new"}}}
 
 	// generate runs an item that generates the given number of events.
-	generate := func(j *batch.Job, i int, events int64, how batch.RunOutcome) {
+	generate := func(j *batch.Job, i int, events int64, outcome batch.RunOutcome) {
 		j.StartRun(i)
 		for n := int64(1); n <= events; n++ {
 			ExpectWithOffset(1, j.AddEvent(i, n, []byte("e"), 3)).To(BeTrue())
 		}
-		j.RunEnded(now, i, how, "e")
+		j.RunEnded(now, i, outcome, "e")
 	}
 
 	It("gives its results and texts to the next owner, which lists them after the listed results", func() {
--- a/internal/policy/batch/start.go
+++ b/internal/policy/batch/start.go
@@ -77,8 +77,8 @@
 	return start
 }
 
-// Postpone returns a running item to the waiting ones until the given time, without a
-// run, as no engine can take it.
+// Postpone makes a running item wait again until the given time. Callers use it if no
+// engine can take the run that StartRun returned.
 func (j *Job) Postpone(i int, until time.Time) {
 	it := &j.items[i]
 	if it.phase == running {
--- a/internal/policy/batch/write.go
+++ b/internal/policy/batch/write.go
@@ -12,8 +12,9 @@
 	groupWriteDelay = time.Second
 	// stepWriteDelay is how long results wait for their step to be complete. A trainer
 	// trains on a complete step. A trainer that has just read some results reads again half
-	// a second later, whereas one that finds none gets an answer as soon as there are some.
-	// The delay also bounds the work that is lost with a failed owner.
+	// a second later, whereas one that finds none gets an answer as soon as there are some,
+	// so early results of a step delay the read of the complete step. The delay also bounds
+	// the work that is lost with a failed owner.
 	stepWriteDelay = 2 * time.Second
 	// dueMargin is how long before a step is due its results are written group by group, so
 	// that the trainer can read the complete groups in time even if the step is incomplete.
