--- a/internal/policy/schedule/schedule.go
+++ b/internal/policy/schedule/schedule.go
@@ -29,9 +29,9 @@
 	// the limit has no effect.
 	batchLimitMargin = 1.5
 	// yieldShare is the share of a step's time until due during which its items yield to
-	// critical runs. Items that never start delay their step as well, even though engines have
-	// capacity: items that the trainer does not need, and items that run beside a step that an
-	// earlier fault has delayed.
+	// critical runs. Without this bound, two kinds of items might never start although engines
+	// have capacity, and delay their own step: spare items, and items whose step runs beside
+	// one that an earlier fault has delayed.
 	yieldShare = 0.5
 	// defaultDueSeconds is the time that a step has if its job has no due time.
 	defaultDueSeconds = 8.0
