--- a/internal/policy/standby/standby_test.go
+++ b/internal/policy/standby/standby_test.go
@@ -59,6 +59,7 @@
 	})
 
 	It("does not consider an owner lost while no other process confirms the failure", func() {
+		// This process may be the one that is disconnected, and the owner may still be running.
 		failPings(5000)
 		Expect(d.Lost(after(5000), "a")).To(BeFalse())
 	})
@@ -75,12 +76,15 @@
 	})
 
 	It("ignores an expired report from another process", func() {
+		// The owner may have become reachable from that process again in the meantime.
 		failPings(3000)
 		d.RecordIndirectFailure(after(1300), "a")
 		Expect(d.Lost(after(3000), "a")).To(BeFalse())
 	})
 
 	It("drops the state of owners without jobs", func() {
+		// An owner that gets jobs again must not count as lost because of pings that failed
+		// before.
 		failPings(1300)
 		d.Retain(after(1300), nil)
 		d.Retain(after(1400), []string{"a"})
