--- a/internal/policy/rollout/rollout_test.go
+++ b/internal/policy/rollout/rollout_test.go
@@ -61,6 +61,8 @@
 	})
 
 	It("starts one sample of every group before the second of any", func() {
+		// A long group delays the whole step if it is detected late, and its first sample
+		// shows how long the others will be.
 		s.SetEngines(start, engines(1, 1))
 		s.SetDemand(start, rollout.Demand{Feed: "f", Version: 1, Current: ids(0, 4, 2)})
 		started := starts(s.Plan(start))
@@ -98,6 +100,8 @@
 	})
 
 	It("waits for a swap only if staleness costs more, and for a limited time", func() {
+		// The engine has an older version than the trainer. If its swap fails, the feed must
+		// not wait for it forever.
 		sensitive := feed
 		sensitive.WeightStaleness = 9
 		s.SetFeed(sensitive)
--- a/internal/policy/rollout/scheduler.go
+++ b/internal/policy/rollout/scheduler.go
@@ -125,10 +125,10 @@
 
 // Scheduler places the samples of the feeds that this process owns.
 type Scheduler struct {
-	options Options
-	shares  float64 // sum of the shares of all feeds that use the engines, including those of other entries; 0 if not known
-	feeds   map[string]*feed
-	engines map[string]*engine
+	options     Options
+	totalShares float64 // sum of the shares of all feeds that use the engines, including those of other entries; 0 if not known
+	feeds       map[string]*feed
+	engines     map[string]*engine
 }
 
 // New returns a scheduler without feeds and engines.
@@ -386,8 +386,8 @@
 		slots = max(slots, e.Slots)
 		tokensPerSecond += s.options.Pace.Rate(e.Slots)
 	}
-	if shares := max(s.shares, s.ownShares()); shares > 0 {
-		tokensPerSecond *= f.Share / shares
+	if totalShares := max(s.totalShares, s.ownShares()); totalShares > 0 {
+		tokensPerSecond *= f.Share / totalShares
 	}
 	o := aheadInputs{
 		idleWeight:      f.WeightIdle,
--- a/internal/policy/rollout/share.go
+++ b/internal/policy/rollout/share.go
@@ -4,7 +4,7 @@
 
 // SetTotalShares sets the sum of the shares of all feeds that the engines serve, including
 // feeds that other entries own.
-func (s *Scheduler) SetTotalShares(sum float64) { s.shares = sum }
+func (s *Scheduler) SetTotalShares(sum float64) { s.totalShares = sum }
 
 func (s *Scheduler) ownShares() float64 {
 	sum := 0.0
@@ -30,9 +30,9 @@
 // owned here are entitled to. It rounds up, as a small feed would otherwise get none.
 func (s *Scheduler) entitledSlots(e *engine) int {
 	own := s.ownShares()
-	if s.shares <= own {
+	if s.totalShares <= own {
 		return 0
 	}
 	available := max(0, e.Slots-(e.UsedByOthers-e.UsedByOtherFeeds))
-	return int(math.Ceil(float64(available)*own/s.shares - 1e-9))
+	return int(math.Ceil(float64(available)*own/s.totalShares - 1e-9))
 }
