--- a/internal/policy/labels/labels.go
+++ b/internal/policy/labels/labels.go
@@ -101,7 +101,7 @@
 	return 0
 }
 
-// Resume starts a new stream that continues after the first tokens tokens. Later
+// Resume starts a new stream that continues after the given number of tokens. Later
 // tokens belong to the abandoned stream and are dropped.
 func (b *Builder) Resume(tokens int) error {
 	if b.firstErr != nil {
@@ -153,8 +153,8 @@
 	return append([]wire.Segment(nil), b.segments...)
 }
 
-// Finish returns the segments of a complete sample of tokens tokens. It checks
-// them against reported, the segments in the engine's final response, if it
+// Finish returns the segments of a complete sample with the given number of tokens.
+// It checks them against reported, the segments in the engine's final response, if it
 // contained any; these cover the last stream and count from its first token.
 func (b *Builder) Finish(tokens int, reported []wire.Segment) ([]wire.Segment, error) {
 	if b.firstErr != nil {
