--- a/internal/policy/handover/handover_test.go
+++ b/internal/policy/handover/handover_test.go
@@ -294,8 +294,8 @@
 
 	It("accepts a restart whose last session was never recorded", func() {
 		// A paused owner opens a session and ends. The trainer keeps the session's token and
-		// restarts at a successor that does not know the session. In an earlier version the
-		// successor refused the token for good.
+		// restarts at a successor that does not know the session. A successor that refused the
+		// token would refuse the trainer for good.
 		old := newFeed(kv, 1)
 		old.completeAll(1)
 		kv.unavailable = true
@@ -311,8 +311,8 @@
 	It("refuses a session that it opened after a successor has recorded lots of it", func() {
 		// An owner opens a session and is paused. The successor confirms and records the
 		// session. The trainer drops the recorded lots, and its pull arrives at the paused
-		// owner, which only knows the lots of the previous session up to that cursor. In an
-		// earlier version the owner handed over a sample twice.
+		// owner, which only knows the lots of the previous session up to that cursor. If it
+		// answered, it would hand over a sample twice.
 		old := newFeed(kv, 1)
 		old.completeAll(1)
 		old.next(client)
@@ -333,6 +333,8 @@
 	})
 
 	It("finds out by its nonce that a write whose answer was lost took effect", func() {
+		// The write takes effect, but its answer is lost. The read that follows finds a
+		// manifest with the nonce of the write.
 		f := newFeed(kv, 1)
 		f.completeAll(1)
 		f.next(client)
@@ -352,6 +354,8 @@
 	})
 
 	It("refuses a trainer that resumes from a state abandoned by an earlier restart", func() {
+		// The trainer restarted from its first position and got the lots after it anew. A
+		// position that it reached before that restart includes lots that it no longer holds.
 		f := newFeed(kv, 1)
 		f.completeAll(1)
 		start := client.Position()
@@ -371,6 +375,8 @@
 	})
 
 	It("needs no spare sample of a complete group", func() {
+		// Two of the three samples of a group are complete, and two are handed over. The third
+		// must neither be generated nor be handed over.
 		config.Shape.Spare = 1
 		defer func() { config.Shape.Spare = 0 }()
 		f := newFeed(kv, 1)
--- a/internal/policy/handover/ledger.go
+++ b/internal/policy/handover/ledger.go
@@ -165,7 +165,8 @@
 }
 
 // prune advances the base past the steps whose lots are no longer kept, and drops the
-// oldest marks and shape changes beyond their maximum number.
+// oldest marks, except the one at the start of the feed, and the oldest shape changes beyond
+// their maximum numbers.
 func (l *Ledger) prune() {
 	for len(l.Lots) > 0 && l.Lots[0].Step < l.head.Step-keptSteps {
 		l.advance(&l.Base, l.Lots[0])
--- a/internal/policy/handover/record.go
+++ b/internal/policy/handover/record.go
@@ -55,7 +55,7 @@
 // hasUnrecorded reports whether the manifest lacks a planned change of shape or part of the
 // confirmed ledger.
 func (o *Owner) hasUnrecorded() bool {
-	if _, some := o.plannedChange(); some {
+	if _, found := o.plannedChange(); found {
 		return true
 	}
 	return o.stored.cursor != o.confirmed.Cursor() || o.stored.session != o.confirmed.Session
@@ -67,7 +67,7 @@
 	nonce := fmt.Sprintf("%s/%d/%d", o.name, o.epoch, o.stored.writeCount)
 	manifest := Manifest{Nonce: nonce, Epoch: o.epoch, Ledger: o.confirmed}
 	content := manifestContent{cursor: o.confirmed.Cursor(), session: o.confirmed.Session}
-	if change, some := o.plannedChange(); some {
+	if change, found := o.plannedChange(); found {
 		// The change takes effect only after this write, so that a successor does not begin
 		// the step with another shape.
 		manifest.Ledger = o.confirmed.At(o.confirmed.Cursor())
