--- a/internal/policy/weights/roles_test.go
+++ b/internal/policy/weights/roles_test.go
@@ -63,9 +63,9 @@
 		s.rollout.SetRoles(shares(1, 1))
 		for range 5 {
 			s.now = s.now.Add(300 * time.Millisecond)
-			for _, send := range s.rollout.Step(s.now) {
-				if send.Engine != "e3" {
-					s.answer(send)
+			for _, issued := range s.rollout.Step(s.now) {
+				if issued.Engine != "e3" {
+					s.answer(issued)
 				}
 			}
 		}
--- a/internal/policy/weights/weights_test.go
+++ b/internal/policy/weights/weights_test.go
@@ -58,23 +58,23 @@
 func (s *service) run() {
 	for range 10 {
 		s.now = s.now.Add(300 * time.Millisecond)
-		for _, send := range s.rollout.Step(s.now) {
-			s.kinds[send.Order.Kind]++
-			s.answer(send)
+		for _, issued := range s.rollout.Step(s.now) {
+			s.kinds[issued.Order.Kind]++
+			s.answer(issued)
 		}
 	}
 }
 
-func (s *service) answer(send weights.EngineOrder) {
-	reply := wire.OrderReply{Outcome: wire.Answered, Version: s.versions[send.Engine], Role: s.roles[send.Engine]}
-	switch send.Order.Kind {
+func (s *service) answer(issued weights.EngineOrder) {
+	reply := wire.OrderReply{Outcome: wire.Answered, Version: s.versions[issued.Engine], Role: s.roles[issued.Engine]}
+	switch issued.Order.Kind {
 	case wire.OrderSwap, wire.OrderRole:
-		s.loading[send.Engine] = send.Order
+		s.loading[issued.Engine] = issued.Order
 		return
 	case wire.OrderPrepare:
-		reply.Version = send.Order.Version
+		reply.Version = issued.Order.Version
 	}
-	s.rollout.HandleReply(send.Engine, send.Order, reply, true, s.now)
+	s.rollout.HandleReply(issued.Engine, issued.Order, reply, true, s.now)
 }
 
 // finish ends the load of an engine with a reply.
@@ -163,10 +163,10 @@
 		for id := range s.loading {
 			s.finish(id, wire.OrderReply{}, false)
 		}
-		for _, send := range s.rollout.Step(s.now.Add(time.Second)) {
-			Expect(send.Order.Kind).To(Equal(wire.OrderStatus))
+		for _, issued := range s.rollout.Step(s.now.Add(time.Second)) {
+			Expect(issued.Order.Kind).To(Equal(wire.OrderStatus))
 			notReady := wire.OrderReply{Outcome: wire.Running, Reason: wire.ReasonNotReady}
-			s.rollout.HandleReply(send.Engine, send.Order, notReady, true, s.now)
+			s.rollout.HandleReply(issued.Engine, issued.Order, notReady, true, s.now)
 		}
 		Expect(s.loading).To(BeEmpty())
 		s.run()
@@ -176,8 +176,8 @@
 	It("issues no orders once an agent knows a higher epoch", func() {
 		s := newService(0.5, 2, 1)
 		s.rollout.SetTarget(model, 2)
-		send := s.rollout.Step(s.now)[0]
-		s.rollout.HandleReply(send.Engine, send.Order, wire.OrderReply{Reason: wire.ReasonStaleEpoch}, true, s.now)
+		issued := s.rollout.Step(s.now)[0]
+		s.rollout.HandleReply(issued.Engine, issued.Order, wire.OrderReply{Reason: wire.ReasonStaleEpoch}, true, s.now)
 		Expect(s.rollout.Deposed()).To(BeTrue())
 		Expect(s.rollout.Step(s.now.Add(time.Minute))).To(BeEmpty())
 	})
@@ -212,30 +212,30 @@
 var _ = Describe("FetchPlan", func() {
 	It("requests nothing more from a source that failed, and uses the store last", func() {
 		plan := weights.NewFetchPlan(12, []string{"silent", "good"})
-		asked := map[string]int{}
+		requests := map[string]int{}
 		for !plan.Done() {
-			for _, piece := range plan.Next() {
-				asked[piece.Source]++
-				if piece.Source == "silent" {
-					plan.MarkFailed(piece)
+			for _, chunk := range plan.Next() {
+				requests[chunk.Source]++
+				if chunk.Source == "silent" {
+					plan.MarkFailed(chunk)
 				} else {
-					plan.MarkReceived(piece)
+					plan.MarkReceived(chunk)
 				}
 			}
 		}
-		Expect(asked["silent"]).To(BeNumerically("<=", 2)) // the concurrent requests
-		Expect(asked[weights.StoreSource]).To(BeZero())
+		Expect(requests["silent"]).To(BeNumerically("<=", 2)) // the concurrent requests
+		Expect(requests[weights.StoreSource]).To(BeZero())
 	})
 
 	It("uses the store when every agent fails, and finally gives up", func() {
 		plan := weights.NewFetchPlan(1, []string{"a", "b"})
-		var asked []string
-		for pieces := plan.Next(); len(pieces) > 0; pieces = plan.Next() {
-			asked = append(asked, pieces[0].Source)
-			plan.MarkFailed(pieces[0])
+		var requests []string
+		for chunks := plan.Next(); len(chunks) > 0; chunks = plan.Next() {
+			requests = append(requests, chunks[0].Source)
+			plan.MarkFailed(chunks[0])
 		}
-		Expect(asked[:3]).To(Equal([]string{"a", "b", weights.StoreSource}))
-		Expect(len(asked)).To(BeNumerically("<", 20))
+		Expect(requests[:3]).To(Equal([]string{"a", "b", weights.StoreSource}))
+		Expect(len(requests)).To(BeNumerically("<", 20))
 	})
 })
 
