--- a/internal/policy/modelplan/modelplan.go
+++ b/internal/policy/modelplan/modelplan.go
@@ -40,7 +40,7 @@
 	// engines that loads at the next version. It is low enough that the loads of a
 	// version are done before the next version is announced.
 	modelsPerEngine = 1.6
-	// minEnginesPerModel is the number of engines that a model is assigned at fewest,
+	// minEnginesPerModel is the minimum number of engines that are assigned to a model,
 	// whatever its share of the items, so that the crash of one engine leaves another.
 	minEnginesPerModel = 2
 	// targetUtilization is the share of its slots that an engine of a model is expected
