--- a/internal/policy/usage/planner_test.go
+++ b/internal/policy/usage/planner_test.go
@@ -14,7 +14,7 @@
 	done := usage.Result{Outcome: usage.Done}
 	notDone := usage.Result{Outcome: usage.NotDone}
 	failed := usage.Result{Outcome: usage.Failed, RetryAt: now.Add(time.Second)}
-	desk := usage.Counts{"desk": 2}
+	counts := usage.Counts{"desk": 2}
 	var p *usage.Planner
 
 	// do expects a command and passes its result.
@@ -22,13 +22,13 @@
 		ExpectWithOffset(1, p.Next(now)).To(Equal(want))
 		p.HandleResult(now, r)
 	}
-	report := func(w usage.Window) usage.Report { return usage.Report{Window: w, Counts: desk} }
+	report := func(w usage.Window) usage.Report { return usage.Report{Window: w, Counts: counts} }
 
 	BeforeEach(func() {
 		p = usage.NewPlanner(config)
 		p.SetTerm(7)
 		ledger := usage.NewLedger(config)
-		ledger.Apply(usage.Update{Process: "one", Through: 100, Tallies: []usage.Tally{{Window: 100, Counts: desk}}})
+		ledger.Apply(usage.Update{Process: "one", Through: 100, Tallies: []usage.Tally{{Window: 100, Counts: counts}}})
 		do(usage.LoadReports{}, usage.Result{Outcome: usage.Done, Reports: []usage.Report{{Window: 99}}})
 		p.CloseWindows(now, ledger, nil)
 		do(usage.ConfirmTerm{}, done)
@@ -36,6 +36,8 @@
 	})
 
 	It("stores a report before it sends it", func() {
+		// If this process failed after it sent a report that is not stored, the next holder
+		// could report the window with other counts.
 		do(usage.StoreReport{Report: report(100), Term: 7}, done)
 		do(usage.SendReport{Report: report(100), Term: 7}, done)
 		Expect(p.Next(now)).To(BeNil())
@@ -51,6 +53,7 @@
 	})
 
 	It("reads its own write back if the answer was lost", func() {
+		// The write may have taken effect, so that a second one would fail.
 		do(usage.StoreReport{Report: report(100), Term: 7}, failed)
 		Expect(p.Next(now)).To(BeNil())
 		now := now.Add(time.Second)
@@ -66,6 +69,7 @@
 	})
 
 	It("confirms its term again before it sends a report again", func() {
+		// Another process may have taken over the duty since the last confirmation.
 		do(usage.StoreReport{Report: report(100), Term: 7}, done)
 		do(usage.SendReport{Report: report(100), Term: 7}, usage.Result{Outcome: usage.Failed, RetryAt: now})
 		do(usage.ConfirmTerm{}, done)
--- a/internal/policy/usage/simulation_test.go
+++ b/internal/policy/usage/simulation_test.go
@@ -18,7 +18,7 @@
 	tick            = 50 * time.Millisecond
 	duration        = 60 * time.Second
 	dutyTTL         = 2 * time.Second
-	minHandover     = 3 * time.Second // least time between the sends of two holders of the duty
+	minHandover     = 3 * time.Second // minimum time between the sends of two holders of the duty
 	confirmationTTL = 500 * time.Millisecond
 	// resumeGrace is how long the calls of a paused process are excused after it resumes.
 	resumeGrace = 300 * time.Millisecond
