--- a/internal/policy/poison/placement.go
+++ b/internal/policy/poison/placement.go
@@ -144,11 +144,11 @@
 	for _, c := range s.crashes {
 		crashed[c.Endpoint]++
 	}
-	return keys(crashed)
+	return sortedKeys(crashed)
 }
 
-// keys returns the keys of a set in order.
-func keys(set map[string]int) []string {
+// sortedKeys returns the sortedKeys of a set in order.
+func sortedKeys(set map[string]int) []string {
 	all := make([]string, 0, len(set))
 	for key := range set {
 		all = append(all, key)
--- a/internal/policy/poison/poison.go
+++ b/internal/policy/poison/poison.go
@@ -4,9 +4,9 @@
 //
 // Every request that ran on an endpoint when it crashed becomes a suspect and runs
 // alone the next time, one copy at a time over all entries. A suspect that is
-// answered is cleared. One that has certainly caused a second crash is quarantined.
-// So an innocent request that only ran beside the culprit is retried separately and
-// never quarantined.
+// answered is cleared. One that has certainly caused two crashes is quarantined. So a
+// harmless request that ran beside a poison request is retried separately and never
+// quarantined.
 //
 // A poison request reaches at most two endpoints: copies of a request that was
 // never answered follow the first copy to its endpoint, and a suspect that crashed
@@ -43,10 +43,10 @@
 	QuarantineTTL        time.Duration // how long a quarantine lasts
 	ClearedTTL           time.Duration // how long an answer clears a request; it does so for at least half of this
 	SameCrashWindow      time.Duration // reports about one endpoint within this time are one crash
-	MaxCleared           int           // most cleared requests that are remembered, per half of ClearedTTL
+	MaxCleared           int           // maximum number of cleared requests remembered, per half of ClearedTTL
 	PlacementTTL         time.Duration // how long a copy at a peer restricts other copies without an update
-	MaxPlacements        int           // most placements that are remembered
-	MaxCopiesPerEndpoint int           // most copies of a request that run at one endpoint because they follow others
+	MaxPlacements        int           // maximum number of placements remembered
+	MaxCopiesPerEndpoint int           // a copy follows others to an endpoint only if fewer copies than this run there
 }
 
 // DefaultConfig returns the parameters that siskinloomd uses.
@@ -72,15 +72,15 @@
 // Registry is what one entry or agent knows about poison requests. It is not safe
 // for concurrent use.
 type Registry struct {
-	config          Config
-	self            string // instance ID; breaks ties between entries
-	suspects        map[ID]*suspect
-	clearedSuspects map[ID]*suspect              // ran at a crash and was answered before or after it
-	culprits        map[ID]*suspect              // quarantined; explain the crashes at which they ran
-	quarantine      map[ID]*wire.QuarantineEntry // a released entry stays until it expires
-	running         map[ID]int                   // number of copies that run through this entry
-	reserved        map[ID]bool                  // suspects that are about to start from this entry
-	placements      map[ID]*placement            // where copies of requests that were never answered run
+	config              Config
+	self                string // instance ID; breaks ties between entries
+	suspects            map[ID]*suspect
+	clearedSuspects     map[ID]*suspect              // ran at a crash and was answered before or after it
+	quarantinedSuspects map[ID]*suspect              // explain the crashes at which they ran
+	quarantine          map[ID]*wire.QuarantineEntry // a released entry stays until it expires
+	running             map[ID]int                   // number of copies that run through this entry
+	reserved            map[ID]bool                  // suspects that are about to start from this entry
+	placements          map[ID]*placement            // where copies of requests that were never answered run
 
 	cleared, clearedBefore map[ID]bool // answered in the current and in the last half of ClearedTTL
 	rotateAt               time.Time   // when cleared becomes clearedBefore
@@ -89,16 +89,16 @@
 // New returns a registry without suspects.
 func New(config Config, self string) *Registry {
 	return &Registry{
-		config:          config,
-		self:            self,
-		suspects:        map[ID]*suspect{},
-		clearedSuspects: map[ID]*suspect{},
-		culprits:        map[ID]*suspect{},
-		quarantine:      map[ID]*wire.QuarantineEntry{},
-		running:         map[ID]int{},
-		reserved:        map[ID]bool{},
-		placements:      map[ID]*placement{},
-		cleared:         map[ID]bool{},
+		config:              config,
+		self:                self,
+		suspects:            map[ID]*suspect{},
+		clearedSuspects:     map[ID]*suspect{},
+		quarantinedSuspects: map[ID]*suspect{},
+		quarantine:          map[ID]*wire.QuarantineEntry{},
+		running:             map[ID]int{},
+		reserved:            map[ID]bool{},
+		placements:          map[ID]*placement{},
+		cleared:             map[ID]bool{},
 	}
 }
 
@@ -119,7 +119,7 @@
 	if q := r.quarantine[id]; q != nil && now.UnixMilli() >= q.ExpiresUnix {
 		delete(r.quarantine, id)
 	}
-	for _, all := range []map[ID]*suspect{r.suspects, r.clearedSuspects, r.culprits} {
+	for _, all := range []map[ID]*suspect{r.suspects, r.clearedSuspects, r.quarantinedSuspects} {
 		if s := all[id]; s != nil && now.Sub(s.last) > r.config.SuspicionTTL {
 			delete(all, id)
 		}
@@ -137,7 +137,7 @@
 	for id := range r.clearedSuspects {
 		r.expire(now, id)
 	}
-	for id := range r.culprits {
+	for id := range r.quarantinedSuspects {
 		r.expire(now, id)
 	}
 	for id, p := range r.placements {
@@ -153,7 +153,7 @@
 	id := ID{Service: c.Service, Fingerprint: c.Fingerprint}
 	r.expire(now, id)
 	if q := r.quarantine[id]; q != nil && !q.Released {
-		r.blame(now, id, c)
+		r.recordQuarantinedCrash(now, id, c)
 		return false
 	}
 	group := r.suspects
@@ -170,28 +170,29 @@
 	}
 	s.last = now
 	r.removeCopies(id, c.Endpoint)
-	r.convict(now)
+	r.updateQuarantine(now)
 	return r.suspects[id] == nil && r.quarantine[id] != nil && !r.quarantine[id].Released
 }
 
-// blame records another crash of a quarantined request, so that no other request
-// that ran at it is quarantined for it.
-func (r *Registry) blame(now time.Time, id ID, c wire.Suspicion) {
-	s := r.culprits[id]
+// recordQuarantinedCrash records another crash of a quarantined request, so that no other
+// request that ran at it is quarantined for it.
+func (r *Registry) recordQuarantinedCrash(now time.Time, id ID, c wire.Suspicion) {
+	s := r.quarantinedSuspects[id]
 	if s == nil {
 		s = &suspect{}
-		r.culprits[id] = s
+		r.quarantinedSuspects[id] = s
 	}
 	if r.add(s, c) {
 		s.last = now
 	}
 }
 
-// convict quarantines every suspect that is certainly guilty. It checks all of them,
-// since a new report may also complete the evidence about crashes of other suspects.
-func (r *Registry) convict(now time.Time) {
-	for _, id := range sorted(r.suspects) {
-		if r.guilty(id) {
+// updateQuarantine quarantines every suspect that has certainly caused two crashes. It
+// checks all of them, since a new report may also complete the evidence about crashes of
+// other suspects.
+func (r *Registry) updateQuarantine(now time.Time) {
+	for _, id := range sortedIDs(r.suspects) {
+		if r.causedTwoCrashes(id) {
 			r.quarantineSuspect(now, id)
 		}
 	}
@@ -224,18 +225,18 @@
 	return gap.Abs() <= r.config.SameCrashWindow
 }
 
-// guilty reports whether the request has certainly caused two crashes.
+// causedTwoCrashes reports whether the request has certainly caused two crashes.
 //
-// An innocent request may run beside a culprit at one crash and run alone when
+// A harmless request may run beside a poison request at one crash and run alone when
 // another endpoint crashes for a different reason. If that sufficed, it would be
 // refused for an hour. So a crash at which other requests ran counts only while none
 // of them is a suspect or is quarantined for it. Until then the request runs on the
 // endpoints that crashed with it, and either is answered or crashes one alone.
-func (r *Registry) guilty(id ID) bool {
+func (r *Registry) causedTwoCrashes(id ID) bool {
 	s := r.suspects[id]
 	for i, a := range s.crashes {
 		for _, b := range s.crashes[i+1:] {
-			if r.certain(id, a) && r.certain(id, b) && (a.Batch <= 1 || b.Batch <= 1) {
+			if r.onlyPossibleCause(id, a) && r.onlyPossibleCause(id, b) && (a.Batch <= 1 || b.Batch <= 1) {
 				return true
 			}
 			if r.onlyCommon(id, a, b) {
@@ -246,14 +247,14 @@
 	return false
 }
 
-// certain reports whether no other known request may have caused the crash.
-func (r *Registry) certain(id ID, c wire.Suspicion) bool {
+// onlyPossibleCause reports whether no other known request may have caused the crash.
+func (r *Registry) onlyPossibleCause(id ID, c wire.Suspicion) bool {
 	return c.Batch <= 1 || !r.othersAt(r.suspects, id, c) && !r.explained(c)
 }
 
 // explained reports whether a quarantined request ran at the crash.
 func (r *Registry) explained(c wire.Suspicion) bool {
-	return r.othersAt(r.culprits, ID{}, c)
+	return r.othersAt(r.quarantinedSuspects, ID{}, c)
 }
 
 // othersAt reports whether a request of the group other than id ran at the crash.
@@ -304,13 +305,13 @@
 	return slices.ContainsFunc(s.crashes, func(x wire.Suspicion) bool { return r.same(x, c) })
 }
 
-// quarantineSuspect quarantines a suspect.
+// quarantineSuspect quarantines a suspect for QuarantineTTL.
 func (r *Registry) quarantineSuspect(now time.Time, id ID) {
 	endpoints := map[string]bool{}
 	for _, c := range r.suspects[id].crashes {
 		endpoints[c.Endpoint] = true
 	}
-	r.culprits[id] = r.suspects[id]
+	r.quarantinedSuspects[id] = r.suspects[id]
 	delete(r.suspects, id)
 	r.quarantine[id] = &wire.QuarantineEntry{
 		Fingerprint: id.Fingerprint,
@@ -325,7 +326,7 @@
 	if s := r.suspects[id]; s != nil {
 		delete(r.suspects, id)
 		r.clearedSuspects[id] = s
-		r.convict(now)
+		r.updateQuarantine(now)
 	}
 	delete(r.placements, id)
 	r.rotateCleared(now)
@@ -354,8 +355,8 @@
 	r.rotateAt = now.Add(half)
 }
 
-// sorted returns the IDs of a group in order.
-func sorted(group map[ID]*suspect) []ID {
+// sortedIDs returns the IDs of a group in order.
+func sortedIDs(group map[ID]*suspect) []ID {
 	ids := make([]ID, 0, len(group))
 	for id := range group {
 		ids = append(ids, id)
--- a/internal/policy/poison/poison_test.go
+++ b/internal/policy/poison/poison_test.go
@@ -35,7 +35,7 @@
 	})
 
 	// A request crashes an endpoint that runs two others too. All three run alone the
-	// next time: the innocent ones are answered, and the poison one crashes a second
+	// next time: the harmless ones are answered, and the poison one crashes a second
 	// endpoint and is quarantined.
 	It("quarantines after the second endpoint and clears the other requests", func() {
 		for _, f := range []uint64{1, 2, 3} {
@@ -60,8 +60,8 @@
 
 	// Two copies are sent at once, and other requests run beside them on both
 	// endpoints. Once all requests that ran are known, the only one that ran at both
-	// crashes is the culprit.
-	It("convicts the only request that two crashes have in common", func() {
+	// crashes must have caused them.
+	It("quarantines the only request that two crashes have in common", func() {
 		r.RecordCrash(now, crash(1, "a", 2))
 		r.RecordCrash(now, crash(1, "b", 2))
 		Expect(verdict(1)).To(Equal(poison.Alone))
@@ -75,7 +75,7 @@
 		Expect(verdict(3)).To(Equal(poison.Unrestricted))
 	})
 
-	It("does not convict while another suspect ran at both crashes", func() {
+	It("does not quarantine while another suspect ran at both crashes", func() {
 		for _, f := range []uint64{1, 2} {
 			r.RecordCrash(now, crash(f, "a", 2))
 			r.RecordCrash(now, crash(f, "b", 2))
@@ -85,11 +85,11 @@
 		Expect(verdict(1)).To(Equal(poison.Blocked))
 	})
 
-	// An innocent request ran beside the culprit, and then alone when another endpoint
-	// crashed for a different reason. If it were convicted, its retries would be
-	// refused for an hour. Instead it waits for one of the two endpoints and is
+	// A harmless request ran beside a poison request, and then alone when another
+	// endpoint crashed for a different reason. If it were quarantined, its retries would
+	// be refused for an hour. Instead it waits for one of the two endpoints and is
 	// answered there.
-	It("does not convict a request that ran alone at an unrelated crash while the culprit is unknown", func() {
+	It("does not quarantine a request that ran alone at an unrelated crash while the cause of the first is unknown", func() {
 		r.RecordCrash(now, crash(1, "a", 2))
 		r.RecordCrash(now, crash(2, "a", 2))
 		Expect(r.RecordCrash(now, crash(2, "b", 1))).To(BeFalse())
@@ -103,7 +103,7 @@
 		Expect(verdict(2)).To(Equal(poison.Unrestricted))
 	})
 
-	It("does not convict for a crash that a quarantined request explains", func() {
+	It("does not quarantine for a crash that a quarantined request explains", func() {
 		r.RecordCrash(now, crash(1, "a", 2))
 		r.RecordCrash(now, crash(1, "b", 1))
 		Expect(verdict(1)).To(Equal(poison.Blocked))
@@ -157,6 +157,8 @@
 		Expect(allowed(r, now, 1)).To(BeEmpty())
 	})
 
+	// Many callers send the same request at once. If all copies followed the first, one
+	// endpoint would run them all.
 	It("spreads copies over endpoints if there are too many of them to be retries", func() {
 		for range poison.DefaultConfig().MaxCopiesPerEndpoint {
 			r.StartCopy(now, id(1), "a")
--- a/internal/policy/poison/sync.go
+++ b/internal/policy/poison/sync.go
@@ -13,7 +13,7 @@
 // reservation.
 //
 // If two copies of a poison request start concurrently, they crash two endpoints
-// before either crash can convict the request, and the next copy crashes a third.
+// before the request can be quarantined, and the next copy crashes a third.
 // Therefore an entry asks every other one between Reserve and StartCopy, and starts
 // the copy only if none of them is Busy and it has not had to yield meanwhile. Of two
 // entries that ask each other, at least one sees the other's reservation.
@@ -54,10 +54,10 @@
 // a crash.
 func (r *Registry) Suspicions() []wire.Suspicion {
 	var all []wire.Suspicion
-	for _, id := range sorted(r.suspects) {
+	for _, id := range sortedIDs(r.suspects) {
 		all = append(all, r.suspects[id].crashes...)
 	}
-	for _, id := range sorted(r.clearedSuspects) {
+	for _, id := range sortedIDs(r.clearedSuspects) {
 		for _, c := range r.clearedSuspects[id].crashes {
 			c.Cleared = true
 			all = append(all, c)
@@ -94,7 +94,7 @@
 			e.ExpiresUnix == q.ExpiresUnix && e.Released
 		if newer {
 			r.quarantine[id] = &e
-			r.moveCulprit(id, e.Released)
+			r.endSuspicion(id, e.Released)
 		}
 	}
 }
@@ -111,20 +111,21 @@
 		q.Released = true
 		// Expires later than every quarantine that a peer has made before now.
 		q.ExpiresUnix = now.Add(r.config.QuarantineTTL).UnixMilli()
-		r.moveCulprit(id, true)
+		r.endSuspicion(id, true)
 		released = true
 	}
 	return released
 }
 
-// moveCulprit ends the suspicion of a request whose quarantine was made or released.
-// The crashes of a released request are dropped.
-func (r *Registry) moveCulprit(id ID, released bool) {
+// endSuspicion ends the suspicion of a request whose quarantine was made or released.
+// The crashes of a quarantined request are kept, since they may explain those of
+// others; the crashes of a released request are dropped.
+func (r *Registry) endSuspicion(id ID, released bool) {
 	if s := r.suspects[id]; s != nil && !released {
-		r.culprits[id] = s
+		r.quarantinedSuspects[id] = s
 	}
 	if released {
-		delete(r.culprits, id)
+		delete(r.quarantinedSuspects, id)
 	}
 	delete(r.suspects, id)
 }
