--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -231,6 +231,6 @@
 	}
 	crash := a.crashes.recordCrash(time.Now(), startedAt, req, a.crashes.distinctRunning())
 	answer.Batch, answer.Crash = crash.Batch, crash.Crash
-	events.EndpointBroke.Log(a.log, logrus.Fields{"request": req.ID, "batch": answer.Batch, "detail": answer.Detail})
+	events.EndpointCrashed.Log(a.log, logrus.Fields{"request": req.ID, "batch": answer.Batch, "detail": answer.Detail})
 	return answer
 }
--- a/internal/agentless/batchrun/copies.go
+++ b/internal/agentless/batchrun/copies.go
@@ -280,7 +280,7 @@
 	for _, raw := range o.FetchTexts(ctx, id) {
 		parts, err := unpack[[]batch.TextPart](raw)
 		if err != nil {
-			events.TextRecordBad.Log(o.Log, logrus.Fields{"place": "another process's texts of " + id, "error": err.Error()})
+			events.TextsUnreadable.Log(o.Log, logrus.Fields{"place": "another process's texts of " + id, "error": err.Error()})
 			continue
 		}
 		fetched := batch.NewTexts()
--- a/internal/agentless/batchrun/frontend.go
+++ b/internal/agentless/batchrun/frontend.go
@@ -90,7 +90,7 @@
 		events.JobAccepted.Log(d.Log, logrus.Fields{"job": spec.ID, "items": len(spec.Items), "model": spec.Model, "step": spec.Step})
 		return nil
 	}
-	events.JobRefused.Log(d.Log, logrus.Fields{"job": spec.ID, "error": err.Error(), "retry_ms": RetryAfter(err).Milliseconds()})
+	events.JobNotAccepted.Log(d.Log, logrus.Fields{"job": spec.ID, "error": err.Error(), "retry_ms": RetryAfter(err).Milliseconds()})
 	return err
 }
 
@@ -405,7 +405,7 @@
 	})
 	if err != nil {
 		fields["owner"], fields["error"] = owner, err.Error()
-		events.OwnerNotTold.Log(d.Log, fields)
+		events.OwnerNotNotified.Log(d.Log, fields)
 	}
 	return err
 }
--- a/internal/agentless/batchrun/mover.go
+++ b/internal/agentless/batchrun/mover.go
@@ -146,7 +146,7 @@
 		if m.NotifyOwner != nil {
 			m.NotifyOwner(to, id, committed.Revision)
 		}
-		events.JobHandedOn.Log(m.Log, logrus.Fields{"job": id, "from": from, "to": to, "mark": assignment.Revision})
+		events.JobMoved.Log(m.Log, logrus.Fields{"job": id, "from": from, "to": to, "mark": assignment.Revision})
 	}
 	return true, nil // if not done, the job was moved or ended meanwhile
 }
--- a/internal/agentless/batchrun/reassign.go
+++ b/internal/agentless/batchrun/reassign.go
@@ -126,7 +126,7 @@
 	}
 	d.remember(job, record)
 	d.notifyOwner(to, callMarked, MarkArgs{Job: job, Revision: committed.Revision})
-	events.JobHandedOn.Log(d.Log, logrus.Fields{"job": job, "from": from, "to": to, "mark": revision})
+	events.JobMoved.Log(d.Log, logrus.Fields{"job": job, "from": from, "to": to, "mark": revision})
 	return nil
 }
 
--- a/internal/agentless/batchrun/standby.go
+++ b/internal/agentless/batchrun/standby.go
@@ -400,7 +400,7 @@
 	case !committed.Done:
 		return ownerChanged
 	}
-	events.JobHandedOn.Log(s.owner.Log, logrus.Fields{"job": j.id, "from": j.owner, "to": s.owner.Name, "mark": j.mark})
+	events.JobMoved.Log(s.owner.Log, logrus.Fields{"job": j.id, "from": j.owner, "to": s.owner.Name, "mark": j.mark})
 	s.owner.handleAssigned(MarkArgs{Job: j.id, Revision: committed.Revision, Begun: true})
 	return jobTaken
 }
--- a/internal/agentless/batchrun/write_results.go
+++ b/internal/agentless/batchrun/write_results.go
@@ -77,7 +77,7 @@
 	f := &j.failedWrites
 	if err == nil {
 		if f.count > 0 {
-			events.ResultsBack.Log(o.Log, logrus.Fields{"job": j.id, "position": c.position, "failed": f.count, "ms": time.Since(f.since).Milliseconds()})
+			events.ResultsResumed.Log(o.Log, logrus.Fields{"job": j.id, "position": c.position, "failed": f.count, "ms": time.Since(f.since).Milliseconds()})
 		}
 		*f = failedWrites{}
 		return
@@ -214,7 +214,7 @@
 func (o *Owner) recordStep(j *ownedJob, t *batch.Timeline) {
 	o.stats.step.Update(t.Elapsed)
 	spec := j.job.Spec
-	events.StepWhole.Log(o.Log, logrus.Fields{
+	events.StepComplete.Log(o.Log, logrus.Fields{
 		"job": j.id, "model": spec.Model, "step": spec.Step, "ms": t.Elapsed.Milliseconds(), "half_begun_ms": t.HalfStarted.Milliseconds(),
 		"last_begun_ms": t.AllStarted.Milliseconds(), "request": t.LastItem, "events": t.LastItemEvents, "began_ms": t.LastItemStarted.Milliseconds(),
 		"runs": t.LastItemRuns, "endpoint": t.LastItemEngine,
--- a/internal/agentless/cluster/members.go
+++ b/internal/agentless/cluster/members.go
@@ -215,7 +215,7 @@
 			workers++
 		}
 	}
-	events.MembersTaken.Log(r.Log, logrus.Fields{"members": len(live), "workers": workers})
+	events.MembersSynced.Log(r.Log, logrus.Fields{"members": len(live), "workers": workers})
 }
 
 // changed applies a new or changed key.
@@ -229,7 +229,7 @@
 	}
 	var member Member
 	if err := gob.NewDecoder(bytes.NewReader(record.Value)).Decode(&member); err != nil {
-		events.EndpointBad.Log(r.Log, logrus.Fields{"key": record.Key, "error": err.Error()})
+		events.FleetRecordUnreadable.Log(r.Log, logrus.Fields{"key": record.Key, "error": err.Error()})
 		return
 	}
 	r.Members.put(member)
@@ -261,7 +261,7 @@
 	}
 	if name == r.Self.Name {
 		r.setListed(false)
-		events.MemberLapsed.Log(r.Log, logrus.Fields{"member": name})
+		events.RegistrationLost.Log(r.Log, logrus.Fields{"member": name})
 		r.requestRegistration()
 	}
 	if r.MemberGone != nil {
--- a/internal/agentless/gate/gate.go
+++ b/internal/agentless/gate/gate.go
@@ -202,7 +202,7 @@
 	switch o.End {
 	case Answered:
 	case Cancelled:
-		event = events.RequestLeft
+		event = events.RequestCancelled
 	case NoRoute, NotReady, Unauthorized, Refused:
 		event = events.RequestRefused
 	default:
@@ -217,7 +217,7 @@
 // LogMalformed logs a request that is answered as malformed, or as larger than the operator
 // allows.
 func (g *Gate) LogMalformed(id string, status int, why string) {
-	events.RequestBad.Log(g.log, logrus.Fields{"request": id, "status": status, "error": why})
+	events.RequestMalformed.Log(g.log, logrus.Fields{"request": id, "status": status, "error": why})
 }
 
 // Deny returns the outcome of a request that the declaration in force in this process
--- a/internal/agentless/modelrun/modelrun.go
+++ b/internal/agentless/modelrun/modelrun.go
@@ -280,5 +280,5 @@
 	}
 	fields["verdict"] = verdictNames[verdict]
 	metrics.GetOrRegisterCounter("weights.orders."+verdictNames[verdict], r.Registry).Inc(1)
-	events.OrderGiven.Log(r.Log, fields)
+	events.OrderAnswered.Log(r.Log, fields)
 }
--- a/internal/agentless/node/node.go
+++ b/internal/agentless/node/node.go
@@ -218,7 +218,7 @@
 func (n *Node) leaderChanged(taken bool, term int64) {
 	event := events.LeaderLost
 	if taken {
-		event = events.LeaderTaken
+		event = events.LeaderAcquired
 	}
 	event.Log(n.log, logrus.Fields{"term": term})
 }
--- a/internal/agentless/node/topics.go
+++ b/internal/agentless/node/topics.go
@@ -284,7 +284,7 @@
 	if why != nil {
 		fields["failed"] = why.Error()
 	}
-	events.NewsFrom.Log(n.log, fields)
+	events.FleetSourceChanged.Log(n.log, fields)
 }
 
 // operatorKeyChanged handles an entry that the operator or a trainer wrote.
@@ -304,14 +304,14 @@
 func (n *Node) applyDeclaration(r kv.Record) {
 	declaration, err := n.adapter.Schema.DecodeDeclaration(r.Value)
 	if err != nil {
-		events.DeclarationBad.Log(n.log, logrus.Fields{"revision": r.Revision, "error": err.Error()})
+		events.DeclarationUnreadable.Log(n.log, logrus.Fields{"revision": r.Revision, "error": err.Error()})
 		return
 	}
 	before, inForce := n.directory.Declare(declaration)
 	if !inForce {
 		return
 	}
-	events.Declared.Log(n.log, logrus.Fields{
+	events.DeclarationInForce.Log(n.log, logrus.Fields{
 		"version": declaration.Version, "revision": r.Revision, "routes": len(declaration.Routes), "customers": len(declaration.Customers),
 	})
 	if before != nil {
@@ -337,10 +337,10 @@
 	}
 	model, version, err := n.adapter.Schema.DecodeVersion(r.Value)
 	if err != nil {
-		events.DeclarationBad.Log(n.log, logrus.Fields{"key": r.Key, "revision": r.Revision, "error": err.Error()})
+		events.DeclarationUnreadable.Log(n.log, logrus.Fields{"key": r.Key, "revision": r.Revision, "error": err.Error()})
 		return
 	}
-	events.VersionNamed.Log(n.log, logrus.Fields{"model": model, "version": version, "revision": r.Revision})
+	events.VersionAnnounced.Log(n.log, logrus.Fields{"model": model, "version": version, "revision": r.Revision})
 	n.models.SetNewestVersion(model, version)
 }
 
@@ -348,7 +348,7 @@
 func (n *Node) endpointListed(r kv.Record) {
 	endpoint, err := n.adapter.Schema.DecodeEndpoint(r.Key, r.Value)
 	if err != nil {
-		events.EndpointBad.Log(n.log, logrus.Fields{"key": r.Key, "revision": r.Revision, "error": err.Error()})
+		events.FleetRecordUnreadable.Log(n.log, logrus.Fields{"key": r.Key, "revision": r.Revision, "error": err.Error()})
 		n.directory.Remove(strings.TrimPrefix(r.Key, n.adapter.Schema.Endpoints))
 		return
 	}
@@ -370,7 +370,7 @@
 // of a thousand endpoints in each process would hide everything else that is logged at a start.
 func (n *Node) endpointsSynced() {
 	if !n.endpointsKnown.Swap(true) {
-		events.EndpointsTaken.Log(n.log, logrus.Fields{"endpoints": n.directory.Counts(), "revision": n.newestRevision.Load()})
+		events.EndpointsSynced.Log(n.log, logrus.Fields{"endpoints": n.directory.Counts(), "revision": n.newestRevision.Load()})
 	}
 }
 
@@ -427,7 +427,7 @@
 // retire hands the process's jobs and duties over to others. The machine is then retired, as its
 // disk holds nothing that the system needs.
 func (n *Node) retire(ctx context.Context) {
-	events.RetireAsked.Log(n.log, logrus.Fields{"id": n.settings.ID})
+	events.RetireRequested.Log(n.log, logrus.Fields{"id": n.settings.ID})
 	n.writeRetireState(ctx, false)
 	n.stopping.Store(true)
 	n.quiesceDuty(ctx)
--- a/internal/agentless/storepath/relay.go
+++ b/internal/agentless/storepath/relay.go
@@ -199,7 +199,7 @@
 	}
 	s.mu.Unlock()
 	if switched {
-		events.StoreByOther.Log(s.log, logrus.Fields{"by": m.Name})
+		events.StoreRelayed.Log(s.log, logrus.Fields{"by": m.Name})
 	}
 }
 
--- a/internal/agentless/textlog/textlog.go
+++ b/internal/agentless/textlog/textlog.go
@@ -162,7 +162,7 @@
 
 // logUnreadable logs that a part of a file cannot be used.
 func (l *Log) logUnreadable(place string, err error) {
-	events.TextRecordBad.Log(l.log, logrus.Fields{"place": place, "error": err.Error()})
+	events.TextsUnreadable.Log(l.log, logrus.Fields{"place": place, "error": err.Error()})
 }
 
 // Run writes buffered events to disk until ctx is done.
--- a/internal/agentless/usagerun/sender.go
+++ b/internal/agentless/usagerun/sender.go
@@ -143,7 +143,7 @@
 	case err != nil:
 		r.nextCallAt = now.Add(sendRetryDelay)
 		if !r.failing {
-			events.UsageNotTold.Log(s.Log, logrus.Fields{"to": to.Name, "error": err.Error()})
+			events.UsageNotSent.Log(s.Log, logrus.Fields{"to": to.Name, "error": err.Error()})
 		}
 	case r.boot != 0 && reply.Boot != r.boot:
 		r.boot, r.version = reply.Boot, 0 // the process has restarted and lacks all earlier updates
@@ -161,7 +161,7 @@
 	for _, to := range s.destinations() {
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		if err := s.Peers.Call(limited, to.Address, callTell, update, &TellReply{}); err != nil {
-			events.UsageNotTold.Log(s.Log, logrus.Fields{"to": to.Name, "error": err.Error()})
+			events.UsageNotSent.Log(s.Log, logrus.Fields{"to": to.Name, "error": err.Error()})
 		}
 		cancel()
 	}
--- a/internal/dutyrun/keeper.go
+++ b/internal/dutyrun/keeper.go
@@ -227,9 +227,9 @@
 	fields := logrus.Fields{"duty": change.Duty, "epoch": change.Epoch}
 	switch change.LeaseState {
 	case duties.Holder:
-		events.DutyTaken.Log(k.options.Log, fields)
+		events.DutyAcquired.Log(k.options.Log, fields)
 	case duties.Lapsed:
-		events.DutyLapsed.Log(k.options.Log, fields)
+		events.DutyExpired.Log(k.options.Log, fields)
 	default:
 		events.DutyLost.Log(k.options.Log, fields)
 	}
--- a/internal/entry/claims_partition.go
+++ b/internal/entry/claims_partition.go
@@ -251,9 +251,9 @@
 		return
 	}
 	p.serving = serving
-	event := events.ClaimsLeft
+	event := events.ClaimsNotServed
 	if serving {
-		event = events.ClaimsServing
+		event = events.ClaimsServed
 	}
 	event.Log(p.options.Log, logrus.Fields{"duty": p.duty, "epoch": p.machine.Epoch()})
 }
--- a/internal/entry/weights_rollout.go
+++ b/internal/entry/weights_rollout.go
@@ -68,7 +68,7 @@
 		down:      map[string]bool{},
 		done:      map[weights.Key]int64{},
 	}
-	events.WeightsOwned.Log(w.options.Log, r.fields())
+	events.WeightsRolloutStarted.Log(w.options.Log, r.fields())
 	go r.watch(ctx)
 	go r.pollInstances(ctx)
 	go r.run(ctx)
@@ -152,7 +152,7 @@
 			go r.sendOrder(ctx, order)
 		}
 		if deposed {
-			events.WeightsDeposed.Log(r.weights.options.Log, r.fields())
+			events.WeightsRolloutSuperseded.Log(r.weights.options.Log, r.fields())
 			return
 		}
 	}
@@ -211,7 +211,7 @@
 		}
 		if p.Engines > 0 && p.Done == p.Engines && r.done[p.Key] < p.Version {
 			r.done[p.Key] = p.Version
-			events.WeightsEverywhere.Log(r.weights.options.Log, logrus.Fields{"service": r.service, "model": p.Key.Model, "adapter": p.Key.Adapter, "version": p.Version, "engines": p.Engines})
+			events.WeightsInForce.Log(r.weights.options.Log, logrus.Fields{"service": r.service, "model": p.Key.Model, "adapter": p.Key.Adapter, "version": p.Version, "engines": p.Engines})
 		}
 	}
 	if blocked && !r.blocked {
--- a/internal/events/config.go
+++ b/internal/events/config.go
@@ -8,9 +8,10 @@
 	ConfigUnreadable = define(1701, logrus.ErrorLevel, "stored configuration cannot be read")
 	ConfigAccepted   = define(1702, logrus.InfoLevel, "change accepted")
 	ConfigRefused    = define(1703, logrus.WarnLevel, "change refused")
-	ConfigUnsettled  = define(1704, logrus.WarnLevel, "outcome of a change is unknown")
+	ConfigUnknown    = define(1704, logrus.WarnLevel, "outcome of a change is unknown")
 	OperatorRefused  = define(1705, logrus.WarnLevel, "operator not recognised")
 
-	// QuarantineReleased tells of an operator's release of a request.
-	QuarantineReleased = define(1706, logrus.InfoLevel, "quarantined request released by an operator")
+	// QuarantineReleaseRequested is logged for every request of an operator; its field released says
+	// whether the fingerprint was in quarantine.
+	QuarantineReleaseRequested = define(1706, logrus.InfoLevel, "quarantined request released by an operator")
 )
--- a/internal/events/process.go
+++ b/internal/events/process.go
@@ -4,13 +4,13 @@
 
 // Events of a process's life: 1000 to 1099.
 var (
-	ProcessStarted  = define(1000, logrus.InfoLevel, "process started")
-	ProcessStopping = define(1001, logrus.InfoLevel, "graceful stop begun")
-	ProcessStopped  = define(1002, logrus.InfoLevel, "process stopped")
-	ProcessReady    = define(1003, logrus.InfoLevel, "process ready to serve")
-	ProcessNotReady = define(1004, logrus.WarnLevel, "process no longer ready to serve")
-	SettingsRead    = define(1007, logrus.InfoLevel, "settings read again")
-	SettingsBad     = define(1008, logrus.ErrorLevel, "settings cannot be read; those before stay")
-	MechanismsSet   = define(1009, logrus.InfoLevel, "mechanisms in force")
-	ProcessFailed   = define(1005, logrus.ErrorLevel, "process failed")
+	ProcessStarted     = define(1000, logrus.InfoLevel, "process started")
+	ProcessStopping    = define(1001, logrus.InfoLevel, "graceful stop begun")
+	ProcessStopped     = define(1002, logrus.InfoLevel, "process stopped")
+	ProcessReady       = define(1003, logrus.InfoLevel, "process ready to serve")
+	ProcessNotReady    = define(1004, logrus.WarnLevel, "process no longer ready to serve")
+	SettingsReloaded   = define(1007, logrus.InfoLevel, "settings read again")
+	SettingsUnreadable = define(1008, logrus.ErrorLevel, "settings cannot be read; those before stay")
+	MechanismsSet      = define(1009, logrus.InfoLevel, "mechanisms in force")
+	ProcessFailed      = define(1005, logrus.ErrorLevel, "process failed")
 )
--- a/internal/events/rollout.go
+++ b/internal/events/rollout.go
@@ -4,10 +4,10 @@
 
 // Events of rollouts: 1500 to 1599.
 var (
-	FeedTaken       = define(1500, logrus.InfoLevel, "trainer feed taken over")
-	FeedDropped     = define(1501, logrus.InfoLevel, "trainer feed given up")
-	FeedDeposed     = define(1502, logrus.WarnLevel, "a successor owns the trainer feed")
-	SampleGivenUp   = define(1506, logrus.WarnLevel, "sample given up as its prompt crashes engines")
+	FeedAcquired    = define(1500, logrus.InfoLevel, "trainer feed taken over")
+	FeedReleased    = define(1501, logrus.InfoLevel, "trainer feed given up")
+	FeedSuperseded  = define(1502, logrus.WarnLevel, "a successor owns the trainer feed")
+	SampleFailed    = define(1506, logrus.WarnLevel, "sample given up as its prompt crashes engines")
 	SampleDiscarded = define(1503, logrus.WarnLevel, "sample discarded and generated again")
 	PullRefused     = define(1504, logrus.DebugLevel, "trainer's pull refused")
 	// CacheNotImported: the sample goes on all the same, with its cache computed anew.
--- a/internal/feedrun/feeds.go
+++ b/internal/feedrun/feeds.go
@@ -156,7 +156,7 @@
 }
 
 func (f *Feeds) startOwner(ctx context.Context, deployment string, feed decl.Feed, epoch int64) {
-	events.FeedTaken.Log(f.options.Log, logrus.Fields{"feed": feed.Name, "epoch": epoch})
+	events.FeedAcquired.Log(f.options.Log, logrus.Fields{"feed": feed.Name, "epoch": epoch})
 	f.mu.Lock()
 	g := f.generations[feed.Service]
 	if g == nil {
@@ -178,7 +178,7 @@
 	f.mu.Unlock()
 	o.generation.remove(o)
 	o.stop()
-	events.FeedDropped.Log(f.options.Log, logrus.Fields{"feed": o.name, "epoch": o.epoch})
+	events.FeedReleased.Log(f.options.Log, logrus.Fields{"feed": o.name, "epoch": o.epoch})
 }
 
 func (f *Feeds) allOwners() []*owner {
--- a/internal/feedrun/owner.go
+++ b/internal/feedrun/owner.go
@@ -96,7 +96,7 @@
 		events.PullRefused.Log(o.options.Log, logrus.Fields{"feed": o.name, "reason": string(a.Reason)})
 		o.sendReply(a.Call, wire.PullReply{Refusal: string(a.Reason)})
 	case handover.Deposed:
-		events.FeedDeposed.Log(o.options.Log, logrus.Fields{"feed": o.name, "epoch": o.epoch})
+		events.FeedSuperseded.Log(o.options.Log, logrus.Fields{"feed": o.name, "epoch": o.epoch})
 	}
 }
 
--- a/internal/feedrun/poison.go
+++ b/internal/feedrun/poison.go
@@ -48,7 +48,7 @@
 // failedSample returns the sample that the trainer gets instead of one that
 // can't be generated.
 func (r *run) failedSample() sample.Sample {
-	events.SampleGivenUp.Log(r.owner.options.Log, logrus.Fields{
+	events.SampleFailed.Log(r.owner.options.Log, logrus.Fields{
 		"feed": r.feed.Name, "sample": r.id.Name(r.owner.deployment, r.feed.Name),
 	})
 	r.owner.counter("given_up").Inc(1)
--- a/internal/operator/change.go
+++ b/internal/operator/change.go
@@ -150,7 +150,7 @@
 	case config.Conflict, config.Failed:
 		events.ConfigRefused.Log(s.log, fields)
 	case config.Unknown:
-		events.ConfigUnsettled.Log(s.log, fields)
+		events.ConfigUnknown.Log(s.log, fields)
 	}
 	return result, err
 }
--- a/internal/operator/inspect.go
+++ b/internal/operator/inspect.go
@@ -221,7 +221,7 @@
 		return &operatorpb.ReleaseQuarantineResponse{}, nil
 	}
 	released := s.sources.Quarantine.Release(value)
-	events.QuarantineReleased.Log(s.log, logrus.Fields{"operator": caller.operator, "from": caller.address, "fingerprint": r.Fingerprint, "released": released})
+	events.QuarantineReleaseRequested.Log(s.log, logrus.Fields{"operator": caller.operator, "from": caller.address, "fingerprint": r.Fingerprint, "released": released})
 	return &operatorpb.ReleaseQuarantineResponse{Released: released}, nil
 }
 
