--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,6 +1,6 @@
-// Package events is the catalogue of numbered log events. Each file holds one
-// range of numbers; docs/EVENTS.md lists them all, and a test holds the two
-// against each other.
+// Package events is the catalogue of numbered log events. Each range of numbers is
+// defined in one file. docs/EVENTS.md lists all events with their texts, and a test
+// checks that no event is missing there.
 package events
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Event is one kind of log entry.
+// Event is one kind of log entry. Operators filter by its number.
 type Event struct {
 	Number int
 	Level  logrus.Level
@@ -20,7 +20,7 @@
 var catalogue = map[int]Event{}
 
 func define(number int, level logrus.Level, text string) Event {
-	if _, taken := catalogue[number]; taken {
+	if _, exists := catalogue[number]; exists {
 		panic(fmt.Sprintf("events: number %d is defined twice", number))
 	}
 	e := Event{Number: number, Level: level, Text: text}
@@ -28,7 +28,7 @@
 	return e
 }
 
-// All returns the catalogue in the order of its numbers.
+// All returns all events in the order of their numbers.
 func All() []Event {
 	all := make([]Event, 0, len(catalogue))
 	for _, e := range catalogue {
@@ -38,8 +38,8 @@
 	return all
 }
 
-// Log writes the event with its number and fields. Fields never hold keys,
-// tokens or request bodies.
+// Log writes the event with its number and the given fields. Fields must not contain
+// API keys, tokens or request bodies.
 func (e Event) Log(log *logrus.Logger, fields logrus.Fields) {
 	if !log.IsLevelEnabled(e.Level) {
 		return
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -17,7 +17,7 @@
 }
 
 var _ = Describe("the catalogue", func() {
-	It("stands in docs/EVENTS.md line by line", func() {
+	It("is listed in docs/EVENTS.md line by line", func() {
 		page, err := os.ReadFile("../../docs/EVENTS.md")
 		Expect(err).NotTo(HaveOccurred())
 		for _, e := range events.All() {
