--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -1,5 +1,5 @@
-// Package layers holds the directions in which packages may import each other, as
-// docs/ARCHITECTURE.md draws them.
+// Package layers_test checks that packages import each other only in the directions
+// that docs/ARCHITECTURE.md shows.
 package layers_test
 
 import (
@@ -26,7 +26,8 @@
 	root   = "../.."
 )
 
-// imports returns what each package's files import of this module, tests left out.
+// imports returns the packages of this module that each package imports, without the
+// imports of its tests.
 func imports() map[string][]string {
 	found := map[string][]string{}
 	err := filepath.WalkDir(root, func(name string, d fs.DirEntry, err error) error {
@@ -48,12 +49,12 @@
 			return err
 		}
 		for _, i := range file.Imports {
-			quoted, err := strconv.Unquote(i.Path.Value)
+			importPath, err := strconv.Unquote(i.Path.Value)
 			if err != nil {
 				return err
 			}
-			if local, ours := strings.CutPrefix(quoted, module); ours {
-				found[filepath.ToSlash(dir)] = append(found[filepath.ToSlash(dir)], local)
+			if imported, local := strings.CutPrefix(importPath, module); local {
+				found[filepath.ToSlash(dir)] = append(found[filepath.ToSlash(dir)], imported)
 			}
 		}
 		return nil
@@ -62,6 +63,7 @@
 	return found
 }
 
+// within returns whether a package is one of the folders or below one.
 func within(pkg string, folders ...string) bool {
 	for _, f := range folders {
 		if pkg == f || strings.HasPrefix(pkg, f+"/") {
@@ -76,46 +78,47 @@
 
 	BeforeEach(func() {
 		all = imports()
-		Expect(len(all)).To(BeNumerically(">", 40), "the walk found the packages")
+		Expect(len(all)).To(BeNumerically(">", 40), "packages found")
 	})
 
-	// forbid fails for each import from one part of the tree into another.
-	forbid := func(from func(string) bool, into func(string) bool) {
+	// forbid fails on an import of a package that importee selects by a package that
+	// importer selects.
+	forbid := func(importer func(string) bool, importee func(string) bool) {
 		for pkg, list := range all {
 			for _, i := range list {
-				ExpectWithOffset(1, from(pkg) && into(i)).To(BeFalse(), "%s imports %s", pkg, i)
+				ExpectWithOffset(1, importer(pkg) && importee(i)).To(BeFalse(), "%s imports %s", pkg, i)
 			}
 		}
 	}
 
-	It("lead from runtimes to decisions, never back", func() {
-		types := []string{"internal/policy", "internal/wire", "internal/decl", "internal/deployment"}
+	It("lead from runtimes to policy packages, never back", func() {
+		allowed := []string{"internal/policy", "internal/wire", "internal/decl", "internal/deployment"}
 		forbid(
 			func(pkg string) bool { return within(pkg, "internal/policy") },
-			func(i string) bool { return !within(i, types...) },
+			func(i string) bool { return !within(i, allowed...) },
 		)
 	})
 
-	It("keep the two ways of serving apart", func() {
-		agents := []string{"internal/entry", "internal/agent", "internal/feedrun", "internal/dutyrun", "internal/peers", "internal/confstate", "internal/daemon"}
+	It("keep the deployment with agents and the agentless one apart", func() {
+		withAgents := []string{"internal/entry", "internal/agent", "internal/feedrun", "internal/dutyrun", "internal/peers", "internal/confstate", "internal/daemon"}
 		forbid(
 			func(pkg string) bool { return within(pkg, "internal/agentless") },
-			func(i string) bool { return within(i, agents...) },
+			func(i string) bool { return within(i, withAgents...) },
 		)
 		forbid(
-			func(pkg string) bool { return within(pkg, agents...) },
+			func(pkg string) bool { return within(pkg, withAgents...) },
 			func(i string) bool { return within(i, "internal/agentless") },
 		)
 	})
 
-	It("leave the platform's adapter to the programs", func() {
+	It("let only programs import the platform's adapter", func() {
 		forbid(
 			func(pkg string) bool { return !within(pkg, "cmd", "platform") },
 			func(i string) bool { return within(i, "platform") },
 		)
 	})
 
-	It("leave stand-ins and measurements to tests and the lab", func() {
+	It("let only tests and the lab import stand-ins and measurements", func() {
 		forbid(
 			func(pkg string) bool {
 				return !within(pkg, "cmd", "internal/lab", "internal/standin", "platform/soak") && path.Base(pkg) != "claimtest"
