--- a/api/operatorpb/doc.go
+++ b/api/operatorpb/doc.go
@@ -1,2 +1,2 @@
-// Package operatorpb is the generated code of api/operator.proto; `make generate` renews it.
+// Package operatorpb is the generated code of api/operator.proto. Run `make generate` to regenerate it.
 package operatorpb
--- a/api/platformpb/doc.go
+++ b/api/platformpb/doc.go
@@ -1,2 +1,2 @@
-// Package platformpb is the generated code of api/platform.proto; `make generate` renews it.
+// Package platformpb is the generated code of api/platform.proto. Run `make generate` to regenerate it.
 package platformpb
--- a/api/trainerpb/doc.go
+++ b/api/trainerpb/doc.go
@@ -1,2 +1,2 @@
-// Package trainerpb is the generated code of api/trainer.proto; `make generate` renews it.
+// Package trainerpb is the generated code of api/trainer.proto. Run `make generate` to regenerate it.
 package trainerpb
