--- a/Makefile
+++ b/Makefile
@@ -5,22 +5,22 @@
 build: ## compile every program into bin/
 	$(GO) build -o bin/ ./cmd/...
 
-test: ## run every test
+test: ## run all tests
 	$(GO) test -count=1 ./...
 
-race: ## the specs of the users' platform path under the race detector
+race: ## run the specs of the platform path under the race detector
 	$(GO) test -count=1 -race ./internal/agentless/... ./platform
 
-bounds: ## deterministic figures against bench/bounds.ini
+bounds: ## check deterministic figures against bench/bounds.ini
 	$(GO) run ./cmd/siskinlab bounds --file bench/bounds.ini
 
-bench: ## wall-clock figures, each against a baseline in the same run
+bench: ## measure wall-clock figures, each with a baseline in the same run
 	$(GO) run ./cmd/siskinlab bench
 
-demo: build ## both deployments on loopback, with faults, in under a minute
+demo: build ## run both deployments on loopback, with faults, in under a minute
 	./scripts/demo.sh
 
-soak: build ## both deployments under a drawn schedule of faults: make soak SEED=7 DURATION=120
+soak: build ## run both deployments with random faults drawn from a seed: make soak SEED=7 DURATION=120
 	DEMO_SEED=$(or $(SEED),1) DEMO_SECONDS=$(or $(DURATION),90) ./scripts/demo.sh
 
 fmt-check:
@@ -35,5 +35,5 @@
 generate: ## regenerate api/*pb from the schemas; needs protoc
 	./scripts/generate.sh
 
-capacity: build ## cost of control work at four sizes, extrapolated
+capacity: build ## measure the cost of control work at four fleet sizes and extrapolate it
 	./scripts/capacity.sh
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures what control work costs an entry and an agent at four sizes, with
-# real processes on loopback and no load, and prints the lines through them.
+# Measures the cost of control work for an entry and an agent in fleets of four sizes,
+# with real processes on loopback and no load, and prints a linear extrapolation.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 dir=$(mktemp -d)
@@ -22,7 +22,7 @@
   siskinlab capacity layout --dir "$fleet" --base "$base" --entries "$entries" --agents "$agents" || exit 1
   : >"$fleet/pids"
   while IFS=$'\t' read -r name command; do
-    # shellcheck disable=SC2086 # the words of the command
+    # shellcheck disable=SC2086 # the command is split into words
     $command >/dev/null 2>"$fleet/$name.err" &
     pids+=($!)
     metrics=$(sed -n 's/^metrics = //p' "$fleet/settings/$name.ini" 2>/dev/null)
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# The demo: both deployments as real processes on loopback, with faults, held
-# against what must always hold. Everything it started ends with it.
+# The demo runs both deployments as real processes on loopback, injects faults and
+# checks the invariants. It stops every process that it started when it exits.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 root=$PWD
 dir=${DEMO_DIR:-$root/demo-out}
 base=${DEMO_PORT_BASE:-21000}
 duration=${DEMO_SECONDS:-36}
-seed=${DEMO_SEED:-}               # set: a drawn schedule in place of scripts/demo.faults
+seed=${DEMO_SEED:-}               # if set, draws a schedule of faults that replaces scripts/demo.faults
 export PATH="$root/bin:$PATH"
 declare -A pid=()
 
@@ -21,7 +21,7 @@
 trap stop_all EXIT
 trap 'exit 130' INT TERM
 
-# start NAME COMMAND...: runs a process with its output in the log folder.
+# start NAME COMMAND... starts a process with its output in the log folder.
 start() {
   local name=$1
   shift
@@ -29,16 +29,16 @@
   pid[$name]=$!
 }
 
-# start_all FILE: starts the processes of a list of "name<tab>command" lines.
+# start_all FILE starts the processes of a file of "name<tab>command" lines.
 start_all() {
   local name command
   while IFS=$'\t' read -r name command; do
-    # shellcheck disable=SC2086 # the words of the command
+    # shellcheck disable=SC2086 # the command is split into words
     start "$name" $command
   done <"$1"
 }
 
-# carry_out VERB NAME: one fault, or the end of one.
+# carry_out VERB NAME injects or ends one fault.
 carry_out() {
   local verb=$1 name=${2-} command
   case $verb in
@@ -51,7 +51,7 @@
   start)
     [ -z "${pid[$name]-}" ] || wait "${pid[$name]}"
     command=$(awk -F'\t' -v name="$name" '$1 == name { print $2 }' "$dir/processes")
-    # shellcheck disable=SC2086 # the words of the command
+    # shellcheck disable=SC2086 # the command is split into words
     start "$name" $command
     ;;
   pause) kill -STOP "${pid[$name]}" ;;
@@ -64,7 +64,7 @@
   esac
 }
 
-# faults FILE: carries out the lines "second verb name" of a schedule.
+# faults FILE carries out a schedule of "second verb name" lines.
 faults() {
   local at verb name now
   while read -r at verb name; do
@@ -87,7 +87,7 @@
 start_all "$dir/processes"
 echo "started ${#pid[@]} processes"
 siskinlab demo instances --dir "$dir" || exit 1
-# A fresh entry accepts changes once it hears most of the others.
+# A new entry accepts changes once it receives messages from entries in most failure domains.
 for d in ledgerwise batumi; do
   grpc=$(sed -n "s/^grpc = //p" "$dir/settings/$d-entry-1.ini")
   for try in $(seq 20); do
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Regenerates the Go code of the schemas in api/. Needs protoc (Debian's
-# protobuf-compiler); the plug-ins are pinned in go.mod.
+# protobuf-compiler); go.mod pins the versions of its plug-ins.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=$(mktemp -d)
