--- a/internal/policy/claims/claims.go
+++ b/internal/policy/claims/claims.go
@@ -191,8 +191,8 @@
 	Value    []byte
 }
 
-// Delete requests the deletion of an expired sealed bucket. Its outcome doesn't matter
-// for correctness and is not reported back.
+// Delete requests the deletion of an expired sealed bucket. Correctness doesn't depend
+// on its outcome, which is not reported back.
 type Delete struct {
 	Key      string
 	Revision int64
@@ -226,18 +226,18 @@
 	Hold   time.Time
 }
 
-// QueryAgents requests that the agents are queried for the answers of claims that a
-// lost owner left without a result, to be reported as ResultsReceived. A result counts
-// only if it is an agent's own record of the same claim with the complete answer. A
-// missing answer proves nothing.
+// QueryAgents requests that the agents are queried for the results of claims that a lost
+// owner left without one. ResultsReceived reports them. A result counts only if it is an
+// agent's own record of the same claim with the complete answer. A missing answer proves
+// nothing.
 type QueryAgents struct {
 	Refs    []wire.ClaimRef
 	Wait    time.Duration
 	MaxBody int
 }
 
-// Fault reports a record that can't be decoded. The partition doesn't serve
-// while it has to be read.
+// Fault reports a record that can't be decoded. The partition doesn't serve until a
+// read returns a record that can be.
 type Fault struct{ Err error }
 
 func (Read) action()        {}
--- a/internal/policy/claims/claims_test.go
+++ b/internal/policy/claims/claims_test.go
@@ -166,8 +166,8 @@
 		Expect(h.runs).To(HaveLen(101))
 	})
 
-	// The owner crashes after its claim is written. It isn't known whether it
-	// dispatched the request, so the successor answers "unknown" and never runs it.
+	// The owner crashes after it has written a claim. The successor can't know whether
+	// the request was dispatched, so it answers "unknown" and never runs the request.
 	// Answers that were stored in time are replayed, even from a sealed bucket.
 	It("hands claims over to a successor through the head and the buckets", func() {
 		kv := newService()
@@ -264,8 +264,9 @@
 
 	// The owner is paused with an uncommitted claim. The successor runs a request
 	// with the same key and another body, and a retry of that request then reaches
-	// the old owner, which must not refuse it as "not run" because of its own outdated
-	// claim. Schedule 4 of the lab found "not run" answered after the request had run.
+	// the old owner. Its own claim is outdated, so it must not refuse the retry as "not
+	// run". Schedule 4 of the simulation in internal/lab/callers found "not run"
+	// answered after the request had run.
 	It("does not answer not-run based on an uncommitted claim", func() {
 		h := newHost(newService(), "a", nil)
 		h.acquire(1)
@@ -278,7 +279,7 @@
 
 	// An endpoint refuses a call, and the answer "not run" is delayed on its way to
 	// the caller. A retry through another entry must not run until that answer can no
-	// longer arrive. Found by schedule 4773 of the lab.
+	// longer arrive. Found by schedule 4773 of the simulation in internal/lab/callers.
 	It("does not run a retry of a refused request while the refusal can still arrive", func() {
 		h := newHost(newService(), "a", nil)
 		h.acquire(1)
@@ -293,10 +294,11 @@
 		Expect(h.runs).To(HaveLen(2))
 	})
 
-	// An outage lasts longer than the lease. A request that ended during it, and one
-	// that was abandoned while its claim was being written, are "unknown" to another
-	// successor, but not to the process that ran them once it holds the duty again.
-	DescribeTable("after a lapsed lease, knows the results of requests that ended here", func(same bool, ran, given wire.Outcome) {
+	// An outage lasts longer than the lease. One request ended during it, and one was
+	// abandoned while its claim was being written. Both are "unknown" to another
+	// process that takes the duty over, but not to the old owner once it holds the
+	// duty again.
+	DescribeTable("after a lapsed lease, knows the results of requests that ended here", func(same bool, wantRan, wantAbandoned wire.Outcome) {
 		kv := newService()
 		h := newHost(kv, "a", nil)
 		h.acquire(1)
@@ -321,8 +323,8 @@
 		next.submit(11, "ran", 1)
 		next.submit(12, "given up", 1)
 		next.advance(time.Second)
-		Expect(next.replies[11].Answer.Outcome).To(Equal(ran))
-		if given == wire.Unknown {
+		Expect(next.replies[11].Answer.Outcome).To(Equal(wantRan))
+		if wantAbandoned == wire.Unknown {
 			Expect(next.replies[12].Answer.Outcome).To(Equal(wire.Unknown))
 			return
 		}
@@ -377,7 +379,9 @@
 		Expect(string(kv.records["claims/0/head"].Value)).To(ContainSubstring(`"s":"d"`))
 	})
 
-	It("drops abandoned claims during an outage that were never written", func() {
+	// Calls that are abandoned before any write of their claims would otherwise
+	// accumulate during an outage, and be written after it.
+	It("drops claims that were abandoned during an outage before they were written", func() {
 		kv := newService()
 		h := newHost(kv, "a", nil)
 		h.acquire(1)
--- a/internal/policy/claims/commit.go
+++ b/internal/policy/claims/commit.go
@@ -223,21 +223,21 @@
 // committed, so that a listed bucket always exists.
 func (p *Partition) expireBuckets(now time.Time, all []sealed) ([]sealed, []Delete) {
 	var kept []sealed
-	var drops []Delete
+	var deletions []Delete
 	for _, s := range all {
 		if !now.After(fromMilli(s.Expires)) {
 			kept = append(kept, s)
 			continue
 		}
 		key := p.bucketKey(s)
-		drops = append(drops, Delete{Key: key, Revision: p.buckets[key].revision})
+		deletions = append(deletions, Delete{Key: key, Revision: p.buckets[key].revision})
 		for _, k := range p.buckets[key].keys {
 			if c := p.table[k]; c != nil && p.expired(now, c) && !p.isDirty[k] {
 				delete(p.table, k)
 			}
 		}
 	}
-	return kept, drops
+	return kept, deletions
 }
 
 func (p *Partition) writeDone(now time.Time, e WriteDone) {
@@ -304,7 +304,7 @@
 	p.startSwap(now, c.baseEntries, c.baseBuckets, append(c.earlier, c))
 }
 
-// requeue marks the claims that a write added as dirty, to be written in their current state.
+// requeue marks the claims in a write as dirty, so that their current state is written.
 func (p *Partition) requeue(c *commit) {
 	for _, e := range c.added {
 		claim := p.table[e.Key]
@@ -347,9 +347,9 @@
 	}
 	p.head = installed.head
 	p.revision = e.Current.Revision
-	for _, drop := range installed.deletions {
-		delete(p.buckets, drop.Key)
-		p.emit(drop)
+	for _, d := range installed.deletions {
+		delete(p.buckets, d.Key)
+		p.emit(d)
 	}
 	for _, e := range installed.added {
 		p.committed(now, e)
@@ -359,9 +359,10 @@
 	}
 }
 
-// displaced ends the ownership after a commit failed because of another head, and starts
-// over if the epoch in it is not a newer one. Calls whose claims were in the commit are
-// not dispatched; the successor knows whether it found them.
+// displaced ends the ownership after a commit failed because of another head. If the
+// epoch in that head is not a newer one, the takeover is started again. Calls whose
+// claims were in the commit are not dispatched here: only the successor knows whether it
+// found those claims.
 func (p *Partition) displaced(current head) {
 	epoch := p.epoch
 	p.lose()
--- a/internal/policy/claims/handover_test.go
+++ b/internal/policy/claims/handover_test.go
@@ -93,7 +93,8 @@
 		Expect(next.runs).To(BeEmpty())
 	})
 
-	// The request runs for longer than ResultTimeout.
+	// The request runs for longer than ResultTimeout, and the old owner reports that it
+	// still runs. A retry must not be answered "unknown" meanwhile.
 	It("extends the wait for a request that is reported as still running", func() {
 		running := claims.ResultsReceived{Running: old.Running()}
 		Expect(running.Running).To(HaveLen(1))
--- a/internal/policy/claims/partition.go
+++ b/internal/policy/claims/partition.go
@@ -64,11 +64,11 @@
 	dirty   []Key          // keys of claims to be written, each once, oldest first
 	isDirty map[Key]bool   // the keys in dirty, as a set
 
-	// unwritten holds claims of earlier epochs whose results this process knows,
-	// because they ended or were abandoned here or because it received the results
-	// before it serves, while the service may not have them. Without unwritten, a
-	// request that ended during an outage would be "unknown" even to the process
-	// that ran it, once that has renewed its lapsed lease under the next epoch.
+	// unwritten holds claims of earlier epochs whose results this process knows but
+	// the service may not have. Either they ended or were abandoned here, or their
+	// results were received before the partition serves. Without unwritten, the
+	// process that ran a request during an outage would treat it as "unknown" after
+	// it has renewed its lapsed lease under the next epoch.
 	unwritten map[Key]*claim
 
 	head           head  // as last committed
--- a/internal/policy/claims/waiters.go
+++ b/internal/policy/claims/waiters.go
@@ -105,7 +105,8 @@
 }
 
 // release allows a request that was not run to be claimed again, here or by a
-// successor. If its claim may be in the service, an entry that says so is written.
+// successor. If its claim may be in the service, an entry in the state notRun is
+// written.
 func (p *Partition) release(c *claim) {
 	if c.mayBeStored {
 		p.markDirty(c)
