--- a/internal/policy/duties/keeper.go
+++ b/internal/policy/duties/keeper.go
@@ -31,7 +31,7 @@
 	offeredEpoch    int64     // epoch whose holder offered the duty to this process; 0 if none did
 	readAgain       bool      // an offer arrived while a call was pending
 	takeOverAt      time.Time // when to take over an expired lease; zero if not chosen yet
-	misplacedSince  time.Time // since when another entry should hold the duty; zero if none should
+	misplacedSince  time.Time // since when another entry is the preferred holder; zero if none is
 
 	callPending    bool
 	unsettledSince time.Time // first write since the last known outcome; zero if there is none
@@ -63,7 +63,8 @@
 }
 
 // SetMembers sets the live entries, including this process unless it is leaving.
-// Any order is valid, but it should be the same in each call.
+// Any order is valid, but it should be the same in each call, since another order counts
+// as a change.
 func (k *Keeper) SetMembers(now time.Time, members []Member) {
 	if slices.Equal(k.members, members) {
 		return
@@ -222,28 +223,27 @@
 }
 
 func (k *Keeper) knownHolder(d *duty) KnownHolder {
-	o, _ := k.KnownHolder(time.Time{}, d.name)
-	return o
+	holder, _ := k.KnownHolder(time.Time{}, d.name)
+	return holder
 }
 
 // Heard records a holder reported by a peer. The report is only a hint: it never
-// extends a lease and doesn't start a takeover by itself. But it ends this
-// process's lease if it names a successor, and makes a candidate read the record at
-// once.
-func (k *Keeper) Heard(now time.Time, o KnownHolder) {
-	d := k.duties[o.Duty]
-	if d == nil || o.Epoch < d.lastRecord.Epoch {
+// extends a lease and doesn't start a takeover by itself. It ends this process's
+// lease if it names a successor, and makes a candidate read the record at once.
+func (k *Keeper) Heard(now time.Time, reported KnownHolder) {
+	d := k.duties[reported.Duty]
+	if d == nil || reported.Epoch < d.lastRecord.Epoch {
 		return
 	}
-	released := o.Address == "" && !d.lastRecord.Released && o.Epoch == d.lastRecord.Epoch
-	if o.Epoch == d.lastRecord.Epoch && !released {
+	released := reported.Address == "" && !d.lastRecord.Released && reported.Epoch == d.lastRecord.Epoch
+	if reported.Epoch == d.lastRecord.Epoch && !released {
 		return
 	}
 	if released && d.holding {
 		return // an outdated report of a release can't end a lease
 	}
-	d.lastRecord.Epoch, d.lastRecord.Address, d.lastRecord.Released = o.Epoch, o.Address, o.Address == ""
-	if o.Address != "" {
+	d.lastRecord.Epoch, d.lastRecord.Address, d.lastRecord.Released = reported.Epoch, reported.Address, reported.Address == ""
+	if reported.Address != "" {
 		d.lastRecord.Boot = ""
 		d.holding = false
 	}
--- a/internal/policy/duties/probe_test.go
+++ b/internal/policy/duties/probe_test.go
@@ -39,10 +39,10 @@
 					continue
 				}
 				t.execute(k, now, k.Tick(now, rnd))
-				for _, o := range k.Probes(now) {
-					other := keepers[o.Address]
-					holds := other != nil && !cut && other.LeaseState(now, o.Duty) != duties.NotHolder
-					k.ProbeDone(now, o, holds)
+				for _, probed := range k.Probes(now) {
+					other := keepers[probed.Address]
+					holds := other != nil && !cut && other.LeaseState(now, probed.Duty) != duties.NotHolder
+					k.ProbeDone(now, probed, holds)
 				}
 			}
 			now = now.Add(100 * time.Millisecond)
@@ -88,7 +88,8 @@
 		Expect(t.record.Epoch).To(Equal(int64(1)))
 	})
 
-	// Claims are safe only if one owner acts at a time.
+	// Claims, for example, are safe only if one owner acts at a time: an owner may
+	// answer "not run" because of its lease alone.
 	It("waits for the end of the lease of any other duty", func() {
 		start(name)
 		run(20*time.Second, never)
@@ -98,9 +99,9 @@
 	})
 
 	// Two entries can't reach each other, but both reach the key-value service. The
-	// probes of both fail. If they elapsed the duty from each other in turn without
-	// delay, every agent would be queried again all the time, and no weights would be
-	// loaded.
+	// probes of both fail. If they took the duty from each other in turn without
+	// delay, every agent would be queried again after each takeover, and no weights
+	// would be loaded.
 	It("rarely moves it between entries that are cut off from each other", func() {
 		start(weights)
 		run(20*time.Second, never)
--- a/internal/policy/duties/steps.go
+++ b/internal/policy/duties/steps.go
@@ -54,8 +54,8 @@
 
 // shouldHandBack reports whether to release the duty to its preferred holder. An
 // entry hands duties back only if it holds more than its share, and only to an entry
-// that was heard from recently: the list may still name a dead entry, and a duty
-// handed to it would be without a holder again and again.
+// that was heard from recently. The list may still name a dead entry; a duty handed
+// to it would have no holder until a candidate takes it over, and this would repeat.
 func (k *Keeper) shouldHandBack(now time.Time, d *duty) bool {
 	if d.misplacedSince.IsZero() || now.Sub(d.misplacedSince) <= k.config.HandBackAfter || !now.Before(d.leaseUntil) || !d.preferred.Alive {
 		return false
@@ -72,9 +72,9 @@
 
 // mayTake reports whether this process may take over the duty now. A duty whose record
 // is absent or released goes to the preferred holder or to a process that it was offered
-// to, and after a whole TTL to any candidate. Otherwise the record must have been
-// unchanged for longer than its holder may act on it, or the holder must have failed its
-// probes, or the record must name this process.
+// to, and after a whole TTL to any candidate. Otherwise one of three conditions must
+// hold: the record names this process, the holder has failed its probes, or the record
+// has been unchanged for longer than its holder may act on it.
 func (k *Keeper) mayTake(now time.Time, d *duty, rnd *rand.Rand) bool {
 	if d.mayTakeOffered() {
 		return true
@@ -83,7 +83,7 @@
 		return d.isPreferred || now.Sub(d.revisionSeenAt) > k.config.TTL
 	}
 	if d.lastRecord.Instance == k.self.ID && d.lastRecord.Boot == k.boot {
-		return true // its own record, given up, but the release was not sent
+		return true // this process gave the duty up, but the release has not taken effect
 	}
 	if k.holderGone(now, d) {
 		return true
@@ -93,8 +93,8 @@
 		return false
 	}
 	// When a failure domain fails, many leases expire at once. The random delay
-	// spreads their takeovers, and candidates of a higher rank number wait longer
-	// to leave the first one time.
+	// spreads their takeovers. Each candidate waits longer than those before it, so
+	// that the first one normally takes over alone.
 	if d.takeOverAt.IsZero() {
 		spread := time.Duration(rnd.Int64N(int64(k.config.Jitter) + 1))
 		d.takeOverAt = now.Add(spread + time.Duration(d.rank)*k.config.Jitter)
