--- a/internal/policy/membership/connections.go
+++ b/internal/policy/membership/connections.go
@@ -11,7 +11,7 @@
 type Fanout struct {
 	Watchers     int // minimum number of entries that keep a connection to each agent
 	PerService   int // minimum number of agents of each service that an entry keeps, if it has as many
-	MaxUnwatched int // approximate limit of agents that an entry keeps without watching them; reduces PerService if there are many services
+	MaxUnwatched int // approximate limit of agents that an entry keeps without watching them; lowers PerService if there are many services
 }
 
 // DefaultFanout returns the bounds used in production.
@@ -29,11 +29,11 @@
 	watchedBytesPerSecond = 4500
 	keptBytesPerSecond    = 1200
 	agentBytesPerSecond   = 6400
-	// largeFleetEntries is the number of entries from which on every entry sends
-	// heartbeats to the agents it watches as rarely as the entry with the most of
-	// them has to, which has about twice the mean. Otherwise each entry would
-	// spend the whole budget, and those that are called by many entries or hold
-	// duties would exceed the traffic allowed for control work.
+	// largeFleetEntries is the number of entries of a large fleet. In it every entry
+	// uses the heartbeat interval of the entry that watches the most agents, about
+	// twice the mean. Otherwise each entry would spend the whole budget, and those
+	// that are called by many entries or hold duties would exceed the traffic allowed
+	// for control work.
 	largeFleetEntries = 100
 )
 
@@ -49,10 +49,10 @@
 // SelectConnections returns the agents that the entry self keeps connections to,
 // ordered by ID. It watches the agents for which self is among the f.Watchers
 // entries of the highest rendezvous weight, so that each agent has that many
-// watchers. It adds agents of each service, spread over its failure domains, to
-// choose from. Heartbeats to these are less frequent if the entry has many of them
-// or the agent is kept by many entries. Replies to requests report load and leaving
-// as well, so only idle agents are then heard from later.
+// watchers. It adds agents of each service, spread over its failure domains, so that
+// requests have a choice. Heartbeats to these are less frequent if the entry has many
+// of them or the agent is kept by many entries. This delays only the reports of idle
+// agents, since replies to requests report load and leaving as well.
 func SelectConnections(self string, entries []string, agents []Instance, f Fanout, minInterval time.Duration) []Connection {
 	chosen := map[string]bool{}
 	watched := map[string]bool{}
--- a/internal/policy/membership/membership.go
+++ b/internal/policy/membership/membership.go
@@ -132,7 +132,7 @@
 	inList := make(map[string]bool, len(list))
 	for _, in := range list {
 		inList[in.ID] = true
-		t.list(now, in)
+		t.applyInstance(now, in)
 	}
 	for id, m := range t.members {
 		if m.listed && !inList[id] {
@@ -144,8 +144,8 @@
 	return t.changes
 }
 
-// list updates or adds the member for one instance of the list.
-func (t *Table) list(now time.Time, in Instance) {
+// applyInstance updates or adds the member for one instance of the list.
+func (t *Table) applyInstance(now time.Time, in Instance) {
 	m := t.members[in.ID]
 	if m == nil {
 		m = &Member{Instance: in}
@@ -211,8 +211,9 @@
 	return t.changes
 }
 
-// resetProcess resets the state of the previous process of the member. If there
-// was one, the list named that one as leaving, so listedLeaving is reset too.
+// resetProcess replaces the state of the member's previous process by that of a new
+// one. If there was a previous one, the list may have named that one as leaving, so
+// listedLeaving is reset too.
 func (m *Member) resetProcess(incarnation string) {
 	if m.Incarnation != "" {
 		m.listedLeaving = false
--- a/internal/policy/membership/membership_test.go
+++ b/internal/policy/membership/membership_test.go
@@ -75,6 +75,8 @@
 	})
 
 	It("ignores an older report that arrives late", func() {
+		// Two reports of one process arrive in reverse order. The older one, from
+		// before the agent began to leave, must not make it live again.
 		leaving := report("a", "run-1", 5)
 		leaving.Leaving = true
 		t.ApplyReport(at(5), "a", leaving)
@@ -83,6 +85,9 @@
 	})
 
 	It("assigns an address to the instance that answers there", func() {
+		// Instance c answers at an address at which the list still names instance a.
+		// Instance a is gone then, although nothing else has reported that, and c is
+		// known before the list names it.
 		changes := t.ApplyReport(at(1), "a", report("c", "run-9", 1))
 		Expect(changes).To(ContainElement(HaveField("To", membership.Gone)))
 		Expect(state("a")).To(Equal(membership.Gone))
--- a/internal/policy/membership/poll.go
+++ b/internal/policy/membership/poll.go
@@ -9,7 +9,8 @@
 	// bytesPerInstance is the approximate size of one instance of the list on the
 	// wire.
 	bytesPerInstance = 96
-	// smallListInstances is the longest list that is read every minPollInterval.
+	// smallListInstances is the number of instances up to which the list is read
+	// every minPollInterval.
 	smallListInstances = 32
 	// listBytesPerSecond is the approximate traffic of an entry of a large fleet
 	// for reading the list. The list grows with the fleet: with 1,670 instances,
