--- a/internal/policy/gossip/gossip.go
+++ b/internal/policy/gossip/gossip.go
@@ -15,8 +15,9 @@
 	Domain string // failure domain
 }
 
-// Choose returns at most n random peers from as many failure domains other than
-// own as n allows, so that information crosses failure domains in every round.
+// Choose returns at most n random peers from as many failure domains other than the
+// caller's own one as n allows, so that information crosses failure domains in every
+// round.
 func Choose(rnd *rand.Rand, own string, peers []Peer, n int) []Peer {
 	return preferNewDomains(map[string]bool{own: true}, shuffled(rnd, peers), n)
 }
@@ -30,9 +31,9 @@
 	return result
 }
 
-// preferNewDomains returns the first n peers, but takes a peer of a failure
-// domain that is already in domains only if there are too few others. It adds
-// the failure domain of each peer that it takes for its domain to domains.
+// preferNewDomains returns at most n peers in their order, one for each failure domain
+// that is not yet in domains, to which it adds that failure domain. If there are too few
+// such peers, the first of the others follow.
 func preferNewDomains(domains map[string]bool, peers []Peer, n int) []Peer {
 	chosen := make([]Peer, 0, n)
 	var remaining []Peer
--- a/internal/policy/gossip/gossip_test.go
+++ b/internal/policy/gossip/gossip_test.go
@@ -82,7 +82,8 @@
 	// During an outage of the key-value service an entry accepts work while it
 	// hears from a quorum, counting the answers of the last five rounds. Partners
 	// drawn at random in each round repeat: only ten different ones are called in
-	// five rounds.
+	// five rounds. That suffices for the quorum of eight peers only if no more than
+	// two calls are lost.
 	It("are called in turn, so that a quorum answers within five rounds", func() {
 		const quorum, lost = 8, 2
 		fewest := len(peers)
--- a/internal/policy/gossip/partners.go
+++ b/internal/policy/gossip/partners.go
@@ -18,9 +18,9 @@
 
 // Partners is the subset of peers that an entry exchanges heartbeats with over
 // many rounds (a partial view). A new connection costs several times the bytes
-// of a heartbeat, since each end describes its message types anew. When entries
-// called random peers of a large fleet, hardly any of these were connected, and
-// the traffic of an entry grew with the fleet.
+// of a heartbeat, since each end describes its message types anew. If entries called
+// random peers of a large fleet, hardly any of these would be connected, and the
+// traffic of an entry would grow with the fleet.
 type Partners struct {
 	own      string         // failure domain of this entry
 	lastCall map[string]int // round of the last call to each partner; 0 if not called yet
@@ -40,7 +40,7 @@
 // entries stays separated from the others.
 //
 // The least recently called partners come first. With a random choice, only ten
-// of 16 partners were called within five rounds, too few for the quorum that an
+// of 16 partners are called within five rounds, too few for the quorum that an
 // entry needs during an outage of the key-value service.
 func (p *Partners) Choose(rnd *rand.Rand, peers []Peer, n int) []Peer {
 	p.round++
