--- a/internal/policy/news/news.go
+++ b/internal/policy/news/news.go
@@ -19,8 +19,8 @@
 	"time"
 )
 
-// maxTombstones limits how many deleted keys a topic remembers. A follower that
-// comes from before the oldest of them gets a full update.
+// maxTombstones limits how many deleted keys a topic remembers. A follower whose
+// revision is older than the oldest of them gets a full update.
 const maxTombstones = 4096
 
 // Change is the current state of a key, which may be deleted, with the payload that
@@ -33,7 +33,8 @@
 	Payload  C
 }
 
-// Interest says what a follower needs of a topic and how far it has come.
+// Interest describes which keys of a topic a follower needs and which revision it has
+// reached.
 type Interest struct {
 	Prefix string
 	Only   string   // only keys with this prefix; empty: all keys
@@ -50,7 +51,8 @@
 	return i.Scopes == nil || scope == "" || slices.Contains(i.Scopes, scope) || slices.Contains(i.Scopes, prevScope)
 }
 
-// Position is how far a follower has come in one process's sequence of changes.
+// Position identifies a change in one process's sequence of changes: the last one that
+// a follower has received from that process.
 type Position struct {
 	Boot int64 // identifies the run of the process that numbered the changes
 	Seq  int64
@@ -61,11 +63,11 @@
 	TTL time.Duration // how long the data may be served after the store's last answer
 
 	boot          int64
-	seq           *int64 // of the last change of any topic
-	completeSince int64  // every change after this revision is known, deletions included; 0: nothing was listed yet
-	prunedSeq     int64  // no tombstone after this sequence number was dropped
-	asOf          int64
-	syncedAt      time.Time
+	seq           *int64    // number of the last change of any topic; shared by all topics
+	completeSince int64     // every change after this revision is known, deletions included; 0: nothing was listed yet
+	prunedSeq     int64     // no tombstone after this sequence number was dropped
+	asOf          int64     // every change up to this revision has been applied
+	syncedAt      time.Time // time of the store's last answer
 	keys          map[string]*entry[C]
 	log           []logEntry // ordered by seq; superseded entries are skipped
 	tombstones    int        // deleted keys that are remembered
@@ -193,8 +195,9 @@
 	Stands  []string // if Full: existing keys that have not changed since the follower's revision
 }
 
-// Since returns what changed for a follower since a position. A follower that comes
-// from another process continues from the revision that it reached there.
+// Since returns what changed for a follower since a position. If the position is one in
+// the sequence of another process, the follower continues from the revision that it
+// reached there.
 func (t *Topic[C]) Since(p Position, i *Interest) Update[C] {
 	u := Update[C]{AsOf: t.asOf}
 	sameBoot := p.Boot == t.boot
@@ -211,8 +214,8 @@
 	return u
 }
 
-// addExisting adds all existing keys to an update: the key alone if the follower has
-// its last change already.
+// addExisting adds all existing keys to an update. If the follower already has the last
+// change of a key, only the name of the key is added.
 func (t *Topic[C]) addExisting(u *Update[C], i *Interest) {
 	for _, l := range t.log {
 		e := t.keys[l.key]
--- a/internal/policy/news/news_test.go
+++ b/internal/policy/news/news_test.go
@@ -40,8 +40,8 @@
 var _ = Describe("Topic", func() {
 	It("lets a follower continue at another process from the revision that it reached", func() {
 		// A relay that served half of the fleet is lost, and its followers switch to
-		// the other one. Sending the full list to each meant 150 lists of 3,000
-		// endpoints, which took longer than the followers' timeout.
+		// the other one. If it sent the full list to each, these were 150 lists of
+		// 3,000 endpoints, which take longer than the followers' timeout.
 		first, second := newRelay(1), newRelay(2)
 		for _, s := range []*relay{first, second} {
 			for i := range 3000 {
@@ -64,6 +64,7 @@
 
 	It("sends a full update to a follower that comes from before the first listing", func() {
 		// The process began to watch after a deletion, which it therefore does not know.
+		// A follower that got only the later changes would keep the deleted key.
 		s := newRelay(1)
 		s.put("p/b", 5, false, "")
 		s.topic.MarkListed(9)
