--- a/internal/policy/config/attempt.go
+++ b/internal/policy/config/attempt.go
@@ -117,10 +117,11 @@
 	return a.propose()
 }
 
-// settle judges a record that does not contain the indeterminate write. Once the
-// record has a newer revision than the one the write builds on, the write can no
-// longer take effect. Until then it may still arrive. It is repeated, since only
-// one of the two can succeed, and stays indeterminate until an answer comes.
+// settle decides what a record that does not contain the indeterminate write says about
+// that write. Once the record has a newer revision than the one the write builds on, the
+// write can no longer take effect. Until then it may still arrive; it is repeated, since
+// only one of the two can succeed, and stays indeterminate until an answer comes. If the
+// trail does not go back to the write, the outcome stays unknown.
 func (a *Attempt) settle(record Record) (Step, bool) {
 	switch {
 	case record.Revision == a.indeterminateBase:
@@ -216,8 +217,8 @@
 	}
 }
 
-// unanswered ends an attempt because the service does not answer or another writer
-// was always faster.
+// unanswered returns the end of an attempt for which the service does not answer or
+// other writers were always faster.
 func (a *Attempt) unanswered() Step {
 	if a.indeterminate {
 		return done(Result{Verdict: Unknown, Record: a.base})
--- a/internal/policy/config/delta.go
+++ b/internal/policy/config/delta.go
@@ -86,8 +86,9 @@
 	return len(d.Middle) + deltaOverhead
 }
 
-// Since returns the deltas after a revision. It returns false if they are not held
-// or are larger than half of a snapshot, whose size is given in bytes.
+// Since returns the deltas after a revision. It returns false if there are none, if
+// they are not held, or if they are larger than half of a snapshot, whose size is given
+// in bytes.
 func (h *History) Since(have int64, snapshot int) ([]Delta, bool) {
 	bytes := 0
 	for i := len(h.deltas) - 1; i >= 0; i-- {
--- a/internal/policy/config/follower.go
+++ b/internal/policy/config/follower.go
@@ -11,7 +11,7 @@
 type FollowerConfig struct {
 	Watchers        int           // number of entries that read the service at a time
 	PollInterval    time.Duration // between the reads of a watcher
-	OwnReadDelay    time.Duration // least delay before a new process, or an entry without a watcher, reads the service itself
+	OwnReadDelay    time.Duration // least time that a new entry waits for peers before it reads the service itself, and least time between reads of an entry that is no watcher
 	MaxStaleness    time.Duration // a process whose last proof of being current is older takes no new work
 	FetchRetryDelay time.Duration // before a fetch without an answer is retried at another peer
 	QuorumPeers     int           // entries that suffice for a quorum in a large deployment; a small one needs most of its entries
@@ -43,7 +43,7 @@
 	QuorumFor    time.Duration // how long the peer still hears a quorum without further heartbeats; 0: it hears none
 	Boot         uint64        // identifies the run of the peer's process
 	Clock        time.Duration // time since that run started, by the peer's clock
-	SentAt       time.Time     // lower bound, by the own clock, of when the peer sent it; zero: unknown
+	SentAt       time.Time     // earliest time, by this process's clock, at which the peer can have sent it; zero: unknown
 }
 
 // NoConfirmation is the ConfirmedAgo of a process that has no proof.
@@ -222,8 +222,8 @@
 	return Need{Kind: NeedFetch, Peer: f.newestBy}
 }
 
-// FetchFailed records that a peer did not answer a fetch. Another peer that has the
-// revision is asked next.
+// FetchFailed records that a peer did not answer a fetch. The next fetch goes to another
+// peer that has the revision, or after FetchRetryDelay to the same one if there is none.
 func (f *Follower) FetchFailed(now time.Time, peer string) Need {
 	f.nextFetch = now
 	for id, h := range f.heard {
@@ -274,8 +274,8 @@
 	// service itself: all watchers may have died or be partitioned, or the
 	// deployment may just be starting. It reads before its own proof is too old.
 	// Otherwise the entries of a partitioned region would stop one after the other
-	// although the service answers them. The age is random, since one read serves
-	// all of them.
+	// although the service answers them. The age is random, so that not all entries
+	// read at once: one read serves all of them.
 	if f.have > 0 && now.Sub(f.confirmed) < f.ownReadAge {
 		return Need{}
 	}
--- a/internal/policy/config/readturn.go
+++ b/internal/policy/config/readturn.go
@@ -33,8 +33,8 @@
 	return t
 }
 
-// active reports whether the entry is among the n that read now. The selection
-// changes after each length of time.
+// active reports whether the entry is among the n that read now. Time is divided into
+// slots of the given length, and each slot has another n entries.
 func (t *readTurn) active(now time.Time, length time.Duration, n int) bool {
 	slot := now.UnixNano() / int64(length)
 	if slot == t.slot {
--- a/internal/policy/config/readturn_test.go
+++ b/internal/policy/config/readturn_test.go
@@ -12,9 +12,9 @@
 )
 
 var _ = Describe("Follower's turns to read the service", func() {
-	// If the same three entries of a large deployment read the record every second
-	// for all others, they have several times the traffic of the others: the record
-	// holds the declarations and up to 64 audit entries.
+	// The record holds the declarations and up to 64 audit entries. If the same three
+	// entries of a large deployment read it every second for all others, their traffic
+	// is several times that of the others.
 	It("gives every entry a few reads, and the service three a second", func() {
 		const seconds = 370
 		rnd := rand.New(rand.NewPCG(1, 1))
--- a/internal/policy/config/refusedlog_test.go
+++ b/internal/policy/config/refusedlog_test.go
@@ -70,8 +70,8 @@
 
 	// A script with a wrong key sends a hundred requests a second from ever new
 	// addresses. One write for each would take two calls from the budget that claims
-	// and leases need. In groups, they take two calls per interval, and what exceeds
-	// the limit is only counted.
+	// and leases need. In groups, they take two calls per interval, and requests beyond
+	// the limit of groups are only counted.
 	It("writes a flood at a bounded rate and counts what it does not list", func() {
 		const attempts = 6000
 		for i := range attempts {
@@ -141,6 +141,8 @@
 		Expect(l.Unwritten()).To(BeZero())
 	})
 
+	// Another entry writes the same key first. The write of this entry fails then, and
+	// its batch must be written again.
 	It("shares a key with other entries", func() {
 		add("ana", "10.0.1.1")
 		write := read(l.Flush(now))
--- a/internal/policy/config/transit.go
+++ b/internal/policy/config/transit.go
@@ -10,19 +10,18 @@
 )
 
 // transitEstimator estimates how long heartbeats were in transit, from the clock
-// values that their senders put in. The fastest heartbeat of a sender is assumed to
-// have taken no time, and every other one the time by which it was slower. The
-// estimate therefore misses the transit time of the fastest heartbeat, some
-// milliseconds.
+// values that they contain. The fastest heartbeat of a sender is assumed to have taken
+// no time, and every other one the time by which it was slower. The estimate is
+// therefore too low by the transit time of the fastest heartbeat, some milliseconds.
 type transitEstimator struct {
 	origin  time.Time
 	senders map[string]*senderClock
 }
 
-// senderClock relates the clock of one run of a sender to the own clock.
+// senderClock relates the clock of one run of a sender to that of this process.
 type senderClock struct {
 	boot   uint64
-	offset time.Duration // smallest difference seen between the own clock and the sender's
+	offset time.Duration // smallest difference seen between this process's clock and the sender's
 	at     time.Time     // of the last heartbeat
 }
 
