--- a/internal/policy/admission/admission.go
+++ b/internal/policy/admission/admission.go
@@ -1,12 +1,12 @@
 // Package admission decides in which order the requests at an agent reach its
 // endpoint, and which of them are refused at once.
 //
-// Deadline requests, which are all but rollouts, share the endpoint by weight: first
-// between businesses, then between the agencies of a business, then between the callers
-// of an agency (hierarchical start-time fair queueing over estimated slot time). Class
-// priority and the deadline only order the requests of one caller, so no business gains
-// over another by declaring a higher priority. Rollouts get the capacity that deadline
-// requests leave, by the same weights, and are preempted for them.
+// Deadline requests, that is, all requests except rollouts, share the endpoint by weight:
+// first between businesses, then between the agencies of a business, then between the
+// callers of an agency (hierarchical start-time fair queueing over estimated slot time).
+// Class priority and the deadline only order the requests of one caller, so no business
+// gains over another by declaring a higher priority. Rollouts get the capacity that
+// deadline requests leave, by the same weights, and are preempted for them.
 //
 // The package reads no clock: every call takes the time and returns the actions to
 // carry out. The returned slice is valid until the next call.
@@ -25,7 +25,7 @@
 	Priority  int
 	Deadline  time.Time // zero: none
 	Cost      float64   // estimated time in seconds that the request holds a slot
-	TailCost  float64   // time in seconds that most such requests hold a slot at most; 0: Cost
+	TailCost  float64   // time in seconds that most such requests do not exceed; 0: Cost
 	Rollout   bool
 	Suspect   bool // must run alone: it starts when nothing else runs, and nothing starts while it runs
 }
@@ -45,7 +45,7 @@
 	Kind       ActionKind
 	ID         string
 	Reason     wire.Reason   // of a refusal
-	RetryAfter time.Duration // of a refusal; 0: a retry cannot succeed
+	RetryAfter time.Duration // of a refusal; 0: a retry here cannot succeed
 	Started    bool          // the refused rollout ran before it was preempted, so its outcome is not "not run"
 }
 
--- a/internal/policy/admission/entry.go
+++ b/internal/policy/admission/entry.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// state is where an entry stands between queue and endpoint.
+// state is the progress of an entry from the queue to the endpoint.
 type state int
 
 const (
@@ -27,8 +27,8 @@
 }
 
 // updateLatestStart computes the latest time at which the request can start. It uses
-// the tail of the cost: with the mean, half of the requests that start last would end
-// too late.
+// TailCost, because with the mean cost half of the requests that start at that time
+// would end too late.
 func (e *entry) updateLatestStart() {
 	e.latestStart = e.item.Deadline.Add(-seconds(max(e.cost, e.item.TailCost)))
 }
--- a/internal/policy/admission/queue.go
+++ b/internal/policy/admission/queue.go
@@ -285,8 +285,8 @@
 	}
 }
 
-// preempt asks rollouts to stop, the last started one first, until as many slots are
-// about to be free as deadline requests wait. A pending suspect needs all slots.
+// preempt asks rollouts to stop, the last started one first, until enough slots are about
+// to be free for the waiting deadline requests. A pending suspect needs all slots.
 func (q *Queue) preempt() {
 	need := q.deadlineTree.root.queued + max(q.running-q.slots, 0) - q.preempting
 	if q.pendingAlone != nil {
--- a/internal/policy/admission/refuse.go
+++ b/internal/policy/admission/refuse.go
@@ -54,7 +54,8 @@
 
 // estimatedWait estimates in seconds how long the request waits for a slot. It waits for
 // the earlier work of its caller, served at the caller's fair share, but never longer
-// than for all waiting work. If no slot is free, half of the running work is added.
+// than for all waiting work. If deadline requests hold all slots, half of their cost is
+// added.
 func (q *Queue) estimatedWait(e *entry) float64 {
 	slots := float64(max(q.slots, 1))
 	ahead := e.leaf.costAhead(e.item.Priority)
@@ -66,9 +67,9 @@
 }
 
 // missesDeadline reports whether the request is expected to start too late for its
-// deadline. A request that can start now is accepted with any estimated cost: if it
-// were refused, no new observation could correct the estimate, and a temporary slowdown
-// could have a class refused forever.
+// deadline. A request that can start now is accepted with any estimated cost, and its
+// latest start is then the deadline itself. If it were refused, no new observation could
+// correct the estimate, and a class could be refused forever after a temporary slowdown.
 func (q *Queue) missesDeadline(now time.Time, e *entry, wait float64) bool {
 	if e.item.Deadline.IsZero() {
 		return false
@@ -96,15 +97,15 @@
 	return max(excess, minRetryAfter)
 }
 
-// shed removes one request from a full queue: one of the caller that waits with the
-// most work for its weight, which may be the new request itself. If the new request
-// were always refused, one business could fill the queue and have the requests of all
-// others refused.
+// shed removes one request from a full queue: one of the caller with the most waiting
+// work for its weight, which may be the new request itself. If the new request were
+// always refused, one business could fill the queue, and the requests of all others
+// would be refused.
 func (q *Queue) shed(t *tree, newcomer *entry) {
 	victim := newcomer
 	if mostBacklogged := t.mostBacklogged(); mostBacklogged != newcomer.leaf {
-		victim = mostBacklogged.lastInLine()
-	} else if lowest := mostBacklogged.lastInLine(); lowest.item.Priority < newcomer.item.Priority {
+		victim = mostBacklogged.shedCandidate()
+	} else if lowest := mostBacklogged.shedCandidate(); lowest.item.Priority < newcomer.item.Priority {
 		victim = lowest
 	}
 	q.removeWaiting(victim)
@@ -112,9 +113,9 @@
 	q.refuse(victim, wire.ReasonQueueFull, max(seconds(work), minRetryAfter))
 }
 
-// lastInLine returns a request of the caller's lowest priority that is not among its
-// next ones.
-func (n *node) lastInLine() *entry {
+// shedCandidate returns a request of the caller's lowest priority: the last element of
+// the lane's heap, which is never the next request of a lane with several ones.
+func (n *node) shedCandidate() *entry {
 	lowest := n.lanes[len(n.lanes)-1]
 	return lowest.entries.Last()
 }
--- a/internal/policy/admission/tree.go
+++ b/internal/policy/admission/tree.go
@@ -224,7 +224,7 @@
 	return ahead
 }
 
-// mostBacklogged returns the caller that waits with the most work for its weight. It
+// mostBacklogged returns the caller with the most waiting work for its weight. It
 // descends from the root: first to the business, then to its agency, then to its caller.
 func (t *tree) mostBacklogged() *node {
 	n := t.root
