--- a/internal/policy/choose/choose.go
+++ b/internal/policy/choose/choose.go
@@ -114,7 +114,7 @@
 
 // Choose returns the candidate for the request, or nil if none may receive it.
 func (c *Chooser) Choose(request Request, candidates []*Candidate) *Candidate {
-	// Passed to the interfaces directly, the request would escape to the heap.
+	// If the request were passed to the interfaces directly, it would escape to the heap.
 	c.request = request
 	r := &c.request
 	c.filter(r, candidates, c.filters)
--- a/internal/policy/choose/choose_test.go
+++ b/internal/policy/choose/choose_test.go
@@ -69,13 +69,16 @@
 	})
 
 	It("never returns the most loaded of several endpoints", func() {
-		// With two samples that may be equal, one choice in n squared would.
+		// If the same endpoint could be sampled twice, one choice in n squared would
+		// return the most loaded one without a comparison.
 		all := candidates(6)
 		all[0].SetLoad(now, wire.Load{Slots: 4, Running: 4})
 		Expect(count(all, choose.Request{})).NotTo(HaveKey("agent-0"))
 	})
 
 	It("discounts reports by age", func() {
+		// The busy endpoint's report is a minute old, so its load counts less than that
+		// of the nearly idle one.
 		all := candidates(2)
 		all[0].SetLoad(now.Add(-time.Minute), wire.Load{Slots: 4, Running: 4})
 		all[1].SetLoad(now, wire.Load{Slots: 4, Running: 1})
--- a/internal/policy/choose/strategies.go
+++ b/internal/policy/choose/strategies.go
@@ -16,13 +16,13 @@
 	loadHalfLife = 2 * time.Second
 	// maxLoadScore caps the load score: above it endpoints are saturated and no longer
 	// differ by load. Their queues are fair, so a request's waiting time then depends on
-	// the requests of its own business. Without the cap all businesses followed the
-	// changes in one greedy business's load, and a modest business sent half of its
-	// lookups to one engine of six.
+	// the requests of its own business. Without the cap the choices of all businesses
+	// follow the changes in one greedy business's load; a modest business then sends
+	// half of its lookups to one engine of six.
 	maxLoadScore = 2.0
-	// affinityBonus is how much higher, in slots, the load of the affinity home may be
-	// for it to still win. The requests of a hot prefix spread as soon as its home is
-	// that much busier than the sampled endpoints.
+	// affinityBonus is subtracted from the score of the affinity home, in slots. The
+	// requests of a hot prefix spread as soon as its home is that much busier than the
+	// sampled endpoints.
 	affinityBonus = 0.5
 )
 
