--- a/cmd/siskinlab/plot.go
+++ b/cmd/siskinlab/plot.go
@@ -54,12 +54,12 @@
 		}
 		for _, point := range curve.Points {
 			own := ""
-			if point.Own {
+			if point.Declared {
 				own = "own"
 			}
 			row := []string{
-				curve.Deployment, strconv.FormatFloat(point.Staleness, 'g', 3, 64),
-				fmt.Sprintf("%.3f", point.Waited), fmt.Sprintf("%.3f", point.Versions), own,
+				curve.Deployment, strconv.FormatFloat(point.StalenessWeight, 'g', 3, 64),
+				fmt.Sprintf("%.3f", point.IdlePerTraining), fmt.Sprintf("%.3f", point.MeanLag), own,
 			}
 			if err := table.Append(row); err != nil {
 				return errors.Wrap(err, "plot")
@@ -77,9 +77,9 @@
 func addCurve(p *plot.Plot, curve rollout.Curve, c color.Color) error {
 	var all, own plotter.XYs
 	for _, point := range curve.Points {
-		xy := plotter.XY{X: point.Versions, Y: point.Waited}
+		xy := plotter.XY{X: point.MeanLag, Y: point.IdlePerTraining}
 		all = append(all, xy)
-		if point.Own {
+		if point.Declared {
 			own = append(own, xy)
 		}
 	}
--- a/internal/lab/rollout/bounds.go
+++ b/internal/lab/rollout/bounds.go
@@ -40,10 +40,10 @@
 }
 
 func measureSchedules() ([]bounds.Figure, error) {
-	bad, seen := RunSchedules(schedules, Sabotage{})
+	bad, seen := RunSchedules(schedules, DisabledSafeguards{})
 	return []bounds.Figure{
 		{Name: "rollout.schedules", Value: schedules},
-		{Name: "rollout.schedules.samples", Value: float64(seen.Taken)},
+		{Name: "rollout.schedules.samples", Value: float64(seen.AcceptedSamples)},
 		{Name: "rollout.schedules.crashes", Value: float64(seen.Crashes)},
 		{Name: "rollout.schedules.pauses", Value: float64(seen.Pauses)},
 		{Name: "rollout.schedules.restarts", Value: float64(seen.Restarts)},
@@ -57,11 +57,11 @@
 }
 
 func measureShapes() ([]bounds.Figure, error) {
-	bad, seen := RunShapeSchedules(schedules, Sabotage{})
+	bad, seen := RunShapeSchedules(schedules, DisabledSafeguards{})
 	return []bounds.Figure{
 		{Name: "rollout.shapes.schedules", Value: schedules},
-		{Name: "rollout.shapes.declared", Value: float64(seen.Declared)},
-		{Name: "rollout.shapes.reshaped_steps", Value: float64(seen.Reshaped)},
+		{Name: "rollout.shapes.declared", Value: float64(seen.ShapeChanges)},
+		{Name: "rollout.shapes.reshaped_steps", Value: float64(seen.ReshapedSteps)},
 		{Name: "rollout.shapes.stale_handed", Value: float64(bad.Stale)},
 		{Name: "rollout.shapes.duplicates", Value: float64(bad.Duplicates)},
 		{Name: "rollout.shapes.lost", Value: float64(bad.Lost)},
--- a/internal/lab/rollout/node.go
+++ b/internal/lab/rollout/node.go
@@ -115,7 +115,7 @@
 	id := wanted[n.w.rng.IntN(len(wanted))]
 	s, err := n.w.run(id)
 	if err != nil {
-		n.w.seen.Discards++
+		n.w.seen.DiscardedSamples++
 		return
 	}
 	n.w.time.After(n.w.delay(), func() { n.deliver(handover.Completed{Sample: s}) })
@@ -146,7 +146,7 @@
 	if err != nil {
 		return sample.Sample{}, err
 	}
-	if w.harm.Segments && len(segments) > 1 {
+	if w.harm.DropLastSegment && len(segments) > 1 {
 		segments = segments[:len(segments)-1]
 	}
 	w.runs = append(w.runs, run{versions: truth})
--- a/internal/lab/rollout/schedule.go
+++ b/internal/lab/rollout/schedule.go
@@ -27,34 +27,36 @@
 	v.Mislabeled += other.Mislabeled
 }
 
-// Faulted counts what the schedules went through, to show that they do.
-type Faulted struct {
-	Crashes, Pauses, Elections, Restarts, Outages, Discards, Superseded, Taken int
+// FaultCounts counts the faults of schedules.
+type FaultCounts struct {
+	Crashes, Pauses, Elections, Restarts, Outages, DiscardedSamples, Superseded, AcceptedSamples int
 
-	Declared, Reshaped int // changes of shape, and steps that came in another than the one before
+	ShapeChanges, ReshapedSteps int // changes of shape, and steps that came in another than the one before
 }
 
-func (f *Faulted) add(other Faulted) {
+func (f *FaultCounts) add(other FaultCounts) {
 	f.Crashes += other.Crashes
 	f.Pauses += other.Pauses
 	f.Elections += other.Elections
 	f.Restarts += other.Restarts
 	f.Outages += other.Outages
-	f.Discards += other.Discards
+	f.DiscardedSamples += other.DiscardedSamples
 	f.Superseded += other.Superseded
-	f.Taken += other.Taken
-	f.Declared += other.Declared
-	f.Reshaped += other.Reshaped
+	f.AcceptedSamples += other.AcceptedSamples
+	f.ShapeChanges += other.ShapeChanges
+	f.ReshapedSteps += other.ReshapedSteps
 }
 
-// Sabotage breaks one side on purpose; tests use it to see the checker fail.
-type Sabotage struct {
-	// Pull changes pulls on their way to the owner.
-	Pull func(handover.Pull) handover.Pull
-	// Answer changes answers on their way to the trainer.
-	Answer func(at handover.Position, a handover.Answer) handover.Answer
-	// Segments drops the last label boundary of samples.
-	Segments bool
+// DisabledSafeguards selects safeguards that a schedule runs without, to show that the
+// checks detect the violations that follow. A nil function keeps its safeguard.
+type DisabledSafeguards struct {
+	// RewritePull changes the pulls on their way to the owner.
+	RewritePull func(handover.Pull) handover.Pull
+	// RewriteAnswer changes the answers on their way to the trainer, which is at the
+	// given position.
+	RewriteAnswer func(at handover.Position, a handover.Answer) handover.Answer
+	// DropLastSegment drops the last segment of a sample.
+	DropLastSegment bool
 }
 
 const (
@@ -80,18 +82,18 @@
 	runs    []run // every sample run; the sample's text names its run
 	cfg     handover.Config
 	bad     Violations
-	seen    Faulted
-	harm    Sabotage
+	seen    FaultCounts
+	harm    DisabledSafeguards
 	steps   int
 	shapes  *shapeChanges // nil: the shape stays
 }
 
 // RunSchedule plays one seeded schedule and returns what went wrong.
-func RunSchedule(seed uint64, harm Sabotage) (Violations, Faulted) {
+func RunSchedule(seed uint64, harm DisabledSafeguards) (Violations, FaultCounts) {
 	return newWorld(seed, harm).play()
 }
 
-func (w *world) play() (Violations, Faulted) {
+func (w *world) play() (Violations, FaultCounts) {
 	w.elect()
 	w.trainer.start()
 	w.generate()
@@ -102,7 +104,7 @@
 	return w.bad, w.seen
 }
 
-func newWorld(seed uint64, harm Sabotage) *world {
+func newWorld(seed uint64, harm DisabledSafeguards) *world {
 	rng := rand.New(rand.NewPCG(seed, 0x5eed))
 	shape := sample.Shape{Groups: 1 + rng.IntN(3), Size: 1 + rng.IntN(4), Spare: rng.IntN(2)}
 	w := &world{
--- a/internal/lab/rollout/shapes.go
+++ b/internal/lab/rollout/shapes.go
@@ -16,7 +16,7 @@
 }
 
 // RunShapeSchedule plays one seeded schedule in which the shape changes.
-func RunShapeSchedule(seed uint64, harm Sabotage) (Violations, Faulted) {
+func RunShapeSchedule(seed uint64, harm DisabledSafeguards) (Violations, FaultCounts) {
 	w := newWorld(seed, harm)
 	w.shapes = &shapeChanges{
 		rng:      rand.New(rand.NewPCG(seed, 0x5a9e)),
@@ -35,7 +35,7 @@
 	w.time.After(time.Duration(20+rng.IntN(400))*time.Millisecond, w.redeclare)
 	w.cfg.Shape = sample.Shape{Groups: 1 + rng.IntN(3), Size: 1 + rng.IntN(4), Spare: rng.IntN(2)}
 	w.shapes.declared = append(w.shapes.declared, w.cfg.Shape)
-	w.seen.Declared++
+	w.seen.ShapeChanges++
 	cfg := w.cfg
 	for _, n := range w.nodes {
 		w.time.After(time.Duration(rng.IntN(300))*time.Millisecond, func() { n.deliver(handover.Configured{Config: cfg}) })
@@ -71,7 +71,7 @@
 			t.w.bad.Lost++
 		}
 		if step > 0 && (shape.Groups != before.Groups || shape.Size != before.Size) {
-			t.w.seen.Reshaped++
+			t.w.seen.ReshapedSteps++
 		}
 		before = shape
 	}
--- a/internal/lab/rollout/tradeoff.go
+++ b/internal/lab/rollout/tradeoff.go
@@ -8,10 +8,10 @@
 
 // Point is one setting of a feed's weights and what it leads to.
 type Point struct {
-	Staleness float64 // weight of staleness against idle time's 1
-	Waited    float64 // seconds that the trainer waits for each second it trains
-	Versions  float64 // mean number of versions behind at hand-over
-	Own       bool    // the deployment's declared setting
+	StalenessWeight float64 // weight of staleness against idle time's 1
+	IdlePerTraining float64 // seconds that the trainer waits for each second it trains
+	MeanLag         float64 // mean number of versions behind at hand-over
+	Declared        bool    // the deployment's declared setting
 }
 
 // Curve is a deployment's trade-off of idle time against staleness.
@@ -32,10 +32,10 @@
 			group.Go(func() error {
 				r := newPipeline(s, newPolicy(s, 1, weight)).run()
 				points[i] = Point{
-					Staleness: weight,
-					Waited:    r.waited(),
-					Versions:  r.meanVersions(),
-					Own:       weight == s.staleness/s.idle,
+					StalenessWeight: weight,
+					IdlePerTraining: r.waited(),
+					MeanLag:         r.meanVersions(),
+					Declared:        weight == s.staleness/s.idle,
 				}
 				return nil
 			})
--- a/internal/lab/rollout/trainer.go
+++ b/internal/lab/rollout/trainer.go
@@ -81,8 +81,8 @@
 	t.call++
 	call := t.call
 	p := t.client.Pull(t.version)
-	if t.w.harm.Pull != nil {
-		p = t.w.harm.Pull(p)
+	if t.w.harm.RewritePull != nil {
+		p = t.w.harm.RewritePull(p)
 	}
 	t.w.time.After(pullPatience, func() {
 		if t.call == call && !t.finished() {
@@ -123,8 +123,8 @@
 
 func (t *trainer) answered(call uint64, a handover.Answer) {
 	t.reach(call, func(newest bool) {
-		if t.w.harm.Answer != nil {
-			a = t.w.harm.Answer(t.client.Position(), a)
+		if t.w.harm.RewriteAnswer != nil {
+			a = t.w.harm.RewriteAnswer(t.client.Position(), a)
 		}
 		lot := t.client.HandleAnswer(a, t.version)
 		t.check(lot)
@@ -163,7 +163,7 @@
 
 // check judges what was taken against what the world knows.
 func (t *trainer) check(lot []sample.Sample) {
-	t.w.seen.Taken += len(lot)
+	t.w.seen.AcceptedSamples += len(lot)
 	step := t.complete()
 	for _, s := range lot {
 		for _, held := range t.held {
