--- a/internal/lab/rollout/baseline.go
+++ b/internal/lab/rollout/baseline.go
@@ -7,8 +7,8 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-// planner is what the pipeline asks for placements: the scheduler or the
-// baseline.
+// planner decides where the samples of a pipeline run. It is implemented by the
+// scheduler and by the baseline.
 type planner interface {
 	SetDemand(now time.Time, d policy.Demand)
 	SetEngines(now time.Time, engines []policy.Engine)
@@ -18,42 +18,42 @@
 	Plan(now time.Time) []policy.Action
 }
 
-// baseline gives a step's samples out in the order of their ids, engine after
-// engine, and begins a step once the trainer has taken the one before.
+// baseline starts the samples of the current step in the order of their IDs, on the
+// engines in turn. It starts no samples of the next step.
 type baseline struct {
-	engines []policy.Engine
-	next    int
-	demand  policy.Demand
-	given   map[sample.ID]bool // true: complete
+	engines    []policy.Engine
+	next       int
+	demand     policy.Demand
+	dispatched map[sample.ID]bool // samples that were started; true if complete
 }
 
-func newBaseline() *baseline { return &baseline{given: map[sample.ID]bool{}} }
+func newBaseline() *baseline { return &baseline{dispatched: map[sample.ID]bool{}} }
 
-// SetDemand lets a sample that was complete and is wanted again, as it became
-// too old, be given out again.
+// SetDemand sets the demand. A complete sample that is in demand again, because it has
+// become too old, will be started again.
 func (b *baseline) SetDemand(_ time.Time, d policy.Demand) {
 	b.demand = d
 	for _, id := range d.Current {
-		if complete := b.given[id]; complete {
-			delete(b.given, id)
+		if complete := b.dispatched[id]; complete {
+			delete(b.dispatched, id)
 		}
 	}
 }
 
 func (b *baseline) SetEngines(_ time.Time, engines []policy.Engine) { b.engines = engines }
 func (b *baseline) Progress(string, sample.ID, int)                 {}
-func (b *baseline) Complete(_ string, id sample.ID, _ int)          { b.given[id] = true }
-func (b *baseline) Failed(_ string, id sample.ID)                   { delete(b.given, id) }
+func (b *baseline) Complete(_ string, id sample.ID, _ int)          { b.dispatched[id] = true }
+func (b *baseline) Failed(_ string, id sample.ID)                   { delete(b.dispatched, id) }
 
-// Plan gives out what was not given yet.
-func (b *baseline) Plan(time.Time) (acts []policy.Action) {
+// Plan starts the samples in demand that have not been started.
+func (b *baseline) Plan(time.Time) (actions []policy.Action) {
 	for _, id := range b.demand.Current {
-		if _, given := b.given[id]; given {
+		if _, known := b.dispatched[id]; known {
 			continue
 		}
-		b.given[id] = false
-		acts = append(acts, policy.Start{Feed: b.demand.Feed, ID: id, Engine: b.engines[b.next%len(b.engines)].ID})
+		b.dispatched[id] = false
+		actions = append(actions, policy.Start{Feed: b.demand.Feed, ID: id, Engine: b.engines[b.next%len(b.engines)].ID})
 		b.next++
 	}
-	return acts
+	return actions
 }
--- a/internal/lab/rollout/bounds.go
+++ b/internal/lab/rollout/bounds.go
@@ -11,9 +11,9 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-const schedules = 10_000
+const scheduleCount = 10_000
 
-// Bounds lists the runs of this package.
+// Bounds returns the measurements of this package.
 func Bounds() []bounds.Measurement {
 	return []bounds.Measurement{
 		{Name: "rollout.schedules", Run: measureSchedules},
@@ -24,14 +24,15 @@
 	}
 }
 
-// measureManifest counts the swaps that hand over one step of 4,096 samples.
+// measureManifest counts the writes to the key-value service while one step of 4,096
+// samples is handed over.
 func measureManifest() ([]bounds.Figure, error) {
-	shape := sample.Shape{Groups: benchGroups, Size: benchSize}
-	samples, err := labelledStep(shape)
+	shape := sample.Shape{Groups: benchGroups, Size: benchGroupSize}
+	samples, err := newLabelledSamples(shape)
 	if err != nil {
 		return nil, err
 	}
-	owner := servingOwner(shape)
+	owner := newBenchOwner(shape)
 	for _, s := range samples {
 		owner.step(handover.Completed{Sample: s})
 	}
@@ -40,124 +41,129 @@
 }
 
 func measureSchedules() ([]bounds.Figure, error) {
-	bad, seen := RunSchedules(schedules, DisabledSafeguards{})
+	violations, faults := RunSchedules(scheduleCount, DisabledSafeguards{})
 	return []bounds.Figure{
-		{Name: "rollout.schedules", Value: schedules},
-		{Name: "rollout.schedules.samples", Value: float64(seen.AcceptedSamples)},
-		{Name: "rollout.schedules.crashes", Value: float64(seen.Crashes)},
-		{Name: "rollout.schedules.pauses", Value: float64(seen.Pauses)},
-		{Name: "rollout.schedules.restarts", Value: float64(seen.Restarts)},
-		{Name: "rollout.schedules.outages", Value: float64(seen.Outages)},
-		{Name: "rollout.schedules.superseded", Value: float64(seen.Superseded)},
-		{Name: "rollout.stale_handed", Value: float64(bad.Stale)},
-		{Name: "rollout.duplicates", Value: float64(bad.Duplicates)},
-		{Name: "rollout.lost", Value: float64(bad.Lost)},
-		{Name: "rollout.mislabelled", Value: float64(bad.Mislabeled)},
+		{Name: "rollout.schedules", Value: scheduleCount},
+		{Name: "rollout.schedules.samples", Value: float64(faults.AcceptedSamples)},
+		{Name: "rollout.schedules.crashes", Value: float64(faults.Crashes)},
+		{Name: "rollout.schedules.pauses", Value: float64(faults.Pauses)},
+		{Name: "rollout.schedules.restarts", Value: float64(faults.Restarts)},
+		{Name: "rollout.schedules.outages", Value: float64(faults.Outages)},
+		{Name: "rollout.schedules.superseded", Value: float64(faults.Superseded)},
+		{Name: "rollout.stale_handed", Value: float64(violations.Stale)},
+		{Name: "rollout.duplicates", Value: float64(violations.Duplicates)},
+		{Name: "rollout.lost", Value: float64(violations.Lost)},
+		{Name: "rollout.mislabelled", Value: float64(violations.Mislabeled)},
 	}, nil
 }
 
 func measureShapes() ([]bounds.Figure, error) {
-	bad, seen := RunShapeSchedules(schedules, DisabledSafeguards{})
+	violations, faults := RunShapeSchedules(scheduleCount, DisabledSafeguards{})
 	return []bounds.Figure{
-		{Name: "rollout.shapes.schedules", Value: schedules},
-		{Name: "rollout.shapes.declared", Value: float64(seen.ShapeChanges)},
-		{Name: "rollout.shapes.reshaped_steps", Value: float64(seen.ReshapedSteps)},
-		{Name: "rollout.shapes.stale_handed", Value: float64(bad.Stale)},
-		{Name: "rollout.shapes.duplicates", Value: float64(bad.Duplicates)},
-		{Name: "rollout.shapes.lost", Value: float64(bad.Lost)},
-		{Name: "rollout.shapes.mislabelled", Value: float64(bad.Mislabeled)},
+		{Name: "rollout.shapes.schedules", Value: scheduleCount},
+		{Name: "rollout.shapes.declared", Value: float64(faults.ShapeChanges)},
+		{Name: "rollout.shapes.reshaped_steps", Value: float64(faults.ReshapedSteps)},
+		{Name: "rollout.shapes.stale_handed", Value: float64(violations.Stale)},
+		{Name: "rollout.shapes.duplicates", Value: float64(violations.Duplicates)},
+		{Name: "rollout.shapes.lost", Value: float64(violations.Lost)},
+		{Name: "rollout.shapes.mislabelled", Value: float64(violations.Mislabeled)},
 	}, nil
 }
 
-// deploymentRuns are the pipelines of one deployment.
+// deploymentRuns are the results of the pipelines of one deployment.
 type deploymentRuns struct {
-	alone, aloneBase     *result // each step by itself
-	own, exchanged, base *result
+	// Without run-ahead.
+	sequential, sequentialBaseline *result
+	// With the deployment's own weights, with the other deployment's weights, and with the
+	// baseline instead of the scheduler.
+	own, exchangedWeights, baseline *result
 }
 
-// outageRuns are pipelines without an outage, with one, and with one in which
-// the owner dies.
+// outageRuns are the results of a pipeline without an outage of the key-value service,
+// with one, and with one during which the owner crashes.
 type outageRuns struct {
-	without, lives, dies *result
+	noOutage, ownerSurvives, ownerCrashes *result
 }
 
-// outageSteps is long enough for a pipeline to outlast the outage.
+// outageSteps is the number of steps of outageRuns. A pipeline takes longer for them
+// than until the end of the outage.
 const outageSteps = 14
 
 func runDeployment(group *errgroup.Group, s, other scenario) *deploymentRuns {
-	d := &deploymentRuns{}
+	runs := &deploymentRuns{}
 	sequential := s.sequential()
-	begin(group, &d.alone, newPipeline(sequential, newPolicy(sequential, s.idle, s.staleness)))
-	begin(group, &d.aloneBase, newPipeline(sequential.swapAtOnce(), newBaseline()))
-	begin(group, &d.own, newPipeline(s, newPolicy(s, s.idle, s.staleness)))
-	begin(group, &d.exchanged, newPipeline(s, newPolicy(s, other.idle, other.staleness)))
-	begin(group, &d.base, newPipeline(s.swapAtOnce(), newBaseline()))
-	return d
+	startRun(group, &runs.sequential, newPipeline(sequential, newScheduler(sequential, s.idleWeight, s.stalenessWeight)))
+	startRun(group, &runs.sequentialBaseline, newPipeline(sequential.withSimultaneousSwaps(), newBaseline()))
+	startRun(group, &runs.own, newPipeline(s, newScheduler(s, s.idleWeight, s.stalenessWeight)))
+	startRun(group, &runs.exchangedWeights, newPipeline(s, newScheduler(s, other.idleWeight, other.stalenessWeight)))
+	startRun(group, &runs.baseline, newPipeline(s.withSimultaneousSwaps(), newBaseline()))
+	return runs
 }
 
-func begin(group *errgroup.Group, into **result, l *pipeline) {
+// startRun runs a pipeline in the group and stores its result in out.
+func startRun(group *errgroup.Group, out **result, p *pipeline) {
 	group.Go(func() error {
-		*into = l.run()
+		*out = p.run()
 		return nil
 	})
 }
 
 func runOutages(group *errgroup.Group, s scenario) *outageRuns {
 	s.steps = outageSteps
-	build := func() *pipeline { return newPipeline(s, newPolicy(s, s.idle, s.staleness)) }
-	o := &outageRuns{}
-	begin(group, &o.without, build())
-	lives := build()
-	lives.outage()
-	begin(group, &o.lives, lives)
-	dies := build()
-	dies.outage()
-	dies.ownerDies()
-	begin(group, &o.dies, dies)
-	return o
+	newRun := func() *pipeline { return newPipeline(s, newScheduler(s, s.idleWeight, s.stalenessWeight)) }
+	runs := &outageRuns{}
+	startRun(group, &runs.noOutage, newRun())
+	ownerSurvives := newRun()
+	ownerSurvives.scheduleOutage()
+	startRun(group, &runs.ownerSurvives, ownerSurvives)
+	ownerCrashes := newRun()
+	ownerCrashes.scheduleOutage()
+	ownerCrashes.scheduleOwnerCrash()
+	startRun(group, &runs.ownerCrashes, ownerCrashes)
+	return runs
 }
 
 func measureScheduling() ([]bounds.Figure, error) {
-	kheda, kartli := ledgerwise(), batumi()
+	ledgerwise, batumi := ledgerwiseScenario(), batumiScenario()
 	var group errgroup.Group
 	group.SetLimit(max(1, runtime.GOMAXPROCS(0)/2))
-	first := runDeployment(&group, kheda, kartli)
-	second := runDeployment(&group, kartli, kheda)
-	outages := runOutages(&group, kartli)
+	ledgerwiseRuns := runDeployment(&group, ledgerwise, batumi)
+	batumiRuns := runDeployment(&group, batumi, ledgerwise)
+	outages := runOutages(&group, batumi)
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	figures := append(first.figures(kheda), second.figures(kartli)...)
+	figures := append(ledgerwiseRuns.figures(ledgerwise), batumiRuns.figures(batumi)...)
 	return append(figures,
-		bounds.Figure{Name: "rollout.tradeoff", Value: min(first.tradeoff(kheda), second.tradeoff(kartli))},
-		bounds.Figure{Name: "rollout.outage_idle_s.owner_lives", Value: outages.added(outages.lives)},
-		bounds.Figure{Name: "rollout.outage_idle_s.owner_dies", Value: outages.added(outages.dies)},
+		bounds.Figure{Name: "rollout.tradeoff", Value: min(ledgerwiseRuns.tradeoff(ledgerwise), batumiRuns.tradeoff(batumi))},
+		bounds.Figure{Name: "rollout.outage_idle_s.owner_lives", Value: outages.addedIdle(outages.ownerSurvives)},
+		bounds.Figure{Name: "rollout.outage_idle_s.owner_dies", Value: outages.addedIdle(outages.ownerCrashes)},
 		bounds.Figure{Name: "rollout.share_of_declared", Value: measureShares(false)},
 		bounds.Figure{Name: "rollout.share_across_entries", Value: measureShares(true)},
 	), nil
 }
 
-// tradeoff is the deployment's weighted measure under the other's weights
-// against that under its own.
+// tradeoff returns the ratio of the deployment's weighted cost when scheduled under the
+// other deployment's weights to that under its own weights.
 func (d *deploymentRuns) tradeoff(s scenario) float64 {
-	return d.exchanged.measure(s) / d.own.measure(s)
+	return d.exchangedWeights.weightedCost(s) / d.own.weightedCost(s)
 }
 
-// added is the idle time that an outage adds, in seconds.
-func (o *outageRuns) added(r *result) float64 {
-	return (r.idle - o.without.idle).Seconds()
+// addedIdle returns the idle time that an outage adds, in seconds.
+func (o *outageRuns) addedIdle(r *result) float64 {
+	return (r.idle - o.noOutage.idle).Seconds()
 }
 
 func (d *deploymentRuns) figures(s scenario) []bounds.Figure {
 	return []bounds.Figure{
-		{Name: "rollout.idle_ratio." + s.name, Value: d.alone.overLowerBound()},
-		{Name: "rollout.idle_ratio." + s.name + ".baseline", Value: d.aloneBase.overLowerBound()},
-		{Name: "rollout.idle_vs_baseline." + s.name, Value: d.own.idle.Seconds() / d.base.idle.Seconds()},
+		{Name: "rollout.idle_ratio." + s.name, Value: d.sequential.lowerBoundRatio()},
+		{Name: "rollout.idle_ratio." + s.name + ".baseline", Value: d.sequentialBaseline.lowerBoundRatio()},
+		{Name: "rollout.idle_vs_baseline." + s.name, Value: d.own.idle.Seconds() / d.baseline.idle.Seconds()},
 		{Name: "rollout.idle_s." + s.name, Value: d.own.idle.Seconds()},
-		{Name: "rollout.idle_s." + s.name + ".baseline", Value: d.base.idle.Seconds()},
-		{Name: "rollout.staleness_mean." + s.name, Value: d.own.meanVersions()},
-		{Name: "rollout.staleness_mean." + s.name + ".baseline", Value: d.base.meanVersions()},
-		{Name: "rollout.staleness_max." + s.name, Value: float64(d.own.versionMax)},
+		{Name: "rollout.idle_s." + s.name + ".baseline", Value: d.baseline.idle.Seconds()},
+		{Name: "rollout.staleness_mean." + s.name, Value: d.own.meanLag()},
+		{Name: "rollout.staleness_mean." + s.name + ".baseline", Value: d.baseline.meanLag()},
+		{Name: "rollout.staleness_max." + s.name, Value: float64(d.own.lagMax)},
 		{Name: "rollout.staleness_mean_s." + s.name, Value: d.own.meanAge()},
 		{Name: "rollout.staleness_max_s." + s.name, Value: d.own.ageMax.Round(time.Millisecond).Seconds()},
 		{Name: "rollout.tradeoff." + s.name, Value: d.tradeoff(s)},
--- a/internal/lab/rollout/moves.go
+++ b/internal/lab/rollout/moves.go
@@ -10,45 +10,47 @@
 	policy "siskinloom.example/siskinloom/internal/policy/rollout"
 )
 
-// Costs of a model of 8 billion parameters on one accelerator: 8,000 tokens of
-// prompt a second, 128 KiB of KV cache a token, 10 Gbit/s from engine to engine.
+// Times per token for a model of 8 billion parameters on one accelerator: prefill of
+// 8,000 tokens per second, and 128 KiB of KV cache per token over links of 10 Gbit/s
+// between engines.
 const (
-	smallPrefill = 125 * time.Microsecond
-	smallCarry   = 105 * time.Microsecond
+	smallModelPrefill  = 125 * time.Microsecond
+	smallModelTransfer = 105 * time.Microsecond
 )
 
-// The same of one of 70 billion on eight accelerators: 2,000 tokens a second,
-// 320 KiB a token, 100 Gbit/s.
+// Times per token for a model of 70 billion parameters on eight accelerators: prefill of
+// 2,000 tokens per second, and 320 KiB of KV cache per token over links of 100 Gbit/s.
 const (
-	largePrefill = 500 * time.Microsecond
-	largeCarry   = 26 * time.Microsecond
+	largeModelPrefill  = 500 * time.Microsecond
+	largeModelTransfer = 26 * time.Microsecond
 )
 
 const (
-	shortPrompt = 256 // tokens
-	longPrompt  = 16_384
-	wideBatch   = 64 // slots of an engine
-	fewGroups   = 24
-	fewSamples  = 4 // of a group
+	shortPromptTokens = 256
+	longPromptTokens  = 16_384
+	wideBatchSlots    = 64 // per engine
+	fewGroupCount     = 24
+	fewGroupSize      = 4
 )
 
-// with gives a scenario the costs of a model and its prompts.
-func (s scenario) with(prompt int, prefill, carry time.Duration) scenario {
-	s.prompt = prompt
-	s.prefill = prefill
-	s.move = policy.MoveCost{Fixed: 100 * time.Millisecond, PerToken: prefill}
-	s.carry = policy.MoveCost{Fixed: 100 * time.Millisecond, PerToken: carry}
+// withCosts returns the scenario with prompts of the given length and with a model's
+// times per token for prefill and for the transfer of the KV cache.
+func (s scenario) withCosts(promptTokens int, prefillPerToken, transferPerToken time.Duration) scenario {
+	s.promptTokens = promptTokens
+	s.prefillPerToken = prefillPerToken
+	s.recomputeCost = policy.MoveCost{Fixed: 100 * time.Millisecond, PerToken: prefillPerToken}
+	s.transferCost = policy.MoveCost{Fixed: 100 * time.Millisecond, PerToken: transferPerToken}
 	return s
 }
 
-// crowded lets callers take three of four slots of every fifth engine, of other
-// engines each half minute.
-func (s scenario) crowded() scenario {
-	s.crowd = crowd{slots: s.slots * 3 / 4, every: 5, lasts: 30 * time.Second}
+// withCallers returns the scenario with callers that use three quarters of the slots of
+// every fifth engine and change to other engines every 30 seconds.
+func (s scenario) withCallers() scenario {
+	s.callers = callerLoad{slots: s.slots * 3 / 4, stride: 5, duration: 30 * time.Second}
 	return s
 }
 
-// moveCase is a workload on which the ways of moving are compared.
+// moveCase is a workload for which the ways of moving samples are compared.
 type moveCase struct {
 	name     string
 	scenario scenario
@@ -56,45 +58,46 @@
 
 func moveCases() []moveCase {
 	var all []moveCase
-	for _, s := range []scenario{ledgerwise(), batumi()} {
-		short := s.with(shortPrompt, smallPrefill, smallCarry)
+	for _, s := range []scenario{ledgerwiseScenario(), batumiScenario()} {
+		short := s.withCosts(shortPromptTokens, smallModelPrefill, smallModelTransfer)
 		loading := short
-		loading.load = 10 * time.Second
-		wide := s.with(shortPrompt, largePrefill, largeCarry)
-		wide.slots = wideBatch
+		loading.loadTime = 10 * time.Second
+		wide := s.withCosts(shortPromptTokens, largeModelPrefill, largeModelTransfer)
+		wide.slots = wideBatchSlots
 		long := wide
-		long.prompt = longPrompt
-		long.shape.Groups = fewGroups
-		long.shape.Size = fewSamples
+		long.promptTokens = longPromptTokens
+		long.shape.Groups = fewGroupCount
+		long.shape.Size = fewGroupSize
 		all = append(all,
 			moveCase{name: "even." + s.name, scenario: short},
 			moveCase{name: "loading." + s.name, scenario: loading},
-			moveCase{name: "crowded." + s.name, scenario: short.crowded()},
-			moveCase{name: "wide." + s.name, scenario: wide.crowded()},
-			moveCase{name: "long." + s.name, scenario: long.crowded()},
+			moveCase{name: "crowded." + s.name, scenario: short.withCallers()},
+			moveCase{name: "wide." + s.name, scenario: wide.withCallers()},
+			moveCase{name: "long." + s.name, scenario: long.withCallers()},
 		)
 	}
 	return all
 }
 
-// moveRuns are pipelines whose samples stay, move without their KV cache, and
-// move with it where the policy finds that cheaper.
+// moveRuns are the results of pipelines whose samples do not move, whose samples move
+// without their KV cache, and whose samples move with it if the scheduler expects that
+// to be cheaper.
 type moveRuns struct {
-	stay, recompute, carry *result
+	stay, recompute, withCache *result
 }
 
-func (c moveCase) run(group *errgroup.Group) *moveRuns {
-	r := &moveRuns{}
-	play := func(into **result, move, carry policy.MoveCost) {
-		believed := c.scenario
-		believed.move = move
-		believed.carry = carry
-		begin(group, into, newPipeline(c.scenario, newPolicy(believed, c.scenario.idle, c.scenario.staleness)))
+func (c moveCase) startRuns(group *errgroup.Group) *moveRuns {
+	runs := &moveRuns{}
+	start := func(out **result, recomputeCost, transferCost policy.MoveCost) {
+		assumed := c.scenario // costs as the scheduler assumes them
+		assumed.recomputeCost = recomputeCost
+		assumed.transferCost = transferCost
+		startRun(group, out, newPipeline(c.scenario, newScheduler(assumed, c.scenario.idleWeight, c.scenario.stalenessWeight)))
 	}
-	play(&r.stay, policy.MoveCost{Fixed: standstill}, policy.MoveCost{})
-	play(&r.recompute, c.scenario.move, policy.MoveCost{})
-	play(&r.carry, c.scenario.move, c.scenario.carry)
-	return r
+	start(&runs.stay, policy.MoveCost{Fixed: pipelineTimeout}, policy.MoveCost{})
+	start(&runs.recompute, c.scenario.recomputeCost, policy.MoveCost{})
+	start(&runs.withCache, c.scenario.recomputeCost, c.scenario.transferCost)
+	return runs
 }
 
 func measureMoves() ([]bounds.Figure, error) {
@@ -103,22 +106,22 @@
 	cases := moveCases()
 	runs := make([]*moveRuns, len(cases))
 	for i, c := range cases {
-		runs[i] = c.run(&group)
+		runs[i] = c.startRuns(&group)
 	}
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
 	var figures []bounds.Figure
 	for i, r := range runs {
-		name := "rollout.moves." + cases[i].name
+		prefix := "rollout.moves." + cases[i].name
 		figures = append(figures,
-			bounds.Figure{Name: name + ".idle_s.stay", Value: r.stay.idle.Seconds()},
-			bounds.Figure{Name: name + ".idle_s.recompute", Value: r.recompute.idle.Seconds()},
-			bounds.Figure{Name: name + ".idle_s", Value: r.carry.idle.Seconds()},
-			bounds.Figure{Name: name + ".staleness_mean.stay", Value: r.stay.meanVersions()},
-			bounds.Figure{Name: name + ".staleness_mean.recompute", Value: r.recompute.meanVersions()},
-			bounds.Figure{Name: name + ".staleness_mean", Value: r.carry.meanVersions()},
-			bounds.Figure{Name: name + ".idle_vs_stay", Value: r.carry.idle.Seconds() / r.stay.idle.Seconds()},
+			bounds.Figure{Name: prefix + ".idle_s.stay", Value: r.stay.idle.Seconds()},
+			bounds.Figure{Name: prefix + ".idle_s.recompute", Value: r.recompute.idle.Seconds()},
+			bounds.Figure{Name: prefix + ".idle_s", Value: r.withCache.idle.Seconds()},
+			bounds.Figure{Name: prefix + ".staleness_mean.stay", Value: r.stay.meanLag()},
+			bounds.Figure{Name: prefix + ".staleness_mean.recompute", Value: r.recompute.meanLag()},
+			bounds.Figure{Name: prefix + ".staleness_mean", Value: r.withCache.meanLag()},
+			bounds.Figure{Name: prefix + ".idle_vs_stay", Value: r.withCache.idle.Seconds() / r.stay.idle.Seconds()},
 		)
 	}
 	return figures, nil
--- a/internal/lab/rollout/outage.go
+++ b/internal/lab/rollout/outage.go
@@ -8,33 +8,34 @@
 )
 
 const (
-	outageAt  = 700 * time.Second // past the warm-up
-	outageFor = 600 * time.Second
-	// ownerDiesAfter is how far into the outage the owner dies.
-	ownerDiesAfter = 60 * time.Second
-	// electionTakes is the time from the service's return to a new owner.
-	electionTakes = 3 * time.Second
+	outageStart    = 700 * time.Second // past the warm-up
+	outageDuration = 600 * time.Second
+	// ownerCrashDelay is the time from the start of the outage to the owner's crash.
+	ownerCrashDelay = 60 * time.Second
+	// electionDelay is the time from the end of the outage until another process owns the
+	// feed.
+	electionDelay = 3 * time.Second
 )
 
-// outage takes the key-value service away for ten minutes.
-func (l *pipeline) outage() {
-	l.time.After(outageAt, func() { l.kv.outage = true })
-	l.time.After(outageAt+outageFor, func() { l.kv.outage = false })
+// scheduleOutage schedules an outage of the key-value service.
+func (p *pipeline) scheduleOutage() {
+	p.clock.After(outageStart, func() { p.kv.outage = true })
+	p.clock.After(outageStart+outageDuration, func() { p.kv.outage = false })
 }
 
-// ownerDies ends the owner in the outage. No lease can be taken before the
-// service is back; then another process owns the feed and generates anew what
-// the trainer does not hold.
-func (l *pipeline) ownerDies() {
-	l.time.After(outageAt+ownerDiesAfter, func() {
-		l.alive = false
-		for i, e := range l.engines {
-			l.engines[i] = &enginemodel.Engine{Pace: e.Pace, PrefillPerToken: e.PrefillPerToken, Slots: e.Slots, Version: e.Version}
+// scheduleOwnerCrash schedules a crash of the owner during the outage. No process can
+// acquire the lease until the outage ends. The new owner then generates again all samples
+// that the trainer doesn't hold.
+func (p *pipeline) scheduleOwnerCrash() {
+	p.clock.After(outageStart+ownerCrashDelay, func() {
+		p.ownerAlive = false
+		for i, e := range p.engines {
+			p.engines[i] = &enginemodel.Engine{Pace: e.Pace, PrefillPerToken: e.PrefillPerToken, Slots: e.Slots, Version: e.Version}
 		}
-		l.places = map[sample.ID]int{}
+		p.engineOf = map[sample.ID]int{}
 	})
-	l.time.After(outageAt+outageFor+electionTakes, func() {
-		l.planner = newPolicy(l.scenario, l.idle, l.staleness)
-		l.elect(2)
+	p.clock.After(outageStart+outageDuration+electionDelay, func() {
+		p.planner = newScheduler(p.scenario, p.idleWeight, p.stalenessWeight)
+		p.startOwner(2)
 	})
 }
--- a/internal/lab/rollout/pipeline.go
+++ b/internal/lab/rollout/pipeline.go
@@ -12,264 +12,273 @@
 )
 
 const (
-	networkDelay = time.Millisecond
-	ownerTick    = 250 * time.Millisecond
-	longPoll     = 2 * time.Second
-	feedName     = "feed"
-	// standstill ends a pipeline that no longer moves.
-	standstill = 24 * time.Hour
+	networkDelay      = time.Millisecond
+	ownerTickInterval = 250 * time.Millisecond
+	longPollTimeout   = 2 * time.Second
+	feedName          = "feed"
+	// pipelineTimeout ends a pipeline that makes no progress. As the cost of a move, it is
+	// high enough to prevent moves.
+	pipelineTimeout = 24 * time.Hour
 )
 
-// result is what a pipeline measured after its warm-up.
+// result is the result of a pipeline. It doesn't include the warm-up.
 type result struct {
-	idle       time.Duration // the trainer waited
-	elapsed    time.Duration
-	makespans  []time.Duration // of each step, from its demand to its last sample
-	bounds     []time.Duration // lower bounds of the same steps
-	samples    int
-	versions   int64 // sum over the samples, behind at hand-over
-	versionMax int64
-	age        time.Duration // sum over the samples, since their first token
-	ageMax     time.Duration
+	idle        time.Duration // time during which the trainer waited for samples
+	elapsed     time.Duration
+	makespans   []time.Duration // of each step, from the start of its demand to its last sample
+	lowerBounds []time.Duration // lower bounds of the makespans of the same steps
+	samples     int
+	lagSum      int64 // sum of the samples' staleness in versions at hand-over
+	lagMax      int64
+	ageSum      time.Duration // sum of the samples' times from first token to hand-over
+	ageMax      time.Duration
 }
 
-// waited is the time that the trainer waited for each second that it trained.
-func (r *result) waited() float64 {
+// idlePerTraining returns the trainer's idle time per second of training.
+func (r *result) idlePerTraining() float64 {
 	return r.idle.Seconds() / (r.elapsed - r.idle).Seconds()
 }
 
-// measure is the weighted measure that a feed's weights stand for.
-func (r *result) measure(s scenario) float64 {
-	return s.idle*r.waited() + s.staleness*r.meanVersions()
+// weightedCost returns the cost that the scheduler minimizes: the trainer's idle time and
+// the mean staleness, multiplied by the feed's weights.
+func (r *result) weightedCost(s scenario) float64 {
+	return s.idleWeight*r.idlePerTraining() + s.stalenessWeight*r.meanLag()
 }
 
-func (r *result) meanVersions() float64 { return float64(r.versions) / float64(r.samples) }
-func (r *result) meanAge() float64      { return r.age.Seconds() / float64(r.samples) }
-func (r *result) overLowerBound() float64 {
-	var spans, least time.Duration
+func (r *result) meanLag() float64 { return float64(r.lagSum) / float64(r.samples) }
+func (r *result) meanAge() float64 { return r.ageSum.Seconds() / float64(r.samples) }
+
+// lowerBoundRatio returns the ratio of the sum of the makespans to the sum of their lower
+// bounds.
+func (r *result) lowerBoundRatio() float64 {
+	var makespans, lowerBounds time.Duration
 	for i := range r.makespans {
-		spans += r.makespans[i]
-		least += r.bounds[i]
+		makespans += r.makespans[i]
+		lowerBounds += r.lowerBounds[i]
 	}
-	return spans.Seconds() / least.Seconds()
+	return makespans.Seconds() / lowerBounds.Seconds()
 }
 
-// pipeline runs one feed from engines to trainer in virtual time: the real
-// hand-over and the real scheduler, model engines, a trainer that works on a
-// step for a fixed time.
+// pipeline simulates one feed from the engines to the trainer in virtual time. It uses
+// the product's hand-over and scheduler with modelled engines and a trainer that trains
+// on each step for a fixed time.
 type pipeline struct {
 	scenario
-	time     *timeline.Timeline
-	planner  planner
-	engines  []*enginemodel.Engine
-	active   []bool // the engine's next step is due
-	loading  []bool // the engine swaps and makes no token
-	places   map[sample.ID]int
-	owner    *handover.Owner
-	alive    bool
-	changes  uint64
-	training bool
-	kv       struct {
+	clock           *timeline.Timeline
+	planner         planner
+	engines         []*enginemodel.Engine
+	stepping        []bool            // whether the end of the engine's current step is scheduled
+	swapping        []bool            // whether the engine loads weights and starts no step
+	engineOf        map[sample.ID]int // index of the engine of each running sample; -1 during a move
+	owner           *handover.Owner
+	ownerAlive      bool
+	plannedChanges  uint64 // owner.ChangeCount at the last SetDemand
+	plannedTraining bool   // owner.Training at the last SetDemand
+	kv              struct {
 		value    []byte
 		revision int64
 		outage   bool
 	}
-	client  *handover.Client
-	version int64
-	calls   uint64
-	done    int64     // steps trained on
-	since   time.Time // the trainer waits
-	began   time.Time // the current step's demand
-	result  result
-	from    time.Time // end of the warm-up
+	client         *handover.Client
+	trainerVersion int64
+	lastCall       uint64
+	stepsDone      int64     // number of steps that the trainer has trained on
+	idleSince      time.Time // when the trainer began to wait for the current step
+	stepBegan      time.Time // when the demand for the current step began
+	result         result
+	measuredSince  time.Time // end of the warm-up
 }
 
-func newPipeline(s scenario, p planner) *pipeline {
-	l := &pipeline{scenario: s, time: timeline.New(), planner: p, places: map[sample.ID]int{}, version: 1}
-	for range s.engines {
-		l.engines = append(l.engines, &enginemodel.Engine{Pace: s.pace, PrefillPerToken: s.prefill, Slots: s.slots, Version: 1})
+func newPipeline(s scenario, planner planner) *pipeline {
+	p := &pipeline{scenario: s, clock: timeline.New(), planner: planner, engineOf: map[sample.ID]int{}, trainerVersion: 1}
+	for range s.engineCount {
+		p.engines = append(p.engines, &enginemodel.Engine{Pace: s.pace, PrefillPerToken: s.prefillPerToken, Slots: s.slots, Version: 1})
 	}
-	l.active = make([]bool, s.engines)
-	l.loading = make([]bool, s.engines)
-	l.client = handover.NewClient(handover.Position{}, s.limits.MaxVersionLag)
-	l.elect(1)
-	return l
+	p.stepping = make([]bool, s.engineCount)
+	p.swapping = make([]bool, s.engineCount)
+	p.client = handover.NewClient(handover.Position{}, s.limits.MaxVersionLag)
+	p.startOwner(1)
+	return p
 }
 
-// newPolicy returns the scheduler for a scenario under weights.
-func newPolicy(s scenario, idle, staleness float64) *policy.Scheduler {
-	p := policy.New(policy.Options{Pace: s.pace, RecomputeCost: s.move, TransferCost: s.carry, MaxSwapWait: 5 * time.Second})
-	p.SetFeed(policy.Feed{
+// newScheduler returns a scheduler for a scenario under the given weights.
+func newScheduler(s scenario, idleWeight, stalenessWeight float64) *policy.Scheduler {
+	scheduler := policy.New(policy.Options{Pace: s.pace, RecomputeCost: s.recomputeCost, TransferCost: s.transferCost, MaxSwapWait: 5 * time.Second})
+	scheduler.SetFeed(policy.Feed{
 		Name:            feedName,
 		Shape:           s.shape,
 		Classes:         len(s.classes),
 		Share:           1,
-		WeightIdle:      idle,
-		WeightStaleness: staleness,
+		WeightIdle:      idleWeight,
+		WeightStaleness: stalenessWeight,
 		Limits:          s.limits,
-		MaxTokens:       s.longest,
-		PromptTokens:    s.prompt,
+		MaxTokens:       s.maxTokens,
+		PromptTokens:    s.promptTokens,
 	})
-	return p
+	return scheduler
 }
 
-func (l *pipeline) elect(epoch int64) {
+func (p *pipeline) startOwner(epoch int64) {
 	cfg := handover.Config{
-		Shape:          l.shape,
-		LotSize:        l.lotSize,
-		Limits:         l.limits,
+		Shape:          p.shape,
+		LotSize:        p.lotSize,
+		Limits:         p.limits,
 		RetryInterval:  time.Second,
 		RecordInterval: 100 * time.Millisecond,
 	}
-	l.owner = handover.New(cfg, fmt.Sprintf("entry-%d", epoch), epoch)
-	l.alive = true
-	l.tick(l.owner)
+	p.owner = handover.New(cfg, fmt.Sprintf("entry-%d", epoch), epoch)
+	p.ownerAlive = true
+	p.tick(p.owner)
 }
 
-func (l *pipeline) tick(o *handover.Owner) {
-	if l.owner != o || !l.alive {
+func (p *pipeline) tick(owner *handover.Owner) {
+	if p.owner != owner || !p.ownerAlive {
 		return
 	}
-	l.deliver(handover.Tick{})
-	l.time.After(ownerTick, func() { l.tick(o) })
+	p.deliver(handover.Tick{})
+	p.clock.After(ownerTickInterval, func() { p.tick(owner) })
 }
 
-// run plays until the trainer has worked on every step.
-func (l *pipeline) run() *result {
-	l.since = l.time.Now()
-	l.began = l.time.Now()
-	l.crowdEngines(0)
-	l.pull()
-	l.time.Run(standstill, func() bool { return l.done >= int64(l.steps) })
-	l.result.elapsed = l.time.Now().Sub(l.from)
-	return &l.result
+// run runs the simulation until the trainer has trained on every step.
+func (p *pipeline) run() *result {
+	p.idleSince = p.clock.Now()
+	p.stepBegan = p.clock.Now()
+	p.rotateCallers(0)
+	p.pull()
+	p.clock.Run(pipelineTimeout, func() bool { return p.stepsDone >= int64(p.steps) })
+	p.result.elapsed = p.clock.Now().Sub(p.measuredSince)
+	return &p.result
 }
 
-func (l *pipeline) deliver(e handover.Event) {
-	if !l.alive {
+func (p *pipeline) deliver(e handover.Event) {
+	if !p.ownerAlive {
 		return
 	}
-	l.act(l.owner.Step(l.time.Now(), e))
-	l.plan()
+	p.executeOwnerActions(p.owner.Step(p.clock.Now(), e))
+	p.plan()
 }
 
-func (l *pipeline) act(acts []handover.Action) {
-	o := l.owner
-	to := func(e handover.Event) {
-		l.time.After(2*networkDelay, func() {
-			if l.owner == o {
-				l.deliver(e)
+func (p *pipeline) executeOwnerActions(actions []handover.Action) {
+	owner := p.owner
+	deliverLater := func(e handover.Event) {
+		p.clock.After(2*networkDelay, func() {
+			if p.owner == owner {
+				p.deliver(e)
 			}
 		})
 	}
-	for _, a := range acts {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case handover.Read:
-			if l.kv.outage {
-				to(handover.ReadFailed{})
+			if p.kv.outage {
+				deliverLater(handover.ReadFailed{})
 				continue
 			}
-			to(handover.ReadDone{Value: l.kv.value, Revision: l.kv.revision})
+			deliverLater(handover.ReadDone{Value: p.kv.value, Revision: p.kv.revision})
 		case handover.Write:
-			to(l.swap(a))
+			deliverLater(p.compareAndSwap(a))
 		case handover.Reply:
-			l.time.After(networkDelay, func() { l.taken(a.Call, a.Answer) })
+			p.clock.After(networkDelay, func() { p.handleAnswer(a.Call, a.Answer) })
 		case handover.Refuse:
-			l.time.After(100*networkDelay, func() { l.again(a.Call) })
+			p.clock.After(100*networkDelay, func() { p.retryPull(a.Call) })
 		}
 	}
 }
 
-func (l *pipeline) swap(w handover.Write) handover.WriteDone {
+func (p *pipeline) compareAndSwap(write handover.Write) handover.WriteDone {
 	switch {
-	case l.kv.outage:
-		return handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteIndeterminate}
-	case l.kv.revision != w.Expected:
-		return handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteConflict, Value: l.kv.value, Revision: l.kv.revision}
+	case p.kv.outage:
+		return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteIndeterminate}
+	case p.kv.revision != write.Expected:
+		return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteConflict, Value: p.kv.value, Revision: p.kv.revision}
 	}
-	l.kv.value = w.Value
-	l.kv.revision++
-	return handover.WriteDone{Nonce: w.Nonce, Result: handover.WriteApplied, Revision: l.kv.revision}
+	p.kv.value = write.Value
+	p.kv.revision++
+	return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteApplied, Revision: p.kv.revision}
 }
 
-// pull calls for the next lot, and calls again if the owner dies meanwhile.
-func (l *pipeline) pull() {
-	l.calls++
-	call := l.calls
-	p := l.client.Pull(l.version)
-	l.time.After(networkDelay, func() { l.deliver(handover.Pulled{Call: call, Pull: p}) })
-	l.time.After(longPoll, func() { l.deliver(handover.PullTimedOut{Call: call}) })
-	l.time.After(longPoll+time.Second, func() { l.again(call) })
+// pull requests the next lot. It pulls again if no answer arrives, as after a crash of
+// the owner.
+func (p *pipeline) pull() {
+	p.lastCall++
+	call := p.lastCall
+	pull := p.client.Pull(p.trainerVersion)
+	p.clock.After(networkDelay, func() { p.deliver(handover.Pulled{Call: call, Pull: pull}) })
+	p.clock.After(longPollTimeout, func() { p.deliver(handover.PullTimedOut{Call: call}) })
+	p.clock.After(longPollTimeout+time.Second, func() { p.retryPull(call) })
 }
 
-func (l *pipeline) again(call uint64) {
-	if l.calls == call {
-		l.pull()
+// retryPull pulls again unless the trainer has made a later call.
+func (p *pipeline) retryPull(call uint64) {
+	if p.lastCall == call {
+		p.pull()
 	}
 }
 
-func (l *pipeline) taken(call uint64, a handover.Answer) {
-	if call != l.calls {
+func (p *pipeline) handleAnswer(call uint64, a handover.Answer) {
+	if call != p.lastCall {
 		return
 	}
-	for _, s := range l.client.HandleAnswer(a, l.version) {
-		l.measure(s)
+	for _, s := range p.client.HandleAnswer(a, p.trainerVersion) {
+		p.recordSample(s)
 	}
 	if a.StepComplete && len(a.Samples) > 0 {
-		l.trainOn(a.Step)
+		p.trainOn(a.Step)
 		return
 	}
-	l.pull()
+	p.pull()
 }
 
-func (l *pipeline) measured() bool { return l.done >= int64(l.warmUp) }
+// warmedUp reports whether the warm-up is over.
+func (p *pipeline) warmedUp() bool { return p.stepsDone >= int64(p.warmUpSteps) }
 
-func (l *pipeline) measure(s sample.Sample) {
-	if !l.measured() {
+func (p *pipeline) recordSample(s sample.Sample) {
+	if !p.warmedUp() {
 		return
 	}
-	behind := l.version - s.OldestVersion()
-	age := l.time.Now().Sub(s.FirstTokenAt)
-	l.result.samples++
-	l.result.versions += behind
-	l.result.versionMax = max(l.result.versionMax, behind)
-	l.result.age += age
-	l.result.ageMax = max(l.result.ageMax, age)
+	lag := p.trainerVersion - s.OldestVersion()
+	age := p.clock.Now().Sub(s.FirstTokenAt)
+	p.result.samples++
+	p.result.lagSum += lag
+	p.result.lagMax = max(p.result.lagMax, lag)
+	p.result.ageSum += age
+	p.result.ageMax = max(p.result.ageMax, age)
 }
 
-func (l *pipeline) trainOn(step int64) {
-	l.calls++ // no pull is under way
-	if l.measured() {
-		l.result.idle += l.time.Now().Sub(l.since)
-		l.result.makespans = append(l.result.makespans, l.time.Now().Sub(l.began))
-		l.result.bounds = append(l.result.bounds, l.lowerBound(step))
+func (p *pipeline) trainOn(step int64) {
+	p.lastCall++ // prevents a retry of the answered pull
+	if p.warmedUp() {
+		p.result.idle += p.clock.Now().Sub(p.idleSince)
+		p.result.makespans = append(p.result.makespans, p.clock.Now().Sub(p.stepBegan))
+		p.result.lowerBounds = append(p.result.lowerBounds, p.lowerBound(step))
 	}
-	l.time.After(l.train, func() {
-		l.done++
-		if l.done == int64(l.warmUp) {
-			l.from = l.time.Now()
+	p.clock.After(p.trainTime, func() {
+		p.stepsDone++
+		if p.stepsDone == int64(p.warmUpSteps) {
+			p.measuredSince = p.clock.Now()
 		}
-		l.version++
-		l.announce(l.version)
-		l.since = l.time.Now()
-		l.began = l.time.Now()
-		l.pull()
+		p.trainerVersion++
+		p.announceVersion(p.trainerVersion)
+		p.idleSince = p.clock.Now()
+		p.stepBegan = p.clock.Now()
+		p.pull()
 	})
 }
 
-// announce publishes a version; the engines swap one after the other.
-func (l *pipeline) announce(version int64) {
-	l.time.After(networkDelay, func() { l.deliver(handover.Announced{Version: version}) })
-	for i, e := range l.engines {
-		begins := l.swapFirst + time.Duration(i)*l.swapEach
-		if l.load > 0 {
-			l.time.After(begins, func() { l.loading[i] = true })
+// announceVersion announces a weight version to the owner and starts the swaps of the
+// engines, one after the other.
+func (p *pipeline) announceVersion(version int64) {
+	p.clock.After(networkDelay, func() { p.deliver(handover.Announced{Version: version}) })
+	for i, e := range p.engines {
+		start := p.firstSwapDelay + time.Duration(i)*p.swapInterval
+		if p.loadTime > 0 {
+			p.clock.After(start, func() { p.swapping[i] = true })
 		}
-		l.time.After(begins+l.load, func() {
+		p.clock.After(start+p.loadTime, func() {
 			e.Version = version
-			l.loading[i] = false
-			l.plan()
-			l.wake(i)
+			p.swapping[i] = false
+			p.plan()
+			p.wake(i)
 		})
 	}
 }
--- a/internal/lab/rollout/schedule.go
+++ b/internal/lab/rollout/schedule.go
@@ -12,12 +12,12 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-// Violations is what a schedule must not show.
+// Violations counts violations of the invariants.
 type Violations struct {
-	Stale      int // samples taken that were older than the trainer accepts
-	Duplicates int // samples taken twice
-	Lost       int // samples that never came, or came out of their step
-	Mislabeled int // samples whose segments differ from what produced them
+	Stale      int // accepted samples that were older than the trainer permits
+	Duplicates int // samples that the trainer accepted more than once
+	Lost       int // samples that the trainer did not get, or got in another step than their own
+	Mislabeled int // samples whose segments differ from the versions that generated them
 }
 
 func (v *Violations) add(other Violations) {
@@ -27,11 +27,17 @@
 	v.Mislabeled += other.Mislabeled
 }
 
-// FaultCounts counts the faults of schedules.
+// FaultCounts counts the faults and some other events of schedules.
+//
+// Crashes and Pauses are of owners, Elections are the owners that started, Restarts are
+// restarts of the trainer, Outages are of the key-value service. DiscardedSamples are
+// samples that labels.Builder rejected, Superseded are restarts of the trainer because
+// another run of it had taken the feed over, AcceptedSamples are samples that the trainer
+// accepted.
 type FaultCounts struct {
 	Crashes, Pauses, Elections, Restarts, Outages, DiscardedSamples, Superseded, AcceptedSamples int
 
-	ShapeChanges, ReshapedSteps int // changes of shape, and steps that came in another than the one before
+	ShapeChanges, ReshapedSteps int // declarations of another shape; steps whose shape differs from the previous step's
 }
 
 func (f *FaultCounts) add(other FaultCounts) {
@@ -60,164 +66,166 @@
 }
 
 const (
-	scheduleSteps  = 3
-	faultsFor      = 4 * time.Second
-	giveUp         = 120 * time.Second
-	versionsBound  = 2
-	pullWait       = 120 * time.Millisecond
-	pullPatience   = 200 * time.Millisecond
-	generationTick = 8 * time.Millisecond
+	scheduleSteps      = 3
+	faultPeriod        = 4 * time.Second // faults are injected until then
+	scheduleTimeout    = 120 * time.Second
+	maxVersionLag      = 2
+	ownerPullTimeout   = 120 * time.Millisecond // the owner answers a pull without samples after it
+	trainerPullTimeout = 200 * time.Millisecond // the trainer pulls again if it has no answer after it
+	generationInterval = 8 * time.Millisecond
 )
 
-// world is one schedule.
+// world simulates one schedule: the owners of a feed, its trainer and the key-value
+// service.
 type world struct {
-	rng     *rand.Rand
-	time    *timeline.Timeline
-	faulty  bool
-	kv      store
-	nodes   []*node // live owners, newest last
-	epoch   int64
-	trainer trainer
-	engine  int64 // version of the newest engines
-	runs    []run // every sample run; the sample's text names its run
-	cfg     handover.Config
-	bad     Violations
-	seen    FaultCounts
-	harm    DisabledSafeguards
-	steps   int
-	shapes  *shapeChanges // nil: the shape stays
-}
-
-// RunSchedule plays one seeded schedule and returns what went wrong.
-func RunSchedule(seed uint64, harm DisabledSafeguards) (Violations, FaultCounts) {
-	return newWorld(seed, harm).play()
-}
-
-func (w *world) play() (Violations, FaultCounts) {
-	w.elect()
+	rng           *rand.Rand
+	clock         *timeline.Timeline
+	faultsActive  bool
+	kv            store
+	owners        []*ownerProcess // owners that have not crashed and were not deposed, newest last
+	epoch         int64
+	trainer       trainer
+	engineVersion int64        // newest weight version of the engines
+	generations   []generation // generations of all samples; a sample's text is its index
+	config        handover.Config
+	violations    Violations
+	faults        FaultCounts
+	disabled      DisabledSafeguards
+	steps         int
+	shapes        *shapeChanges // nil if the shape doesn't change
+}
+
+// RunSchedule simulates the schedule of a seed.
+func RunSchedule(seed uint64, disabled DisabledSafeguards) (Violations, FaultCounts) {
+	return newWorld(seed, disabled).run()
+}
+
+func (w *world) run() (Violations, FaultCounts) {
+	w.startOwner()
 	w.trainer.start()
-	w.generate()
-	w.chaos()
-	w.time.After(faultsFor, w.heal)
-	w.time.Run(giveUp, w.trainer.finished)
-	w.trainer.settle()
-	return w.bad, w.seen
+	w.generateSamples()
+	w.injectFaults()
+	w.clock.After(faultPeriod, w.endFaults)
+	w.clock.Run(scheduleTimeout, w.trainer.finished)
+	w.trainer.checkMissing()
+	return w.violations, w.faults
 }
 
-func newWorld(seed uint64, harm DisabledSafeguards) *world {
+func newWorld(seed uint64, disabled DisabledSafeguards) *world {
 	rng := rand.New(rand.NewPCG(seed, 0x5eed))
 	shape := sample.Shape{Groups: 1 + rng.IntN(3), Size: 1 + rng.IntN(4), Spare: rng.IntN(2)}
 	w := &world{
-		rng:    rng,
-		time:   timeline.New(),
-		faulty: true,
-		engine: 1,
-		harm:   harm,
-		steps:  scheduleSteps,
-		cfg: handover.Config{
+		rng:           rng,
+		clock:         timeline.New(),
+		faultsActive:  true,
+		engineVersion: 1,
+		disabled:      disabled,
+		steps:         scheduleSteps,
+		config: handover.Config{
 			Shape:          shape,
 			LotSize:        1 + rng.IntN(4),
-			Limits:         sample.Limits{MaxVersionLag: versionsBound},
+			Limits:         sample.Limits{MaxVersionLag: maxVersionLag},
 			RetryInterval:  40 * time.Millisecond,
 			RecordInterval: 5 * time.Millisecond,
 		},
 	}
-	w.kv.w = w
+	w.kv.world = w
 	w.trainer = newTrainer(w)
 	return w
 }
 
-// delay is the time that one message takes.
+// delay returns the time that a message takes.
 func (w *world) delay() time.Duration {
-	if w.faulty && w.rng.IntN(12) == 0 {
+	if w.faultsActive && w.rng.IntN(12) == 0 {
 		return time.Duration(w.rng.IntN(500)) * time.Millisecond
 	}
 	return time.Duration(1+w.rng.IntN(3)) * time.Millisecond
 }
 
-// lost tells whether a message between trainer and owner vanishes.
-func (w *world) lost() bool { return w.faulty && w.rng.IntN(10) == 0 }
+// dropMessage reports at random whether a message between trainer and owner is lost.
+func (w *world) dropMessage() bool { return w.faultsActive && w.rng.IntN(10) == 0 }
 
-// chaos brings the next fault about.
-func (w *world) chaos() {
-	if !w.faulty {
+// injectFaults injects a fault, or none, and repeats at random intervals until the period
+// of faults is over.
+func (w *world) injectFaults() {
+	if !w.faultsActive {
 		return
 	}
 	switch w.rng.IntN(6) {
 	case 0:
-		w.crash()
+		w.crashOwner()
 	case 1:
-		w.pause()
+		w.pauseOwner()
 	case 2:
-		w.elect()
+		w.startOwner()
 	case 3:
 		w.trainer.restart()
 	case 4:
-		w.outage()
+		w.startOutage()
 	case 5:
-		// Nothing: let the feed run between faults.
+		// No fault, so that the feed runs for a while between faults.
 	}
-	w.time.After(time.Duration(10+w.rng.IntN(350))*time.Millisecond, w.chaos)
+	w.clock.After(time.Duration(10+w.rng.IntN(350))*time.Millisecond, w.injectFaults)
 }
 
-func (w *world) heal() {
-	w.faulty = false
+func (w *world) endFaults() {
+	w.faultsActive = false
 	w.kv.outage = false
-	w.elect()
+	w.startOwner()
 }
 
-func (w *world) outage() {
+func (w *world) startOutage() {
 	if w.kv.outage {
 		return
 	}
-	w.seen.Outages++
+	w.faults.Outages++
 	w.kv.outage = true
-	w.time.After(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { w.kv.outage = false })
+	w.clock.After(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { w.kv.outage = false })
 }
 
-// elect lets a new process take the duty, whatever the earlier ones do. The
-// lease lives in the key-value service, so no one is elected in an outage.
-func (w *world) elect() {
+// startOwner starts a process that takes the duty over. Earlier owners may keep running.
+// During an outage it does nothing, because the lease is in the key-value service.
+func (w *world) startOwner() {
 	if w.kv.outage {
 		return
 	}
-	w.seen.Elections++
+	w.faults.Elections++
 	w.epoch++
-	w.nodes = append(w.nodes, newNode(w, w.epoch))
+	w.owners = append(w.owners, newOwnerProcess(w, w.epoch))
 }
 
-func (w *world) crash() {
-	if len(w.nodes) == 0 {
+func (w *world) crashOwner() {
+	if len(w.owners) == 0 {
 		return
 	}
-	w.seen.Crashes++
-	i := w.rng.IntN(len(w.nodes))
-	w.nodes[i].dead = true
-	w.nodes = append(w.nodes[:i:i], w.nodes[i+1:]...)
-	w.time.After(time.Duration(w.rng.IntN(300))*time.Millisecond, w.elect)
+	w.faults.Crashes++
+	i := w.rng.IntN(len(w.owners))
+	w.owners[i].crashed = true
+	w.owners = append(w.owners[:i:i], w.owners[i+1:]...)
+	w.clock.After(time.Duration(w.rng.IntN(300))*time.Millisecond, w.startOwner)
 }
 
-func (w *world) pause() {
-	if len(w.nodes) == 0 {
+func (w *world) pauseOwner() {
+	if len(w.owners) == 0 {
 		return
 	}
-	w.seen.Pauses++
-	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	n.paused = true
-	w.time.After(time.Duration(w.rng.IntN(1200))*time.Millisecond, n.resume)
+	w.faults.Pauses++
+	o := w.owners[w.rng.IntN(len(w.owners))]
+	o.paused = true
+	w.clock.After(time.Duration(w.rng.IntN(1200))*time.Millisecond, o.resume)
 	if w.rng.IntN(2) == 0 {
-		w.time.After(time.Duration(w.rng.IntN(300))*time.Millisecond, w.elect)
+		w.clock.After(time.Duration(w.rng.IntN(300))*time.Millisecond, w.startOwner)
 	}
 }
 
-// route picks the owner that a pull reaches: mostly the newest, at times one
-// that another entry still takes for the owner.
-func (w *world) route() *node {
-	if len(w.nodes) == 0 {
+// pickOwner returns the owner that a pull reaches. It is mostly the newest. Some pulls
+// reach an earlier one, as if an entry didn't yet know the newest.
+func (w *world) pickOwner() *ownerProcess {
+	if len(w.owners) == 0 {
 		return nil
 	}
-	if w.faulty && w.rng.IntN(4) == 0 {
-		return w.nodes[w.rng.IntN(len(w.nodes))]
+	if w.faultsActive && w.rng.IntN(4) == 0 {
+		return w.owners[w.rng.IntN(len(w.owners))]
 	}
-	return w.nodes[len(w.nodes)-1]
+	return w.owners[len(w.owners)-1]
 }
--- a/internal/lab/rollout/schedules.go
+++ b/internal/lab/rollout/schedules.go
@@ -6,28 +6,29 @@
 	"siskinloom.example/siskinloom/internal/lab/seeds"
 )
 
-// RunSchedules plays n schedules with seeds from 1 and adds up what went wrong.
-// The sum does not depend on how many run at once.
-func RunSchedules(n int, harm DisabledSafeguards) (Violations, FaultCounts) {
-	return addUp(n, func(seed uint64) (Violations, FaultCounts) { return RunSchedule(seed, harm) })
+// RunSchedules simulates the schedules with the seeds 1 to n and returns the sums of
+// their violations and faults, which do not depend on how many run in parallel.
+func RunSchedules(n int, disabled DisabledSafeguards) (Violations, FaultCounts) {
+	return sumSchedules(n, func(seed uint64) (Violations, FaultCounts) { return RunSchedule(seed, disabled) })
 }
 
-// RunShapeSchedules is RunSchedules with declarations that change the shape of
-// the steps at any moment.
-func RunShapeSchedules(n int, harm DisabledSafeguards) (Violations, FaultCounts) {
-	return addUp(n, func(seed uint64) (Violations, FaultCounts) { return RunShapeSchedule(seed, harm) })
+// RunShapeSchedules is like RunSchedules, but declarations change the shape of the steps
+// during the schedules.
+func RunShapeSchedules(n int, disabled DisabledSafeguards) (Violations, FaultCounts) {
+	return sumSchedules(n, func(seed uint64) (Violations, FaultCounts) { return RunShapeSchedule(seed, disabled) })
 }
 
-func addUp(n int, play func(seed uint64) (Violations, FaultCounts)) (Violations, FaultCounts) {
+// sumSchedules calls run for the seeds 1 to n in parallel and adds up the results.
+func sumSchedules(n int, run func(seed uint64) (Violations, FaultCounts)) (Violations, FaultCounts) {
 	var mu sync.Mutex
-	var bad Violations
-	var seen FaultCounts
+	var violations Violations
+	var faults FaultCounts
 	seeds.Each(n, func(seed uint64) {
-		violations, faults := play(seed)
+		v, f := run(seed)
 		mu.Lock()
 		defer mu.Unlock()
-		bad.add(violations)
-		seen.add(faults)
+		violations.add(v)
+		faults.add(f)
 	})
-	return bad, seen
+	return violations, faults
 }
--- a/internal/lab/rollout/shapes.go
+++ b/internal/lab/rollout/shapes.go
@@ -8,83 +8,85 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-// shapeChanges declares other shapes of the steps while a schedule plays. Its
-// draws are its own, so that the faults are those of the seed.
+// shapeChanges declares other shapes of the steps during a schedule. It has its own
+// source of random numbers, so that its draws do not change the faults of a seed.
 type shapeChanges struct {
 	rng      *rand.Rand
-	declared []sample.Shape
+	declared []sample.Shape // all shapes declared so far, oldest first
 }
 
-// RunShapeSchedule plays one seeded schedule in which the shape changes.
-func RunShapeSchedule(seed uint64, harm DisabledSafeguards) (Violations, FaultCounts) {
-	w := newWorld(seed, harm)
+// RunShapeSchedule simulates the schedule of a seed with changes of the shape.
+func RunShapeSchedule(seed uint64, disabled DisabledSafeguards) (Violations, FaultCounts) {
+	w := newWorld(seed, disabled)
 	w.shapes = &shapeChanges{
 		rng:      rand.New(rand.NewPCG(seed, 0x5a9e)),
-		declared: []sample.Shape{w.cfg.Shape},
+		declared: []sample.Shape{w.config.Shape},
 	}
 	w.redeclare()
-	return w.play()
+	return w.run()
 }
 
-// redeclare changes the shape; word of it reaches the owners at different times.
+// redeclare declares a random shape at random intervals until the period of faults is
+// over. The declaration reaches each owner after a delay of its own.
 func (w *world) redeclare() {
-	if !w.faulty {
+	if !w.faultsActive {
 		return
 	}
 	rng := w.shapes.rng
-	w.time.After(time.Duration(20+rng.IntN(400))*time.Millisecond, w.redeclare)
-	w.cfg.Shape = sample.Shape{Groups: 1 + rng.IntN(3), Size: 1 + rng.IntN(4), Spare: rng.IntN(2)}
-	w.shapes.declared = append(w.shapes.declared, w.cfg.Shape)
-	w.seen.ShapeChanges++
-	cfg := w.cfg
-	for _, n := range w.nodes {
-		w.time.After(time.Duration(rng.IntN(300))*time.Millisecond, func() { n.deliver(handover.Configured{Config: cfg}) })
+	w.clock.After(time.Duration(20+rng.IntN(400))*time.Millisecond, w.redeclare)
+	w.config.Shape = sample.Shape{Groups: 1 + rng.IntN(3), Size: 1 + rng.IntN(4), Spare: rng.IntN(2)}
+	w.shapes.declared = append(w.shapes.declared, w.config.Shape)
+	w.faults.ShapeChanges++
+	cfg := w.config
+	for _, o := range w.owners {
+		w.clock.After(time.Duration(rng.IntN(300))*time.Millisecond, func() { o.deliver(handover.Configured{Config: cfg}) })
 	}
 }
 
-// declared is the declaration that a process starts with: at times the one
-// before the newest.
-func (w *world) declared() handover.Config {
-	cfg := w.cfg
-	if w.shapes == nil || !w.faulty {
+// initialConfig returns the configuration that a process starts with. In some cases its
+// shape is the one declared before the newest.
+func (w *world) initialConfig() handover.Config {
+	cfg := w.config
+	if w.shapes == nil || !w.faultsActive {
 		return cfg
 	}
-	known := w.shapes.declared
-	if len(known) > 1 && w.shapes.rng.IntN(4) == 0 {
-		cfg.Shape = known[len(known)-2]
+	declared := w.shapes.declared
+	if len(declared) > 1 && w.shapes.rng.IntN(4) == 0 {
+		cfg.Shape = declared[len(declared)-2]
 	}
 	return cfg
 }
 
-// settleShapes counts the steps that came in no shape that was ever declared.
-func (t *trainer) settleShapes() {
-	var before sample.Shape
-	for step := range int64(t.w.steps) {
+// checkShapes counts the steps whose samples match no declared shape.
+func (t *trainer) checkShapes() {
+	var previous sample.Shape
+	for step := range int64(t.world.steps) {
 		groups := map[int64]int{}
 		for _, id := range t.held {
 			if id.Step == step {
 				groups[id.Group]++
 			}
 		}
-		shape, whole := t.w.shapes.match(groups)
-		if !whole {
-			t.w.bad.Lost++
+		shape, matched := t.world.shapes.matchShape(groups)
+		if !matched {
+			t.world.violations.Lost++
 		}
-		if step > 0 && (shape.Groups != before.Groups || shape.Size != before.Size) {
-			t.w.seen.ReshapedSteps++
+		if step > 0 && (shape.Groups != previous.Groups || shape.Size != previous.Size) {
+			t.world.faults.ReshapedSteps++
 		}
-		before = shape
+		previous = shape
 	}
 }
 
-// match returns the declared shape that a step's groups make up.
-func (s *shapeChanges) match(groups map[int64]int) (sample.Shape, bool) {
+// matchShape returns the declared shape that matches the numbers of samples in a step's
+// groups.
+func (s *shapeChanges) matchShape(groups map[int64]int) (sample.Shape, bool) {
 	for _, shape := range s.declared {
-		whole := len(groups) == shape.Groups
+		matched := len(groups) == shape.Groups
 		for group := range int64(shape.Groups) {
-			whole = whole && groups[group] == shape.Size
+			matched = matched && groups[group] == shape.Size
 		}
-		if whole {
+		if matched {
 			return shape, true
 		}
 	}
--- a/internal/lab/rollout/shares.go
+++ b/internal/lab/rollout/shares.go
@@ -13,160 +13,165 @@
 )
 
 const (
-	smallFeed   = "small"
-	burstFeed   = "burst"
-	smallShare  = 0.25
-	smallComes  = 30 * time.Second // after the burst filled the engines
-	shareFrom   = 60 * time.Second
-	shareUntil  = 120 * time.Second
-	burstGroups = 4000
-	sharedOwner = "kheda" // business of both feeds
+	smallFeed         = "small"
+	burstFeed         = "burst"
+	smallShare        = 0.25
+	smallFeedDelay    = 30 * time.Second // start of the small feed; by then the other feed fills the engines
+	shareMeasureStart = 60 * time.Second // by then both feeds have reached their shares
+	shareMeasureEnd   = 120 * time.Second
+	groupsPerFeed     = 4000
+	sharedBusiness    = "kheda" // business of both feeds
 )
 
-// sharing is two feeds on the same engines: one whose trainer asks for very
-// much at once, and a small one that comes later. Their samples meet in the
-// engines' agents' queues.
-type sharing struct {
+// shareSimulation simulates two feeds on the same engines: one whose trainer requests
+// many samples at once, and a small one that starts later. The samples of both pass
+// through the queues of the engines' agents.
+type shareSimulation struct {
 	scenario
-	time    *timeline.Timeline
-	entries map[string]*policy.Scheduler // of the entry that owns a feed
-	order   []string                     // of the feeds whose entries plan
-	engines []*enginemodel.Engine
-	queues  []*admission.Queue
-	jobs    map[string]*enginemodel.Job // by item of a queue
-	placed  []map[string]int            // samples of each feed at an engine, queued ones included
-	active  []bool
-	tokens  map[string]int // within the measured time
-	// measured is set once the feeds have settled to their shares.
-	measured bool
+	clock         *timeline.Timeline
+	schedulers    map[string]*policy.Scheduler // by feed; the scheduler of the entry that owns it
+	planOrder     []string                     // one feed of each scheduler, in the order in which they plan
+	engines       []*enginemodel.Engine
+	queues        []*admission.Queue          // of the engines' agents
+	jobs          map[string]*enginemodel.Job // by item ID in a queue
+	placedSamples []map[string]int            // by engine and feed; number of running and queued samples
+	stepping      []bool                      // whether the end of the engine's current step is scheduled
+	tokens        map[string]int              // by feed; tokens generated while measuring
+	// measuring is set when both feeds have reached their shares.
+	measuring bool
 }
 
-// measureShares returns the part of the engines that the small feed gets of the
-// part it declares, while both want more than there is; with each feed owned by
-// an entry of its own, or both by one.
-func measureShares(apart bool) float64 {
-	s := ledgerwise()
-	m := &sharing{
-		scenario: s, time: timeline.New(), tokens: map[string]int{}, active: make([]bool, s.engines),
-		entries: map[string]*policy.Scheduler{}, jobs: map[string]*enginemodel.Job{},
+// measureShares returns the ratio of the small feed's share of the tokens to its declared
+// share while both feeds want more than the engines can generate. The feeds are owned by
+// separate entries or by the same one.
+func measureShares(separateEntries bool) float64 {
+	deployment := ledgerwiseScenario()
+	s := &shareSimulation{
+		scenario: deployment, clock: timeline.New(), tokens: map[string]int{}, stepping: make([]bool, deployment.engineCount),
+		schedulers: map[string]*policy.Scheduler{}, jobs: map[string]*enginemodel.Job{},
 	}
 	weights := map[wire.Principal]float64{principal(smallFeed): smallShare, principal(burstFeed): 1 - smallShare}
-	for range s.engines {
-		m.engines = append(m.engines, &enginemodel.Engine{Pace: s.pace, Slots: s.slots, Version: 1})
-		m.queues = append(m.queues, admission.New(admission.Config{Slots: s.slots, QueueLimit: burstGroups, Weights: weights}))
-		m.placed = append(m.placed, map[string]int{})
+	for range deployment.engineCount {
+		s.engines = append(s.engines, &enginemodel.Engine{Pace: deployment.pace, Slots: deployment.slots, Version: 1})
+		s.queues = append(s.queues, admission.New(admission.Config{Slots: deployment.slots, QueueLimit: groupsPerFeed, Weights: weights}))
+		s.placedSamples = append(s.placedSamples, map[string]int{})
 	}
-	m.own(burstFeed)
-	if apart {
-		m.own(smallFeed)
+	s.addScheduler(burstFeed)
+	if separateEntries {
+		s.addScheduler(smallFeed)
 	} else {
-		m.entries[smallFeed] = m.entries[burstFeed]
+		s.schedulers[smallFeed] = s.schedulers[burstFeed]
 	}
-	m.demand(burstFeed, 1-smallShare, burstGroups)
-	m.time.After(smallComes, func() { m.demand(smallFeed, smallShare, burstGroups) })
-	m.time.After(shareFrom, func() { m.measured = true })
-	m.time.Run(shareUntil, func() bool { return false })
-	small, burst := float64(m.tokens[smallFeed]), float64(m.tokens[burstFeed])
+	s.requestSamples(burstFeed, 1-smallShare, groupsPerFeed)
+	s.clock.After(smallFeedDelay, func() { s.requestSamples(smallFeed, smallShare, groupsPerFeed) })
+	s.clock.After(shareMeasureStart, func() { s.measuring = true })
+	s.clock.Run(shareMeasureEnd, func() bool { return false })
+	small, burst := float64(s.tokens[smallFeed]), float64(s.tokens[burstFeed])
 	return small / (small + burst) / smallShare
 }
 
 func principal(feed string) wire.Principal {
-	return wire.FeedPrincipal(sharedOwner, feed)
+	return wire.FeedPrincipal(sharedBusiness, feed)
 }
 
-// own starts an entry that owns a feed.
-func (m *sharing) own(feed string) {
-	m.entries[feed] = policy.New(policy.Options{Pace: m.pace, RecomputeCost: m.move})
-	m.entries[feed].SetTotalShares(1)
-	m.order = append(m.order, feed)
+// addScheduler adds the scheduler of an entry that owns a feed.
+func (s *shareSimulation) addScheduler(feed string) {
+	s.schedulers[feed] = policy.New(policy.Options{Pace: s.pace, RecomputeCost: s.recomputeCost})
+	s.schedulers[feed].SetTotalShares(1)
+	s.planOrder = append(s.planOrder, feed)
 }
 
-func (m *sharing) demand(name string, share float64, groups int) {
+// requestSamples sets the demand of a feed to one step of the given number of groups with
+// one sample each.
+func (s *shareSimulation) requestSamples(name string, share float64, groups int) {
 	shape := sample.Shape{Groups: groups, Size: 1}
-	m.entries[name].SetFeed(policy.Feed{Name: name, Shape: shape, Share: share, WeightIdle: 1, MaxTokens: m.longest})
-	d := policy.Demand{Feed: name}
+	s.schedulers[name].SetFeed(policy.Feed{Name: name, Shape: shape, Share: share, WeightIdle: 1, MaxTokens: s.maxTokens})
+	demand := policy.Demand{Feed: name}
 	for slot := range shape.Slots() {
-		d.Current = append(d.Current, shape.IDAt(0, slot))
+		demand.Current = append(demand.Current, shape.IDAt(0, slot))
 	}
-	m.entries[name].SetDemand(m.time.Now(), d)
-	m.plan()
+	s.schedulers[name].SetDemand(s.clock.Now(), demand)
+	s.plan()
 }
 
-func (m *sharing) plan() {
-	for _, feed := range m.order {
-		entry := m.entries[feed]
-		entry.SetEngines(m.time.Now(), m.states(entry))
-		for _, a := range entry.Plan(m.time.Now()) {
+func (s *shareSimulation) plan() {
+	for _, feed := range s.planOrder {
+		scheduler := s.schedulers[feed]
+		scheduler.SetEngines(s.clock.Now(), s.engineStates(scheduler))
+		for _, a := range scheduler.Plan(s.clock.Now()) {
 			if start, ok := a.(policy.Start); ok {
-				m.start(start)
+				s.startSample(start)
 			}
 		}
 	}
 }
 
-// states is what an entry knows of the engines: their agents' load.
-func (m *sharing) states(entry *policy.Scheduler) []policy.Engine {
-	states := make([]policy.Engine, len(m.engines))
-	for i, q := range m.queues {
-		ours := 0
-		for feed, n := range m.placed[i] {
-			if m.entries[feed] == entry {
-				ours += n
+// engineStates returns the engines as an entry sees them in the load reported by their
+// agents.
+func (s *shareSimulation) engineStates(scheduler *policy.Scheduler) []policy.Engine {
+	states := make([]policy.Engine, len(s.engines))
+	for i, q := range s.queues {
+		own := 0
+		for feed, n := range s.placedSamples[i] {
+			if s.schedulers[feed] == scheduler {
+				own += n
 			}
 		}
 		load := q.Load()
-		states[i] = policy.Engine{ID: strconv.Itoa(i), Slots: load.Slots, UsedByOthers: load.Running + load.Queued - ours, UsedByOtherFeeds: load.Rollouts - ours, Version: 1}
+		states[i] = policy.Engine{ID: strconv.Itoa(i), Slots: load.Slots, UsedByOthers: load.Running + load.Queued - own, UsedByOtherFeeds: load.Rollouts - own, Version: 1}
 	}
 	return states
 }
 
-func (m *sharing) start(a policy.Start) {
+func (s *shareSimulation) startSample(a policy.Start) {
 	i, err := strconv.Atoi(a.Engine)
 	if err != nil {
-		panic(err) // named by states
+		panic(err) // the ID was formatted by engineStates
 	}
-	job := &enginemodel.Job{Feed: a.Feed, ID: a.ID, Length: m.length(a.ID)}
-	item := itemOf(job)
-	m.jobs[item] = job
-	m.placed[i][a.Feed]++
-	m.carryOut(i, m.queues[i].Offer(m.time.Now(), admission.Item{
-		ID: item, Principal: principal(a.Feed), Cost: float64(m.longest) * m.pace.Base.Seconds(), Rollout: true,
+	job := &enginemodel.Job{Feed: a.Feed, ID: a.ID, Length: s.length(a.ID)}
+	item := itemID(job)
+	s.jobs[item] = job
+	s.placedSamples[i][a.Feed]++
+	s.execute(i, s.queues[i].Offer(s.clock.Now(), admission.Item{
+		ID: item, Principal: principal(a.Feed), Cost: float64(s.maxTokens) * s.pace.Base.Seconds(), Rollout: true,
 	}))
 }
 
-func itemOf(j *enginemodel.Job) string { return j.ID.Name(sharedOwner, j.Feed) }
+func itemID(j *enginemodel.Job) string { return j.ID.Name(sharedBusiness, j.Feed) }
 
-func (m *sharing) carryOut(i int, acts []admission.Action) {
-	for _, a := range acts {
+// execute starts the jobs that the queue of an engine's agent admitted.
+func (s *shareSimulation) execute(i int, actions []admission.Action) {
+	for _, a := range actions {
 		if a.Kind == admission.Start {
-			m.engines[i].Add(m.jobs[a.ID])
+			s.engines[i].Add(s.jobs[a.ID])
 		}
 	}
-	m.wake(i)
+	s.wake(i)
 }
 
-func (m *sharing) wake(i int) {
-	if m.active[i] || m.engines[i].RunningJobs() == 0 {
+// wake starts the next step of an engine that has jobs and is not in a step.
+func (s *shareSimulation) wake(i int) {
+	if s.stepping[i] || s.engines[i].RunningJobs() == 0 {
 		return
 	}
-	m.active[i] = true
-	m.time.After(m.engines[i].BeginStep(), func() { m.stepEngine(i) })
+	s.stepping[i] = true
+	s.clock.After(s.engines[i].BeginStep(), func() { s.stepEngine(i) })
 }
 
-func (m *sharing) stepEngine(i int) {
-	m.active[i] = false
-	if m.measured {
-		m.engines[i].Each(func(j *enginemodel.Job) { m.tokens[j.Feed]++ })
+func (s *shareSimulation) stepEngine(i int) {
+	s.stepping[i] = false
+	if s.measuring {
+		s.engines[i].Each(func(j *enginemodel.Job) { s.tokens[j.Feed]++ })
 	}
-	done := m.engines[i].Step(m.time.Now())
+	done := s.engines[i].Step(s.clock.Now())
 	for _, j := range done {
-		delete(m.jobs, itemOf(j))
-		m.placed[i][j.Feed]--
-		m.entries[j.Feed].Complete(j.Feed, j.ID, j.Tokens)
-		m.carryOut(i, m.queues[i].Done(m.time.Now(), itemOf(j)))
+		delete(s.jobs, itemID(j))
+		s.placedSamples[i][j.Feed]--
+		s.schedulers[j.Feed].Complete(j.Feed, j.ID, j.Tokens)
+		s.execute(i, s.queues[i].Done(s.clock.Now(), itemID(j)))
 	}
 	if len(done) > 0 {
-		m.plan()
+		s.plan()
 	}
-	m.wake(i)
+	s.wake(i)
 }
--- a/internal/lab/rollout/tradeoff.go
+++ b/internal/lab/rollout/tradeoff.go
@@ -6,36 +6,36 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Point is one setting of a feed's weights and what it leads to.
+// Point is the result of one setting of a feed's weights.
 type Point struct {
-	StalenessWeight float64 // weight of staleness against idle time's 1
-	IdlePerTraining float64 // seconds that the trainer waits for each second it trains
-	MeanLag         float64 // mean number of versions behind at hand-over
-	Declared        bool    // the deployment's declared setting
+	StalenessWeight float64 // weight of staleness if the weight of idle time is 1
+	IdlePerTraining float64 // seconds that the trainer waits per second of training
+	MeanLag         float64 // mean number of versions that samples are behind at hand-over
+	Declared        bool    // this is the ratio of weights that the deployment declares
 }
 
-// Curve is a deployment's trade-off of idle time against staleness.
+// Curve is the trade-off between idle time and staleness of a deployment.
 type Curve struct {
 	Deployment string
-	Points     []Point // by growing weight of staleness
+	Points     []Point // by increasing StalenessWeight
 }
 
-// Tradeoff measures both deployments' feeds under a range of weights.
+// Tradeoff measures the feeds of both deployments under a range of weights.
 func Tradeoff() []Curve {
 	weights := []float64{0, 0.25, 0.5, 1, 1.5, 2, 3, 4, 6}
 	var group errgroup.Group
 	group.SetLimit(max(1, runtime.GOMAXPROCS(0)/2))
 	var curves []Curve
-	for _, s := range []scenario{ledgerwise(), batumi()} {
+	for _, s := range []scenario{ledgerwiseScenario(), batumiScenario()} {
 		points := make([]Point, len(weights))
 		for i, weight := range weights {
 			group.Go(func() error {
-				r := newPipeline(s, newPolicy(s, 1, weight)).run()
+				r := newPipeline(s, newScheduler(s, 1, weight)).run()
 				points[i] = Point{
 					StalenessWeight: weight,
-					IdlePerTraining: r.waited(),
-					MeanLag:         r.meanVersions(),
-					Declared:        weight == s.staleness/s.idle,
+					IdlePerTraining: r.idlePerTraining(),
+					MeanLag:         r.meanLag(),
+					Declared:        weight == s.stalenessWeight/s.idleWeight,
 				}
 				return nil
 			})
--- a/internal/lab/rollout/trainer.go
+++ b/internal/lab/rollout/trainer.go
@@ -9,130 +9,133 @@
 	"siskinloom.example/siskinloom/internal/policy/sample"
 )
 
-// trainer is a trainer process with its durable state and the checker of what
-// it takes.
+// trainer is a trainer process with its checkpoints. It also checks the samples that it
+// accepts.
 type trainer struct {
-	w       *world
-	client  *handover.Client
-	version int64
-	call    uint64 // newest pull
-	first   uint64 // first pull since the start; answers to earlier ones reach nobody
-	held    []sample.ID
-	step    int64 // complete ones, as told; only where shapes change
-	kept    []checkpoint
-	ended   error
-}
-
-// checkpoint is what the trainer keeps durably.
+	world         *world
+	client        *handover.Client
+	version       int64
+	lastCall      uint64 // number of the newest pull
+	firstCall     uint64 // first pull since the process started; answers to earlier ones are lost
+	held          []sample.ID
+	reportedSteps int64 // steps that answers reported as complete; used only if shapes change
+	checkpoints   []checkpoint
+	err           error // set when the trainer gives up
+}
+
+// checkpoint is the state that the trainer stores durably.
 type checkpoint struct {
-	at      handover.Position
-	held    []sample.ID
-	step    int64
-	version int64
+	position      handover.Position
+	held          []sample.ID
+	reportedSteps int64
+	version       int64
 }
 
 func newTrainer(w *world) trainer {
-	return trainer{w: w, version: 1, kept: []checkpoint{{version: 1}}}
+	return trainer{world: w, version: 1, checkpoints: []checkpoint{{version: 1}}}
 }
 
 func (t *trainer) start() {
-	last := t.kept[len(t.kept)-1]
+	last := t.checkpoints[len(t.checkpoints)-1]
 	t.held = append([]sample.ID(nil), last.held...)
-	t.step = last.step
+	t.reportedSteps = last.reportedSteps
 	t.version = last.version
-	t.first = t.call + 1
-	t.client = handover.NewClient(last.at, versionsBound)
+	t.firstCall = t.lastCall + 1
+	t.client = handover.NewClient(last.position, maxVersionLag)
 	t.pull()
 }
 
-// restart ends the process and starts it from one of its newest checkpoints.
-// Going back to one gives up those after it.
+// restart restarts the process from one of its three newest checkpoints and discards the
+// later ones.
 func (t *trainer) restart() {
-	t.w.seen.Restarts++
-	back := min(t.w.rng.IntN(3), len(t.kept)-1)
-	t.kept = t.kept[:len(t.kept)-back]
+	t.world.faults.Restarts++
+	discarded := min(t.world.rng.IntN(3), len(t.checkpoints)-1)
+	t.checkpoints = t.checkpoints[:len(t.checkpoints)-discarded]
 	t.start()
 }
 
-// publish makes a version of the engines the trainer's own.
+// publish sets the trainer's weight version and announces it to the owners.
 func (t *trainer) publish(version int64) {
 	t.version = version
-	for _, n := range t.w.nodes {
-		if !t.w.lost() {
-			t.w.time.After(t.w.delay(), func() { n.deliver(handover.Announced{Version: version}) })
+	for _, owner := range t.world.owners {
+		if !t.world.dropMessage() {
+			t.world.clock.After(t.world.delay(), func() { owner.deliver(handover.Announced{Version: version}) })
 		}
 	}
 }
 
+// finished reports whether the trainer holds all steps or has given up.
 func (t *trainer) finished() bool {
-	return t.ended != nil || t.client.Position().Cursor > 0 && t.complete() >= int64(t.w.steps)
+	return t.err != nil || t.client.Position().Cursor > 0 && t.completeSteps() >= int64(t.world.steps)
 }
 
-func (t *trainer) complete() int64 {
-	if t.w.shapes != nil {
-		return t.step
+// completeSteps returns the number of steps that the trainer holds completely.
+func (t *trainer) completeSteps() int64 {
+	if t.world.shapes != nil {
+		return t.reportedSteps
 	}
-	return int64(len(t.held) / t.w.cfg.Shape.Needed())
+	return int64(len(t.held) / t.world.config.Shape.Needed())
 }
 
-// pull calls for the next lot and calls again when no answer comes. The earlier
-// call stays under way: its answer may come after the newer one's.
+// pull requests the next lot and pulls again if no answer arrives in time. The earlier
+// call is not cancelled, so its answer may arrive after that of a later one.
 func (t *trainer) pull() {
-	t.call++
-	call := t.call
-	p := t.client.Pull(t.version)
-	if t.w.harm.RewritePull != nil {
-		p = t.w.harm.RewritePull(p)
-	}
-	t.w.time.After(pullPatience, func() {
-		if t.call == call && !t.finished() {
+	t.lastCall++
+	call := t.lastCall
+	pull := t.client.Pull(t.version)
+	if t.world.disabled.RewritePull != nil {
+		pull = t.world.disabled.RewritePull(pull)
+	}
+	t.world.clock.After(trainerPullTimeout, func() {
+		if t.lastCall == call && !t.finished() {
 			t.pull()
 		}
 	})
 	copies := 1
-	if t.w.faulty && t.w.rng.IntN(10) == 0 {
+	if t.world.faultsActive && t.world.rng.IntN(10) == 0 {
 		copies = 2
 	}
 	for range copies {
-		t.send(call, p)
+		t.send(call, pull)
 	}
 }
 
-func (t *trainer) send(call uint64, p handover.Pull) {
-	if t.w.lost() {
+func (t *trainer) send(call uint64, pull handover.Pull) {
+	if t.world.dropMessage() {
 		return
 	}
-	t.w.time.After(t.w.delay(), func() {
-		if n := t.w.route(); n != nil {
-			n.pull(call, p)
+	t.world.clock.After(t.world.delay(), func() {
+		if owner := t.world.pickOwner(); owner != nil {
+			owner.handlePull(call, pull)
 		}
 	})
 }
 
-// reach brings an answer to the process that pulled, if it still lives.
-func (t *trainer) reach(call uint64, fn func(newest bool)) {
-	if t.w.lost() {
+// deliver calls fn when the answer to a call arrives, unless the answer is lost or the
+// process that made the call has ended. newest tells whether the call is the newest.
+func (t *trainer) deliver(call uint64, fn func(newest bool)) {
+	if t.world.dropMessage() {
 		return
 	}
-	t.w.time.After(t.w.delay(), func() {
-		if call >= t.first && !t.finished() {
-			fn(call == t.call)
+	t.world.clock.After(t.world.delay(), func() {
+		if call >= t.firstCall && !t.finished() {
+			fn(call == t.lastCall)
 		}
 	})
 }
 
-func (t *trainer) answered(call uint64, a handover.Answer) {
-	t.reach(call, func(newest bool) {
-		if t.w.harm.RewriteAnswer != nil {
-			a = t.w.harm.RewriteAnswer(t.client.Position(), a)
+func (t *trainer) receiveAnswer(call uint64, a handover.Answer) {
+	t.deliver(call, func(newest bool) {
+		if t.world.disabled.RewriteAnswer != nil {
+			a = t.world.disabled.RewriteAnswer(t.client.Position(), a)
 		}
 		lot := t.client.HandleAnswer(a, t.version)
-		t.check(lot)
+		t.checkLot(lot)
 		if len(lot) > 0 && a.StepComplete {
-			t.step++
+			t.reportedSteps++
 		}
-		if len(lot) > 0 && t.w.rng.IntN(2) == 0 {
-			t.keep()
+		if len(lot) > 0 && t.world.rng.IntN(2) == 0 {
+			t.saveCheckpoint()
 		}
 		if newest || len(lot) > 0 {
 			t.pull()
@@ -140,90 +143,91 @@
 	})
 }
 
-func (t *trainer) refused(call uint64, reason handover.Refusal) {
-	t.reach(call, func(newest bool) {
+func (t *trainer) receiveRefusal(call uint64, reason handover.Refusal) {
+	t.deliver(call, func(newest bool) {
 		if !newest {
 			return
 		}
 		err := t.client.HandleRefusal(reason)
 		if errors.Is(err, handover.ErrSuperseded) {
-			// A late pull of a run that is gone took the feed over. The process
-			// ends and its supervisor starts it again.
-			t.w.seen.Superseded++
+			// A late pull of an earlier run has taken the feed over. The process exits
+			// and its supervisor restarts it.
+			t.world.faults.Superseded++
 			t.start()
 			return
 		}
-		t.ended = err
+		t.err = err
 	})
 }
 
-func (t *trainer) keep() {
-	t.kept = append(t.kept, checkpoint{at: t.client.Position(), held: append([]sample.ID(nil), t.held...), step: t.step, version: t.version})
+func (t *trainer) saveCheckpoint() {
+	t.checkpoints = append(t.checkpoints, checkpoint{position: t.client.Position(), held: append([]sample.ID(nil), t.held...), reportedSteps: t.reportedSteps, version: t.version})
 }
 
-// check judges what was taken against what the world knows.
-func (t *trainer) check(lot []sample.Sample) {
-	t.w.seen.AcceptedSamples += len(lot)
-	step := t.complete()
+// checkLot counts the violations in a lot that the trainer accepted.
+func (t *trainer) checkLot(lot []sample.Sample) {
+	t.world.faults.AcceptedSamples += len(lot)
+	step := t.completeSteps()
 	for _, s := range lot {
 		for _, held := range t.held {
 			if held == s.ID {
-				t.w.bad.Duplicates++
+				t.world.violations.Duplicates++
 			}
 		}
 		if s.ID.Step != step {
-			t.w.bad.Lost++
+			t.world.violations.Lost++
 		}
-		t.checkLabels(s)
+		t.checkSegments(s)
 	}
 	for _, s := range lot {
 		t.held = append(t.held, s.ID)
 	}
 }
 
-func (t *trainer) checkLabels(s sample.Sample) {
-	n, err := strconv.Atoi(s.Text)
+// checkSegments compares a sample's segments with the versions that generated it.
+func (t *trainer) checkSegments(s sample.Sample) {
+	index, err := strconv.Atoi(s.Text)
 	if err != nil {
-		t.w.bad.Mislabeled++
+		t.world.violations.Mislabeled++
 		return
 	}
-	truth := t.w.runs[n].versions
-	told := make([]int64, 0, len(truth))
+	actual := t.world.generations[index].versions
+	labelled := make([]int64, 0, len(actual))
 	for _, segment := range s.Segments {
 		for range segment.To - segment.From {
-			told = append(told, segment.Version)
+			labelled = append(labelled, segment.Version)
 		}
 	}
-	same := len(told) == len(truth)
+	equal := len(labelled) == len(actual)
 	stale := false
-	for i, version := range truth {
-		same = same && told[i] == version
-		stale = stale || t.version-version > versionsBound
+	for i, version := range actual {
+		equal = equal && labelled[i] == version
+		stale = stale || t.version-version > maxVersionLag
 	}
-	if !same {
-		t.w.bad.Mislabeled++
+	if !equal {
+		t.world.violations.Mislabeled++
 	}
 	if stale {
-		t.w.bad.Stale++
+		t.world.violations.Stale++
 	}
 }
 
-// settle counts what never came: every group of every finished step must be
-// there with exactly its size.
-func (t *trainer) settle() {
-	if t.w.shapes != nil {
-		t.settleShapes()
+// checkMissing counts the samples that are missing or too many at the end of the schedule:
+// the trainer must hold every group of every step with exactly the group's size.
+func (t *trainer) checkMissing() {
+	if t.world.shapes != nil {
+		t.checkShapes()
 		return
 	}
-	shape := t.w.cfg.Shape
+	shape := t.world.config.Shape
 	counts := map[[2]int64]int{}
 	for _, id := range t.held {
 		counts[[2]int64{id.Step, id.Group}]++
 	}
-	for step := range int64(t.w.steps) {
+	for step := range int64(t.world.steps) {
 		for group := range int64(shape.Groups) {
 			if missing := shape.Size - counts[[2]int64{step, group}]; missing != 0 {
-				t.w.bad.Lost += max(missing, -missing)
+				t.world.violations.Lost += max(missing, -missing)
 			}
 		}
 	}
--- a/internal/lab/rollout/wallclock.go
+++ b/internal/lab/rollout/wallclock.go
@@ -12,55 +12,56 @@
 )
 
 const (
-	benchGroups = 512
-	benchSize   = 8
-	benchLot    = 256
-	benchTokens = 256
+	benchGroups          = 512
+	benchGroupSize       = 8
+	benchLotSize         = 256
+	benchTokensPerSample = 256
 )
 
-// WallClock times one step of 4,096 samples through labels and hand-over on one
-// core, with every manifest written, beside the same samples passed on by a
-// plain queue, and tells the memory that each sample in the owner's pool takes.
+// WallClock measures the time of labelling and handing over one step of 4,096 samples on
+// one core, with every manifest written, and the memory per sample in the owner's pool.
+// The baseline is a plain queue that passes on the same samples.
 func WallClock() ([]bounds.Figure, error) {
-	shape := sample.Shape{Groups: benchGroups, Size: benchSize}
+	shape := sample.Shape{Groups: benchGroups, Size: benchGroupSize}
 	began := time.Now()
-	samples, err := labelledStep(shape)
+	samples, err := newLabelledSamples(shape)
 	if err != nil {
 		return nil, err
 	}
-	labelling := time.Since(began)
+	labelTime := time.Since(began)
 	before := heapBytes()
 	began = time.Now()
-	owner := servingOwner(shape)
+	owner := newBenchOwner(shape)
 	for _, s := range samples {
 		owner.step(handover.Completed{Sample: s})
 	}
-	filling := time.Since(began)
+	fillTime := time.Since(began)
 	perSample := float64(heapBytes()-before) / float64(len(samples))
 	began = time.Now()
-	handed := owner.handOver(len(samples))
-	handing := time.Since(began)
-	total := (labelling + filling + handing).Seconds()
+	handedOver := owner.handOver(len(samples))
+	handOverTime := time.Since(began)
+	total := (labelTime + fillTime + handOverTime).Seconds()
 	return []bounds.Figure{
-		{Name: "rollout.step_4096_ms", Value: (filling + handing).Seconds() * 1e3},
+		{Name: "rollout.step_4096_ms", Value: (fillTime + handOverTime).Seconds() * 1e3},
 		{Name: "rollout.step_4096_ms.baseline", Value: plainQueue(samples).Seconds() * 1e3},
-		{Name: "rollout.samples_per_s_core", Value: float64(handed) / total},
+		{Name: "rollout.samples_per_s_core", Value: float64(handedOver) / total},
 		{Name: "rollout.pool_bytes_per_sample", Value: perSample},
 	}, nil
 }
 
-func labelledStep(shape sample.Shape) ([]sample.Sample, error) {
+// newLabelledSamples returns the samples of step 0 of the shape, each with two segments.
+func newLabelledSamples(shape sample.Shape) ([]sample.Sample, error) {
 	samples := make([]sample.Sample, 0, shape.Slots())
-	read := wire.ReadReply{Tokens: make([]string, benchTokens), Versions: make([]int64, benchTokens)}
-	for i := range read.Versions {
-		read.Versions[i] = 1 + int64(i*2/benchTokens)
+	reply := wire.ReadReply{Tokens: make([]string, benchTokensPerSample), Versions: make([]int64, benchTokensPerSample)}
+	for i := range reply.Versions {
+		reply.Versions[i] = 1 + int64(i*2/benchTokensPerSample)
 	}
 	for slot := range shape.Slots() {
-		var b labels.Builder
-		if err := b.Add(read); err != nil {
+		var builder labels.Builder
+		if err := builder.Add(reply); err != nil {
 			return nil, err
 		}
-		segments, err := b.Finish(benchTokens, nil)
+		segments, err := builder.Finish(benchTokensPerSample, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -69,6 +70,7 @@
 	return samples, nil
 }
 
+// heapBytes returns the size of the live heap.
 func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -76,18 +78,19 @@
 	return m.HeapAlloc
 }
 
-// benchOwner answers its own reads and writes at once.
+// benchOwner is an owner with a trainer's client. Its reads and writes of the manifest
+// complete immediately.
 type benchOwner struct {
-	state    *handover.Owner
-	client   *handover.Client
-	revision int64
-	calls    uint64
-	handed   int
+	owner      *handover.Owner
+	client     *handover.Client
+	revision   int64
+	calls      uint64
+	handedOver int
 }
 
-func servingOwner(shape sample.Shape) *benchOwner {
+func newBenchOwner(shape sample.Shape) *benchOwner {
 	o := &benchOwner{
-		state:  handover.New(handover.Config{Shape: shape, LotSize: benchLot, Limits: sample.Limits{MaxVersionLag: 1}}, "bench", 1),
+		owner:  handover.New(handover.Config{Shape: shape, LotSize: benchLotSize, Limits: sample.Limits{MaxVersionLag: 1}}, "bench", 1),
 		client: handover.NewClient(handover.Position{}, 1),
 	}
 	o.step(handover.Tick{})
@@ -95,7 +98,7 @@
 }
 
 func (o *benchOwner) step(e handover.Event) {
-	for _, a := range o.state.Step(time.Unix(0, 0), e) {
+	for _, a := range o.owner.Step(time.Unix(0, 0), e) {
 		switch a := a.(type) {
 		case handover.Read:
 			o.step(handover.ReadDone{})
@@ -103,19 +106,22 @@
 			o.revision++
 			o.step(handover.WriteDone{Nonce: a.Nonce, Result: handover.WriteApplied, Revision: o.revision})
 		case handover.Reply:
-			o.handed += len(o.client.HandleAnswer(a.Answer, 1))
+			o.handedOver += len(o.client.HandleAnswer(a.Answer, 1))
 		}
 	}
 }
 
+// handOver pulls until the client holds the given number of samples and returns the
+// number that it holds.
 func (o *benchOwner) handOver(samples int) int {
-	for o.handed < samples && o.calls < uint64(samples) {
+	for o.handedOver < samples && o.calls < uint64(samples) {
 		o.calls++
 		o.step(handover.Pulled{Call: o.calls, Pull: o.client.Pull(1)})
 	}
-	return o.handed
+	return o.handedOver
 }
 
+// plainQueue returns the time to pass the samples through a channel in lots.
 func plainQueue(samples []sample.Sample) time.Duration {
 	began := time.Now()
 	queue := make(chan sample.Sample, len(samples))
@@ -123,9 +129,9 @@
 		queue <- s
 	}
 	close(queue)
-	lot := make([]sample.Sample, 0, benchLot)
+	lot := make([]sample.Sample, 0, benchLotSize)
 	for s := range queue {
-		if len(lot) == benchLot {
+		if len(lot) == benchLotSize {
 			lot = lot[:0]
 		}
 		lot = append(lot, s)
