--- a/internal/lab/config/availability.go
+++ b/internal/lab/config/availability.go
@@ -7,35 +7,37 @@
 )
 
 const (
-	// slowAgentBeat is the interval of an entry that watches the most agents at
-	// the letter's size (docs/design/membership.md).
-	slowAgentBeat = 2300 * time.Millisecond
-	outageLasts   = time.Minute
-	sampleEvery   = 200 * time.Millisecond
+	// slowAgentHeartbeatInterval is the interval of the entry of the reference fleet that
+	// has the most agents (docs/design/membership.md).
+	slowAgentHeartbeatInterval = 2300 * time.Millisecond
+	outageDuration             = time.Minute
+	sampleInterval             = 200 * time.Millisecond
 )
 
-// measureAvailability tells what the proof of being current costs: how much of
-// the time healthy processes take no work, with messages lost, while the service
-// answers and in an outage of it.
+// measureAvailability measures how much availability is lost because a process without
+// recent proof that its configuration is current takes no work. It returns the share of
+// time for which healthy processes take no work, with lost messages, while the service
+// answers and during an outage.
 func measureAvailability() ([]bounds.Figure, error) {
-	f := newFleet(7, letterEntries, letterAgents)
-	f.agentBeat = slowAgentBeat
+	f := newFleet(7, referenceEntries, referenceAgents)
+	f.agentHeartbeatInterval = slowAgentHeartbeatInterval
 	f.startAll()
-	f.Run(warmUp, never)
-	served := f.unready(steady)
-	f.conf.out = true
-	outage := f.unready(outageLasts)
+	f.Run(warmUpTime, never)
+	servedShare := f.unreadyShare(measureTime)
+	f.configStore.outage = true
+	outageShare := f.unreadyShare(outageDuration)
 	return []bounds.Figure{
-		{Name: "config.unready_share", Value: served},
-		{Name: "config.unready_share_outage", Value: outage},
+		{Name: "config.unready_share", Value: servedShare},
+		{Name: "config.unready_share_outage", Value: outageShare},
 	}, nil
 }
 
-// unready returns the share of processes that take no work, over a span.
-func (f *fleet) unready(span time.Duration) float64 {
+// unreadyShare returns the mean share of processes that take no work during the given
+// time.
+func (f *fleet) unreadyShare(duration time.Duration) float64 {
 	unready, all := 0, 0
-	for began := f.Now(); f.Now().Sub(began) < span; {
-		f.Run(sampleEvery, never)
+	for began := f.Now(); f.Now().Sub(began) < duration; {
+		f.Run(sampleInterval, never)
 		for _, n := range f.nodes {
 			all++
 			if !n.follower.Ready(f.Now()) {
--- a/internal/lab/config/dutyschedule.go
+++ b/internal/lab/config/dutyschedule.go
@@ -8,76 +8,77 @@
 )
 
 const (
-	dutySchedules  = 2000
-	dutyEntries    = 3
-	dutyCount      = 3
-	dutyActs       = 150 * time.Millisecond
-	dutyFaultsEnd  = 20 * time.Second
-	dutyEnd        = 50 * time.Second
-	clockDrift     = 0.04 // clocks run apart by up to twice this
-	crashSchedules = 300
-	offerLoss      = 0.05
-	offerLate      = 0.1
+	dutyScheduleCount    = 2000
+	dutyEntries          = 3
+	dutyCount            = 3
+	dutyActInterval      = 150 * time.Millisecond
+	dutyFaultPeriod      = 20 * time.Second
+	dutyScheduleDuration = 50 * time.Second
+	maxClockDrift        = 0.04 // of one clock; the rates of two clocks differ by up to twice this
+	crashScheduleCount   = 300
+	offerLossRate        = 0.05
+	lateOfferRate        = 0.1
 )
 
-// dutyVariant is a deliberate fault of the host.
-type dutyVariant int
+// disabledDutySafeguard selects the safeguard that a schedule of duties runs without, to
+// show that the checks detect the violations that follow.
+type disabledDutySafeguard int
 
 const (
-	dutiesWhole dutyVariant = iota
-	noFence                 // receivers do not compare epochs
-	longLease               // a lease is counted from long after its write was sent
+	noDutySafeguardDisabled disabledDutySafeguard = iota
+	noFencing                                     // receivers accept acts with any epoch
+	lateLeaseStart                                // a lease starts long after its write was sent instead of when it was sent
 )
 
-// dutyVerdicts are what the judge counts.
-type dutyVerdicts struct {
-	acts         int
-	twoEffective int // acts that took effect after one of a later holder, or beside another holder of the epoch
-	overlaps     int // moments at which two unpaused processes held a lease
+// dutyResults counts the violations and the acts of schedules of duties.
+type dutyResults struct {
+	acts         int // acts that receivers accepted
+	twoEffective int // accepted acts that followed one with a higher epoch, or one of another process with the same epoch
+	overlaps     int // acts during which another process that isn't paused also held the lease
 	unheld       int // duties without a holder at the end
 }
 
-// dutySchedule is a run of a few keepers under faults drawn from a seed.
+// dutySchedule simulates the entries that compete for a few duties, under the faults of a
+// seed.
 type dutySchedule struct {
 	*world
-	variant   dutyVariant
+	disabled  disabledDutySafeguard
 	leases    *store[duties.Record]
 	members   []duties.Member
-	procs     []*dutyProc
-	receivers map[string]duties.Record // highest epoch that acted, and its holder
-	verdicts  dutyVerdicts
+	processes []*dutyProcess
+	lastActs  map[string]duties.Record // by duty; highest epoch that acted, and its holder
+	results   dutyResults
 }
 
-// dutyProc is one entry. Its clock runs at its own rate and steps do not touch
-// it, as it is the monotonic one.
-type dutyProc struct {
-	s      *dutySchedule
-	index  int
-	life   int
-	up     bool
-	paused time.Time
-	rate   float64
-	keeper *duties.Keeper
-	prompt bool // looks again after each answer, as the runtime does
-	silent bool // makes no offers
+// dutyProcess is an entry. Its clock is monotonic and runs at a rate of its own.
+type dutyProcess struct {
+	schedule       *dutySchedule
+	index          int
+	incarnation    int
+	up             bool
+	pausedUntil    time.Time
+	clockRate      float64
+	keeper         *duties.Keeper
+	tickAfterCalls bool // calls tick after each answer, as the runtime does
+	noOffers       bool // sends no offers
 }
 
-func newDutySchedule(seed uint64, v dutyVariant) *dutySchedule {
+func newDutySchedule(seed uint64, disabled disabledDutySafeguard) *dutySchedule {
 	w := newWorld(seed)
-	s := &dutySchedule{world: w, variant: v, receivers: map[string]duties.Record{}}
-	s.leases = newStore[duties.Record](w, storeFaults{loseRequest: 0.03, loseAnswer: 0.05, delay: 0.03})
+	s := &dutySchedule{world: w, disabled: disabled, lastActs: map[string]duties.Record{}}
+	s.leases = newStore[duties.Record](w, storeFaults{lostRequest: 0.03, lostAnswer: 0.05, lateRequest: 0.03})
 	for i := range dutyEntries {
 		s.members = append(s.members, duties.Member{ID: fmt.Sprint("e", i), Address: fmt.Sprint(i), Domain: fmt.Sprint(i), Alive: true})
-		s.procs = append(s.procs, &dutyProc{s: s, index: i, rate: 1 + clockDrift*(2*w.rnd.Float64()-1)})
+		s.processes = append(s.processes, &dutyProcess{schedule: s, index: i, clockRate: 1 + maxClockDrift*(2*w.rng.Float64()-1)})
 	}
-	for _, p := range s.procs {
+	for _, p := range s.processes {
 		p.start()
 	}
 	return s
 }
 
-// faulty tells whether calls and messages may be lost.
-func (s *dutySchedule) faulty() bool { return s.leases.faults != storeFaults{} }
+// faultsActive reports whether calls and messages may be lost.
+func (s *dutySchedule) faultsActive() bool { return s.leases.faults != storeFaults{} }
 
 func dutyNames() []string {
 	var names []string
@@ -87,158 +88,164 @@
 	return names
 }
 
-// clock is the process's own monotonic clock.
-func (p *dutyProc) clock() time.Time {
+// now returns the time of the process's monotonic clock.
+func (p *dutyProcess) now() time.Time {
 	origin := time.Unix(0, 0)
-	return origin.Add(time.Duration(float64(p.s.Now().Sub(origin)) * p.rate))
+	return origin.Add(time.Duration(float64(p.schedule.Now().Sub(origin)) * p.clockRate))
 }
 
-func (p *dutyProc) start() {
-	p.life++
+func (p *dutyProcess) start() {
+	p.incarnation++
 	p.up = true
-	p.keeper = duties.New(duties.DefaultConfig(), p.s.members[p.index], fmt.Sprint(p.life))
-	p.keeper.SetNames(p.clock(), dutyNames())
-	p.keeper.SetMembers(p.clock(), p.s.members)
-	p.every(fleetTick, p.tick)
-	p.every(dutyActs, p.act)
+	p.keeper = duties.New(duties.DefaultConfig(), p.schedule.members[p.index], fmt.Sprint(p.incarnation))
+	p.keeper.SetNames(p.now(), dutyNames())
+	p.keeper.SetMembers(p.now(), p.schedule.members)
+	p.repeat(fleetTickInterval, p.tick)
+	p.repeat(dutyActInterval, p.act)
 }
 
-func (p *dutyProc) do(life int, fn func()) {
-	if p.life != life || !p.up {
+// runIfAlive calls fn unless the incarnation has ended. If the process is paused, it does
+// so after the pause.
+func (p *dutyProcess) runIfAlive(incarnation int, fn func()) {
+	if p.incarnation != incarnation || !p.up {
 		return
 	}
-	if wait := p.paused.Sub(p.s.Now()); wait > 0 {
-		p.s.After(wait, func() { p.do(life, fn) })
+	if remaining := p.pausedUntil.Sub(p.schedule.Now()); remaining > 0 {
+		p.schedule.After(remaining, func() { p.runIfAlive(incarnation, fn) })
 		return
 	}
 	fn()
 }
 
-func (p *dutyProc) every(interval time.Duration, fn func()) {
-	life := p.life
+// repeat calls fn at an interval, with a random initial delay, until the incarnation ends.
+func (p *dutyProcess) repeat(interval time.Duration, fn func()) {
+	incarnation := p.incarnation
 	var next func()
 	next = func() {
-		p.do(life, fn)
-		if p.life == life {
-			p.s.After(interval, next)
+		p.runIfAlive(incarnation, fn)
+		if p.incarnation == incarnation {
+			p.schedule.After(interval, next)
 		}
 	}
-	p.s.After(p.s.between(0, interval), next)
+	p.schedule.After(p.schedule.between(0, interval), next)
 }
 
-func (p *dutyProc) tick() {
-	for _, a := range p.keeper.Tick(p.clock(), p.s.rnd) {
-		life := p.life
+func (p *dutyProcess) tick() {
+	for _, a := range p.keeper.Tick(p.now(), p.schedule.rng) {
+		incarnation := p.incarnation
 		if a.Kind == duties.Read {
-			p.s.leases.read(a.Duty, func(r duties.Record, revision int64, ok bool) {
-				p.do(life, func() {
-					p.keeper.ReadDone(p.clock(), a.Duty, r, revision, ok)
-					p.answered()
+			p.schedule.leases.read(a.Duty, func(r duties.Record, revision int64, ok bool) {
+				p.runIfAlive(incarnation, func() {
+					p.keeper.ReadDone(p.now(), a.Duty, r, revision, ok)
+					p.callDone()
 				})
 			})
 			continue
 		}
-		p.s.leases.swap(a.Duty, a.Expected, a.Record, func(o outcome, r duties.Record, revision int64) {
-			p.do(life, func() {
-				if p.s.variant == longLease {
-					a.Sent = p.clock().Add(6 * time.Second)
+		p.schedule.leases.compareAndSwap(a.Duty, a.Expected, a.Record, func(outcome storeOutcome, r duties.Record, revision int64) {
+			p.runIfAlive(incarnation, func() {
+				if p.schedule.disabled == lateLeaseStart {
+					a.Sent = p.now().Add(6 * time.Second)
 				}
-				p.keeper.WriteDone(p.clock(), a, dutyOutcome(o), r, revision)
-				p.offer()
-				p.answered()
+				p.keeper.WriteDone(p.now(), a, dutyOutcome(outcome), r, revision)
+				p.sendOffers()
+				p.callDone()
 			})
 		})
 	}
 }
 
-func (p *dutyProc) answered() {
-	if p.prompt {
+func (p *dutyProcess) callDone() {
+	if p.tickAfterCalls {
 		p.tick()
 	}
 }
 
-// offer sends the offers that are due. Some are lost and some come very late.
-func (p *dutyProc) offer() {
+// sendOffers sends the keeper's offers. While faults are active, some are lost and some
+// arrive late.
+func (p *dutyProcess) sendOffers() {
 	for _, o := range p.keeper.Offers() {
-		if p.silent || p.s.faulty() && p.s.chance(offerLoss) {
+		if p.noOffers || p.schedule.faultsActive() && p.schedule.chance(offerLossRate) {
 			continue
 		}
-		delay := p.s.between(time.Millisecond, 5*time.Millisecond)
-		if p.s.faulty() && p.s.chance(offerLate) {
-			delay = p.s.between(time.Second, 12*time.Second)
+		delay := p.schedule.between(time.Millisecond, 5*time.Millisecond)
+		if p.schedule.faultsActive() && p.schedule.chance(lateOfferRate) {
+			delay = p.schedule.between(time.Second, 12*time.Second)
 		}
-		for _, q := range p.s.procs {
-			if p.s.members[q.index].ID == o.To[0].ID {
-				life := q.life
-				p.s.After(delay, func() { q.do(life, func() { q.offered(o) }) })
+		for _, other := range p.schedule.processes {
+			if p.schedule.members[other.index].ID == o.To[0].ID {
+				incarnation := other.incarnation
+				p.schedule.After(delay, func() { other.runIfAlive(incarnation, func() { other.handleOffer(o) }) })
 			}
 		}
 	}
 }
 
-func (p *dutyProc) offered(o duties.Offer) {
-	if p.keeper.Offered(p.clock(), o.Duty, o.Epoch) {
-		p.answered()
+func (p *dutyProcess) handleOffer(o duties.Offer) {
+	if p.keeper.Offered(p.now(), o.Duty, o.Epoch) {
+		p.callDone()
 	}
 }
 
-// act has the process do each duty's work that it holds. Between its look at
-// the lease and the act's arrival it may be paused.
-func (p *dutyProc) act() {
+// act sends an act for each duty that the process holds. Some acts arrive late, as if the
+// process were paused between checking its lease and acting.
+func (p *dutyProcess) act() {
 	for _, name := range dutyNames() {
-		owner, mine := p.keeper.KnownHolder(p.clock(), name)
-		if !mine {
+		holder, holds := p.keeper.KnownHolder(p.now(), name)
+		if !holds {
 			continue
 		}
-		for _, other := range p.s.procs {
-			if other != p && other.up && p.s.Now().After(other.paused) && other.keeper.LeaseState(other.clock(), name) == duties.Holder {
-				p.s.verdicts.overlaps++
+		for _, other := range p.schedule.processes {
+			if other != p && other.up && p.schedule.Now().After(other.pausedUntil) && other.keeper.LeaseState(other.now(), name) == duties.Holder {
+				p.schedule.results.overlaps++
 			}
 		}
-		delay := p.s.between(time.Millisecond, 5*time.Millisecond)
-		if p.s.chance(0.02) {
-			delay = p.s.between(time.Second, 12*time.Second)
+		delay := p.schedule.between(time.Millisecond, 5*time.Millisecond)
+		if p.schedule.chance(0.02) {
+			delay = p.schedule.between(time.Second, 12*time.Second)
 		}
-		by := fmt.Sprint(p.index, "-", p.life)
-		p.s.After(delay, func() { p.s.receive(name, owner.Epoch, by) })
+		actor := fmt.Sprint(p.index, "-", p.incarnation)
+		p.schedule.After(delay, func() { p.schedule.receive(name, holder.Epoch, actor) })
 	}
 }
 
-// receive is what an act's receiver does: it refuses an epoch below the highest
-// it has seen.
-func (s *dutySchedule) receive(name string, epoch int64, by string) {
-	seen := s.receivers[name]
-	if epoch < seen.Epoch && s.variant != noFence {
+// receive is the receiver of an act. It rejects an epoch that is lower than the highest it
+// has accepted.
+func (s *dutySchedule) receive(name string, epoch int64, actor string) {
+	last := s.lastActs[name]
+	if epoch < last.Epoch && s.disabled != noFencing {
 		return
 	}
-	s.verdicts.acts++
-	if epoch < seen.Epoch || epoch == seen.Epoch && by != seen.Boot {
-		s.verdicts.twoEffective++
+	s.results.acts++
+	if epoch < last.Epoch || epoch == last.Epoch && actor != last.Boot {
+		s.results.twoEffective++
 		return
 	}
-	s.receivers[name] = duties.Record{Epoch: epoch, Boot: by}
+	s.lastActs[name] = duties.Record{Epoch: epoch, Boot: actor}
 }
 
-func (s *dutySchedule) fault() {
-	p := s.procs[s.rnd.IntN(len(s.procs))]
-	lasts := s.between(200*time.Millisecond, 9*time.Second)
-	switch s.rnd.IntN(4) {
+// injectFault starts a random fault: an outage of the service, a crash, a pause or a
+// planned stop.
+func (s *dutySchedule) injectFault() {
+	p := s.processes[s.rng.IntN(len(s.processes))]
+	duration := s.between(200*time.Millisecond, 9*time.Second)
+	switch s.rng.IntN(4) {
 	case 0:
-		s.leases.out = true
-		s.After(lasts, func() { s.leases.out = false })
+		s.leases.outage = true
+		s.After(duration, func() { s.leases.outage = false })
 	case 1:
 		p.crash()
-		s.After(lasts, func() {
+		s.After(duration, func() {
 			if !p.up {
 				p.start()
 			}
 		})
 	case 2:
-		p.paused = s.Now().Add(lasts)
+		p.pausedUntil = s.Now().Add(duration)
 	case 3:
 		p.keeper.Stop()
 		s.After(2*time.Second, p.crash)
-		s.After(2*time.Second+lasts, func() {
+		s.After(2*time.Second+duration, func() {
 			if !p.up {
 				p.start()
 			}
@@ -246,61 +253,63 @@
 	}
 }
 
-func (p *dutyProc) crash() {
+func (p *dutyProcess) crash() {
 	p.up = false
-	p.life++
+	p.incarnation++
 }
 
-func (s *dutySchedule) holder(name string) *dutyProc {
-	for _, p := range s.procs {
-		if p.up && p.keeper.LeaseState(p.clock(), name) == duties.Holder {
+// holder returns the process that holds a duty, or nil.
+func (s *dutySchedule) holder(name string) *dutyProcess {
+	for _, p := range s.processes {
+		if p.up && p.keeper.LeaseState(p.now(), name) == duties.Holder {
 			return p
 		}
 	}
 	return nil
 }
 
-// runDutySchedule plays one seeded schedule.
-func runDutySchedule(seed uint64, v dutyVariant) dutyVerdicts {
-	s := newDutySchedule(seed, v)
-	for range 3 + s.rnd.IntN(5) {
-		s.After(s.between(0, dutyFaultsEnd), s.fault)
+// runDutySchedule simulates the schedule of a seed.
+func runDutySchedule(seed uint64, disabled disabledDutySafeguard) dutyResults {
+	s := newDutySchedule(seed, disabled)
+	for range 3 + s.rng.IntN(5) {
+		s.After(s.between(0, dutyFaultPeriod), s.injectFault)
 	}
-	s.Run(dutyEnd, never)
+	s.Run(dutyScheduleDuration, never)
 	for _, name := range dutyNames() {
 		if s.holder(name) == nil {
-			s.verdicts.unheld++
+			s.results.unheld++
 		}
 	}
-	return s.verdicts
+	return s.results
 }
 
-func runDutySchedules(n int, v dutyVariant) dutyVerdicts {
-	var all dutyVerdicts
+// runDutySchedules simulates the schedules with the seeds 0 to n-1 and adds up the results.
+func runDutySchedules(n int, disabled disabledDutySafeguard) dutyResults {
+	var sum dutyResults
 	for seed := range n {
-		one := runDutySchedule(uint64(seed), v)
-		all.acts += one.acts
-		all.twoEffective += one.twoEffective
-		all.overlaps += one.overlaps
-		all.unheld += one.unheld
+		results := runDutySchedule(uint64(seed), disabled)
+		sum.acts += results.acts
+		sum.twoEffective += results.twoEffective
+		sum.overlaps += results.overlaps
+		sum.unheld += results.unheld
 	}
-	return all
+	return sum
 }
 
-// gapAfterCrash returns how long a duty stands without a holder after its
-// holder has crashed at some moment, with no other fault.
+// gapAfterCrash returns how long a duty has no holder after its holder crashes at a random
+// time, without other faults.
 func gapAfterCrash(seed uint64) time.Duration {
-	s := newDutySchedule(seed, dutiesWhole)
+	s := newDutySchedule(seed, noDutySafeguardDisabled)
 	s.leases.faults = storeFaults{}
 	s.Run(s.between(8*time.Second, 12*time.Second), never)
 	name := dutyNames()[0]
 	p := s.holder(name)
 	if p == nil {
-		return dutyEnd
+		return dutyScheduleDuration
 	}
 	p.crash()
 	began := s.Now()
-	for s.holder(name) == nil && s.Now().Sub(began) < dutyEnd {
+	for s.holder(name) == nil && s.Now().Sub(began) < dutyScheduleDuration {
 		s.Run(50*time.Millisecond, never)
 	}
 	return s.Now().Sub(began)
--- a/internal/lab/config/faults.go
+++ b/internal/lab/config/faults.go
@@ -8,83 +8,83 @@
 	"siskinloom.example/siskinloom/internal/policy/config"
 )
 
-// runSchedule plays one seeded schedule to its end and judges it.
-func runSchedule(seed uint64, v variant) verdicts {
-	s := newSchedule(seed, v)
-	for range 2 + s.rnd.IntN(4) {
-		s.After(s.between(0, faultsEnd), s.fault)
+// runSchedule simulates the schedule of a seed and checks the invariants.
+func runSchedule(seed uint64, disabled disabledSafeguard) results {
+	s := newSchedule(seed, disabled)
+	for range 2 + s.rng.IntN(4) {
+		s.After(s.between(0, faultPeriod), s.injectFault)
 	}
-	for o := range operators {
-		s.After(s.between(500*time.Millisecond, time.Second), func() { s.operate(o, 1) })
+	for operator := range operatorCount {
+		s.After(s.between(500*time.Millisecond, time.Second), func() { s.makeChange(operator, 1) })
 	}
-	s.Run(scheduleEnd, never)
-	s.judge()
-	return s.verdicts
+	s.Run(scheduleDuration, never)
+	s.check()
+	return s.results
 }
 
-// fault begins a fault that ends by itself.
-func (s *schedule) fault() {
-	p := s.procs[s.rnd.IntN(len(s.procs))]
-	lasts := s.between(200*time.Millisecond, 4*time.Second)
-	switch s.rnd.IntN(5) {
+// injectFault starts a random fault that ends after a random duration.
+func (s *schedule) injectFault() {
+	p := s.processes[s.rng.IntN(len(s.processes))]
+	duration := s.between(200*time.Millisecond, 4*time.Second)
+	switch s.rng.IntN(5) {
 	case 0:
-		s.store.out = true
-		s.After(lasts, func() { s.store.out = false })
+		s.store.outage = true
+		s.After(duration, func() { s.store.outage = false })
 	case 1:
 		p.up = false
-		p.life++
-		s.After(lasts, func() {
+		p.incarnation++
+		s.After(duration, func() {
 			if !p.up {
 				p.start()
 			}
 		})
 	case 2:
-		p.paused = s.Now().Add(lasts)
-	case 3: // one process is cut off from all others
-		for _, q := range s.procs {
-			s.cutOff(p.index, q.index, lasts)
+		p.pausedUntil = s.Now().Add(duration)
+	case 3: // one process is disconnected from all others
+		for _, other := range s.processes {
+			s.disconnect(p.index, other.index, duration)
 		}
-	case 4: // two sides
-		for _, a := range s.procs {
-			for _, b := range s.procs {
+	case 4: // the processes are split into two groups
+		for _, a := range s.processes {
+			for _, b := range s.processes {
 				if a.index%2 == 0 && b.index%2 == 1 {
-					s.cutOff(a.index, b.index, lasts)
+					s.disconnect(a.index, b.index, duration)
 				}
 			}
 		}
 	}
 }
 
-func (s *schedule) cutOff(a, b int, lasts time.Duration) {
+func (s *schedule) disconnect(a, b int, duration time.Duration) {
 	pair := pairOf(a, b)
-	s.cut[pair] = true
-	s.After(lasts, func() { delete(s.cut, pair) })
+	s.disconnected[pair] = true
+	s.After(duration, func() { delete(s.disconnected, pair) })
 }
 
-// operate has an operator make its nth change and, in the end, the next. Each
-// operator sets the weight of a business of its own.
-func (s *schedule) operate(o, n int) {
-	if n > changesEach {
+// makeChange submits the nth change of an operator and then its next ones. Each operator
+// sets the weight of a business of its own.
+func (s *schedule) makeChange(operator, n int) {
+	if n > changesPerOperator {
 		return
 	}
-	s.store.read(config.Key(deployment), func(value []byte, _ int64, ok bool) {
-		again := func() { s.After(s.between(100*time.Millisecond, time.Second), func() { s.operate(o, n+1) }) }
+	s.store.read(config.Key(deploymentName), func(value []byte, _ int64, ok bool) {
+		next := func() { s.After(s.between(100*time.Millisecond, time.Second), func() { s.makeChange(operator, n+1) }) }
 		r, err := config.DecodeRecord(value)
 		if !ok || err != nil {
-			s.After(300*time.Millisecond, func() { s.operate(o, n) })
+			s.After(300*time.Millisecond, func() { s.makeChange(operator, n) })
 			return
 		}
-		s.submit(s.request(o, n, r.Revision), 0, again)
+		s.submit(s.changeRequest(operator, n, r.Revision), 0, next)
 	})
 }
 
-func (s *schedule) request(o, n int, expected int64) config.Request {
-	name := fmt.Sprint("business-", o)
+func (s *schedule) changeRequest(operator, n int, expected int64) config.Request {
+	name := fmt.Sprint("business-", operator)
 	return config.Request{
-		Deployment: deployment, Expected: expected, Operator: fmt.Sprint(o), ChangeID: fmt.Sprintf("%d-%d", o, n),
+		Deployment: deploymentName, Expected: expected, Operator: fmt.Sprint(operator), ChangeID: fmt.Sprintf("%d-%d", operator, n),
 		Action: config.ActionApply, Now: s.Now(),
 		Edit: func(current *decl.Deployment) *decl.Deployment {
-			next := decl.Deployment{Name: deployment}
+			next := decl.Deployment{Name: deploymentName}
 			for _, b := range current.Businesses {
 				if b.Name != name {
 					next.Businesses = append(next.Businesses, b)
@@ -96,60 +96,61 @@
 	}
 }
 
-// submit sends a change to some entry, as siskinctl does: one whose outcome is
-// unknown, or that was not answered, is repeated under its change id. That a
-// repeat failed says nothing about the earlier tries, so it stays unknown.
-func (s *schedule) submit(r config.Request, tries int, then func()) {
-	p := s.procs[s.rnd.IntN(scheduleEntries)]
+// submit sends a change to a random entry, as siskinctl does. If the outcome is unknown or
+// no answer arrives, it repeats the change under the same change ID. A failed repeat says
+// nothing about the outcome of earlier requests, so the change stays unknown.
+func (s *schedule) submit(r config.Request, repeats int, done func()) {
+	p := s.processes[s.rng.IntN(scheduleEntries)]
 	answered := false
 	retry := func() {
 		if answered {
 			return
 		}
 		answered = true
-		s.told[r.ChangeID] = config.Unknown
-		if tries < repeats {
-			s.submit(r, tries+1, then)
+		s.lastVerdicts[r.ChangeID] = config.Unknown
+		if repeats < maxRepeats {
+			s.submit(r, repeats+1, done)
 			return
 		}
-		then()
+		done()
 	}
-	s.After(4*time.Second, retry) // the entry died, or its answer was lost
+	s.After(4*time.Second, retry) // if the entry has crashed or its answer is lost
 	if !p.up || !p.follower.MayAccept(s.Now()) {
 		s.After(200*time.Millisecond, retry)
 		return
 	}
-	began := s.Now()
+	sentAt := s.Now()
 	runAttempt(s, p, r, func(result config.Result) {
 		if result.Record.Revision > 0 {
-			p.stored(result.Record, began)
+			p.handleRecord(result.Record, sentAt)
 		}
-		s.journals.note(p, r, result.Verdict)
+		s.refusedLogs.appendOutcome(p, r, result.Verdict)
 		if answered {
 			return
 		}
-		doubt := tries > 0 && s.variant != trustRepeats
-		if result.Verdict == config.Unknown || result.Verdict == config.Failed && doubt {
+		uncertain := repeats > 0 && s.disabled != noUnknownAfterRepeat
+		if result.Verdict == config.Unknown || result.Verdict == config.Failed && uncertain {
 			s.After(200*time.Millisecond, retry)
 			return
 		}
 		answered = true
-		s.told[r.ChangeID] = result.Verdict
-		then()
+		s.lastVerdicts[r.ChangeID] = result.Verdict
+		done()
 	})
 }
 
-// runAttempt carries out an attempt's steps at an entry, as long as it lives.
-func runAttempt(s *schedule, p *proc, r config.Request, end func(config.Result)) {
-	life := p.life
+// runAttempt executes the steps of an attempt at an entry and calls done with the result.
+// It stops if the entry's incarnation ends.
+func runAttempt(s *schedule, p *process, r config.Request, done func(config.Result)) {
+	incarnation := p.incarnation
 	attempt, first := config.NewAttempt(r)
-	var carryOut func(config.Step)
-	next := func(step func() config.Step) { p.do(life, func() { carryOut(step()) }) }
+	var execute func(config.Step)
+	next := func(step func() config.Step) { p.runIfAlive(incarnation, func() { execute(step()) }) }
 	reads := 0
-	carryOut = func(step config.Step) {
+	execute = func(step config.Step) {
 		switch step.Kind {
 		case config.StepDone:
-			end(step.Result)
+			done(step.Result)
 		case config.StepRead:
 			reads++
 			s.store.read(step.Key, func(value []byte, revision int64, ok bool) {
@@ -157,42 +158,42 @@
 				next(func() config.Step { return attempt.ReadDone(record, revision, ok && err == nil) })
 			})
 		case config.StepArchive:
-			s.store.swap(step.Key, 0, step.Value, func(o outcome, value []byte, _ int64) {
+			s.store.compareAndSwap(step.Key, 0, step.Value, func(outcome storeOutcome, value []byte, _ int64) {
 				entries, err := config.DecodeArchive(value)
-				next(func() config.Step { return attempt.ArchiveDone(entries, o <= refused && err == nil) })
+				next(func() config.Step { return attempt.ArchiveDone(entries, outcome <= conflict && err == nil) })
 			})
 		default:
-			s.store.swap(step.Key, step.Expected, step.Value, func(o outcome, _ []byte, _ int64) {
-				next(func() config.Step { return attempt.WriteDone(s.writeOutcome(o)) })
+			s.store.compareAndSwap(step.Key, step.Expected, step.Value, func(outcome storeOutcome, _ []byte, _ int64) {
+				next(func() config.Step { return attempt.WriteDone(s.writeOutcome(outcome)) })
 			})
 		}
 	}
-	carryOut(first)
+	execute(first)
 }
 
-func (s *schedule) writeOutcome(o outcome) config.WriteOutcome {
-	switch o {
+func (s *schedule) writeOutcome(outcome storeOutcome) config.WriteOutcome {
+	switch outcome {
 	case swapped:
 		return config.WriteSwapped
-	case refused:
+	case conflict:
 		return config.WriteConflict
-	case notSent:
+	case notApplied:
 		return config.WriteNotApplied
 	default:
-		if s.variant == unclearFails {
+		if s.disabled == noIndeterminateWrites {
 			return config.WriteNotApplied
 		}
 		return config.WriteIndeterminate
 	}
 }
 
-// judge holds the record against what operators were told.
-func (s *schedule) judge() {
-	v := &s.verdicts
-	v.schedules = 1
-	r, err := config.DecodeRecord(s.store.values[config.Key(deployment)])
+// check compares the record with the verdicts that were reported to the operators.
+func (s *schedule) check() {
+	results := &s.results
+	results.schedules = 1
+	r, err := config.DecodeRecord(s.store.values[config.Key(deploymentName)])
 	if err != nil {
-		v.torn++
+		results.torn++
 		return
 	}
 	entries := map[string]int{}
@@ -201,41 +202,42 @@
 		entries[a.ChangeID]++
 		revisions[a.Revision]++
 	}
-	for revision := int64(1); revision <= s.newest; revision++ {
+	for revision := int64(1); revision <= s.newestRevision; revision++ {
 		if revisions[revision] != 1 {
-			v.auditMissing++
+			results.auditMissing++
 		}
 	}
-	v.auditMissing += s.journals.missing()
-	for id, verdict := range s.told {
+	results.auditMissing += s.refusedLogs.miscounted()
+	for id, verdict := range s.lastVerdicts {
 		switch verdict {
 		case config.Accepted:
-			v.accepted++
+			results.accepted++
 			if entries[id] != 1 {
-				v.lostAccepts++
+				results.lostAccepts++
 			}
 		case config.Conflict, config.Failed:
 			if entries[id] != 0 {
-				v.falseRefusals++
+				results.falseRefusals++
 			}
 		case config.Unknown:
-			v.unsettled++
+			results.unknownChanges++
 		}
 	}
-	s.judgeContent(r)
+	s.checkContents(r)
 }
 
-// judgeContent checks that the last accepted change of each operator stands.
-func (s *schedule) judgeContent(r config.Record) {
-	last := map[string]string{}
+// checkContents checks that the configuration contains the last accepted change of each
+// operator.
+func (s *schedule) checkContents(r config.Record) {
+	lastChange := map[string]string{}
 	for _, a := range r.Trail {
-		last["business-"+a.Operator] = a.ChangeID
+		lastChange["business-"+a.Operator] = a.ChangeID
 	}
 	for _, b := range r.Deployment.Businesses {
-		if want := fmt.Sprintf("%s-%g", b.Name[len("business-"):], b.Weight); last[b.Name] != want {
-			s.verdicts.lostAccepts++
+		if want := fmt.Sprintf("%s-%g", b.Name[len("business-"):], b.Weight); lastChange[b.Name] != want {
+			s.results.lostAccepts++
 		}
-		delete(last, b.Name)
+		delete(lastChange, b.Name)
 	}
-	s.verdicts.lostAccepts += len(last)
+	s.results.lostAccepts += len(lastChange)
 }
--- a/internal/lab/config/flood.go
+++ b/internal/lab/config/flood.go
@@ -8,54 +8,56 @@
 	"siskinloom.example/siskinloom/internal/policy/config"
 )
 
-// The flood: changes with a wrong key at one entry, and an outage in its middle.
+// The flood consists of changes with a wrong key at one entry. An outage of the service
+// starts halfway through it.
 const (
-	floodEvery  = 2 * time.Millisecond
-	floodHosts  = 5000
-	floodLasts  = 10 * time.Minute
-	floodOutage = 3 * time.Minute
+	floodInterval       = 2 * time.Millisecond
+	floodHostCount      = 5000
+	floodDuration       = 10 * time.Minute
+	floodOutageDuration = 3 * time.Minute
 )
 
-// measureFlood counts what a flood of refused changes costs the platform's
-// service, and what becomes of the change of an operator tried in its middle.
+// measureFlood measures the calls to the key-value service that a flood of refused changes
+// causes, and checks that the refused change of an operator during the flood is recorded.
 func measureFlood() ([]bounds.Figure, error) {
 	w := newWorld(7)
 	s := &schedule{world: w}
-	j := newJournals(s, 7)
+	logs := newRefusedLogs(s, 7)
 	s.store = newStore[[]byte](w, storeFaults{})
-	j.store.faults = storeFaults{}
-	p := &proc{s: s, self: config.Peer{ID: "e"}, up: true, journal: config.NewRefusedLog(config.DefaultRefusedLogConfig(), deployment, "e/1")}
-	var flood, tick func()
-	flood = func() {
-		from := fmt.Sprint(w.rnd.IntN(floodHosts))
-		p.journal.Append(w.Now(), config.RefusedChanges{Host: from, Action: config.ActionApply, Outcome: config.OutcomeRefused})
-		j.noted++
-		w.After(floodEvery, flood)
+	logs.store.faults = storeFaults{}
+	entry := &process{schedule: s, self: config.Peer{ID: "e"}, up: true, refusedLog: config.NewRefusedLog(config.DefaultRefusedLogConfig(), deploymentName, "e/1")}
+	var refuse, tick func()
+	refuse = func() {
+		host := fmt.Sprint(w.rng.IntN(floodHostCount))
+		entry.refusedLog.Append(w.Now(), config.RefusedChanges{Host: host, Action: config.ActionApply, Outcome: config.OutcomeRefused})
+		logs.appended++
+		w.After(floodInterval, refuse)
 	}
 	tick = func() {
-		j.carryOut(p, p.journal.Tick(w.Now()))
-		w.After(journalTick, tick)
+		logs.execute(entry, entry.refusedLog.Tick(w.Now()))
+		w.After(refusedLogTickInterval, tick)
 	}
-	flood()
+	refuse()
 	tick()
-	w.After(floodLasts/2, func() {
-		j.note(p, config.Request{Operator: "ana", Action: config.ActionApply}, config.Conflict)
+	w.After(floodDuration/2, func() {
+		logs.appendOutcome(entry, config.Request{Operator: "ana", Action: config.ActionApply}, config.Conflict)
 	})
-	w.After(floodLasts/2, func() { s.store.out = true })
-	w.After(floodLasts/2+floodOutage, func() { s.store.out = false })
-	w.Run(floodLasts, never)
-	return j.floodFigures(p.journal)
+	w.After(floodDuration/2, func() { s.store.outage = true })
+	w.After(floodDuration/2+floodOutageDuration, func() { s.store.outage = false })
+	w.Run(floodDuration, never)
+	return logs.floodFigures(entry.refusedLog)
 }
 
-func (j *journals) floodFigures(journal *config.RefusedLog) ([]bounds.Figure, error) {
-	stored, bytes, operators := int64(0), 0, 0
-	for _, value := range j.store.values {
+// floodFigures returns the figures of the flood. log is the log of the flooded entry.
+func (l *refusedLogs) floodFigures(log *config.RefusedLog) ([]bounds.Figure, error) {
+	stored, maxBytes, operators := int64(0), 0, 0
+	for _, value := range l.store.values {
 		record, err := config.DecodeRefused(value)
 		if err != nil {
 			return nil, err
 		}
 		stored += record.Total()
-		bytes = max(bytes, len(value))
+		maxBytes = max(maxBytes, len(value))
 		for _, g := range record.Groups {
 			if g.Operator != "" {
 				operators++
@@ -63,10 +65,10 @@
 		}
 	}
 	return []bounds.Figure{
-		{Name: "audit.flood_attempts", Value: float64(j.noted)},
-		{Name: "audit.flood_kv_calls_per_s", Value: float64(j.store.reads+j.store.writes) / floodLasts.Seconds()},
-		{Name: "audit.flood_value_kb", Value: float64(bytes) / 1024},
+		{Name: "audit.flood_attempts", Value: float64(l.appended)},
+		{Name: "audit.flood_kv_calls_per_s", Value: float64(l.store.reads+l.store.writes) / floodDuration.Seconds()},
+		{Name: "audit.flood_value_kb", Value: float64(maxBytes) / 1024},
 		{Name: "audit.flood_operators_listed", Value: float64(operators)},
-		{Name: "audit.flood_uncounted", Value: float64(j.noted - stored - journal.Unwritten())},
+		{Name: "audit.flood_uncounted", Value: float64(l.appended - stored - log.Unwritten())},
 	}, nil
 }
--- a/internal/lab/config/handover.go
+++ b/internal/lab/config/handover.go
@@ -9,71 +9,73 @@
 )
 
 const (
-	handoverSchedules = 300
-	handoverEnd       = 20 * time.Second
-	handoverStep      = 5 * time.Millisecond
-	// heartbeatSpan is within which the others learn that an entry leaves.
-	heartbeatSpan = time.Second
-	// oldDrainLimit is how long an owner used to wait for what ran there.
-	oldDrainLimit = 1500 * time.Millisecond
+	handoverScheduleCount = 300
+	handoverTimeout       = 20 * time.Second
+	handoverStepTime      = 5 * time.Millisecond
+	// maxHeartbeatDelay is the longest time until another entry learns that an entry leaves.
+	maxHeartbeatDelay = time.Second
+	// baselineDrainLimit is the longest time that the owner waits for its running calls in
+	// the baseline.
+	baselineDrainLimit = 1500 * time.Millisecond
 )
 
-// gapAfterStop returns how long a claim partition is served by nobody when its
-// owner is stopped as planned at some moment, with no other fault: from when
-// the owner takes no more calls until its successor serves. With old set the
-// owner first waits for what runs there, and offers the duty to nobody.
-func gapAfterStop(seed uint64, old bool) time.Duration {
-	s := newDutySchedule(seed, dutiesWhole)
+// gapAfterStop returns how long no process serves a claim partition when its owner is
+// stopped as planned at a random time, without other faults: from the time at which the
+// owner accepts no more calls until its successor serves. In the baseline, the owner first
+// waits for its running calls and sends no offer of the duty.
+func gapAfterStop(seed uint64, baseline bool) time.Duration {
+	s := newDutySchedule(seed, noDutySafeguardDisabled)
 	s.leases.faults = storeFaults{}
-	for _, p := range s.procs {
-		p.prompt = true
-		p.silent = old
+	for _, p := range s.processes {
+		p.tickAfterCalls = true
+		p.noOffers = baseline
 	}
 	s.Run(s.between(8*time.Second, 12*time.Second), never)
 	name := dutyNames()[0]
 	owner := s.holder(name)
 	if owner == nil {
-		return handoverEnd
+		return handoverTimeout
 	}
 	began := s.Now()
-	drain := s.between(0, oldDrainLimit)
-	s.tellLeaving(owner)
-	if !old {
-		drain = 0
+	drainTime := s.between(0, baselineDrainLimit)
+	s.announceLeaving(owner)
+	if !baseline {
+		drainTime = 0
 	}
-	s.After(drain, func() {
+	s.After(drainTime, func() {
 		owner.keeper.Stop()
 		owner.tick()
 	})
-	var next *dutyProc
-	for next == nil && s.Now().Sub(began) < handoverEnd {
-		s.Run(handoverStep, never)
+	var successor *dutyProcess
+	for successor == nil && s.Now().Sub(began) < handoverTimeout {
+		s.Run(handoverStepTime, never)
 		if p := s.holder(name); p != owner {
-			next = p
+			successor = p
 		}
 	}
-	s.takeOver()
+	s.recoverPartition()
 	return s.Now().Sub(began)
 }
 
-// tellLeaving has every entry learn, the leaving one first, that it leaves.
-func (s *dutySchedule) tellLeaving(leaving *dutyProc) {
-	var left []duties.Member
+// announceLeaving removes a leaving entry from the member lists, first from its own and
+// then, after a delay each, from those of the others.
+func (s *dutySchedule) announceLeaving(leaving *dutyProcess) {
+	var remaining []duties.Member
 	for i, m := range s.members {
 		if i != leaving.index {
-			left = append(left, m)
+			remaining = append(remaining, m)
 		}
 	}
-	leaving.keeper.SetMembers(leaving.clock(), left)
-	for _, p := range s.procs {
+	leaving.keeper.SetMembers(leaving.now(), remaining)
+	for _, p := range s.processes {
 		if p != leaving {
-			s.After(s.between(0, heartbeatSpan), func() { p.keeper.SetMembers(p.clock(), left) })
+			s.After(s.between(0, maxHeartbeatDelay), func() { p.keeper.SetMembers(p.now(), remaining) })
 		}
 	}
 }
 
-// takeOver runs until a new owner of a partition with nothing sealed serves it.
-func (s *dutySchedule) takeOver() {
+// recoverPartition runs until a new owner serves a partition that has no sealed claims.
+func (s *dutySchedule) recoverPartition() {
 	records := newStore[[]byte](s.world, storeFaults{})
 	machine := claims.New(claims.DefaultConfig("claims/0", "claims/0", "next"))
 	var step func(claims.Event)
@@ -85,25 +87,25 @@
 					step(claims.ReadDone{Record: claims.Record{Key: a.Key, Value: value, Revision: revision}, Failed: !ok})
 				})
 			case claims.Write:
-				records.swap(a.Key, a.Expected, a.Value, func(o outcome, value []byte, revision int64) {
+				records.compareAndSwap(a.Key, a.Expected, a.Value, func(outcome storeOutcome, value []byte, revision int64) {
 					current := claims.Record{Key: a.Key, Value: value, Revision: revision}
-					step(claims.WriteDone{ID: a.ID, Swapped: o == swapped, Current: current, Failed: o > refused})
+					step(claims.WriteDone{ID: a.ID, Swapped: outcome == swapped, Current: current, Failed: outcome > conflict})
 				})
 			}
 		}
 	}
 	step(claims.Acquired{Epoch: 2})
-	s.Run(handoverEnd, machine.Serving)
+	s.Run(handoverTimeout, machine.Serving)
 }
 
 func measureHandover() ([]bounds.Figure, error) {
-	var longest, before time.Duration
-	for seed := range handoverSchedules {
+	var longest, baseline time.Duration
+	for seed := range handoverScheduleCount {
 		longest = max(longest, gapAfterStop(uint64(seed), false))
-		before = max(before, gapAfterStop(uint64(seed), true))
+		baseline = max(baseline, gapAfterStop(uint64(seed), true))
 	}
 	return []bounds.Figure{
 		{Name: "claims.handover_gap_s", Value: longest.Seconds()},
-		{Name: "claims.handover_gap_s.baseline", Value: before.Seconds()},
+		{Name: "claims.handover_gap_s.baseline", Value: baseline.Seconds()},
 	}, nil
 }
--- a/internal/lab/config/regions.go
+++ b/internal/lab/config/regions.go
@@ -7,44 +7,45 @@
 	"siskinloom.example/siskinloom/internal/policy/duties"
 )
 
-// A region of the letter's four, each with two failure domains, loses the others
-// for minutes while operators go on with changes.
+// The reference fleet has four regions of two failure domains each. One region is cut off
+// from the others for two minutes while operators continue to make changes.
 const (
-	regions       = 4
-	regionDomains = 2
-	apartFor      = 2 * time.Minute
-	apartChange   = 30 * time.Second
-	settled       = 15 * time.Second // after a cut: proofs and leases have lapsed
-	rejoinLimit   = time.Minute
+	regionCount       = 4
+	domainsPerRegion  = 2
+	cutDuration       = 2 * time.Minute
+	cutChangeInterval = 30 * time.Second
+	settleTime        = 15 * time.Second // after the cut; by then proofs and leases have expired
+	rejoinTimeout     = time.Minute
 )
 
-// apart is what is counted while a region is cut off.
-type apart struct {
+// regionCut simulates a fleet of which a region is cut off, and holds the results. A sample
+// is the state of one entry at one time.
+type regionCut struct {
 	*fleet
-	behind     time.Duration // the longest that an entry took work under an older revision
-	twoHolders int           // moments at which a duty had two holders
-	unheld     int           // moments, after settling, at which a duty had none
-	cutReady   int           // entries of the region at work, after settling
-	cutAll     int
-	unready    int // entries of the others not at work
-	all        int
-	rejoin     time.Duration
-	calls      float64 // reads of the configuration per second
+	readyBehind     time.Duration // longest time for which an entry took work under an older revision
+	twoHolders      int           // times at which a duty had two holders
+	unheld          int           // times, after settleTime, at which a duty had no holder
+	cutReadySamples int           // samples of the region, after settleTime, in which the entry took work
+	cutSamples      int           // samples of the region after settleTime
+	unreadySamples  int           // samples of the other regions in which the entry took no work
+	samples         int           // samples of the other regions
+	rejoinTime      time.Duration // from the end of the cut until everything serves again
+	configReadRate  float64       // reads of the configuration per second
 }
 
 func measureRegions() ([]bounds.Figure, error) {
-	without := newApart(11, true).run()
-	with := newApart(12, false).run()
-	both := func(of func(*apart) float64) float64 { return max(of(without), of(with)) }
+	withoutService := newRegionCut(11, true).run()
+	withService := newRegionCut(12, false).run()
+	worst := func(figure func(*regionCut) float64) float64 { return max(figure(withoutService), figure(withService)) }
 	return []bounds.Figure{
-		{Name: "regions.ready_behind_s", Value: both(func(a *apart) float64 { return a.behind.Seconds() })},
-		{Name: "regions.two_holders", Value: both(func(a *apart) float64 { return float64(a.twoHolders) })},
-		{Name: "regions.unheld", Value: both(func(a *apart) float64 { return float64(a.unheld) })},
-		{Name: "regions.unready_share", Value: both(func(a *apart) float64 { return share(a.unready, a.all) })},
-		{Name: "regions.cut_ready_share", Value: share(without.cutReady, without.cutAll)},
-		{Name: "regions.cut_ready_share_with_service", Value: share(with.cutReady, with.cutAll)},
-		{Name: "regions.kv_calls_per_s", Value: both(func(a *apart) float64 { return a.calls })},
-		{Name: "regions.rejoin_s", Value: both(func(a *apart) float64 { return a.rejoin.Seconds() })},
+		{Name: "regions.ready_behind_s", Value: worst(func(c *regionCut) float64 { return c.readyBehind.Seconds() })},
+		{Name: "regions.two_holders", Value: worst(func(c *regionCut) float64 { return float64(c.twoHolders) })},
+		{Name: "regions.unheld", Value: worst(func(c *regionCut) float64 { return float64(c.unheld) })},
+		{Name: "regions.unready_share", Value: worst(func(c *regionCut) float64 { return share(c.unreadySamples, c.samples) })},
+		{Name: "regions.cut_ready_share", Value: share(withoutService.cutReadySamples, withoutService.cutSamples)},
+		{Name: "regions.cut_ready_share_with_service", Value: share(withService.cutReadySamples, withService.cutSamples)},
+		{Name: "regions.kv_calls_per_s", Value: worst(func(c *regionCut) float64 { return c.configReadRate })},
+		{Name: "regions.rejoin_s", Value: worst(func(c *regionCut) float64 { return c.rejoinTime.Seconds() })},
 	}, nil
 }
 
@@ -52,88 +53,91 @@
 	return float64(n) / float64(max(1, of))
 }
 
-// newApart lays out the letter's fleet in regions. With noService the first
-// region loses the platform's service too.
-func newApart(seed uint64, noService bool) *apart {
-	a := &apart{fleet: newFleetOver(seed, letterEntries, letterAgents, regions*regionDomains)}
-	a.noService = noService
-	return a
+// newRegionCut returns the reference fleet in regions. If withoutService is true, the
+// region that is cut off cannot reach the platform's service either.
+func newRegionCut(seed uint64, withoutService bool) *regionCut {
+	c := &regionCut{fleet: newFleetWithDomains(seed, referenceEntries, referenceAgents, regionCount*domainsPerRegion)}
+	c.serviceCutOff = withoutService
+	return c
 }
 
-func (a *apart) run() *apart {
-	a.startAll()
-	a.Run(warmUp, never)
-	a.cut = true
-	reads := a.conf.reads
-	began, changed := a.Now(), time.Time{}
-	accepted := map[int64]time.Time{}
-	for a.Now().Sub(began) < apartFor {
-		if a.Now().Sub(changed) >= apartChange {
-			changed = a.Now()
-			accepted[a.change()] = changed
+func (c *regionCut) run() *regionCut {
+	c.startAll()
+	c.Run(warmUpTime, never)
+	c.regionCutOff = true
+	reads := c.configStore.reads
+	cutAt, changedAt := c.Now(), time.Time{}
+	acceptedAt := map[int64]time.Time{}
+	for c.Now().Sub(cutAt) < cutDuration {
+		if c.Now().Sub(changedAt) >= cutChangeInterval {
+			changedAt = c.Now()
+			acceptedAt[c.acceptChange()] = changedAt
 		}
-		a.Run(sampleEvery, never)
-		a.sample(accepted, a.Now().Sub(began) > settled)
+		c.Run(sampleInterval, never)
+		c.sample(acceptedAt, c.Now().Sub(cutAt) > settleTime)
 	}
-	a.calls = float64(a.conf.reads-reads) / apartFor.Seconds()
-	a.cut = false
-	healed := a.Now()
-	for a.rejoin = 0; a.rejoin < rejoinLimit && !a.serving(); a.rejoin = a.Now().Sub(healed) {
-		a.Run(sampleEvery, never)
-		a.sample(accepted, true)
+	c.configReadRate = float64(c.configStore.reads-reads) / cutDuration.Seconds()
+	c.regionCutOff = false
+	rejoinedAt := c.Now()
+	for c.rejoinTime = 0; c.rejoinTime < rejoinTimeout && !c.allServing(); c.rejoinTime = c.Now().Sub(rejoinedAt) {
+		c.Run(sampleInterval, never)
+		c.sample(acceptedAt, true)
 	}
-	return a
+	return c
 }
 
-// change puts the next revision in the record, by an entry that may.
-func (a *apart) change() int64 {
-	next := a.conf.values["c"] + 1
-	a.conf.take("c", a.conf.revisions["c"], next)
+// acceptChange stores the next revision and applies it at an entry that may accept changes
+// and reaches the service.
+func (c *regionCut) acceptChange() int64 {
+	revision := c.configStore.values["c"] + 1
+	c.configStore.applyWrite("c", c.configStore.revisions["c"], revision)
 	for {
-		by := a.entries[a.rnd.IntN(len(a.entries))]
-		if by.follower.MayAccept(a.Now()) && a.reachesService(by) {
-			by.apply(next)
-			return next
+		entry := c.entries[c.rng.IntN(len(c.entries))]
+		if entry.follower.MayAccept(c.Now()) && c.reachesService(entry) {
+			entry.apply(revision)
+			return revision
 		}
 	}
 }
 
-func (a *apart) sample(accepted map[int64]time.Time, after bool) {
-	now := a.Now()
+// sample adds the current state of all entries to the results. acceptedAt is the time of
+// each revision; settled tells whether settleTime has passed.
+func (c *regionCut) sample(acceptedAt map[int64]time.Time, settled bool) {
+	now := c.Now()
 	holders := map[string]int{}
-	for _, n := range a.entries {
+	for _, n := range c.entries {
 		ready := n.follower.Ready(now)
-		if have, _ := n.follower.Revision(now); ready && have < a.conf.values["c"] {
-			a.behind = max(a.behind, now.Sub(accepted[have+1]))
+		if revision, _ := n.follower.Revision(now); ready && revision < c.configStore.values["c"] {
+			c.readyBehind = max(c.readyBehind, now.Sub(acceptedAt[revision+1]))
 		}
-		a.count(n, ready, after)
-		for _, name := range a.names {
+		c.countReady(n, ready, settled)
+		for _, name := range c.dutyNames {
 			if n.keeper.LeaseState(now, name) == duties.Holder {
 				holders[name]++
 			}
 		}
 	}
-	for _, name := range a.names {
+	for _, name := range c.dutyNames {
 		if holders[name] > 1 {
-			a.twoHolders++
+			c.twoHolders++
 		}
-		if holders[name] == 0 && after {
-			a.unheld++
+		if holders[name] == 0 && settled {
+			c.unheld++
 		}
 	}
 }
 
-func (a *apart) count(n *fleetNode, ready, after bool) {
+func (c *regionCut) countReady(n *fleetNode, ready, settled bool) {
 	switch {
 	case !n.inCutRegion():
-		a.all++
+		c.samples++
 		if !ready {
-			a.unready++
+			c.unreadySamples++
 		}
-	case after && a.cut:
-		a.cutAll++
+	case settled && c.regionCutOff:
+		c.cutSamples++
 		if ready {
-			a.cutReady++
+			c.cutReadySamples++
 		}
 	}
 }
--- a/internal/lab/config/scale.go
+++ b/internal/lab/config/scale.go
@@ -7,96 +7,96 @@
 )
 
 const (
-	warmUp      = 20 * time.Second
-	steady      = 20 * time.Second
-	changes     = 6
-	stormLimit  = 2 * time.Minute
-	domainAway  = 12 * time.Second
-	returnDelay = time.Second // spread of a failure domain's processes coming up
+	warmUpTime      = 20 * time.Second
+	measureTime     = 20 * time.Second
+	changeCount     = 6
+	recoveryTimeout = 2 * time.Minute
+	domainDownTime  = 12 * time.Second
+	maxStartDelay   = time.Second // the processes of a failure domain start within this time
 )
 
-// measureScale runs the letter's size and a tenth of it.
+// measureScale measures the reference fleet and a fleet of a tenth of its size.
 func measureScale() ([]bounds.Figure, error) {
-	small := newFleet(7, letterEntries/10, letterAgents/10)
-	smallRate := small.steadyRates(restartsADay / 10)
-	large := newFleet(7, letterEntries, letterAgents)
-	rate := large.steadyRates(restartsADay)
+	small := newFleet(7, referenceEntries/10, referenceAgents/10)
+	smallRates := small.measureRates(referenceRestartsPerDay / 10)
+	large := newFleet(7, referenceEntries, referenceAgents)
+	largeRates := large.measureRates(referenceRestartsPerDay)
 	slowest := time.Duration(0)
-	for range changes {
-		slowest = max(slowest, large.accept())
+	for range changeCount {
+		slowest = max(slowest, large.changeConfig())
 		large.Run(2*time.Second, never)
 	}
-	took, peak := large.storm()
+	recoveryTime, peak := large.restartDomain()
 	return []bounds.Figure{
 		{Name: "config.in_force_s", Value: slowest.Seconds()},
-		{Name: "config.kv_calls_per_s", Value: rate.config},
-		{Name: "config.kv_calls_ratio", Value: rate.config / smallRate.config},
-		{Name: "control.kv_calls_per_s", Value: rate.busiest},
-		{Name: "duties.kv_writes_per_s", Value: rate.leaseWrites},
-		{Name: "duties.kv_reads_per_s", Value: rate.leaseReads},
-		{Name: "recovery.control_storm_s", Value: took.Seconds()},
+		{Name: "config.kv_calls_per_s", Value: largeRates.configReads},
+		{Name: "config.kv_calls_ratio", Value: largeRates.configReads / smallRates.configReads},
+		{Name: "control.kv_calls_per_s", Value: largeRates.busiestEntry},
+		{Name: "duties.kv_writes_per_s", Value: largeRates.leaseWrites},
+		{Name: "duties.kv_reads_per_s", Value: largeRates.leaseReads},
+		{Name: "recovery.control_storm_s", Value: recoveryTime.Seconds()},
 		{Name: "recovery.peak_calls", Value: float64(peak)},
 	}, nil
 }
 
-// rates are calls to the service per second.
-type rates struct {
-	config, leaseReads, leaseWrites float64
-	busiest                         float64 // of the entry that makes the most
+// callRates are rates of calls to the service per second.
+type callRates struct {
+	configReads, leaseReads, leaseWrites float64
+	busiestEntry                         float64 // calls of the entry that makes the most calls
 }
 
-// steadyRates starts the fleet and counts its calls once it has settled, with
-// restarts at the given rate a day.
-func (f *fleet) steadyRates(restarts float64) rates {
+// measureRates starts the fleet with the given rate of restarts and measures the calls to
+// the service after the warm-up.
+func (f *fleet) measureRates(restartsPerDay float64) callRates {
 	f.startAll()
-	f.restartNowAndThen(restarts)
-	f.Run(warmUp, never)
-	config, reads, writes := f.conf.reads, f.leases.reads, f.leases.writes
+	f.scheduleRestarts(restartsPerDay)
+	f.Run(warmUpTime, never)
+	configReads, leaseReads, leaseWrites := f.configStore.reads, f.leaseStore.reads, f.leaseStore.writes
 	for _, n := range f.entries {
 		n.kvCalls = 0
 	}
-	f.Run(steady, never)
-	per := func(n int) float64 { return float64(n) / steady.Seconds() }
-	most := 0
+	f.Run(measureTime, never)
+	perSecond := func(n int) float64 { return float64(n) / measureTime.Seconds() }
+	busiest := 0
 	for _, n := range f.entries {
-		most = max(most, n.kvCalls)
+		busiest = max(busiest, n.kvCalls)
 	}
-	return rates{
-		busiest:     per(most),
-		config:      per(f.conf.reads - config),
-		leaseReads:  per(f.leases.reads - reads),
-		leaseWrites: per(f.leases.writes - writes),
+	return callRates{
+		busiestEntry: perSecond(busiest),
+		configReads:  perSecond(f.configStore.reads - configReads),
+		leaseReads:   perSecond(f.leaseStore.reads - leaseReads),
+		leaseWrites:  perSecond(f.leaseStore.writes - leaseWrites),
 	}
 }
 
-// storm takes a failure domain away and brings all of it back at once. It
-// returns the time until everything serves again and the most calls to the
-// service within a second since.
-func (f *fleet) storm() (time.Duration, int) {
-	var lost []*fleetNode
+// restartDomain stops a failure domain and restarts all of it at once. It returns the time
+// until everything serves again and the largest number of calls to the service within a
+// second since the restart.
+func (f *fleet) restartDomain() (time.Duration, int) {
+	var stopped []*fleetNode
 	for _, n := range f.nodes {
 		if n.self.Domain == "0" && n.up {
 			n.stop()
-			lost = append(lost, n)
+			stopped = append(stopped, n)
 		}
 	}
-	f.Run(domainAway, never)
+	f.Run(domainDownTime, never)
 	began := f.Now()
-	for _, n := range lost {
-		f.After(f.between(0, returnDelay), n.start)
+	for _, n := range stopped {
+		f.After(f.between(0, maxStartDelay), n.start)
 	}
-	for f.Now().Sub(began) < stormLimit {
+	for f.Now().Sub(began) < recoveryTimeout {
 		f.Run(100*time.Millisecond, never)
-		if f.serving() {
+		if f.allServing() {
 			break
 		}
 	}
-	took := f.Now().Sub(began)
-	most := 0
-	for second := range f.conf.perSecond {
+	recoveryTime := f.Now().Sub(began)
+	peak := 0
+	for second := range f.configStore.callsPerSecond {
 		if second >= began.Unix() {
-			most = max(most, f.conf.perSecond[second]+f.leases.perSecond[second])
+			peak = max(peak, f.configStore.callsPerSecond[second]+f.leaseStore.callsPerSecond[second])
 		}
 	}
-	return took, most
+	return recoveryTime, peak
 }
--- a/internal/lab/config/schedule.go
+++ b/internal/lab/config/schedule.go
@@ -8,323 +8,333 @@
 	"siskinloom.example/siskinloom/internal/policy/config"
 )
 
-// variant is a deliberate fault of the host, which the judge must find. none is
-// the product.
-type variant int
+// disabledSafeguard selects the safeguard that a schedule runs without, to show that the
+// checks detect the violations that follow.
+type disabledSafeguard int
 
 const (
-	none         variant = iota
-	applyAny             // a process puts whatever arrives in force, however old
-	uncheckedCAS         // the service swaps whatever the revision
-	unclearFails         // an unclear write is taken for one that failed
-	trustRepeats         // the operator's tool takes a failed repeat for the end of the change
-	forgetMarks          // a writer does not look whether its lost batch is in the record
+	noneDisabled          disabledSafeguard = iota
+	noRevisionCheck                         // a process applies any configuration that arrives, even an older one
+	noCompareAndSwap                        // the service writes whatever the expected revision
+	noIndeterminateWrites                   // an indeterminate write is treated as not applied
+	noUnknownAfterRepeat                    // the operator's tool reports a failed repeat as the outcome of the change
+	noMarkCheck                             // a writer does not check whether its last batch is already in the record
 )
 
 const (
-	deployment      = "d"
-	scheduleEntries = 3
-	scheduleAgents  = 2
-	operators       = 2
-	changesEach     = 3
-	faultsEnd       = 6 * time.Second
-	scheduleEnd     = 13 * time.Second
-	beatEvery       = 600 * time.Millisecond
-	tickEvery       = 300 * time.Millisecond
-	repeats         = 12 // of a change whose outcome is unknown
+	deploymentName     = "d"
+	scheduleEntries    = 3
+	scheduleAgents     = 2
+	operatorCount      = 2
+	changesPerOperator = 3
+	faultPeriod        = 6 * time.Second
+	scheduleDuration   = 13 * time.Second
+	heartbeatInterval  = 600 * time.Millisecond
+	tickInterval       = 300 * time.Millisecond
+	maxRepeats         = 12 // of a request whose outcome is unknown
 )
 
-// verdicts are what the judge counts over schedules.
-type verdicts struct {
-	schedules     int
-	accepted      int
-	reverts       int // a process went back to an older revision
-	torn          int // a process held what was never accepted as that revision
-	lostAccepts   int // the operator was told accepted, the record does not have it
-	falseRefusals int // the operator was told refused or failed, the record has it
-	auditMissing  int // revisions without exactly one audit entry; other changes in the trail not once
-	unsettled     int // changes whose operator never learned the outcome
-	// behind is the longest that a process took work under an older revision
-	// since it could have learned of the newer one; blindBehind counts from when
-	// the service took that in, also while nobody within reach could know.
-	behind      time.Duration
-	blindBehind time.Duration
+// results counts the violations and some events of schedules.
+type results struct {
+	schedules      int
+	accepted       int // changes reported to the operator as accepted
+	reverts        int // a process applied an older revision than its own
+	torn           int // a record can't be decoded, or a process applied content that wasn't accepted as that revision
+	lostAccepts    int // changes reported as accepted that the record lacks
+	falseRefusals  int // changes reported as refused or failed that the record contains
+	auditMissing   int // revisions without exactly one audit entry; other changes not recorded exactly once
+	unknownChanges int // changes whose operator did not learn the outcome
+	// readyBehind is the longest time for which a process took work under an older revision
+	// although it could have learned of the newer one. readyBehindBlind is the longest time
+	// since the service stored the newer revision, including the time during which the
+	// process could not learn of it.
+	readyBehind      time.Duration
+	readyBehindBlind time.Duration
 }
 
-func (v *verdicts) add(o verdicts) {
-	v.schedules += o.schedules
-	v.accepted += o.accepted
-	v.reverts += o.reverts
-	v.torn += o.torn
-	v.lostAccepts += o.lostAccepts
-	v.falseRefusals += o.falseRefusals
-	v.auditMissing += o.auditMissing
-	v.unsettled += o.unsettled
-	v.behind = max(v.behind, o.behind)
-	v.blindBehind = max(v.blindBehind, o.blindBehind)
+func (r *results) add(other results) {
+	r.schedules += other.schedules
+	r.accepted += other.accepted
+	r.reverts += other.reverts
+	r.torn += other.torn
+	r.lostAccepts += other.lostAccepts
+	r.falseRefusals += other.falseRefusals
+	r.auditMissing += other.auditMissing
+	r.unknownChanges += other.unknownChanges
+	r.readyBehind = max(r.readyBehind, other.readyBehind)
+	r.readyBehindBlind = max(r.readyBehindBlind, other.readyBehindBlind)
 }
 
-// schedule is one run of a small deployment under faults drawn from a seed.
+// schedule simulates a small deployment under the faults of a seed.
 type schedule struct {
 	*world
-	variant  variant
-	store    *store[[]byte]
-	procs    []*proc
-	entries  []config.Peer
-	cut      map[[2]int]bool // pairs of processes that do not hear each other
-	history  map[int64]string
-	accepted map[int64]time.Time
-	newest   int64
-	told     map[string]config.Verdict // by change id, as the operator learned last
-	verdicts verdicts
-	journals *journals
+	disabled       disabledSafeguard
+	store          *store[[]byte]
+	processes      []*process
+	entries        []config.Peer
+	disconnected   map[[2]int]bool     // pairs of processes that cannot reach each other
+	contents       map[int64]string    // by revision; the content that the service stored
+	acceptedAt     map[int64]time.Time // by revision; when the service stored it
+	newestRevision int64
+	lastVerdicts   map[string]config.Verdict // by change ID; last verdict reported to the operator
+	results        results
+	refusedLogs    *refusedLogs
 }
 
-// proc is one process. life changes with each restart, and what was begun by an
-// earlier life is dropped.
-type proc struct {
-	s        *schedule
-	index    int
-	self     config.Peer
-	entry    bool
-	life     int
-	up       bool
-	paused   time.Time // not before it is over does the process do anything
-	follower *config.Follower
-	journal  *config.RefusedLog // entries only
-	revision int64
-	content  decl.Deployment
-	blind    time.Time // when it last could not have learned of a newer revision
+// process is an entry or an agent.
+type process struct {
+	schedule    *schedule
+	index       int
+	self        config.Peer
+	isEntry     bool
+	incarnation int // grows with each restart; callbacks of earlier incarnations are dropped
+	up          bool
+	pausedUntil time.Time // callbacks are delayed until then
+	follower    *config.Follower
+	refusedLog  *config.RefusedLog // entries only
+	revision    int64
+	content     decl.Deployment
+	lastBlind   time.Time // when the process last could not learn of a newer revision
 }
 
-func newSchedule(seed uint64, v variant) *schedule {
+func newSchedule(seed uint64, disabled disabledSafeguard) *schedule {
 	w := newWorld(seed)
 	s := &schedule{
-		world: w, variant: v, cut: map[[2]int]bool{}, history: map[int64]string{},
-		accepted: map[int64]time.Time{}, told: map[string]config.Verdict{},
+		world: w, disabled: disabled, disconnected: map[[2]int]bool{}, contents: map[int64]string{},
+		acceptedAt: map[int64]time.Time{}, lastVerdicts: map[string]config.Verdict{},
 	}
-	s.journals = newJournals(s, seed)
-	s.store = newStore[[]byte](w, storeFaults{loseRequest: 0.08, loseAnswer: 0.12, delay: 0.08})
-	s.store.unchecked = v == uncheckedCAS
-	s.store.afterWrite = s.noteAccepted
+	s.refusedLogs = newRefusedLogs(s, seed)
+	s.store = newStore[[]byte](w, storeFaults{lostRequest: 0.08, lostAnswer: 0.12, lateRequest: 0.08})
+	s.store.ignoreRevision = disabled == noCompareAndSwap
+	s.store.afterWrite = s.recordAccepted
 	for i := range scheduleEntries + scheduleAgents {
-		p := &proc{s: s, index: i, self: config.Peer{ID: fmt.Sprint("p", i), Domain: fmt.Sprint(i % 3)}, entry: i < scheduleEntries}
-		if p.entry {
+		p := &process{schedule: s, index: i, self: config.Peer{ID: fmt.Sprint("p", i), Domain: fmt.Sprint(i % 3)}, isEntry: i < scheduleEntries}
+		if p.isEntry {
 			s.entries = append(s.entries, p.self)
 		}
-		s.procs = append(s.procs, p)
+		s.processes = append(s.processes, p)
 	}
-	for _, p := range s.procs {
+	for _, p := range s.processes {
 		p.start()
 	}
 	return s
 }
 
-// noteAccepted keeps what the service took in as each revision.
-func (s *schedule) noteAccepted(key string, value []byte) {
-	if key != config.Key(deployment) {
+// recordAccepted records the content and time of each revision that the service stores.
+func (s *schedule) recordAccepted(key string, value []byte) {
+	if key != config.Key(deploymentName) {
 		return
 	}
 	r, err := config.DecodeRecord(value)
 	if err != nil {
-		s.verdicts.torn++
+		s.results.torn++
 		return
 	}
-	s.history[r.Revision] = contentOf(r.Deployment)
-	s.accepted[r.Revision] = s.Now()
-	s.newest = max(s.newest, r.Revision)
+	s.contents[r.Revision] = contentOf(r.Deployment)
+	s.acceptedAt[r.Revision] = s.Now()
+	s.newestRevision = max(s.newestRevision, r.Revision)
 }
 
 func contentOf(d decl.Deployment) string {
 	return fmt.Sprint(d.Businesses)
 }
 
-func (p *proc) start() {
-	p.life++
+func (p *process) start() {
+	p.incarnation++
 	p.up = true
 	p.revision, p.content = 0, decl.Deployment{}
-	p.follower = config.NewFollower(config.DefaultFollowerConfig(), p.self, p.entry, p.s.Now(), p.s.rnd)
-	p.follower.SetEntries(p.s.Now(), deployment, p.s.entries)
-	p.every(tickEvery, func() { p.meet(p.follower.Tick(p.s.Now(), p.s.rnd)) })
-	if p.entry {
-		p.every(beatEvery, p.beat)
-		p.s.journals.begin(p)
+	p.follower = config.NewFollower(config.DefaultFollowerConfig(), p.self, p.isEntry, p.schedule.Now(), p.schedule.rng)
+	p.follower.SetEntries(p.schedule.Now(), deploymentName, p.schedule.entries)
+	p.repeat(tickInterval, func() { p.satisfy(p.follower.Tick(p.schedule.Now(), p.schedule.rng)) })
+	if p.isEntry {
+		p.repeat(heartbeatInterval, p.sendHeartbeats)
+		p.schedule.refusedLogs.start(p)
 	}
 }
 
-// do runs fn now, or after a pause, unless the process has died since.
-func (p *proc) do(life int, fn func()) {
-	if p.life != life || !p.up {
+// runIfAlive calls fn unless the incarnation has ended. If the process is paused, it does
+// so after the pause.
+func (p *process) runIfAlive(incarnation int, fn func()) {
+	if p.incarnation != incarnation || !p.up {
 		return
 	}
-	if wait := p.paused.Sub(p.s.Now()); wait > 0 {
-		p.s.After(wait, func() { p.do(life, fn) })
+	if remaining := p.pausedUntil.Sub(p.schedule.Now()); remaining > 0 {
+		p.schedule.After(remaining, func() { p.runIfAlive(incarnation, fn) })
 		return
 	}
 	fn()
-	p.measure()
+	p.measureBehind()
 }
 
-// lifeName names the process's run.
-func (p *proc) lifeName() string {
-	return fmt.Sprint(p.self.ID, "/", p.life)
+// incarnationName returns a name that is unique to the current incarnation.
+func (p *process) incarnationName() string {
+	return fmt.Sprint(p.self.ID, "/", p.incarnation)
 }
 
-func (p *proc) every(interval time.Duration, fn func()) {
-	life := p.life
+// repeat calls fn at an interval, with a random initial delay, until the incarnation ends.
+func (p *process) repeat(interval time.Duration, fn func()) {
+	incarnation := p.incarnation
 	var next func()
 	next = func() {
-		p.do(life, fn)
-		if p.life == life {
-			p.s.After(interval, next)
+		p.runIfAlive(incarnation, fn)
+		if p.incarnation == incarnation {
+			p.schedule.After(interval, next)
 		}
 	}
-	p.s.After(p.s.between(0, interval), next)
+	p.schedule.After(p.schedule.between(0, interval), next)
 }
 
-// measure notes how long the process takes work under an older revision.
-func (p *proc) measure() {
-	now := p.s.Now()
-	if p.revision >= p.s.newest {
+// measureBehind updates the longest times for which a process takes work under an older
+// revision.
+func (p *process) measureBehind() {
+	now := p.schedule.Now()
+	if p.revision >= p.schedule.newestRevision {
 		return
 	}
 	if p.isBlind() {
-		p.blind = now
+		p.lastBlind = now
 	}
 	if !p.follower.Ready(now) {
 		return
 	}
-	since := p.s.accepted[p.revision+1]
-	p.s.verdicts.blindBehind = max(p.s.verdicts.blindBehind, now.Sub(since))
-	if p.blind.After(since) {
-		since = p.blind
+	since := p.schedule.acceptedAt[p.revision+1]
+	p.schedule.results.readyBehindBlind = max(p.schedule.results.readyBehindBlind, now.Sub(since))
+	if p.lastBlind.After(since) {
+		since = p.lastBlind
 	}
-	p.s.verdicts.behind = max(p.s.verdicts.behind, now.Sub(since))
+	p.schedule.results.readyBehind = max(p.schedule.results.readyBehind, now.Sub(since))
 }
 
-// isBlind tells whether nothing can tell the process of a newer revision: the
-// service is out, and every entry that holds one is dead, paused or cut off from
-// it. Agents tell nobody.
-func (p *proc) isBlind() bool {
-	for _, q := range p.s.procs {
-		apart := !q.entry || !q.up || q.paused.After(p.s.Now()) || p.s.cut[pairOf(p.index, q.index)]
-		if q.revision > p.revision && !apart {
+// isBlind reports whether the process cannot learn of a newer revision: the service is
+// unavailable, and every entry with a newer revision is down, paused or disconnected from
+// the process. Agents do not distribute revisions.
+func (p *process) isBlind() bool {
+	for _, other := range p.schedule.processes {
+		unreachable := !other.isEntry || !other.up || other.pausedUntil.After(p.schedule.Now()) || p.schedule.disconnected[pairOf(p.index, other.index)]
+		if other.revision > p.revision && !unreachable {
 			return false
 		}
 	}
-	return p.s.store.out
+	return p.schedule.store.outage
 }
 
-func (p *proc) apply(revision int64, content decl.Deployment) {
-	if revision <= p.revision && (p.s.variant != applyAny || revision == p.revision || revision == 0) {
+func (p *process) apply(revision int64, content decl.Deployment) {
+	if revision <= p.revision && (p.schedule.disabled != noRevisionCheck || revision == p.revision || revision == 0) {
 		return
 	}
 	if revision < p.revision {
-		p.s.verdicts.reverts++
+		p.schedule.results.reverts++
 	}
-	if p.s.history[revision] != contentOf(content) {
-		p.s.verdicts.torn++
+	if p.schedule.contents[revision] != contentOf(content) {
+		p.schedule.results.torn++
 	}
 	p.revision, p.content = revision, content
-	p.follower.Applied(p.s.Now(), revision)
-	if p.entry {
-		p.beat()
+	p.follower.Applied(p.schedule.Now(), revision)
+	if p.isEntry {
+		p.sendHeartbeats()
 	}
 }
 
-func (p *proc) meet(n config.Need) {
-	switch n.Kind {
+// satisfy executes what the follower needs.
+func (p *process) satisfy(need config.Need) {
+	switch need.Kind {
 	case config.NeedRead:
 		p.readStore()
 	case config.NeedFetch:
-		p.fetch(n.Peer)
+		p.fetchFrom(need.Peer)
 	}
 }
 
-func (p *proc) readStore() {
-	life, sent := p.life, p.s.Now()
-	p.s.store.read(config.Key(deployment), func(value []byte, _ int64, ok bool) {
-		p.do(life, func() {
+func (p *process) readStore() {
+	incarnation, sentAt := p.incarnation, p.schedule.Now()
+	p.schedule.store.read(config.Key(deploymentName), func(value []byte, _ int64, ok bool) {
+		p.runIfAlive(incarnation, func() {
 			r, err := config.DecodeRecord(value)
 			if ok && err == nil {
-				p.stored(r, sent)
+				p.handleRecord(r, sentAt)
 			}
 		})
 	})
 }
 
-func (p *proc) stored(r config.Record, sent time.Time) {
+// handleRecord processes a record that was read or written by a call sent at sentAt.
+func (p *process) handleRecord(r config.Record, sentAt time.Time) {
 	if r.Revision > 0 {
 		p.apply(r.Revision, r.Deployment)
 	}
-	p.follower.Stored(p.s.Now(), sent, r.Revision)
+	p.follower.Stored(p.schedule.Now(), sentAt, r.Revision)
 }
 
-func (p *proc) fetch(id string) {
-	life := p.life
-	for _, peer := range p.s.procs {
+// fetchFrom fetches the configuration from a peer. The fetch has failed if the process
+// lacks the newest revision a second later.
+func (p *process) fetchFrom(id string) {
+	incarnation := p.incarnation
+	for _, peer := range p.schedule.processes {
 		if peer.self.ID != id {
 			continue
 		}
 		p.send(peer, func() {
 			revision, content := peer.revision, peer.content
 			peer.send(p, func() {
-				if p.life == life {
+				if p.incarnation == incarnation {
 					p.apply(revision, content)
 				}
 			})
 		})
 	}
-	p.s.After(time.Second, func() {
-		p.do(life, func() {
-			if revision, _ := p.follower.Revision(p.s.Now()); revision < p.s.newest {
-				p.meet(p.follower.FetchFailed(p.s.Now(), id))
+	p.schedule.After(time.Second, func() {
+		p.runIfAlive(incarnation, func() {
+			if revision, _ := p.follower.Revision(p.schedule.Now()); revision < p.schedule.newestRevision {
+				p.satisfy(p.follower.FetchFailed(p.schedule.Now(), id))
 			}
 		})
 	})
 }
 
-// send delivers a message, unless it is lost or the two are cut off.
-func (p *proc) send(to *proc, fn func()) {
-	if p.s.cut[pairOf(p.index, to.index)] || p.s.chance(0.03) {
+// send calls fn at the receiver after a delay, unless the message is lost or the two
+// processes are disconnected.
+func (p *process) send(to *process, fn func()) {
+	if p.schedule.disconnected[pairOf(p.index, to.index)] || p.schedule.chance(0.03) {
 		return
 	}
-	delay := p.s.between(time.Millisecond, 3*time.Millisecond)
-	if p.s.chance(0.03) {
-		delay = p.s.between(100*time.Millisecond, 3*time.Second) // overtaken by later ones
+	delay := p.schedule.between(time.Millisecond, 3*time.Millisecond)
+	if p.schedule.chance(0.03) {
+		delay = p.schedule.between(100*time.Millisecond, 3*time.Second) // later messages overtake it
 	}
-	life := to.life
-	p.s.After(delay, func() { to.do(life, fn) })
+	incarnation := to.incarnation
+	p.schedule.After(delay, func() { to.runIfAlive(incarnation, fn) })
 }
 
 func pairOf(a, b int) [2]int {
 	return [2]int{min(a, b), max(a, b)}
 }
 
-// beat exchanges heartbeats with every other process.
-func (p *proc) beat() {
-	for _, peer := range p.s.procs {
+// sendHeartbeats sends a heartbeat to every other process and handles the replies.
+func (p *process) sendHeartbeats() {
+	for _, peer := range p.schedule.processes {
 		if peer == p {
 			continue
 		}
-		sent, life := p.s.Now(), p.life
-		news := p.follower.Status(sent) // Sent is zero: the receiver does not know
+		sentAt, incarnation := p.schedule.Now(), p.incarnation
+		status := p.follower.Status(sentAt) // SentAt is zero: the receiver does not know it
 		p.send(peer, func() {
-			peer.meet(peer.follower.Heard(p.s.Now(), news))
-			reply := peer.follower.Status(p.s.Now())
-			reply.SentAt = sent
+			peer.satisfy(peer.follower.Heard(p.schedule.Now(), status))
+			reply := peer.follower.Status(p.schedule.Now())
+			reply.SentAt = sentAt
 			peer.send(p, func() {
-				if p.life == life {
-					p.replied(peer, reply)
+				if p.incarnation == incarnation {
+					p.handleReply(peer, reply)
 				}
 			})
 		})
 	}
 }
 
-func (p *proc) replied(peer *proc, reply config.PeerStatus) {
-	if peer.entry {
-		p.meet(p.follower.Heard(p.s.Now(), reply))
+// handleReply processes the reply to a heartbeat. It sends the configuration to a peer
+// that has an older revision.
+func (p *process) handleReply(peer *process, reply config.PeerStatus) {
+	if peer.isEntry {
+		p.satisfy(p.follower.Heard(p.schedule.Now(), reply))
 	}
 	if reply.Revision < p.revision {
 		revision, content := p.revision, p.content
--- a/internal/lab/config/world.go
+++ b/internal/lab/config/world.go
@@ -1,6 +1,6 @@
-// Package config measures how configuration and duties are kept at scale and
-// under faults: it steps the decision packages in virtual time against a model
-// of the platform's key-value service, and judges what they did.
+// Package config measures the distribution of configuration and the assignment of duties
+// at scale and under faults. It runs the policy packages in virtual time against a model
+// of the platform's key-value service and checks invariants.
 package config
 
 import (
@@ -10,124 +10,130 @@
 	"siskinloom.example/siskinloom/internal/lab/timeline"
 )
 
-// world is virtual time with one random source.
+// world is a simulation's virtual time and source of random numbers.
 type world struct {
 	*timeline.Timeline
-	rnd *rand.Rand
+	rng *rand.Rand
 }
 
 func newWorld(seed uint64) *world {
-	return &world{Timeline: timeline.New(), rnd: rand.New(rand.NewPCG(seed, 0x5eed))}
+	return &world{Timeline: timeline.New(), rng: rand.New(rand.NewPCG(seed, 0x5eed))}
 }
 
+// chance reports true with probability p.
 func (w *world) chance(p float64) bool {
-	return w.rnd.Float64() < p
+	return w.rng.Float64() < p
 }
 
-func (w *world) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.rnd.Int64N(int64(most-least)+1))
+// between returns a random duration in [minimum, maximum].
+func (w *world) between(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(w.rng.Int64N(int64(maximum-minimum)+1))
 }
 
-// never is the done function of a run that ends at its limit.
+// never is the done function of a run that ends only when its time is over.
 func never() bool { return false }
 
-// outcome is what a writer learns of its compare-and-swap.
-type outcome int
+// storeOutcome is the outcome of a compare-and-swap as its caller sees it. The outcomes up
+// to conflict are those of an answered call.
+type storeOutcome int
 
 const (
-	swapped outcome = iota
-	refused
-	notSent
-	unclear
+	swapped storeOutcome = iota
+	conflict
+	notApplied
+	indeterminate
 )
 
-// storeFaults are the chances of one write's faults.
+// storeFaults holds the probabilities of the faults of a write.
 type storeFaults struct {
-	loseRequest float64
-	loseAnswer  float64
-	delay       float64 // the request arrives only after its writer has given up
+	lostRequest float64
+	lostAnswer  float64
+	lateRequest float64 // the request arrives after the caller's timeout
 }
 
 const (
-	storeTimeout = 300 * time.Millisecond
-	longestDelay = 2 * time.Second
+	storeTimeout    = 300 * time.Millisecond
+	maxRequestDelay = 2 * time.Second // of a late request, after the caller's timeout
 )
 
 // store models the key-value service with values of one type.
 type store[T any] struct {
-	w          *world
-	faults     storeFaults
-	out        bool // an outage is on
-	unchecked  bool // a deliberate fault: swaps whatever the revision
-	values     map[string]T
-	revisions  map[string]int64
-	reads      int
-	writes     int
-	perSecond  map[int64]int // calls by second
-	afterWrite func(key string, value T)
+	world          *world
+	faults         storeFaults
+	outage         bool // the service is unavailable
+	ignoreRevision bool // writes succeed whatever the expected revision; a disabled safeguard
+	values         map[string]T
+	revisions      map[string]int64
+	reads          int
+	writes         int
+	callsPerSecond map[int64]int             // by Unix time
+	afterWrite     func(key string, value T) // called after each write that took effect; may be nil
 }
 
 func newStore[T any](w *world, faults storeFaults) *store[T] {
-	return &store[T]{w: w, faults: faults, values: map[string]T{}, revisions: map[string]int64{}, perSecond: map[int64]int{}}
+	return &store[T]{world: w, faults: faults, values: map[string]T{}, revisions: map[string]int64{}, callsPerSecond: map[int64]int{}}
 }
 
 func (s *store[T]) latency() time.Duration {
-	return s.w.between(time.Millisecond, 10*time.Millisecond)
+	return s.world.between(time.Millisecond, 10*time.Millisecond)
 }
 
-func (s *store[T]) count() {
-	s.perSecond[s.w.Now().Unix()]++
+func (s *store[T]) countCall() {
+	s.callsPerSecond[s.world.Now().Unix()]++
 }
 
-// read calls done with the value, or with ok false.
+// read reads a key and calls done with its value. In an outage it calls done after the
+// timeout, with ok false.
 func (s *store[T]) read(key string, done func(value T, revision int64, ok bool)) {
 	s.reads++
-	s.count()
-	if s.out {
-		s.w.After(storeTimeout, func() {
-			var none T
-			done(none, 0, false)
+	s.countCall()
+	if s.outage {
+		s.world.After(storeTimeout, func() {
+			var zero T
+			done(zero, 0, false)
 		})
 		return
 	}
-	s.w.After(s.latency(), func() {
+	s.world.After(s.latency(), func() {
 		value, revision := s.values[key], s.revisions[key]
-		s.w.After(s.latency(), func() { done(value, revision, true) })
+		s.world.After(s.latency(), func() { done(value, revision, true) })
 	})
 }
 
-// swap calls done with the outcome and what stands, for swapped and refused.
-func (s *store[T]) swap(key string, expected int64, value T, done func(o outcome, value T, revision int64)) {
+// compareAndSwap writes a key if its revision is the expected one and calls done with the
+// outcome. If that is swapped or conflict, value and revision are the current ones.
+func (s *store[T]) compareAndSwap(key string, expected int64, value T, done func(outcome storeOutcome, value T, revision int64)) {
 	s.writes++
-	s.count()
-	var none T
-	giveUp := func() { s.w.After(storeTimeout, func() { done(unclear, none, 0) }) }
+	s.countCall()
+	var zero T
+	replyIndeterminate := func() { s.world.After(storeTimeout, func() { done(indeterminate, zero, 0) }) }
 	switch {
-	case s.out, s.w.chance(s.faults.loseRequest):
-		giveUp()
-	case s.w.chance(s.faults.delay):
-		s.w.After(storeTimeout+s.w.between(0, longestDelay), func() { s.take(key, expected, value) })
-		giveUp()
+	case s.outage, s.world.chance(s.faults.lostRequest):
+		replyIndeterminate()
+	case s.world.chance(s.faults.lateRequest):
+		s.world.After(storeTimeout+s.world.between(0, maxRequestDelay), func() { s.applyWrite(key, expected, value) })
+		replyIndeterminate()
 	default:
-		lost := s.w.chance(s.faults.loseAnswer)
-		s.w.After(s.latency(), func() {
-			took := s.take(key, expected, value)
+		lost := s.world.chance(s.faults.lostAnswer)
+		s.world.After(s.latency(), func() {
+			applied := s.applyWrite(key, expected, value)
 			if lost {
-				giveUp()
+				replyIndeterminate()
 				return
 			}
-			standing, revision := s.values[key], s.revisions[key]
-			o := refused
-			if took {
-				o = swapped
+			current, revision := s.values[key], s.revisions[key]
+			outcome := conflict
+			if applied {
+				outcome = swapped
 			}
-			s.w.After(s.latency(), func() { done(o, standing, revision) })
+			s.world.After(s.latency(), func() { done(outcome, current, revision) })
 		})
 	}
 }
 
-func (s *store[T]) take(key string, expected int64, value T) bool {
-	if s.revisions[key] != expected && !s.unchecked {
+// applyWrite executes a compare-and-swap at once and reports whether it took effect.
+func (s *store[T]) applyWrite(key string, expected int64, value T) bool {
+	if s.revisions[key] != expected && !s.ignoreRevision {
 		return false
 	}
 	s.revisions[key]++
