--- a/internal/lab/config/availability.go
+++ b/internal/lab/config/availability.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// slowAgentHeartbeatInterval is the interval of the entry of the reference fleet that
-	// has the most agents (docs/design/membership.md).
+	// slowAgentHeartbeatInterval is the interval of the heartbeats to an agent from the
+	// entry that has the most agents in the reference fleet (docs/design/membership.md).
 	slowAgentHeartbeatInterval = 2300 * time.Millisecond
 	outageDuration             = time.Minute
 	sampleInterval             = 200 * time.Millisecond
--- a/internal/lab/config/dutyschedule.go
+++ b/internal/lab/config/dutyschedule.go
@@ -34,7 +34,7 @@
 type dutyResults struct {
 	acts         int // acts that receivers accepted
 	twoEffective int // accepted acts that followed one with a higher epoch, or one of another process with the same epoch
-	overlaps     int // acts during which another process that isn't paused also held the lease
+	overlaps     int // other processes, up and not paused, that also held the lease when an act was sent
 	unheld       int // duties without a holder at the end
 }
 
--- a/internal/lab/rollout/pipeline_engines.go
+++ b/internal/lab/rollout/pipeline_engines.go
@@ -61,7 +61,8 @@
 }
 
 // moveWithCache moves a job after its KV cache has been transferred. The job keeps
-// running on its engine during the transfer.
+// running on its engine during the transfer. If it loses its slot meanwhile, it moves
+// without the part of the cache that the engine has dropped.
 func (p *pipeline) moveWithCache(a policy.Move) {
 	from, running := p.engineOf[a.ID]
 	if !running || from < 0 {
