--- a/internal/policy/endpoints/delay.go
+++ b/internal/policy/endpoints/delay.go
@@ -1,7 +1,7 @@
 package endpoints
 
-// batchSlowdown is how much slower, as a ratio, each request of a full batch runs
-// than a request alone at an engine.
+// batchSlowdown is the fraction by which a request takes longer in a full batch than
+// alone at an engine.
 const batchSlowdown = 0.35
 
 // Placement describes a long request beyond what every request has. It is placed
@@ -11,13 +11,13 @@
 	RemainingWork float64 // expected remaining units of work; 0: placed by load alone
 	Weight        float64 // how much the time of its end matters, 0 to 1
 	Critical      bool    // others wait for its end
-	// CriticalBatchLimit keeps a request that is not critical off an endpoint with a
-	// critical one that runs so many requests already; 0: no limit.
+	// CriticalBatchLimit is the number of running requests at which an endpoint with a
+	// critical request gets no further request that is not critical; 0: no limit.
 	CriticalBatchLimit int
 }
 
-// minWeight is the lowest weight that a request's own delay counts with. Without it
-// requests that nobody waits for would crowd one endpoint.
+// minWeight is the lowest weight at which a request's own delay counts. Without it
+// requests that nothing waits for would all be placed at one endpoint.
 const minWeight = 0.02
 
 // weightedWork returns the remaining work times the weight.
@@ -53,7 +53,7 @@
 	return own + perRequest*(e.weightedWork+e.others.Burden)
 }
 
-// slowdown returns by which factor the endpoint is slower than typical, or 1 if the
+// slowdown returns the factor by which the endpoint is slower than typical, or 1 if the
 // difference is no larger than that between single requests.
 func (e *State) slowdown(typicalPace float64) float64 {
 	if typicalPace > 0 && e.pace > minSlowdown*typicalPace {
--- a/internal/policy/endpoints/endpoints.go
+++ b/internal/policy/endpoints/endpoints.go
@@ -30,22 +30,22 @@
 	// minSlowdown is the factor below which differences in speed are taken for noise
 	// between single requests.
 	minSlowdown = 1.3
-	// moveSlowdown is by which factor a request must run slower than typical for a move
-	// to be worth it. A full batch is a quarter slower than an empty one, and an engine
-	// that has slowed down is three times slower. A move costs about 10 ms to process
-	// the text again.
+	// moveSlowdown is the factor by which a request must run slower than typical before
+	// it is moved. A request in a full batch runs a quarter slower than one alone, and
+	// an engine that has slowed down is three times slower. After a move the text is
+	// processed again, which takes about 10 ms.
 	moveSlowdown = 1.8
 	// remoteDomainPenalty is added to the score of an endpoint in another failure domain,
 	// in slots. It decides between equal endpoints only; any real load outweighs it.
 	remoteDomainPenalty = 0.02
 	// backgroundDivisor limits the background requests of one process at an endpoint to
-	// the endpoint's slots divided by it. An owner of jobs that comes back with all texts
-	// of a step would otherwise have them all scored at once, and callers' lookups would
+	// the endpoint's slots divided by it. An owner of jobs that resumes with all texts of
+	// a step would otherwise have them all scored at once, and callers' lookups would
 	// wait behind them. Two such owners leave a third of the slots.
 	backgroundDivisor = 3
 	// baseFullBackoff is the first delay before an endpoint that refused a request as
-	// full gets another one. It doubles up to maxFullBackoff while the endpoint goes on
-	// refusing, as one that loads weights does for about a second.
+	// full gets another one. It doubles up to maxFullBackoff while the endpoint still
+	// refuses; one that loads weights does so for about a second.
 	baseFullBackoff = 25 * time.Millisecond
 	maxFullBackoff  = 200 * time.Millisecond
 )
@@ -66,7 +66,7 @@
 	others           ProcessLoad   // load by other processes
 	pace             float64       // moving average of seconds per unit of work without the initial wait; 0: unknown
 	pendingLoad      *weightLoad   // weights being loaded; nil: none known
-	preference       uint64        // of this process, breaks ties between scores; the highest wins
+	preference       uint64        // rendezvous weight for this process; breaks ties between scores, the highest wins
 	set              *Set
 }
 
@@ -77,13 +77,13 @@
 	until   time.Time
 }
 
-// assumedLoadDuration is how long a load is assumed to take; it takes 0.9 s where few
-// endpoints load at once. If it takes longer, the endpoint's refusals show it.
+// assumedLoadDuration is how long a load is assumed to take. It takes 0.9 s if few
+// endpoints load at once. If it takes longer, the endpoint refuses requests meanwhile.
 const assumedLoadDuration = time.Second
 
 // MarkLoading records that the endpoint was ordered to load weights. Until it is done
 // the endpoint gets no requests for that model. Without this information an owner of
-// items learnt of each load by two or three refusals.
+// items finds out about each load only through two or three refusals.
 func (e *State) MarkLoading(now time.Time, model string, version int64) {
 	e.pendingLoad = &weightLoad{model: model, version: version, until: now.Add(assumedLoadDuration)}
 }
@@ -379,8 +379,8 @@
 }
 
 // observeMinCost records the duration of a request that this side ended, as a lower
-// bound of its cost. Otherwise an endpoint that slowed down would stay the first
-// choice: each request that showed it is ended once a second endpoint has answered.
+// bound of the endpoint's cost. Otherwise an endpoint that slowed down would stay the
+// first choice: each request that showed it is ended once a second endpoint has answered.
 func (e *State) observeMinCost(took time.Duration, work float64) {
 	if work > 0 && took.Seconds()/work > e.cost {
 		e.observeCost(took, work)
--- a/internal/policy/endpoints/endpoints_test.go
+++ b/internal/policy/endpoints/endpoints_test.go
@@ -71,6 +71,8 @@
 	})
 
 	It("does not eject an endpoint after two broken answers", func() {
+		// Single broken answers are no sign of a bad endpoint. Without e0 all requests
+		// would go to e1.
 		s := newSet(2)
 		for range 2 {
 			s.Pick(endpoints.Request{Now: start, Tried: []string{"e1"}}).End(start, endpoints.BrokenAnswer, 0, 0)
@@ -100,10 +102,10 @@
 	})
 
 	It("prefers different endpoints in different idle processes, and always the same in one", func() {
-		// 27 entries with a request now and then share 6 endpoints of their failure
-		// domain. In the order of IDs all entries would choose the first endpoint, and
-		// when that one slows down, lookups of all entries are late. An entry that
-		// stays with one endpoint keeps the connection in use.
+		// 27 entries that each send a request now and then share the 6 endpoints of
+		// their failure domain. If they chose by the order of IDs, all would choose the
+		// first endpoint, and when that one slows down, lookups of all entries are late.
+		// An entry that stays with one endpoint keeps the connection in use.
 		const entries, each = 27, 6
 		entriesAt := map[string]int{}
 		for i := range entries {
@@ -126,9 +128,9 @@
 	})
 
 	It("learns that an endpoint is slow from requests cancelled after another one's answer", func() {
-		// Each lookup was late by the delay of a hedge: the preferred endpoint had
-		// slowed down, each request to it was cancelled when the second endpoint had
-		// answered, and the next request went to the slow one again.
+		// Regression: each lookup was late by the delay of a hedge. The preferred
+		// endpoint had slowed down, each request to it was cancelled when the second
+		// endpoint had answered, and the next request went to the slow one again.
 		s := newSet(2)
 		for range 3 {
 			for _, other := range []string{"e0", "e1"} {
@@ -164,6 +166,8 @@
 	})
 
 	It("sends fewer requests to a slow endpoint", func() {
+		// e0 takes four times as long as the others. A choice by load alone would send
+		// it as many requests as them.
 		s := newSet(3)
 		for range 5 {
 			for _, id := range []string{"e0", "e1", "e2"} {
@@ -210,8 +214,9 @@
 	})
 
 	It("leaves slots for callers beside background requests", func() {
-		// An owner of jobs comes back with a hundred whole texts and has them all scored
-		// at once, at the service that also serves callers' lookups.
+		// An owner of jobs resumes with a hundred complete texts and has them all scored
+		// at once, at the service that also serves callers' lookups. If the texts took
+		// all slots, the lookups would wait.
 		s := endpoints.NewSet("self")
 		for i := range 3 {
 			s.Put(deployment.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "app", Slots: 6})
