--- a/internal/policy/retry/hedge.go
+++ b/internal/policy/retry/hedge.go
@@ -44,8 +44,8 @@
 }
 
 // Delay returns how long to wait before a hedge of the class is sent: the quantile
-// of the class's latencies at level, between 0 and 1. It returns false if no hedge
-// is sent, as level is 0 or too few latencies are known.
+// of the class's latencies at level, between 0 and 1. It returns false if no hedge is
+// to be sent, because level is 0 or too few latencies are known.
 func (h *Hedge) Delay(class string, level float64) (time.Duration, bool) {
 	hist := h.classes[class]
 	if level <= 0 || hist == nil || hist.total < minSamples {
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -15,8 +15,8 @@
 // none.
 const DefaultRatio = 0.1
 
-// defaultBurst is the number of retries that a business may accumulate. It is
-// small, so that a long time without failures does not pay for a retry storm.
+// defaultBurst is the number of retries that a business may accumulate. It is small,
+// so that the tokens of a long time without failures do not allow a retry storm.
 const defaultBurst = 10
 
 // Budget limits the retries of each business to a ratio of its requests, with a
@@ -82,8 +82,8 @@
 }
 
 // Retryable reports whether a failed attempt may be repeated at another endpoint.
-// Only idempotent requests may be, as a request with an Unknown outcome may have
-// run. A refusal that every endpoint would repeat is final.
+// Only idempotent requests may be repeated, since a request with an Unknown outcome may
+// have run. A refusal that every endpoint would give is final.
 func Retryable(idempotent bool, answer wire.Answer) bool {
 	if !idempotent || answer.Outcome == wire.Answered {
 		return false
