--- a/internal/policy/conn/conn.go
+++ b/internal/policy/conn/conn.go
@@ -119,7 +119,7 @@
 // SetInterval sets the interval of heartbeats on an idle connection.
 func (m *Monitor) SetInterval(interval time.Duration) { m.cfg.HeartbeatInterval = interval }
 
-// Tick advances the clock. Busy says whether requests wait on the active
+// Tick advances the clock. busy reports whether requests wait on the active
 // connection. The returned actions are valid until the next call.
 func (m *Monitor) Tick(now time.Time, busy bool) []Action {
 	m.resetActions()
@@ -180,8 +180,8 @@
 
 // excludePause excludes a gap between ticks from all measured waiting times. A
 // process that was itself stopped for seconds finds every heartbeat unanswered
-// when it resumes. Without this it would close all its connections at once,
-// although the answers are in its own receive buffers, unread.
+// when it resumes. Without this it would close all its connections at once, although
+// the answers are unread in its own receive buffers.
 func (m *Monitor) excludePause(now time.Time) {
 	gap := now.Sub(m.lastTick)
 	if !m.lastTick.IsZero() && gap >= m.cfg.SuspectTimeout {
@@ -194,8 +194,9 @@
 	m.lastTick = now
 }
 
-// checkActive sends heartbeats on the active connection and reaches a verdict
-// when they stay unanswered.
+// checkActive sends heartbeats on the active connection. If one stays unanswered, it
+// opens a candidate, and closes the active connection once it is known to be dead or the
+// peer to be down.
 func (m *Monitor) checkActive(now time.Time, busy bool) {
 	if m.pendingSince.IsZero() {
 		interval := m.cfg.HeartbeatInterval
@@ -293,7 +294,8 @@
 	m.emit(Action{Kind: CloseActive, Verdict: verdict})
 }
 
-// expireCandidate closes a candidate connection that does not open or answer.
+// expireCandidate closes a candidate connection that does not open within PeerTimeout or
+// then does not answer within it.
 func (m *Monitor) expireCandidate(now time.Time) {
 	if m.candidate != opening && m.candidate != opened {
 		return
--- a/internal/policy/conn/conn_test.go
+++ b/internal/policy/conn/conn_test.go
@@ -22,10 +22,10 @@
 type peer struct {
 	monitor  *conn.Monitor
 	now      time.Time
-	answers  map[conn.Connection]bool
-	connects bool
+	answers  map[conn.Connection]bool // connections on which the peer answers
+	connects bool                     // new connections to the peer can be opened
 	recorded []conn.Action
-	at       map[conn.ActionKind]time.Duration // when the last action of a kind came, since begun
+	at       map[conn.ActionKind]time.Duration // time from begun to the last action of each kind
 	begun    time.Time
 }
 
@@ -92,8 +92,8 @@
 
 	It("replaces a dead connection with a waiting request within a second", func() {
 		// The active connection no longer carries anything, a new one works. The
-		// verdict must blame the connection, the new one must be active when the
-		// requests in flight fail, and the peer must get no new requests before
+		// verdict must be ConnectionSilent, the new connection must be active when
+		// the requests in flight fail, and the peer must get no new requests before
 		// that.
 		p.answers[conn.Active] = false
 		p.run(2*time.Second, true)
