--- a/internal/policy/rendezvous/rendezvous_test.go
+++ b/internal/policy/rendezvous/rendezvous_test.go
@@ -27,7 +27,7 @@
 var _ = Describe("Spread", func() {
 	It("assigns keys evenly", func() {
 		// A worker that is lost while the store is down delays the steps of the models
-		// that it owns. It should own one model, not two.
+		// that it owns. It should own one model and not two while another one owns none.
 		for keys := range 9 {
 			for nodes := 1; nodes < 9; nodes++ {
 				counts := make([]int, nodes)
--- a/internal/policy/rendezvous/spread.go
+++ b/internal/policy/rendezvous/spread.go
@@ -4,9 +4,9 @@
 // goes to the node with the highest weight among those with the fewest keys so
 // far. It returns the index of each key's node, or nil if there are no nodes.
 //
-// By weight alone, four keys on eight nodes mostly put two of them on the same
-// node, and the loss of that node affects twice as many. The price of the even
-// spread is that a node that joins or leaves may move keys other than its own.
+// If four keys were assigned to eight nodes by weight alone, two of them would mostly
+// share a node, whose loss then affects two keys instead of one. In return, a node that
+// joins or leaves may move keys other than its own.
 func Spread(keys, nodes []uint64) []int {
 	if len(nodes) == 0 {
 		return nil
