--- a/internal/policy/routes/admit.go
+++ b/internal/policy/routes/admit.go
@@ -8,7 +8,7 @@
 // Admission is the decision whether a request is served, and for which customer.
 type Admission struct {
 	Allowed  bool
-	Customer string // empty if the route is public or no keys are declared
+	Customer string // empty if no keys are required, or if the key belongs to no customer
 	Priority int    // 0 is the highest
 }
 
@@ -35,8 +35,8 @@
 }
 
 // AdmitJobCall decides whether a call on a batch job is served. The job was submitted
-// at the host, and no route matches the path of the call. It needs no key if all
-// rollout routes of the host are public, as then submitting needs none.
+// at the host, and no route matches the path of the call. The call needs no key if all
+// rollout routes of the host are public, since a job can then be submitted without one.
 func (t *Table) AdmitJobCall(host, key string) Admission {
 	rollouts, public := 0, 0
 	for _, r := range t.byHost[normalizeHost(host)] {
--- a/internal/policy/routes/routes.go
+++ b/internal/policy/routes/routes.go
@@ -54,9 +54,9 @@
 }
 
 // SelectService returns the service of the backend that a request is sent to. Requests
-// are distributed in proportion to the backends' weights, and a key always selects the
-// same backend. Without weights the first backend is selected; without backends the
-// result is empty.
+// are distributed in proportion to the backends' weights, and the same key always selects
+// the same backend. If no backend has a weight, the first one is selected. If there are
+// no backends, the result is empty.
 func SelectService(r *deployment.Route, key string) string {
 	total := 0
 	for _, b := range r.Backends {
