--- a/internal/policy/storepath/hold.go
+++ b/internal/policy/storepath/hold.go
@@ -4,14 +4,14 @@
 
 const (
 	// holdDuration is how long a submission is held and retried while no process reaches
-	// the store. Submitters give up after little more than a second.
+	// the store. A submitter waits for an answer for little more than a second.
 	holdDuration = 500 * time.Millisecond
 	// HoldRetryInterval is the interval between two tries of a held submission. Each try
 	// calls the store once.
 	HoldRetryInterval = 100 * time.Millisecond
-	// minRetryAfter is the shortest delay after which a caller should retry that was refused
-	// because the store is unreachable. Up to retryAfterJitter is added at random, so
-	// that callers refused at the same time do not retry at the same time.
+	// minRetryAfter is the shortest delay after which a caller should retry if it was
+	// refused because the store is unreachable. Up to retryAfterJitter is added at random,
+	// so that callers refused at the same time do not retry at the same time.
 	minRetryAfter    = 150 * time.Millisecond
 	retryAfterJitter = 150 * time.Millisecond
 )
@@ -32,8 +32,8 @@
 	return 0
 }
 
-// RetryAfter returns the delay after which a caller should retry that was refused because
-// the store is unreachable. random is a random number in [0, 1). The delay is short, as
+// RetryAfter returns the delay after which a caller should retry if it was refused because
+// the store is unreachable. random is a random number in [0, 1). The delay is short, since
 // another process may reach the store or the store may have recovered.
 func RetryAfter(random float64) time.Duration {
 	return minRetryAfter + time.Duration(random*float64(retryAfterJitter))
--- a/internal/policy/storepath/hold_test.go
+++ b/internal/policy/storepath/hold_test.go
@@ -45,14 +45,14 @@
 		t = trainer{timeout: 6 * time.Second, maxDelay: 400 * time.Millisecond, roundTrip: 10 * time.Millisecond, random: rand.New(rand.NewPCG(1, 2))}
 	})
 
-	// play simulates many submissions for each outage. Each starts at a random time in the
-	// first part of the outage, of length within.
-	play := func(outages []time.Duration, within, hold time.Duration, retryAfter func() time.Duration) (lostShare float64, meanLate time.Duration, meanCalls float64) {
+	// simulate simulates many submissions for each outage. Each starts at a random time
+	// within startWindow after the outage began.
+	simulate := func(outages []time.Duration, startWindow, hold time.Duration, retryAfter func() time.Duration) (lostShare float64, meanLate time.Duration, meanCalls float64) {
 		const rounds = 400
 		n, lost, calls, lateSum := 0, 0, 0, time.Duration(0)
 		for _, outage := range outages {
 			for range rounds {
-				at := time.Duration(t.random.Int64N(int64(min(outage, within))))
+				at := time.Duration(t.random.Int64N(int64(min(outage, startWindow))))
 				l, accepted, c := t.submit(at, outage, hold, retryAfter)
 				n++
 				calls += c
@@ -64,32 +64,34 @@
 		}
 		return float64(lost) / float64(n), lateSum / time.Duration(n-lost), float64(calls) / float64(n)
 	}
-	held := func() time.Duration { return storepath.RetryAfter(t.random.Float64()) }
-	refused := func() time.Duration {
+	// The delays before a retry: that of the package, and that of the baseline, which
+	// refuses each submission at once.
+	packageDelay := func() time.Duration { return storepath.RetryAfter(t.random.Float64()) }
+	baselineDelay := func() time.Duration {
 		return 150*time.Millisecond + time.Duration(t.random.Int64N(int64(150*time.Millisecond)))
 	}
 
 	It("is pending when the store recovers, even if its submitter is about to give up", func() {
 		// The store recovers 0.1 s before the submitter gives up its step. A submitter
 		// that is refused at once and retries after 150 to 300 ms often misses that moment.
-		outages, within := []time.Duration{5900 * time.Millisecond}, 10*time.Millisecond
-		lost, _, _ := play(outages, within, storepath.HoldDuration(true), held)
-		before, _, _ := play(outages, within, 0, refused)
-		GinkgoWriter.Println("lost", lost, "with a refusal at once", before)
-		Expect(before).To(BeNumerically(">", 0.4), "with a refusal at once")
-		Expect(lost).To(BeNumerically("<", before/2))
+		outages, startWindow := []time.Duration{5900 * time.Millisecond}, 10*time.Millisecond
+		lost, _, _ := simulate(outages, startWindow, storepath.HoldDuration(true), packageDelay)
+		baseline, _, _ := simulate(outages, startWindow, 0, baselineDelay)
+		GinkgoWriter.Println("lost", lost, "with a refusal at once", baseline)
+		Expect(baseline).To(BeNumerically(">", 0.4), "with a refusal at once")
+		Expect(lost).To(BeNumerically("<", baseline/2))
 	})
 
 	It("is accepted sooner after short and long outages than one that is refused at once", func() {
 		outages := []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 5 * time.Second}
-		const within = 400 * time.Millisecond
-		lost, late, calls := play(outages, within, storepath.HoldDuration(true), held)
-		_, lateBefore, callsBefore := play(outages, within, 0, refused)
-		GinkgoWriter.Println("late", late, "before", lateBefore, "calls", calls, callsBefore)
+		const startWindow = 400 * time.Millisecond
+		lost, late, calls := simulate(outages, startWindow, storepath.HoldDuration(true), packageDelay)
+		_, baselineLate, baselineCalls := simulate(outages, startWindow, 0, baselineDelay)
+		GinkgoWriter.Println("late", late, "before", baselineLate, "calls", calls, baselineCalls)
 		Expect(lost).To(BeZero())
-		Expect(late).To(BeNumerically("<", lateBefore))
+		Expect(late).To(BeNumerically("<", baselineLate))
 		Expect(late).To(BeNumerically("<", 100*time.Millisecond))
-		Expect(calls).To(BeNumerically("<", 3*callsBefore), "calls to the store during the outage")
+		Expect(calls).To(BeNumerically("<", 3*baselineCalls), "calls to the store during the outage")
 	})
 
 	It("is not held where others reach the store", func() {
--- a/internal/policy/storepath/path.go
+++ b/internal/policy/storepath/path.go
@@ -28,10 +28,10 @@
 
 // Path tracks how one process reaches the store. The result of a call is reported with
 // the time at which the call began. A failure of a call that began before an answered
-// call is ignored, as it may come from a connection that was lost earlier. The zero value
-// is ready to use. Path is not safe for concurrent use.
+// call is ignored, since that call may have used a connection that was lost earlier. The
+// zero value is ready to use. Path is not safe for concurrent use.
 type Path struct {
-	relaying     bool          // calls go through peers, as a peer reached the store when this process did not
+	relaying     bool          // calls go through peers, since a peer reached the store when this process did not
 	failures     int           // consecutive failures of the direct path
 	peersCutOff  bool          // the peers that watch the store for others do not reach it
 	served       time.Time     // start of the latest call that was answered on the direct path
@@ -59,7 +59,7 @@
 	return !p.relaying && p.failures >= failuresToRelay && !p.MayRelay(now)
 }
 
-// ProbeDue reports whether the direct path should be probed besides a call that is
+// ProbeDue reports whether the direct path should be probed in addition to a call that is
 // relayed. If so, it records the probe as sent.
 func (p *Path) ProbeDue(now time.Time) bool {
 	if !p.relaying || now.Sub(p.probed) < probeInterval {
--- a/internal/policy/storepath/path_test.go
+++ b/internal/policy/storepath/path_test.go
@@ -69,9 +69,9 @@
 	})
 
 	It("ignores failures of calls that began before an answered call", func() {
-		// Calls that were lost in an outage time out one by one after it. Counted as new
-		// failures, they made the process leave a direct path that worked again, several
-		// times a second.
+		// Regression: calls that were lost in an outage timed out one by one after it and
+		// were counted as new failures. Several times a second the process left a direct
+		// path that worked again.
 		var p storepath.Path
 		p.DirectServed(after(1000))
 		for range 3 {
--- a/internal/policy/storepath/timeout.go
+++ b/internal/policy/storepath/timeout.go
@@ -21,15 +21,15 @@
 	// as losing answers: fifteen times its usual 4 ms.
 	slowLatency = 60 * time.Millisecond
 	// slowWriteTimeout is the timeout of a write while the store is slow. The latency then
-	// varies by hundreds of milliseconds, and a write that times out early is repeated
-	// and costs more slow calls.
+	// varies by hundreds of milliseconds, and a write that times out too early is repeated
+	// and causes more slow calls.
 	slowWriteTimeout = 700 * time.Millisecond
 )
 
 // TimeoutEstimator computes from observed latencies how long to wait for an answer of
-// the store before it is regarded as lost. A fixed timeout of 300 ms left a submitter
-// that waits 1.2 s only two tries while the store lost every second answer. With the
-// estimate the submitter gets eight. The zero value is ready to use.
+// the store before it is regarded as lost. While the store loses every second answer, a
+// fixed timeout of 300 ms leaves a submitter that waits 1.2 s only two tries; with the
+// estimate it gets eight. The zero value is ready to use.
 type TimeoutEstimator struct {
 	mean, deviation time.Duration // of the latency; 0 before the first answer
 	last            time.Duration // latency of the latest answer
--- a/internal/policy/storepath/timeout_test.go
+++ b/internal/policy/storepath/timeout_test.go
@@ -40,9 +40,9 @@
 	})
 
 	It("gives a write a long timeout while the store is slow, and a short one while answers are lost", func() {
-		// The store takes 100 to 500 ms per call for a while. When writes had the usual
-		// timeout, each was abandoned and repeated, and a restarted owner needed 2.4 s to
-		// take over its jobs.
+		// Regression: the store took 100 to 500 ms per call for a while. Writes had the
+		// usual timeout, so each was abandoned and repeated, and a restarted owner needed
+		// 2.4 s to take over its jobs.
 		var e storepath.TimeoutEstimator
 		for range 20 {
 			e.Observe(4 * time.Millisecond)
