--- a/internal/policy/membership/membership.go
+++ b/internal/policy/membership/membership.go
@@ -132,7 +132,7 @@
 	inList := make(map[string]bool, len(list))
 	for _, in := range list {
 		inList[in.ID] = true
-		t.applyInstance(now, in)
+		t.list(now, in)
 	}
 	for id, m := range t.members {
 		if m.listed && !inList[id] {
@@ -144,8 +144,8 @@
 	return t.changes
 }
 
-// applyInstance updates or adds the member for one instance of the list.
-func (t *Table) applyInstance(now time.Time, in Instance) {
+// list updates or adds the member for one instance of the list.
+func (t *Table) list(now time.Time, in Instance) {
 	m := t.members[in.ID]
 	if m == nil {
 		m = &Member{Instance: in}
