--- a/internal/policy/platform/breaker.go
+++ b/internal/policy/platform/breaker.go
@@ -69,7 +69,7 @@
 	failures    int       // consecutive failures
 	slowAnswers int       // consecutive slow answers
 	opens       int       // times the breaker opened since the last answer; sets the backoff
-	probeAt     time.Time // no probe is allowed before; valid while Down
+	probeAt     time.Time // no probe is allowed before this time; valid while Down
 	probing     bool      // a probe is in flight
 }
 
--- a/internal/policy/platform/platform_test.go
+++ b/internal/policy/platform/platform_test.go
@@ -70,6 +70,9 @@
 		Expect(b.Allow(now, 5)).To(BeTrue())
 	})
 
+	// Calls that were sent before the breaker opened fail one by one afterwards. If each
+	// extended the backoff, the first probe would be late and the breaker would stay open
+	// after the outage.
 	It("does not extend its backoff for calls that were sent before it opened", func() {
 		b := platform.NewBreaker(platform.DefaultConfig())
 		for range 100 {
