--- a/internal/policy/config/config_test.go
+++ b/internal/policy/config/config_test.go
@@ -194,7 +194,7 @@
 	bound := config.DefaultFollowerConfig().MaxStaleness
 	entries := []config.Peer{{ID: "e1", Domain: "a"}, {ID: "e2", Domain: "b"}, {ID: "e3", Domain: "c"}, {ID: "e4", Domain: "c"}}
 
-	hear := func(peer config.Peer, revision int64, ago time.Duration) config.Need {
+	receive := func(peer config.Peer, revision int64, ago time.Duration) config.Need {
 		return f.Heard(now, config.PeerStatus{From: peer, Revision: revision, ConfirmedAgo: ago, SentAt: now})
 	}
 
@@ -248,14 +248,14 @@
 		Expect(reads).To(BeNumerically("<=", 33), "one per 2 s, and a turn or two")
 	})
 
-	It("is not ready until it holds the newest revision it has heard of", func() {
+	It("is not ready until it holds the newest revision it knows of", func() {
 		Expect(f.Ready(now)).To(BeFalse())
-		Expect(hear(entries[1], 7, 0)).To(Equal(config.Need{Kind: config.NeedFetch, Peer: "e2"}))
+		Expect(receive(entries[1], 7, 0)).To(Equal(config.Need{Kind: config.NeedFetch, Peer: "e2"}))
 		f.Applied(now, 6)
-		hear(entries[2], 6, 2*time.Second)
+		receive(entries[2], 6, 2*time.Second)
 		Expect(f.Ready(now)).To(BeFalse())
 		f.Applied(now, 7)
-		hear(entries[1], 7, time.Second)
+		receive(entries[1], 7, time.Second)
 		Expect(f.Ready(now)).To(BeTrue())
 		f.Applied(now, 5)
 		revision, ago := f.Revision(now)
@@ -263,17 +263,18 @@
 		Expect(ago).To(Equal(time.Second))
 	})
 
-	// The service is down for long, so no proof is recent enough. The entry hears two
-	// of three failure domains. Since an entry may accept changes only with a majority
-	// too, one of the two would have reported a newer revision.
-	It("stays ready in an outage while it hears most failure domains", func() {
+	// The service is down for long, so no proof is recent enough. The entry
+	// receives heartbeats from two of three failure domains. Since an entry also needs
+	// most failure domains to accept a change, one of the two would have reported a newer
+	// revision.
+	It("stays ready in an outage while it is in contact with most failure domains", func() {
 		f.Applied(now, 7)
 		f.Stored(now, now, 7)
 		now = now.Add(time.Minute)
 		Expect(f.Ready(now)).To(BeFalse())
-		hear(entries[2], 7, time.Minute)
+		receive(entries[2], 7, time.Minute)
 		Expect(f.Ready(now)).To(BeFalse(), "one peer is no quorum")
-		hear(entries[1], 7, time.Minute)
+		receive(entries[1], 7, time.Minute)
 		Expect(f.Ready(now)).To(BeTrue())
 		Expect(f.MayAccept(now)).To(BeTrue())
 		now = now.Add(bound + time.Second)
@@ -285,27 +286,27 @@
 		f.Applied(now, 7)
 		f.Stored(now, now, 7)
 		f.Tick(now, rnd)
-		hear(entries[1], 8, 0)
+		receive(entries[1], 8, 0)
 		Expect(f.Ready(now)).To(BeTrue())
 		Expect(f.FetchFailed(now, "e2").Kind).To(Equal(config.NeedNothing))
-		hear(entries[2], 8, 0)
+		receive(entries[2], 8, 0)
 		Expect(f.FetchFailed(now, "e2")).To(Equal(config.Need{Kind: config.NeedFetch, Peer: "e3"}))
 		now = now.Add(bound + time.Millisecond)
-		hear(entries[1], 8, 0)
-		hear(entries[2], 8, 0)
+		receive(entries[1], 8, 0)
+		receive(entries[2], 8, 0)
 		Expect(f.Ready(now)).To(BeFalse())
 	})
 
 	// A read of the service has just proved revision 7 when a peer reports revision 8
 	// and the service goes down. Peers that know of 8 must not confirm 7. Otherwise
-	// the entry would take work for MaxStaleness since it heard of 8, on top of the
+	// the entry would take work for MaxStaleness since the report of 8, on top of the
 	// age of its proof.
 	It("takes no work under a revision that its peers know to be replaced once its proof is old", func() {
 		f.Applied(now, 7)
 		f.Stored(now, now.Add(-bound), 7)
 		f.Tick(now, rnd)
-		hear(entries[1], 8, time.Minute)
-		hear(entries[2], 8, time.Minute)
+		receive(entries[1], 8, time.Minute)
+		receive(entries[2], 8, time.Minute)
 		Expect(f.MayAccept(now)).To(BeTrue())
 		Expect(f.Ready(now)).To(BeTrue())
 		Expect(f.Ready(now.Add(time.Millisecond))).To(BeFalse())
@@ -325,14 +326,14 @@
 		Expect(f.MayAccept(now)).To(BeFalse())
 	})
 
-	It("reports how long it hears a quorum", func() {
+	It("reports how long it stays in contact with a quorum", func() {
 		f.Applied(now, 7)
-		hear(entries[1], 7, time.Hour)
+		receive(entries[1], 7, time.Hour)
 		now = now.Add(time.Second)
 		Expect(f.Status(now).QuorumFor).To(BeZero())
-		hear(entries[2], 7, time.Hour)
+		receive(entries[2], 7, time.Hour)
 		Expect(f.Status(now).QuorumFor).To(Equal(bound - time.Second))
-		hear(entries[1], 8, time.Hour)
+		receive(entries[1], 8, time.Hour)
 		Expect(f.Status(now).QuorumFor).To(BeZero(), "it knows of a newer revision")
 	})
 })
@@ -366,7 +367,7 @@
 		Expect(f.Ready(now.Add(bound - time.Second + time.Millisecond))).To(BeFalse())
 	})
 
-	It("is ready in an outage while an entry hears a quorum, and no longer", func() {
+	It("is ready in an outage while an entry is in contact with a quorum, and no longer", func() {
 		beat(1, now, 3, time.Hour, 3*time.Second)
 		Expect(f.Ready(now.Add(3 * time.Second))).To(BeTrue())
 		Expect(f.Ready(now.Add(3*time.Second + time.Millisecond))).To(BeFalse())
--- a/internal/policy/config/follower.go
+++ b/internal/policy/config/follower.go
@@ -40,7 +40,7 @@
 	From         Peer
 	Revision     int64
 	ConfirmedAgo time.Duration // age of the proof that no newer revision existed; negative: no proof
-	QuorumFor    time.Duration // how long the peer still hears a quorum without further heartbeats; 0: it hears none
+	QuorumFor    time.Duration // how long the peer stays in contact with a quorum without further heartbeats; 0: it is not in contact with one
 	Boot         uint64        // identifies the run of the peer's process
 	Clock        time.Duration // time since that run started, by the peer's clock
 	SentAt       time.Time     // earliest time, by this process's clock, at which the peer can have sent it; zero: unknown
@@ -70,11 +70,12 @@
 //
 // A process is current while it has proof, not older than MaxStaleness, that no
 // newer revision exists: a read of the service, its own or one that its peers
-// report. In an outage of the service no process has such proof. Then it must hear
-// a quorum: entries in most failure domains. An entry in turn accepts a change only
-// while it hears a quorum (MayAccept). So a change accepted on one side of a
-// partition reaches, through a failure domain that both sides hear, every process
-// on the other side that still takes work.
+// report. In an outage of the service no process has such proof. Then it must be in
+// contact with a quorum: it must have received recent heartbeats of entries in most
+// failure domains. An entry in turn accepts a change only while it is in contact with
+// a quorum (MayAccept). So a change accepted on one side of a partition reaches,
+// through a failure domain that is in contact with both sides, every process on the
+// other side that still takes work.
 //
 // The status of a peer counts from the time it was sent. If it counted from its
 // arrival, the messages waiting in the sockets of a paused process would make the
@@ -91,9 +92,9 @@
 
 	entries          []Peer
 	domains          int // number of failure domains that have entries
-	heard            map[string]heardPeer
+	statuses         map[string]lastStatus
 	transit          transitEstimator
-	entryQuorumUntil time.Time // agents only: until then an entry hears a quorum
+	entryQuorumUntil time.Time // agents only: until then an entry is in contact with a quorum
 
 	have       int64     // revision in force in this process
 	newest     int64     // newest revision that any process has reported
@@ -105,8 +106,8 @@
 	nextFetch  time.Time
 }
 
-// heardPeer is the last status of a peer.
-type heardPeer struct {
+// lastStatus is the last status of a peer.
+type lastStatus struct {
 	peer     Peer
 	at       time.Time // of arrival
 	sentAt   time.Time // lower bound of when the newest heartbeat was sent; zero: unknown
@@ -124,7 +125,7 @@
 		entry:      entry,
 		boot:       rnd.Uint64(),
 		started:    now,
-		heard:      map[string]heardPeer{},
+		statuses:   map[string]lastStatus{},
 		transit:    newTransitEstimator(now),
 		nextRead:   now.Add(delay),
 		ownReadAge: config.MaxStaleness - config.PollInterval,
@@ -179,13 +180,13 @@
 	return f.fetch(now)
 }
 
-// recordPeer records when a peer was heard.
+// recordPeer records the status of a peer.
 func (f *Follower) recordPeer(now time.Time, s PeerStatus) {
-	h := heardPeer{peer: s.From, at: now, sentAt: s.SentAt, revision: s.Revision}
-	if before := f.heard[s.From.ID].sentAt; before.After(h.sentAt) {
+	h := lastStatus{peer: s.From, at: now, sentAt: s.SentAt, revision: s.Revision}
+	if before := f.statuses[s.From.ID].sentAt; before.After(h.sentAt) {
 		h.sentAt = before
 	}
-	f.heard[s.From.ID] = h
+	f.statuses[s.From.ID] = h
 }
 
 // trust adopts the proof and, in an agent, the quorum of a peer.
@@ -226,7 +227,7 @@
 // peer that has the revision, or after FetchRetryDelay to the same one if there is none.
 func (f *Follower) FetchFailed(now time.Time, peer string) Need {
 	f.nextFetch = now
-	for id, h := range f.heard {
+	for id, h := range f.statuses {
 		if id != peer && h.revision >= f.newest {
 			f.newestBy = id
 			break
@@ -270,7 +271,7 @@
 		f.nextRead = now.Add(f.config.PollInterval)
 		return Need{Kind: NeedRead}
 	}
-	// An entry that has heard no proof from a watcher for long enough reads the
+	// An entry that has received no proof from a watcher for long enough reads the
 	// service itself: all watchers may have died or be partitioned, or the
 	// deployment may just be starting. It reads before its own proof is too old.
 	// Otherwise the entries of a partitioned region would stop one after the other
@@ -284,26 +285,26 @@
 	return Need{Kind: NeedRead}
 }
 
-// forget drops peers that have not been heard for 2 * MaxStaleness.
+// forget drops peers from which no status was received for 2 * MaxStaleness.
 func (f *Follower) forget(now time.Time) {
-	for id, h := range f.heard {
+	for id, h := range f.statuses {
 		if now.Sub(h.at) > 2*f.config.MaxStaleness {
-			delete(f.heard, id)
+			delete(f.statuses, id)
 		}
 	}
 	f.transit.forget(now)
 }
 
-// quorumUntil returns until when this process hears a quorum if no further
-// heartbeats come. A quorum is entries in most failure domains and, in a small
-// deployment, most entries. Any two quorums intersect.
+// quorumUntil returns the time until which this process is in contact with a quorum if
+// no further heartbeats arrive. A quorum consists of entries in most failure domains
+// and, in a small deployment, of most entries. Any two quorums intersect.
 func (f *Follower) quorumUntil(now time.Time) time.Time {
 	if f.domains == 0 {
 		return time.Time{}
 	}
 	var peers []time.Time
 	byDomain := map[string]time.Time{}
-	for id, h := range f.heard {
+	for id, h := range f.statuses {
 		if id == f.self.ID || h.sentAt.IsZero() {
 			continue
 		}
@@ -342,7 +343,7 @@
 }
 
 // Ready reports whether the process may take new work. A new process must hold the
-// newest revision that it has heard of. A process that was ready before and learns
+// newest revision that it knows of. A process that was ready before and learns
 // of a newer revision continues while its proof is recent enough and fetches the
 // revision meanwhile. A quorum does not count as proof then, since peers that know
 // of the newer revision do not confirm the older one.
@@ -354,22 +355,22 @@
 	if !f.confirmed.IsZero() && now.Sub(f.confirmed) <= f.config.MaxStaleness {
 		return true
 	}
-	return !behind && f.hearsQuorum(now)
+	return !behind && f.hasQuorum(now)
 }
 
-// hearsQuorum reports whether the process hears a quorum. An agent relies on what an
-// entry reports.
-func (f *Follower) hearsQuorum(now time.Time) bool {
+// hasQuorum reports whether the process is in contact with a quorum. An agent relies on
+// the reports of entries.
+func (f *Follower) hasQuorum(now time.Time) bool {
 	if !f.entry {
 		return !now.After(f.entryQuorumUntil)
 	}
 	return !now.After(f.quorumUntil(now))
 }
 
-// MayAccept reports whether the process may accept a change. Only an entry that hears
-// a quorum may, so that the change reaches every process that takes work.
+// MayAccept reports whether the process may accept a change. Only an entry in contact
+// with a quorum may, so that the change reaches every process that takes work.
 func (f *Follower) MayAccept(now time.Time) bool {
-	return f.entry && f.hearsQuorum(now)
+	return f.entry && f.hasQuorum(now)
 }
 
 // Status returns the status of this process for a heartbeat.
--- a/internal/policy/gossip/gossip_test.go
+++ b/internal/policy/gossip/gossip_test.go
@@ -79,8 +79,8 @@
 		Expect(len(domains)).To(Equal(7))
 	})
 
-	// During an outage of the key-value service an entry accepts work while it
-	// hears from a quorum, counting the answers of the last five rounds. Partners
+	// During an outage of the key-value service an entry accepts work while it is in
+	// contact with a quorum, counting the answers of the last five rounds. Partners
 	// drawn at random in each round repeat: only ten different ones are called in
 	// five rounds. That suffices for the quorum of eight peers only if no more than
 	// two calls are lost.
