--- a/internal/entry/claims_handover.go
+++ b/internal/entry/claims_handover.go
@@ -149,7 +149,7 @@
 	report := wire.ClaimsTold{Duty: p.duty}
 	for _, t := range batch {
 		r := t.Result
-		r.Hold = max(0, time.Until(t.Hold))
+		r.Hold = max(0, time.Until(t.NotBefore))
 		report.Results = append(report.Results, r)
 	}
 	p.mu.Lock()
--- a/internal/lab/callers/claims_told.go
+++ b/internal/lab/callers/claims_told.go
@@ -28,7 +28,7 @@
 		return
 	}
 	r := t.Result
-	r.Hold = max(0, t.Hold.Sub(now))
+	r.Hold = max(0, t.NotBefore.Sub(now))
 	told := claims.ResultsReceived{Results: []wire.ClaimResult{r}, Running: e.part.Running()}
 	heard := false
 	arrive := func() {
--- a/internal/policy/claims/claims.go
+++ b/internal/policy/claims/claims.go
@@ -219,11 +219,11 @@
 }
 
 // SendResult requests that the result of a claim is sent to the owner of the partition.
-// The claim was made here before the duty was lost. Hold is the time before which a
+// The claim was made here before the duty was lost. NotBefore is the time before which a
 // request that was not run must not be run.
 type SendResult struct {
-	Result wire.ClaimResult
-	Hold   time.Time
+	Result    wire.ClaimResult
+	NotBefore time.Time
 }
 
 // QueryAgents requests that the agents are queried for the results of claims that a lost
--- a/internal/policy/claims/handover.go
+++ b/internal/policy/claims/handover.go
@@ -61,7 +61,7 @@
 		t.Result.Outcome = wire.Unknown
 	default:
 		t.Result.Outcome = wire.NotRun
-		t.Hold = c.notBefore
+		t.NotBefore = c.notBefore
 	}
 	p.emit(t)
 }
--- a/internal/policy/claims/handover_test.go
+++ b/internal/policy/claims/handover_test.go
@@ -30,7 +30,7 @@
 		Expect(old.replies).To(HaveKey(int64(1)))
 		Expect(old.sentResults).To(HaveLen(1))
 		r := old.sentResults[0].Result
-		r.Hold = max(0, old.sentResults[0].Hold.Sub(old.now))
+		r.Hold = max(0, old.sentResults[0].NotBefore.Sub(old.now))
 		return claims.ResultsReceived{Results: []wire.ClaimResult{r}}
 	}
 
