--- a/internal/policy/conn/conn.go
+++ b/internal/policy/conn/conn.go
@@ -36,7 +36,7 @@
 	CloseActive                        // close the active connection and settle the requests in flight on it
 	Suspend                            // send the peer no new requests for now
 	Resume                             // send the peer requests again
-	Unreachable                        // the peer answers on no connection
+	Unreachable                        // mark the peer as unreachable; it answers on no connection
 )
 
 // Verdict says why an active connection is closed.
