--- a/internal/policy/config/config_test.go
+++ b/internal/policy/config/config_test.go
@@ -345,8 +345,9 @@
 	bound := config.DefaultFollowerConfig().MaxStaleness
 	began := start.Add(-time.Hour)
 
-	// beat delivers a heartbeat of an entry now that was sent at the given time.
-	beat := func(boot uint64, sent time.Time, revision int64, ago, quorum time.Duration) {
+	// heartbeat delivers, at the time now, a heartbeat that the entry e1 sent at the given
+	// time.
+	heartbeat := func(boot uint64, sent time.Time, revision int64, ago, quorum time.Duration) {
 		f.Heard(now, config.PeerStatus{
 			From: config.Peer{ID: "e1", Domain: "a"}, Revision: revision, ConfirmedAgo: ago, QuorumFor: quorum,
 			Boot: boot, Clock: sent.Sub(began),
@@ -357,30 +358,30 @@
 		now = start
 		f = config.NewFollower(config.DefaultFollowerConfig(), config.Peer{ID: "agent", Domain: "a"}, false, now, rnd)
 		f.Applied(now, 3)
-		beat(1, now, 3, 0, 0)
+		heartbeat(1, now, 3, 0, 0)
 		Expect(f.Ready(now)).To(BeFalse(), "a first heartbeat may be of any age")
 	})
 
 	It("is ready while an entry has proof, and no longer", func() {
-		beat(1, now, 3, time.Second, 0)
+		heartbeat(1, now, 3, time.Second, 0)
 		Expect(f.Ready(now.Add(bound - time.Second))).To(BeTrue())
 		Expect(f.Ready(now.Add(bound - time.Second + time.Millisecond))).To(BeFalse())
 	})
 
 	It("is ready in an outage while an entry is in contact with a quorum, and no longer", func() {
-		beat(1, now, 3, time.Hour, 3*time.Second)
+		heartbeat(1, now, 3, time.Hour, 3*time.Second)
 		Expect(f.Ready(now.Add(3 * time.Second))).To(BeTrue())
 		Expect(f.Ready(now.Add(3*time.Second + time.Millisecond))).To(BeFalse())
 		Expect(f.MayAccept(now)).To(BeFalse())
 	})
 
 	It("ignores the quorum of an entry that holds another revision", func() {
-		beat(1, now, 2, time.Hour, bound)
+		heartbeat(1, now, 2, time.Hour, bound)
 		Expect(f.Ready(now)).To(BeFalse())
-		beat(1, now, 4, time.Hour, bound)
+		heartbeat(1, now, 4, time.Hour, bound)
 		Expect(f.Ready(now)).To(BeFalse())
 		f.Applied(now, 4)
-		beat(1, now, 4, time.Hour, bound)
+		heartbeat(1, now, 4, time.Hour, bound)
 		Expect(f.Ready(now)).To(BeTrue())
 	})
 
@@ -391,10 +392,10 @@
 		sent := now
 		now = now.Add(20 * time.Second)
 		for i := range 10 {
-			beat(1, sent.Add(time.Duration(i)*time.Second), 3, 0, bound)
+			heartbeat(1, sent.Add(time.Duration(i)*time.Second), 3, 0, bound)
 			Expect(f.Ready(now)).To(BeFalse())
 		}
-		beat(1, now, 3, 0, bound)
+		heartbeat(1, now, 3, 0, bound)
 		Expect(f.Ready(now)).To(BeTrue())
 	})
 
@@ -402,9 +403,9 @@
 	// delayed for any time.
 	It("does not compare heartbeats of two runs of an entry", func() {
 		now = now.Add(time.Minute)
-		beat(2, now.Add(-bound), 3, 0, bound)
+		heartbeat(2, now.Add(-bound), 3, 0, bound)
 		Expect(f.Ready(now)).To(BeFalse())
-		beat(2, now, 3, 0, bound)
+		heartbeat(2, now, 3, 0, bound)
 		Expect(f.Ready(now)).To(BeTrue())
 	})
 
@@ -415,7 +416,7 @@
 		for range 3 * 3600 {
 			now = now.Add(time.Second)
 			slow = slow.Add(time.Second - 100*time.Microsecond)
-			beat(1, slow, 3, 0, 0)
+			heartbeat(1, slow, 3, 0, 0)
 		}
 		Expect(f.Ready(now.Add(bound - 10*time.Millisecond))).To(BeTrue())
 	})
