--- a/cmd/siskinlab/capacity.go
+++ b/cmd/siskinlab/capacity.go
@@ -17,7 +17,7 @@
 // capacityCommand returns the steps of the capacity measurement as subcommands,
 // which scripts/capacity.sh calls.
 func capacityCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "capacity", Short: "cost of control work by size; scripts/capacity.sh puts the parts together"}
+	cmd := &cobra.Command{Use: "capacity", Short: "the steps of the capacity measurement, which scripts/capacity.sh runs"}
 	var entries, agents, basePort int
 	var dir, pids, out, limitsFile string
 	var duration time.Duration
@@ -25,7 +25,7 @@
 		_, err := demo.WriteFleet(dir, basePort, entries, agents)
 		return err
 	}}
-	measure := &cobra.Command{Use: "measure", Short: "watch a fleet's processes", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+	measure := &cobra.Command{Use: "measure", Short: "measure a fleet's processes", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		processes, err := readProcesses(pids)
 		if err != nil {
 			return err
@@ -36,7 +36,7 @@
 		}
 		return capacity.Append(out, samples)
 	}}
-	report := &cobra.Command{Use: "report", Short: "print the figures and the lines through them", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+	report := &cobra.Command{Use: "report", Short: "print the figures and their extrapolation", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		samples, err := capacity.Load(out)
 		if err != nil {
 			return err
@@ -59,9 +59,9 @@
 		c.Flags().IntVar(&agents, "agents", 14, "agents of the fleet")
 	}
 	layout.Flags().StringVar(&dir, "dir", "capacity-out", "folder for the settings")
-	layout.Flags().IntVar(&basePort, "base", 25000, "ports are taken from the one after this on")
+	layout.Flags().IntVar(&basePort, "base", 25000, "the fleet uses free ports above this one")
 	measure.Flags().StringVar(&pids, "pids", "", "file with a line per process: role, process id, address of its metrics")
-	measure.Flags().DurationVar(&duration, "span", 10*time.Second, "how long to watch")
+	measure.Flags().DurationVar(&duration, "span", 10*time.Second, "how long to measure")
 	for _, c := range []*cobra.Command{measure, report} {
 		c.Flags().StringVar(&out, "out", "capacity.json", "file of the samples")
 	}
--- a/cmd/siskinlab/demo.go
+++ b/cmd/siskinlab/demo.go
@@ -14,19 +14,19 @@
 // demoCommand returns the steps of the demo as subcommands, which scripts/demo.sh
 // calls.
 func demoCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "demo", Short: "the parts of the demo; scripts/demo.sh puts them together"}
+	cmd := &cobra.Command{Use: "demo", Short: "the steps of the demo, which scripts/demo.sh runs"}
 	cmd.PersistentFlags().String("dir", "demo-out", "the demo's folder")
 	cmd.AddCommand(layoutCommand(), loadCommand(), faultsCommand(), judgeCommand())
 	cmd.AddCommand(
-		layoutStep("instances", "hand the instance lists to the platforms", func(dir string, l demo.Layout) error {
+		layoutStep("instances", "send the instance lists to the platforms", func(dir string, l demo.Layout) error {
 			if err := demo.AwaitControls(l); err != nil {
 				return err
 			}
 			return demo.PublishInstances(dir, l)
 		}),
 		layoutStep("ready", "wait until every process is ready", func(_ string, l demo.Layout) error { return demo.AwaitReady(l) }),
-		layoutStep("outage", "take the key-value services away", func(_ string, l demo.Layout) error { return demo.Outage(l, true) }),
-		layoutStep("recover", "give the key-value services back", func(_ string, l demo.Layout) error { return demo.Outage(l, false) }),
+		layoutStep("outage", "start an outage of the key-value services", func(_ string, l demo.Layout) error { return demo.Outage(l, true) }),
+		layoutStep("recover", "end the outage of the key-value services", func(_ string, l demo.Layout) error { return demo.Outage(l, false) }),
 	)
 	return cmd
 }
@@ -63,7 +63,7 @@
 			return err
 		},
 	}
-	cmd.Flags().IntVar(&basePort, "base", 21000, "ports are taken from the one after this on")
+	cmd.Flags().IntVar(&basePort, "base", 21000, "the fleet uses free ports above this one")
 	return cmd
 }
 
@@ -77,7 +77,7 @@
 			return demo.Drive(cmd.Context(), demoDir(cmd), duration, cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().DurationVar(&duration, "duration", 30*time.Second, "how long")
+	cmd.Flags().DurationVar(&duration, "duration", 30*time.Second, "duration of the load")
 	return cmd
 }
 
@@ -91,14 +91,14 @@
 		return nil
 	})
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "the same seed gives the same schedule")
-	cmd.Flags().DurationVar(&duration, "duration", time.Minute, "of the load")
+	cmd.Flags().DurationVar(&duration, "duration", time.Minute, "duration of the load")
 	return cmd
 }
 
 func judgeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "judge",
-		Short: "print the demo's tables; fails if a promise was broken",
+		Short: "print the demo's tables; fails if an invariant was violated",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			violations, err := demo.Judge(demoDir(cmd), cmd.OutOrStdout())
@@ -106,7 +106,7 @@
 				return err
 			}
 			if violations > 0 {
-				return errors.Errorf("%d promises were broken", violations)
+				return errors.Errorf("%d invariants were violated", violations)
 			}
 			return nil
 		},
--- a/cmd/siskinlab/main.go
+++ b/cmd/siskinlab/main.go
@@ -51,18 +51,18 @@
 	var file, only string
 	cmd := &cobra.Command{
 		Use:   "bounds",
-		Short: "run the deterministic measurements and hold them against their bounds",
+		Short: "run the deterministic measurements and check them against their bounds",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runBounds(cmd, file, only)
 		},
 	}
 	cmd.Flags().StringVar(&file, "file", "bench/bounds.ini", "the bounds")
-	cmd.Flags().StringVar(&only, "only", "", "run only measurements whose name starts with one of these, with commas between them")
+	cmd.Flags().StringVar(&only, "only", "", "run only measurements whose name starts with one of these comma-separated prefixes")
 	return cmd
 }
 
-// hasAnyPrefix tells whether a name starts with one of the comma-separated prefixes.
+// hasAnyPrefix reports whether a name starts with one of the comma-separated prefixes.
 func hasAnyPrefix(name, prefixes string) bool {
 	return slices.ContainsFunc(strings.Split(prefixes, ","), func(p string) bool { return strings.HasPrefix(name, p) })
 }
--- a/cmd/siskinlab/plot.go
+++ b/cmd/siskinlab/plot.go
@@ -28,7 +28,7 @@
 			return plotTradeoff(cmd.OutOrStdout(), out)
 		},
 	}
-	tradeoff.Flags().StringVar(&out, "out", "tradeoff.png", "the image; its ending tells the format")
+	tradeoff.Flags().StringVar(&out, "out", "tradeoff.png", "image file; its extension selects the format")
 	cmd.AddCommand(tradeoff)
 	return cmd
 }
--- a/cmd/siskinloomd/main.go
+++ b/cmd/siskinloomd/main.go
@@ -49,7 +49,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "check a settings file and report every fault with its place",
+		Short: "check a settings file and report every error with its line",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := settings.Load(args[0]); err != nil {
--- a/internal/ctl/change.go
+++ b/internal/ctl/change.go
@@ -53,7 +53,7 @@
 func (o *options) plan() *cobra.Command {
 	return &cobra.Command{
 		Use:   "plan FILE|FOLDER...",
-		Short: "tell what declarations would change; exits 2 if anything",
+		Short: "show what declarations would change; exits with 2 if they change anything",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			files, err := readFiles(args)
--- a/internal/ctl/inspect.go
+++ b/internal/ctl/inspect.go
@@ -17,7 +17,7 @@
 func (o *options) status() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "tell which instances have which revision in force and who holds which duty",
+		Short: "show the revision in force at each instance and the holder of each duty",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var response *operatorpb.StatusResponse
@@ -45,7 +45,7 @@
 	var outcomes []string
 	cmd := &cobra.Command{
 		Use:   "audit",
-		Short: "tell who changed or tried to change what, when, from where, with which outcome",
+		Short: "show changes and attempted changes with operator, time, address and outcome",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, outcome := range outcomes {
@@ -71,7 +71,7 @@
 		},
 	}
 	cmd.Flags().Int64Var(&since, "since", 0, "only changes after this revision")
-	cmd.Flags().Int32Var(&limit, "limit", 0, "only so many of the newest; 0: all that are kept")
+	cmd.Flags().Int32Var(&limit, "limit", 0, "at most this number of the newest changes; 0: all")
 	cmd.Flags().StringSliceVar(&outcomes, "outcome", nil, "only changes of these outcomes: "+strings.Join(auditOutcomes, ", "))
 	return cmd
 }
@@ -80,7 +80,7 @@
 	var since int64
 	cmd := &cobra.Command{
 		Use:   "watch",
-		Short: "tell each change as it comes into force, until interrupted",
+		Short: "print each change as it comes into force, until interrupted",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.callEntries(cmd.Context(), func(ctx context.Context, client operatorpb.OperatorClient) error {
@@ -92,7 +92,7 @@
 			})
 		},
 	}
-	cmd.Flags().Int64Var(&since, "since", 0, "begin after this revision")
+	cmd.Flags().Int64Var(&since, "since", 0, "start after this revision")
 	return cmd
 }
 
@@ -121,10 +121,10 @@
 }
 
 func (o *options) quarantine() *cobra.Command {
-	root := &cobra.Command{Use: "quarantine", Short: "requests that no endpoint may run as they crash it"}
+	root := &cobra.Command{Use: "quarantine", Short: "requests that no endpoint may run because they crash it"}
 	list := &cobra.Command{
 		Use:   "list",
-		Short: "list them",
+		Short: "list the quarantined requests",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var response *operatorpb.ListQuarantineResponse
@@ -140,7 +140,7 @@
 	}
 	release := &cobra.Command{
 		Use:   "release FINGERPRINT",
-		Short: "let one run again",
+		Short: "allow a quarantined request to run again",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var response *operatorpb.ReleaseQuarantineResponse
