--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -103,7 +103,7 @@
 	}
 	for _, key := range []string{"cert", "key", "server_name"} {
 		if t.CA == "" && section.String(key, "") != "" {
-			section.AddFinding(key, "needs ca, without which the platform is spoken to without TLS")
+			section.AddFinding(key, "needs ca; without it connections to the platform are not encrypted")
 		}
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -57,7 +57,7 @@
 		Expect(s.PlatformTLS).To(Equal(settings.PlatformTLS{CA: "ca.pem", Cert: "c.pem", Key: "k.pem", ServerName: "platform"}))
 		_, err = settings.Parse("agent.ini", []byte(agentINI+"cert = c.pem\nserver_name = platform\n"))
 		Expect(err).To(MatchError(`agent.ini:14: [platform] cert: cert and key go together
-agent.ini:14: [platform] cert: needs ca, without which the platform is spoken to without TLS
-agent.ini:15: [platform] server_name: needs ca, without which the platform is spoken to without TLS`))
+agent.ini:14: [platform] cert: needs ca; without it connections to the platform are not encrypted
+agent.ini:15: [platform] server_name: needs ca; without it connections to the platform are not encrypted`))
 	})
 })
