--- a/internal/bounds/bounds.go
+++ b/internal/bounds/bounds.go
@@ -67,7 +67,7 @@
 	HasMax   bool
 }
 
-// Holds tells whether v is within the bound. NaN never is.
+// Holds reports whether v is within the bound. NaN never is.
 func (b Bound) Holds(v float64) bool {
 	if math.IsNaN(v) {
 		return false
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -262,7 +262,7 @@
 	return e.holder.Current()
 }
 
-// ready tells whether the entry can serve callers: its configuration is proven to
+// ready reports whether the entry can serve callers: its configuration is proven to
 // be current, and it has endpoints of the declared services or has waited for them
 // long enough.
 func (e *entryProcess) ready() bool {
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -104,7 +104,7 @@
 	return sortedByID(byID)
 }
 
-// isFresher tells whether a is based on a more recent report of the instance than b.
+// isFresher reports whether a is based on a more recent report of the instance than b.
 func isFresher(a, b operator.Instance) bool {
 	if b.HeardAgo < 0 {
 		return a.HeardAgo >= 0
--- a/internal/decl/check.go
+++ b/internal/decl/check.go
@@ -27,7 +27,7 @@
 	p.checkFeeds()
 }
 
-// checkReference tells whether the named object is declared and reports it if it
+// checkReference returns whether the named object is declared and adds a finding if it
 // is not. The kind of the object is also the key that refers to it.
 func (p *parser) checkReference(id, kind, name string) bool {
 	if name == "" {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// Drained tells whether an operator has drained the instance.
+// Drained reports whether an operator has drained the instance.
 func (d *Deployment) Drained(instance string) bool {
 	for _, id := range d.DrainInstances {
 		if id == instance {
@@ -114,7 +114,7 @@
 	return false
 }
 
-// Matches tells whether a request matches a class's pattern, which is
+// Matches reports whether a request matches a class's pattern, which is
 // "METHOD /path" or, for all paths with a prefix, "METHOD /prefix*".
 func Matches(pattern, method, path string) bool {
 	wantMethod, wantPath, _ := strings.Cut(pattern, " ")
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -9,8 +9,8 @@
 	"siskinloom.example/siskinloom/internal/policy/keys"
 )
 
-// Kind tells how a route's requests are answered and whether they may run more than
-// once.
+// Kind is the way in which a route's requests are answered, and whether they may run
+// more than once.
 type Kind int
 
 // Kinds of routes. The zero value is the strictest.
@@ -45,7 +45,7 @@
 	Backends      []Backend
 }
 
-// Repeatable tells whether the route's requests may run more than once.
+// Repeatable reports whether the route's requests may run more than once.
 func (r *Route) Repeatable() bool {
 	switch r.Kind {
 	case Idempotent, Rollout:
@@ -98,7 +98,7 @@
 	Versions        map[string]int64 // weight version by model
 }
 
-// SameIncarnation tells whether e and other are the same incarnation of the same
+// SameIncarnation reports whether e and other are the same incarnation of the same
 // endpoint.
 func (e *Endpoint) SameIncarnation(other *Endpoint) bool {
 	return e.ID == other.ID && e.StartedAtMillis == other.StartedAtMillis && e.Address == other.Address
--- a/internal/lab/fleetnews/fleetnews.go
+++ b/internal/lab/fleetnews/fleetnews.go
@@ -132,6 +132,7 @@
 	return float64(b.Len()), err
 }
 
+// newEntry returns an entry, which receives the endpoints of the plain services only.
 func newEntry() *follower {
 	p := &follower{interest: news.Interest{Prefix: prefix, Scopes: []string{}}}
 	for i := range plainServices {
@@ -140,6 +141,7 @@
 	return p
 }
 
+// newWorker returns a worker, which receives all endpoints.
 func newWorker() *follower { return &follower{interest: news.Interest{Prefix: prefix}} }
 
 // ordinaryMinute makes the changes of one minute while the follower fetches once a
--- a/internal/lab/routing/drain.go
+++ b/internal/lab/routing/drain.go
@@ -15,14 +15,14 @@
 	currentInstances = 16
 )
 
-// drain measures how long after an agent announces its leaving, or after the platform's
-// list shows it, the last request is sent to its engine, and the number of accepted
-// requests that the engine does not answer. It covers several seeds, with high and
-// low traffic.
+// drain measures the time from the announcement of an agent that it leaves, or from the
+// change of the platform's list that marks it as leaving, until the last request is sent
+// to its engine, and the number of accepted requests that the engine does not answer. It
+// covers several seeds, with high and low traffic.
 func drain() ([]bounds.Figure, error) {
 	var byAgent, byList, unanswered float64
 	for run := range drainRuns {
-		// At low load, entries learn of the leaving by heartbeats alone.
+		// At low load, entries learn only from heartbeats that an agent leaves.
 		for _, load := range []float64{0.02, 0.7} {
 			announced := drainOnce(uint64(run), load, false)
 			listed := drainOnce(uint64(run), load, true)
--- a/internal/lab/routing/fairness.go
+++ b/internal/lab/routing/fairness.go
@@ -12,7 +12,7 @@
 const (
 	lookupDeadline   = 500 * time.Millisecond
 	scenarioDuration = 60 * time.Second
-	// settleTime is the time at the start of a scenario that shares do not count.
+	// settleTime is the initial part of a scenario, which the served shares leave out.
 	settleTime = 5 * time.Second
 )
 
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -32,7 +32,7 @@
 func Dialer(timeout time.Duration) *net.Dialer { return dialer(timeout, defaultProbes) }
 
 // LongPollDialer returns a dialer for connections that wait for updates. They are
-// found dead earlier than those of Dialer.
+// detected as dead earlier than those of Dialer.
 func LongPollDialer(timeout time.Duration) *net.Dialer { return dialer(timeout, longPollProbes) }
 
 func dialer(timeout time.Duration, probes int) *net.Dialer {
--- a/internal/operator/inspect.go
+++ b/internal/operator/inspect.go
@@ -90,7 +90,7 @@
 	return response, nil
 }
 
-// includesOutcome tells whether the request asks for changes with an outcome.
+// includesOutcome reports whether the request asks for changes with an outcome.
 func includesOutcome(r *operatorpb.AuditRequest, outcome string) bool {
 	return len(r.Outcomes) == 0 || slices.Contains(r.Outcomes, outcome)
 }
--- a/internal/operator/ratelimit.go
+++ b/internal/operator/ratelimit.go
@@ -34,7 +34,7 @@
 	byOperator map[string]*rate.Limiter
 }
 
-// allow tells whether an operator may request another change now.
+// allow reports whether an operator may request another change now.
 func (r *rateLimiters) allow(operator string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -52,7 +52,7 @@
 // Quarantine holds the requests that no endpoint may run because they crash it.
 type Quarantine interface {
 	List() []wire.QuarantineEntry
-	// Release releases a request and tells whether it was quarantined.
+	// Release releases a request and reports whether it was quarantined.
 	Release(fingerprint uint64) bool
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -258,8 +258,8 @@
 	Epoch   int64
 }
 
-// DutyOffer tells an entry that the sender released a duty that it held under
-// Epoch. The reply is the new holder.
+// DutyOffer offers an entry a duty that the sender held under Epoch and has released.
+// The reply is the new holder.
 type DutyOffer struct {
 	Duty  string
 	Epoch int64
@@ -276,7 +276,7 @@
 type Revision struct {
 	Deployment   string
 	Revision     int64
-	ConfirmedAgo time.Duration // time since the sender, or the peer it got the revision from, last read from the platform that there was no newer one
+	ConfirmedAgo time.Duration // time since a read of the platform by the sender, or by the peer that it got the revision from, last showed no newer one
 	QuorumFor    time.Duration // how long the sender still counts as in contact with a quorum if it gets no further message; entries only
 	Boot         uint64        // ID of the sender's run; differs for each run
 	Clock        time.Duration // time since that run began, by the sender's clock
@@ -314,10 +314,10 @@
 	Released    bool
 }
 
-// PoisonExchange is what two entries tell each other about requests that crash their
+// PoisonExchange exchanges what two entries know about requests that crash their
 // endpoints; it is both request and reply. Service and Fingerprint identify the
-// suspect that From is about to run. Busy, in the reply, tells From not to run it
-// yet.
+// suspect that From is about to run. Busy, in the reply, means that From must not run
+// it yet.
 type PoisonExchange struct {
 	From        string
 	Service     string
