--- a/internal/operator/change.go
+++ b/internal/operator/change.go
@@ -37,7 +37,7 @@
 	return &operatorpb.PlanResponse{Revision: stored.revision, Changes: changesOf(decl.Diff(&stored.deployment, replaced))}, nil
 }
 
-// replace returns an edit that replaces the current declarations by the proposed
+// replaceWith returns an edit that replaces the current declarations by the proposed
 // ones. It keeps the list of drained instances, which files do not declare.
 func replaceWith(proposed *decl.Deployment) func(*decl.Deployment) *decl.Deployment {
 	return func(current *decl.Deployment) *decl.Deployment {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -203,19 +203,19 @@
 }
 
 // startEntryWithStore is like startEntry with a wrapped store. It also returns the
-// holder of the configuration, which is not running.
+// configuration's state, whose Run the caller may start.
 func startEntryWithStore(platform string, logged *bytes.Buffer, wrap func(kv.Store) kv.Store) (operatorpb.OperatorClient, *confstate.State) {
 	store, err := kv.NewClient(kv.Options{Address: platform, Writer: "e", CallsPerSec: 200})
 	Expect(err).NotTo(HaveOccurred())
 	log := logrus.New()
 	log.SetOutput(logged)
 	self := config.Peer{ID: "e", Domain: "z"}
-	journal := config.RefusedLogConfig{FirstWriteDelay: 100 * time.Millisecond, WriteInterval: time.Second, RetryDelay: 100 * time.Millisecond, MaxGroups: 8}
-	holder := confstate.New(confstate.Options{RefusedLog: journal, Deployment: "ledgerwise", Self: self, Entry: true, Store: wrap(store), Log: log, Config: config.DefaultFollowerConfig()})
-	holder.SetEntries([]config.Peer{self})
+	refusedLog := config.RefusedLogConfig{FirstWriteDelay: 100 * time.Millisecond, WriteInterval: time.Second, RetryDelay: 100 * time.Millisecond, MaxGroups: 8}
+	state := confstate.New(confstate.Options{RefusedLog: refusedLog, Deployment: "ledgerwise", Self: self, Entry: true, Store: wrap(store), Log: log, Config: config.DefaultFollowerConfig()})
+	state.SetEntries([]config.Peer{self})
 	server := grpc.NewServer()
 	operatorpb.RegisterOperatorServer(server, operator.New("ledgerwise", operator.Sources{
-		Config:     holder,
+		Config:     state,
 		Instances:  func() []operator.Instance { return []operator.Instance{{ID: "a", Role: "agent", HeardAgo: -1}} },
 		Quarantine: &fakeQuarantine{entries: []wire.QuarantineEntry{{Fingerprint: 255, Service: "s"}}},
 	}, log))
@@ -229,5 +229,5 @@
 		server.Stop()
 		_ = store.Close()
 	})
-	return operatorpb.NewOperatorClient(conn), holder
+	return operatorpb.NewOperatorClient(conn), state
 }
--- a/internal/operator/refused_test.go
+++ b/internal/operator/refused_test.go
@@ -88,10 +88,10 @@
 		DeferCleanup(platform.Close)
 		store = &lossyStore{}
 		newEntry = func() operatorpb.OperatorClient {
-			client, holder := startEntryWithStore(address, &bytes.Buffer{}, func(s kv.Store) kv.Store { store.Store = s; return store })
+			client, state := startEntryWithStore(address, &bytes.Buffer{}, func(s kv.Store) kv.Store { store.Store = s; return store })
 			ctx, stop := context.WithCancel(context.Background())
 			ended := make(chan error)
-			go func() { ended <- holder.Run(ctx) }()
+			go func() { ended <- state.Run(ctx) }()
 			DeferCleanup(func() {
 				stop()
 				<-ended
