--- a/internal/daemon/endpointreadiness.go
+++ b/internal/daemon/endpointreadiness.go
@@ -11,7 +11,7 @@
 // other services.
 const endpointWaitTimeout = 10 * time.Second
 
-// endpointReadiness reports whether a starting entry has a usable endpoint of every
+// endpointReadiness determines whether a starting entry has a usable endpoint of every
 // declared service. An entry that listened before its first heartbeats were
 // answered would tell callers that there is no endpoint, although every other
 // entry could serve them. A caller whose connection is not accepted tries another
