--- a/internal/agentless/gate/execution.go
+++ b/internal/agentless/gate/execution.go
@@ -17,7 +17,8 @@
 	"siskinloom.example/siskinloom/internal/policy/endpoints"
 )
 
-// errUnverified reports an answer that carries no signature of the endpoint or whose body an intermediary encoded.
+// errUnverified reports an answer that carries no signature of the endpoint or whose body an
+// intermediary encoded.
 var errUnverified = errors.New("gate: answer is unsigned or was modified in transit")
 
 // attempt is the result of sending a request to one endpoint.
@@ -26,7 +27,7 @@
 	complete bool    // the whole answer was received
 	notRun   bool    // the endpoint certainly did not run the request
 	err      error
-	sent     time.Time
+	sent     time.Time // when the request was sent
 }
 
 // execution is the state of one request over its attempts.
@@ -46,54 +47,54 @@
 }
 
 // run makes attempts until one brings an answer or no attempt remains.
-func (c *execution) run(ctx context.Context) Outcome {
+func (e *execution) run(ctx context.Context) Outcome {
 	ctx, cancel := context.WithCancel(ctx) // cancels the other attempts once there is an answer
 	defer cancel()
-	if !c.start(ctx) {
-		return c.gate.refusal(c.service)
+	if !e.start(ctx) {
+		return e.gate.refusal(e.service)
 	}
-	hedge := time.NewTimer(c.hedgeDelay())
+	hedge := time.NewTimer(e.hedgeDelay())
 	defer hedge.Stop()
-	for c.inFlight > 0 {
+	for e.inFlight > 0 {
 		select {
-		case a := <-c.results:
-			c.inFlight--
-			if outcome, done := c.handleResult(ctx, a); done {
+		case a := <-e.results:
+			e.inFlight--
+			if outcome, done := e.handleResult(ctx, a); done {
 				return outcome
 			}
 		case <-hedge.C:
-			if c.hedge(ctx) {
-				hedge.Reset(max(minHedgeDelay, time.Duration(nextHedgeObjectiveShare*float64(c.route.Objective))))
+			if e.hedge(ctx) {
+				hedge.Reset(max(minHedgeDelay, time.Duration(nextHedgeObjectiveShare*float64(e.route.Objective))))
 			}
 		case <-ctx.Done():
 			return Outcome{End: TimedOut}
 		}
 	}
-	return c.finalOutcome()
+	return e.finalOutcome()
 }
 
 // finalOutcome returns the outcome of a request whose attempts all ended, none with a final
 // outcome. A 5xx answer, if there was one, is passed on.
-func (c *execution) finalOutcome() Outcome {
+func (e *execution) finalOutcome() Outcome {
 	switch {
-	case c.failure != nil:
-		return *c.failure
-	case c.mayHaveRun:
+	case e.failure != nil:
+		return *e.failure
+	case e.mayHaveRun:
 		return Outcome{End: Unknown}
 	default:
-		return c.gate.refusal(c.service)
+		return e.gate.refusal(e.service)
 	}
 }
 
 // startedAt returns when an endpoint started to run the request, or the zero time if none did.
 // If no endpoint answered, but one may have run the request, the endpoint is assumed to have
 // started when the first attempt was sent.
-func (c *execution) startedAt() time.Time {
+func (e *execution) startedAt() time.Time {
 	switch {
-	case !c.ranSentAt.IsZero():
-		return c.ranSentAt
-	case c.mayHaveRun || c.inFlight > 0:
-		return c.firstSentAt
+	case !e.ranSentAt.IsZero():
+		return e.ranSentAt
+	case e.mayHaveRun || e.inFlight > 0:
+		return e.firstSentAt
 	default:
 		return time.Time{}
 	}
@@ -101,77 +102,78 @@
 
 // handleResult processes the result of an attempt and retries where that is safe. done is
 // true if outcome is the final outcome of the request.
-func (c *execution) handleResult(ctx context.Context, a attempt) (outcome Outcome, done bool) {
+func (e *execution) handleResult(ctx context.Context, a attempt) (outcome Outcome, done bool) {
 	if a.complete {
-		if c.ranSentAt.IsZero() || a.sent.Before(c.ranSentAt) {
-			c.ranSentAt = a.sent
+		if e.ranSentAt.IsZero() || a.sent.Before(e.ranSentAt) {
+			e.ranSentAt = a.sent
 		}
-		if a.outcome.Status < http.StatusInternalServerError || !c.route.Repeatable() {
+		if a.outcome.Status < http.StatusInternalServerError || !e.route.Repeatable() {
 			return a.outcome, true
 		}
-		c.failure = &a.outcome
+		e.failure = &a.outcome
 	}
 	if !a.notRun {
-		c.mayHaveRun = true
+		e.mayHaveRun = true
 	}
 	if ctx.Err() != nil {
 		return Outcome{End: TimedOut}, true
 	}
-	if a.notRun || c.route.Repeatable() && c.gate.spendRetry(c.service) {
-		c.gate.retries.Inc(1)
-		c.start(ctx)
+	if a.notRun || e.route.Repeatable() && e.gate.spendRetry(e.service) {
+		e.gate.retries.Inc(1)
+		e.start(ctx)
 	}
 	return Outcome{}, false
 }
 
 // start makes one more attempt and returns whether it did: the route must allow another
 // attempt, time must remain and an endpoint must be available.
-func (c *execution) start(ctx context.Context) bool {
-	if len(c.tried) >= c.route.MaxAttempts {
+func (e *execution) start(ctx context.Context) bool {
+	if len(e.tried) >= e.route.MaxAttempts {
 		return false
 	}
-	remaining := c.request.remaining(c.route, time.Now())
+	remaining := e.request.remaining(e.route, time.Now())
 	if remaining <= 0 {
 		return false
 	}
-	pick := c.gate.pickEndpoint(c.service, c.request, c.tried)
+	pick := e.gate.pickEndpoint(e.service, e.request, e.tried)
 	if pick == nil {
 		return false
 	}
-	c.tried = append(c.tried, pick.ID)
-	c.inFlight++
+	e.tried = append(e.tried, pick.ID)
+	e.inFlight++
 	now := time.Now()
-	if c.firstSentAt.IsZero() {
-		c.firstSentAt = now
+	if e.firstSentAt.IsZero() {
+		e.firstSentAt = now
 	}
 	go func() {
-		a := c.gate.attempt(ctx, pick, c.request, remaining)
+		a := e.gate.attempt(ctx, pick, e.request, remaining)
 		a.sent = now
-		c.results <- a
+		e.results <- a
 	}()
 	return true
 }
 
-// hedgeDelay returns the delay after which the first hedged attempt is sent: defaultTimeout if the
-// route is not repeatable or has no objective.
-func (c *execution) hedgeDelay() time.Duration {
-	if !c.route.Repeatable() || c.route.Objective <= 0 {
+// hedgeDelay returns the delay after which the first hedged attempt is sent. It is defaultTimeout
+// if the route is not repeatable or has no objective.
+func (e *execution) hedgeDelay() time.Duration {
+	if !e.route.Repeatable() || e.route.Objective <= 0 {
 		return defaultTimeout
 	}
-	return max(minHedgeDelay, time.Duration(hedgeObjectiveShare*float64(c.route.Objective)))
+	return max(minHedgeDelay, time.Duration(hedgeObjectiveShare*float64(e.route.Objective)))
 }
 
-// hedge sends the request to one more endpoint while others are pending, and returns whether it did.
-func (c *execution) hedge(ctx context.Context) bool {
-	if c.inFlight == 0 || !c.gate.Switches.On(mechanism.Hedges) || !c.gate.spendRetry(c.service) {
+// hedge sends the request to one more endpoint while other attempts are pending, and returns
+// whether it did.
+func (e *execution) hedge(ctx context.Context) bool {
+	if e.inFlight == 0 || !e.gate.Switches.On(mechanism.Hedges) || !e.gate.spendRetry(e.service) {
 		return false
 	}
-	first := c.tried[len(c.tried)-1]
-	if !c.start(ctx) {
+	first := e.tried[len(e.tried)-1]
+	if !e.start(ctx) {
 		return false
 	}
-	c.gate.hedges.Inc(1)
-	events.AttemptHedged.Log(c.gate.log, logrus.Fields{"request": c.request.ID, "slow": first, "second": c.tried[len(c.tried)-1]})
+	e.gate.hedges.Inc(1)
+	events.AttemptHedged.Log(e.gate.log, logrus.Fields{"request": e.request.ID, "slow": first, "second": e.tried[len(e.tried)-1]})
 	return true
 }
 
--- a/internal/agentless/gate/gate.go
+++ b/internal/agentless/gate/gate.go
@@ -158,16 +158,16 @@
 	remaining := r.remaining(route, time.Now())
 	limited, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
-	c := &execution{gate: g, route: route, request: r, service: routes.SelectService(route, r.ID), results: make(chan attempt, route.MaxAttempts)}
-	g.earnRetries(c.service)
-	outcome := c.run(limited)
-	if started := c.startedAt(); !started.IsZero() {
+	e := &execution{gate: g, route: route, request: r, service: routes.SelectService(route, r.ID), results: make(chan attempt, route.MaxAttempts)}
+	g.earnRetries(e.service)
+	outcome := e.run(limited)
+	if started := e.startedAt(); !started.IsZero() {
 		usage.CountStart(started)
 	}
 	if outcome.End == TimedOut && ctx.Err() != nil {
 		outcome = Outcome{End: Cancelled}
 	}
-	g.logOutcome(route, r, c, outcome)
+	g.logOutcome(route, r, e, outcome)
 	return outcome
 }
 
@@ -193,7 +193,7 @@
 }
 
 // logOutcome logs and counts the end of a request.
-func (g *Gate) logOutcome(route *deployment.Route, r *Request, c *execution, o Outcome) {
+func (g *Gate) logOutcome(route *deployment.Route, r *Request, e *execution, o Outcome) {
 	g.ends[o.End].Inc(1)
 	if o.End == Answered {
 		g.latency.UpdateSince(r.Arrived)
@@ -209,8 +209,8 @@
 		event = events.RequestUnknown
 	}
 	event.Log(g.log, logrus.Fields{
-		"request": r.ID, "route": route.Name, "service": c.service, "end": endNames[o.End], "status": o.Status,
-		"tried": c.tried, "ms": time.Since(r.Arrived).Milliseconds(), "retry_after_ms": o.RetryAfter.Milliseconds(),
+		"request": r.ID, "route": route.Name, "service": e.service, "end": endNames[o.End], "status": o.Status,
+		"tried": e.tried, "ms": time.Since(r.Arrived).Milliseconds(), "retry_after_ms": o.RetryAfter.Milliseconds(),
 	})
 }
 
--- a/internal/agentless/gate/gate_test.go
+++ b/internal/agentless/gate/gate_test.go
@@ -33,14 +33,15 @@
 	neverAnswers bool // the endpoint never answers
 }
 
-// scriptedSender gives replies in order, whichever endpoint a request is sent to. The last one repeats.
+// scriptedSender gives replies in order, whichever endpoint a request is sent to. The last reply
+// repeats.
 type scriptedSender struct {
-	mu      sync.Mutex
-	replies []reply
-	sentTo  []string // endpoint IDs in the order of requests
-	left    []time.Duration
-	resumes []int64
-	ended   int // requests that were cancelled
+	mu        sync.Mutex
+	replies   []reply
+	sentTo    []string        // endpoint IDs in the order of requests
+	timeouts  []time.Duration // of the requests, in the same order
+	resumes   []int64         // ResumeAfter of the requests, in the same order
+	cancelled int             // number of requests that were cancelled
 }
 
 // Send implements dispatch.Sender.
@@ -48,7 +49,7 @@
 	s.mu.Lock()
 	next := s.replies[min(len(s.sentTo), len(s.replies)-1)]
 	s.sentTo = append(s.sentTo, e.ID)
-	s.left = append(s.left, r.Timeout)
+	s.timeouts = append(s.timeouts, r.Timeout)
 	s.resumes = append(s.resumes, r.ResumeAfter)
 	s.mu.Unlock()
 	if next.sendErr != nil {
@@ -62,7 +63,7 @@
 	case <-wait:
 	case <-ctx.Done():
 		s.mu.Lock()
-		s.ended++
+		s.cancelled++
 		s.mu.Unlock()
 		return nil, &upstream.SendError{Sent: true, Err: ctx.Err()}
 	}
@@ -151,7 +152,7 @@
 		o := newGate(s, 2).Serve(context.Background(), route(deployment.Idempotent), request())
 		Expect(o.End).To(Equal(gate.Answered))
 		Expect(s.endpoints()).To(HaveLen(2))
-		Eventually(func() int { s.mu.Lock(); defer s.mu.Unlock(); return s.ended }).Should(Equal(1))
+		Eventually(func() int { s.mu.Lock(); defer s.mu.Unlock(); return s.cancelled }).Should(Equal(1))
 	})
 
 	It("is never sent to two endpoints if it is not idempotent", func() {
@@ -180,34 +181,34 @@
 		Expect(o.End).To(Equal(gate.TimedOut))
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		Expect(s.left[0]).To(BeNumerically("<=", 50*time.Millisecond))
+		Expect(s.timeouts[0]).To(BeNumerically("<=", 50*time.Millisecond))
 	})
 
 	It("is cancelled at the endpoint when its caller cancels it", func() {
 		s := &scriptedSender{replies: []reply{{neverAnswers: true}}}
-		ctx, leave := context.WithCancel(context.Background())
-		time.AfterFunc(20*time.Millisecond, leave)
+		ctx, cancel := context.WithCancel(context.Background())
+		time.AfterFunc(20*time.Millisecond, cancel)
 		o := newGate(s, 1).Serve(ctx, route(deployment.NonIdempotent), request())
 		Expect(o.End).To(Equal(gate.Cancelled))
-		Eventually(func() int { s.mu.Lock(); defer s.mu.Unlock(); return s.ended }).Should(Equal(1))
+		Eventually(func() int { s.mu.Lock(); defer s.mu.Unlock(); return s.cancelled }).Should(Equal(1))
 	})
 
-	It("is told a retry delay that differs from those of requests refused with it", func() {
+	It("gets a retry delay that differs from those of requests refused at the same time", func() {
 		// Every endpoint is full and refuses, and 200 callers send requests at once. Each is
-		// refused after the attempts that its route allows and told a delay; if all retried
-		// together they would find the endpoints just as full.
+		// refused after the attempts that its route allows. If all got the same delay, they would
+		// retry together and find the endpoints just as full.
 		const callers, slots = 200, 10
 		s := &scriptedSender{replies: []reply{refusing}}
 		g := newGate(s, 4)
-		back := map[time.Duration]int{}
+		refusedBySlot := map[time.Duration]int{}
 		for range callers {
 			o := g.Serve(context.Background(), route(deployment.Idempotent), request())
 			Expect(o.End).To(Equal(gate.Refused))
 			Expect(o.RetryAfter).To(BeNumerically(">=", 50*time.Millisecond))
 			Expect(o.RetryAfter).To(BeNumerically("<=", 200*time.Millisecond))
-			back[o.RetryAfter/(150*time.Millisecond/slots)]++
+			refusedBySlot[o.RetryAfter/(150*time.Millisecond/slots)]++
 		}
-		for slot, n := range back {
+		for slot, n := range refusedBySlot {
 			Expect(n).To(BeNumerically("<", callers/3), "slot %d", slot)
 		}
 		Expect(len(s.endpoints())).To(BeNumerically("<=", 3*callers))
--- a/internal/agentless/gate/stream.go
+++ b/internal/agentless/gate/stream.go
@@ -23,7 +23,8 @@
 // 2 s after which a caller gives up.
 const streamIdleTimeout = 1200 * time.Millisecond
 
-// errStalled is the cancellation cause of a stream whose endpoint sent no event for streamIdleTimeout.
+// errStalled is the cancellation cause of a stream whose endpoint sent no event for
+// streamIdleTimeout.
 var errStalled = errors.New("gate: endpoint stopped sending events of the stream")
 
 // Sink receives a stream's answer and sends it to the caller.
@@ -38,9 +39,9 @@
 type stream struct {
 	execution
 	sink        Sink
-	headersSent bool // the status and headers were sent to the caller
-	lastEvent   int64
-	usage       *usagerun.Request
+	headersSent bool              // the status and headers were sent to the caller
+	lastEvent   int64             // ID of the last event that the caller has; 0: none
+	usage       *usagerun.Request // counts the request as started
 }
 
 // Stream serves a request whose answer is passed on event by event. Outcomes other than
--- a/internal/agentless/gate/usage_test.go
+++ b/internal/agentless/gate/usage_test.go
@@ -57,6 +57,8 @@
 	})
 
 	It("is not final while a request is in flight that may have started in the window", func() {
+		// The counts of a window are reported once they are final. A request is counted when it
+		// ends, in the window in which an endpoint started to run it, which may be an earlier one.
 		short := usage.Config{WindowLength: 50 * time.Millisecond, DueAfter: time.Hour}
 		s := &scriptedSender{replies: []reply{{neverAnswers: true}}}
 		g := newGate(s, 1)
