--- a/internal/agentless/upstream/call.go
+++ b/internal/agentless/upstream/call.go
@@ -18,9 +18,12 @@
 
 const (
 	readBufferBytes = 4096
+
 	// maxStrayAnswers is how many answers to other requests are skipped on one connection
 	// before it is closed.
-	maxStrayAnswers   = 2
+	maxStrayAnswers = 2
+	// maxStrayBodyBytes is the limit of the body of such an answer; if the body is longer, the
+	// connection is closed.
 	maxStrayBodyBytes = 1 << 20
 )
 
@@ -65,7 +68,7 @@
 	raw         net.Conn
 	address     string
 	in          *bufio.Reader
-	usableUntil time.Time
+	usableUntil time.Time // end of the time for which it is kept idle
 	once        sync.Once
 }
 
@@ -170,10 +173,10 @@
 type body struct {
 	pool     *Pool
 	conn     *conn
-	stop     func() bool
+	stop     func() bool // ends the watch of the context; false if the call was cancelled before
 	response *http.Response
 	done     bool
-	end      error
+	end      error // returned by reads after the end
 }
 
 // Read implements io.Reader.
