--- a/internal/agentless/node/stop.go
+++ b/internal/agentless/node/stop.go
@@ -25,8 +25,8 @@
 // lines of the requests.
 func discardLogger() *stdlog.Logger { return stdlog.New(io.Discard, "", 0) }
 
-// stop shuts the process down: it hands over jobs and duties, takes no new callers, completes
-// requests in flight and deletes the registration.
+// stop shuts the process down: it hands over jobs and duties, serves new callers until the
+// balancer has removed this process, completes requests in flight and deletes the registration.
 func (n *Node) stop(s *servers) {
 	start := time.Now()
 	events.ProcessStopping.Log(n.log, logrus.Fields{"id": n.settings.ID, "limit_ms": n.settings.StopTimeout.Milliseconds()})
--- a/internal/agentless/node/topics.go
+++ b/internal/agentless/node/topics.go
@@ -29,8 +29,9 @@
 )
 
 // maxContactAge is how long after the last contact with the store, direct or through a
-// relay, this process's declaration may count as the newest. Relays answer every second; a
-// call that goes unanswered, and the answer of the next relay, take as long again.
+// relay, this process's declaration may count as the newest. Relays answer every second. If a
+// call goes unanswered, its timeout and the answer of the next relay take about another second
+// each.
 const maxContactAge = 3 * time.Second
 
 // contactTime holds when this process last received everything that the operator wrote.
@@ -38,10 +39,10 @@
 	last atomic.Int64 // Unix nanoseconds; 0: never
 }
 
-// record records that this is the case now.
+// record sets the time to now.
 func (t *contactTime) record() { t.last.Store(time.Now().UnixNano()) }
 
-// isCurrent returns whether that is at most maxContactAge ago.
+// isCurrent returns whether the time is less than maxContactAge ago.
 func (t *contactTime) isCurrent() bool {
 	return time.Since(time.Unix(0, t.last.Load())) < maxContactAge
 }
@@ -400,27 +401,27 @@
 }
 
 // schedule calls remove after a delay, unless a removal of the endpoint is scheduled already.
-func (l *delayedRemovals) schedule(id string, d time.Duration, remove func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.timers == nil {
-		l.timers = map[string]*time.Timer{}
-	}
-	if l.timers[id] == nil {
-		l.timers[id] = time.AfterFunc(d, func() {
-			l.cancel(id)
+func (r *delayedRemovals) schedule(id string, d time.Duration, remove func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.timers == nil {
+		r.timers = map[string]*time.Timer{}
+	}
+	if r.timers[id] == nil {
+		r.timers[id] = time.AfterFunc(d, func() {
+			r.cancel(id)
 			remove()
 		})
 	}
 }
 
 // cancel cancels the removal of an endpoint.
-func (l *delayedRemovals) cancel(id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if timer := l.timers[id]; timer != nil {
+func (r *delayedRemovals) cancel(id string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if timer := r.timers[id]; timer != nil {
 		timer.Stop()
-		delete(l.timers, id)
+		delete(r.timers, id)
 	}
 }
 
