--- a/internal/agentless/node/topics.go
+++ b/internal/agentless/node/topics.go
@@ -208,7 +208,7 @@
 		roleCtx, end := context.WithCancel(ctx)
 		go v.cancelOnRoleChange(roleCtx, end, relaying)
 		if relaying {
-			n.logNewsSource("store, as a scout", nil)
+			n.logNewsSource("store, as a relay", nil)
 			n.leader.TryNow() // only a relay may campaign for the duty
 			v.followStore(roleCtx)
 			s.InitialSyncDone = true
