--- a/internal/agentless/modelrun/modelrun_test.go
+++ b/internal/agentless/modelrun/modelrun_test.go
@@ -115,7 +115,7 @@
 		Expect(e.countReads).To(BeNumerically(">=", 2))
 	})
 
-	It("stop when the engine knows a higher term", func() {
+	It("are sent only under a new term after the engine has refused the old one as outdated", func() {
 		e.nextVerdicts = []modelrun.Verdict{modelrun.Outdated}
 		startLeader()
 		Eventually(func() int { return len(e.receivedOrders()) }).WithTimeout(timeout).Should(BeNumerically(">=", 2))
