--- a/internal/agentless/usagerun/reporter.go
+++ b/internal/agentless/usagerun/reporter.go
@@ -32,7 +32,7 @@
 	retryDelay  = 250 * time.Millisecond
 	retryJitter = 250 * time.Millisecond
 	// maxLoggedCustomers is the largest number of customers whose counts one log line
-	// contains.
+	// contains. The line of a window with more customers contains only their sum.
 	maxLoggedCustomers = 200
 	// maxRemovals limits the old reports that one transaction removes.
 	maxRemovals = 16
--- a/internal/agentless/usagerun/sender.go
+++ b/internal/agentless/usagerun/sender.go
@@ -21,7 +21,7 @@
 	// calls to the same receiver, so that the rate of calls that a receiver gets does
 	// not depend on the size of the fleet.
 	sendIntervalPerMember = 2 * time.Millisecond
-	// windowMargin is how long after the end of a window its counts may be sent as
+	// windowMargin is the delay from the end of a window until a check whether its counts are
 	// final.
 	windowMargin = 10 * time.Millisecond
 )
--- a/internal/agentless/usagerun/usagerun_test.go
+++ b/internal/agentless/usagerun/usagerun_test.go
@@ -23,7 +23,7 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-const patience = 20 * time.Second
+const timeout = 20 * time.Second
 
 const duty = cluster.DutyKey + "weights"
 
@@ -34,7 +34,7 @@
 	RunSpecs(t, "usagerun")
 }
 
-func silent() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
@@ -105,17 +105,17 @@
 func newTestSystem() *testSystem {
 	s := &testSystem{store: standin.NewTransactionalStore(), members: cluster.NewMembers(), counter: usagerun.NewCounter(config), biller: &fakeBiller{}}
 	entry := cluster.Member{Name: "entry", Address: "127.0.0.1:1", Boot: time.Now().UnixNano()}
-	registrar := s.list(entry)
+	registrar := s.register(entry)
 	follower := &cluster.Follower{Store: s.store, Topic: registrar.Topic()}
 	start(follower.Run)
-	sender := &usagerun.Sender{Config: config, Counter: s.counter, Self: entry, Members: s.members, Duty: duty, Peers: rpcpool.New(nil), Log: silent()}
+	sender := &usagerun.Sender{Config: config, Counter: s.counter, Self: entry, Members: s.members, Duty: duty, Peers: rpcpool.New(nil), Log: discardLogger()}
 	start(sender.Run)
 	return s
 }
 
-// list registers a process.
-func (s *testSystem) list(m cluster.Member) *cluster.Registrar {
-	registrar := cluster.NewRegistrar(s.store, m, time.Hour, s.members, silent())
+// register registers a process.
+func (s *testSystem) register(m cluster.Member) *cluster.Registrar {
+	registrar := cluster.NewRegistrar(s.store, m, time.Hour, s.members, discardLogger())
 	start(registrar.Run)
 	return registrar
 }
@@ -131,10 +131,10 @@
 	Expect(ledger.Register(calls)).To(Succeed())
 	go calls.Accept(listener)
 	DeferCleanup(listener.Close)
-	s.list(cluster.Member{Name: name, Address: listener.Addr().String(), Worker: true, Boot: boot})
+	s.register(cluster.Member{Name: name, Address: listener.Addr().String(), Worker: true, Boot: boot})
 	leader := cluster.NewLeader(s.store, duty, name, 0, 0, func() bool { return true }, func(bool, int64) {})
 	start(leader.Run)
-	reporter := &usagerun.Reporter{Config: config, Self: name, Ledger: ledger, Members: s.members, Leader: leader, Store: s.store, Biller: s.biller, Log: silent(), Registry: metrics.NewRegistry()}
+	reporter := &usagerun.Reporter{Config: config, Self: name, Ledger: ledger, Members: s.members, Leader: leader, Store: s.store, Biller: s.biller, Log: discardLogger(), Registry: metrics.NewRegistry()}
 	start(reporter.Run)
 	return leader
 }
@@ -154,20 +154,20 @@
 var _ = Describe("usage", func() {
 	It("is reported per window, each request once", func() {
 		s := newTestSystem()
-		Eventually(leads(s.worker("a"))).WithTimeout(patience).Should(BeTrue())
+		Eventually(leads(s.worker("a"))).WithTimeout(timeout).Should(BeTrue())
 		s.serve("desk", 3)
 		time.Sleep(config.WindowLength)
 		s.serve("desk", 2)
 		s.serve("billing", 1)
-		Eventually(s.biller.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 5, "billing": 1}))
+		Eventually(s.biller.sums).WithTimeout(timeout).Should(Equal(usage.Counts{"desk": 5, "billing": 1}))
 	})
 
 	It("is sent again unchanged when the answer was lost or the platform is busy", func() {
 		s := newTestSystem()
 		s.biller.lostAnswers, s.biller.verdicts = 2, []usagerun.Verdict{usagerun.Busy}
-		Eventually(leads(s.worker("a"))).WithTimeout(patience).Should(BeTrue())
+		Eventually(leads(s.worker("a"))).WithTimeout(timeout).Should(BeTrue())
 		s.serve("desk", 3)
-		Eventually(s.biller.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 3}))
+		Eventually(s.biller.sums).WithTimeout(timeout).Should(Equal(usage.Counts{"desk": 3}))
 		Consistently(s.biller.sums).Should(Equal(usage.Counts{"desk": 3}))
 		sent := map[usage.Window]usage.Counts{}
 		for _, r := range s.biller.seen() {
@@ -181,14 +181,14 @@
 	It("is reported by the next holder of the duty under a higher fencing token, with the counts sent to both", func() {
 		s := newTestSystem()
 		first := s.worker("a")
-		Eventually(leads(first)).WithTimeout(patience).Should(BeTrue())
+		Eventually(leads(first)).WithTimeout(timeout).Should(BeTrue())
 		second := s.worker("b")
 		s.serve("desk", 3)
-		Eventually(s.biller.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 3}))
+		Eventually(s.biller.sums).WithTimeout(timeout).Should(Equal(usage.Counts{"desk": 3}))
 		Expect(first.Release(context.Background())).To(Succeed())
 		s.serve("desk", 2)
 		second.TryNow()
-		Eventually(s.biller.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 5}))
+		Eventually(s.biller.sums).WithTimeout(timeout).Should(Equal(usage.Counts{"desk": 5}))
 		terms := map[string]int64{}
 		for _, r := range s.biller.seen() {
 			terms[r.Holder] = r.Term
@@ -200,32 +200,32 @@
 		s := newTestSystem()
 		s.biller.verdicts = []usagerun.Verdict{usagerun.Outdated}
 		leader := s.worker("a")
-		Eventually(s.biller.seen).WithTimeout(patience).ShouldNot(BeEmpty())
+		Eventually(s.biller.seen).WithTimeout(timeout).ShouldNot(BeEmpty())
 		first := s.biller.seen()[0].Term
 		Eventually(func() bool {
 			term, leads := leader.Term(time.Now())
 			return leads && term > first
-		}).WithTimeout(patience).Should(BeTrue(), "it acquires the duty again")
+		}).WithTimeout(timeout).Should(BeTrue(), "it acquires the duty again")
 	})
 
 	It("is not reported before it is stored, because unstored counts may still change", func() {
 		s := newTestSystem()
-		Eventually(leads(s.worker("a"))).WithTimeout(patience).Should(BeTrue())
-		Eventually(s.biller.seen).WithTimeout(patience).ShouldNot(BeEmpty())
+		Eventually(leads(s.worker("a"))).WithTimeout(timeout).Should(BeTrue())
+		Eventually(s.biller.seen).WithTimeout(timeout).ShouldNot(BeEmpty())
 		s.store.SetDown(true)
 		time.Sleep(2 * config.WindowLength)
 		before := len(s.biller.seen())
 		Consistently(func() int { return len(s.biller.seen()) }).WithTimeout(config.WindowLength).Should(Equal(before))
 		s.serve("desk", 1)
 		s.store.SetDown(false)
-		Eventually(s.biller.sums).WithTimeout(patience).Should(Equal(usage.Counts{"desk": 1}))
+		Eventually(s.biller.sums).WithTimeout(timeout).Should(Equal(usage.Counts{"desk": 1}))
 	})
 
 	It("leaves only the reports in the store that the next holder needs", func() {
 		s := newTestSystem()
-		Eventually(leads(s.worker("a"))).WithTimeout(patience).Should(BeTrue())
+		Eventually(leads(s.worker("a"))).WithTimeout(timeout).Should(BeTrue())
 		maxReports := int(config.RetainedWindows()) + 2
-		Eventually(func() int { return len(s.biller.seen()) }).WithTimeout(patience).Should(BeNumerically(">", maxReports+3))
+		Eventually(func() int { return len(s.biller.seen()) }).WithTimeout(timeout).Should(BeNumerically(">", maxReports+3))
 		page, err := kv.ReadAll(context.Background(), s.store, "usage/")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(page.Records)).To(BeNumerically("<=", maxReports))
