--- a/internal/agentless/mechanism/mechanism.go
+++ b/internal/agentless/mechanism/mechanism.go
@@ -1,7 +1,7 @@
 // Package mechanism names the mechanisms of the platform path that an operator may disable
-// without a new build, and holds which of them are disabled. Each improves the service's performance or
-// availability; none is needed for a guarantee, so the system stays correct with any of them
-// disabled.
+// without a new build, and holds which of them are disabled. Each improves the service's
+// performance or availability; none is needed for a guarantee, so the system stays correct with
+// any of them disabled.
 package mechanism
 
 import (
@@ -37,8 +37,8 @@
 	SpareLast Mechanism = "spare-last"
 	// ByDelay places runs by how much they delay the other runs of an engine.
 	ByDelay Mechanism = "by-delay"
-	// KeepNarrow keeps non-critical runs off an engine that runs a critical request, beyond a
-	// limit of requests.
+	// KeepNarrow keeps other runs off an engine with a critical run if the engine has as many
+	// runs as the critical batch limit.
 	KeepNarrow Mechanism = "keep-narrow"
 	// ShareLoad has the owners of jobs exchange how much load they put on each engine.
 	ShareLoad Mechanism = "share-load"
