--- a/internal/agentless/gate/gate.go
+++ b/internal/agentless/gate/gate.go
@@ -269,7 +269,8 @@
 	}
 }
 
-// readBody reads an answer's body, up to maxAnswerBytes.
+// readBody reads an answer's body. A body that is longer than maxAnswerBytes is cut off without
+// an error.
 func readBody(a *dispatch.Answer) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
 	if err != nil {
