--- a/internal/agentless/mechanism/mechanism.go
+++ b/internal/agentless/mechanism/mechanism.go
@@ -56,7 +56,7 @@
 	ReadNear Mechanism = "read-near"
 	// AlternateLoads has each version loaded by half of a model's engines.
 	AlternateLoads Mechanism = "alternate-loads"
-	// TellLoads notifies owners of items which engines load weights.
+	// TellLoads notifies the owners of jobs when an engine is ordered to load weights.
 	TellLoads Mechanism = "tell-loads"
 	// TakeOver has a job's standby take the job over if no process reaches its owner, before
 	// the owner's registration expires.
