--- a/internal/agentless/usagerun/reporter.go
+++ b/internal/agentless/usagerun/reporter.go
@@ -175,7 +175,7 @@
 		return usage.Result{}
 	}
 	key, removed := reportKey(c.Window), r.removable(c.Window)
-	began := time.Now()
+	start := time.Now()
 	committed, err := r.Store.Commit(ctx, kv.Transaction{
 		Expect: []kv.Expectation{{Key: key}, {Key: r.Leader.Key, Revision: c.Term}},
 		Puts:   []kv.Put{{Key: key, Value: raw}},
@@ -187,7 +187,7 @@
 	case !committed.Done:
 		return usage.Result{Outcome: usage.NotDone}
 	}
-	r.confirmedAt = began
+	r.confirmedAt = start
 	r.storedKeys = append(r.storedKeys[len(removed):], key)
 	return usage.Result{Outcome: usage.Done}
 }
@@ -222,12 +222,12 @@
 
 // confirmTerm asks the store whether this process still holds the duty.
 func (r *Reporter) confirmTerm(ctx context.Context) usage.Result {
-	began := time.Now()
+	start := time.Now()
 	_, confirmed := r.Leader.Confirm(ctx)
 	_, holds := r.Leader.Term(time.Now())
 	switch {
 	case confirmed:
-		r.confirmedAt = began
+		r.confirmedAt = start
 		return usage.Result{Outcome: usage.Done}
 	case holds:
 		return usage.Result{} // the store did not answer, or too late
