--- a/internal/agentless/batchrun/adopt.go
+++ b/internal/agentless/batchrun/adopt.go
@@ -26,7 +26,7 @@
 // handleAssigned adopts a job that was just accepted for this process or moved to it, before
 // the watch of the assignments reports it. The watch reports the same revision later, which
 // changes nothing.
-func (o *Owner) handleAssigned(args MarkArgs) {
+func (o *Owner) handleAssigned(args AssignmentArgs) {
 	raw, err := encode(assignmentRecord{Fresh: !args.Begun})
 	if err != nil {
 		return
--- a/internal/agentless/batchrun/fakes_test.go
+++ b/internal/agentless/batchrun/fakes_test.go
@@ -205,7 +205,7 @@
 	go p.accept(p.server)
 	p.register = cluster.NewRegistrar(store, cluster.Member{Name: name, Address: listener.Addr().String(), Worker: true}, hour, p.members, discardLogger())
 	p.desk = &batchrun.Frontend{Store: store, Members: p.members, Peers: rpcpool.New(nil), Local: p.owner, Log: discardLogger(), ValueBytes: 64}
-	p.mover = &batchrun.Mover{Self: name, Store: store, Members: p.members, Log: discardLogger(), Unsettled: func() bool { return false }}
+	p.mover = &batchrun.Mover{Self: name, Store: store, Members: p.members, Log: discardLogger(), StoreRecentlyDown: func() bool { return false }}
 	return p
 }
 
--- a/internal/agentless/batchrun/frontend.go
+++ b/internal/agentless/batchrun/frontend.go
@@ -260,7 +260,7 @@
 		return false, err
 	}
 	d.remember(id, record)
-	d.notifyOwner(record.Owner, callEnded, MarkArgs{Job: id, Revision: committed.Revision})
+	d.notifyOwner(record.Owner, callEnded, AssignmentArgs{Job: id, Revision: committed.Revision})
 	return true, nil
 }
 
@@ -281,7 +281,7 @@
 
 // NotifyMoved notifies a job's new owner of its assignment.
 func (d *Frontend) NotifyMoved(owner, job string, revision int64) {
-	d.notifyOwner(owner, callMarked, MarkArgs{Job: job, Revision: revision, Begun: true})
+	d.notifyOwner(owner, callMarked, AssignmentArgs{Job: job, Revision: revision, Begun: true})
 }
 
 // NotifyLoading notifies the owner of a model's jobs that an endpoint was ordered to load
@@ -386,12 +386,12 @@
 
 // notifyOwner notifies an owner, without blocking, of a change that its watch would report
 // later.
-func (d *Frontend) notifyOwner(owner, method string, args MarkArgs) {
+func (d *Frontend) notifyOwner(owner, method string, args AssignmentArgs) {
 	go func() { _ = d.sendMark(owner, method, args) }()
 }
 
 // sendMark notifies an owner and returns the error of the call.
-func (d *Frontend) sendMark(owner, method string, args MarkArgs) error {
+func (d *Frontend) sendMark(owner, method string, args AssignmentArgs) error {
 	fields := logrus.Fields{"job": args.Job, "revision": args.Revision}
 	return d.notify(owner, method, args, fields, func() { d.Local.handleMark(method, args) })
 }
--- a/internal/agentless/batchrun/mover.go
+++ b/internal/agentless/batchrun/mover.go
@@ -33,8 +33,8 @@
 	Store   kv.TransactionalStore
 	Members *cluster.Members
 	Log     *logrus.Logger
-	// Unsettled reports whether the store was unreachable until a moment ago.
-	Unsettled func() bool
+	// StoreRecentlyDown reports whether the store was unreachable until a moment ago.
+	StoreRecentlyDown func() bool
 	// Models returns the models that jobs exist for; it may be nil.
 	Models func() []string
 	// Answers reports whether a process answers calls; nil means that this is unknown.
@@ -48,7 +48,7 @@
 func (m *Mover) MemberGone(ctx context.Context, name string) {
 	extra := time.Duration(m.rank(name)) * rankDelay
 	began := time.Now()
-	if m.Unsettled() && m.mayReturn(ctx, name) {
+	if m.StoreRecentlyDown() && m.mayReturn(ctx, name) {
 		extra += outageGrace - moveGrace
 	}
 	pause(ctx, moveGrace-time.Since(began)+extra)
--- a/internal/agentless/batchrun/mover_test.go
+++ b/internal/agentless/batchrun/mover_test.go
@@ -197,7 +197,7 @@
 		// two seconds to register again; the jobs of a dead one must not lose that time.
 		asked := ""
 		other := newProcess("x", store, llm)
-		other.mover.Unsettled = func() bool { return true }
+		other.mover.StoreRecentlyDown = func() bool { return true }
 		other.mover.Answers = func(ctx context.Context, name string) bool {
 			asked = name
 			until, limited := ctx.Deadline()
--- a/internal/agentless/batchrun/reassign.go
+++ b/internal/agentless/batchrun/reassign.go
@@ -83,7 +83,7 @@
 // to expire, which took four seconds after an outage of the store in which the owner had died:
 // half of the time that a step has.
 func (d *Frontend) notifyAccepted(owner, job string, revision int64) {
-	args := MarkArgs{Job: job, Revision: revision}
+	args := AssignmentArgs{Job: job, Revision: revision}
 	go func() {
 		err := d.sendMark(owner, callMarked, args)
 		if err != nil && !errors.Is(err, context.DeadlineExceeded) {
@@ -125,7 +125,7 @@
 		return err // if not done, the job was moved, ended or got results meanwhile
 	}
 	d.remember(job, record)
-	d.notifyOwner(to, callMarked, MarkArgs{Job: job, Revision: committed.Revision})
+	d.notifyOwner(to, callMarked, AssignmentArgs{Job: job, Revision: committed.Revision})
 	events.JobHandedOn.Log(d.Log, logrus.Fields{"job": job, "from": from, "to": to, "mark": revision})
 	return nil
 }
--- a/internal/agentless/batchrun/rpc.go
+++ b/internal/agentless/batchrun/rpc.go
@@ -116,28 +116,28 @@
 // Ping answers that this process is reachable. It is called by net/rpc.
 func (s *Service) Ping(struct{}, *struct{}) error { return nil }
 
-// MarkArgs notifies an owner of a change of its assignment for a job.
-type MarkArgs struct {
+// AssignmentArgs notifies an owner of a change of its assignment for a job.
+type AssignmentArgs struct {
 	Job      string
 	Revision int64
 	Begun    bool // the job may have durable results, because another process owned it before
 }
 
 // Marked notifies this process that a job was assigned to it. It is called by net/rpc.
-func (s *Service) Marked(args MarkArgs, _ *struct{}) error {
+func (s *Service) Marked(args AssignmentArgs, _ *struct{}) error {
 	s.owner.handleAssigned(args)
 	return nil
 }
 
 // Ended notifies this process that a job was ended. It is called by net/rpc.
-func (s *Service) Ended(args MarkArgs, _ *struct{}) error {
+func (s *Service) Ended(args AssignmentArgs, _ *struct{}) error {
 	s.owner.handleMark(callEnded, args)
 	return nil
 }
 
 // handleMark handles a notification for this process's owner; method is callMarked or
 // callEnded.
-func (o *Owner) handleMark(method string, args MarkArgs) {
+func (o *Owner) handleMark(method string, args AssignmentArgs) {
 	if method == callMarked {
 		o.handleAssigned(args)
 		return
--- a/internal/agentless/batchrun/standby.go
+++ b/internal/agentless/batchrun/standby.go
@@ -401,6 +401,6 @@
 		return ownerChanged
 	}
 	events.JobHandedOn.Log(s.owner.Log, logrus.Fields{"job": j.id, "from": j.owner, "to": s.owner.Name, "mark": j.mark})
-	s.owner.handleAssigned(MarkArgs{Job: j.id, Revision: committed.Revision, Begun: true})
+	s.owner.handleAssigned(AssignmentArgs{Job: j.id, Revision: committed.Revision, Begun: true})
 	return jobTaken
 }
--- a/internal/agentless/node/node.go
+++ b/internal/agentless/node/node.go
@@ -175,7 +175,7 @@
 	}
 	n.owner.Init()
 	n.frontend = &batchrun.Frontend{Store: a.Store, Members: n.members, Peers: peers, Local: n.owner, Log: log, ValueBytes: s.ValueBytes, Models: n.directory.Models, Domain: s.FailureDomain, IsHub: s.Worker, Unreachable: n.store.Unreachable}
-	n.mover = &batchrun.Mover{Self: s.ID, Store: a.Store, Members: n.members, Log: log, Unsettled: n.outage.isRecent, Answers: n.frontend.Answers, Models: n.directory.Models, NotifyOwner: n.frontend.NotifyMoved}
+	n.mover = &batchrun.Mover{Self: s.ID, Store: a.Store, Members: n.members, Log: log, StoreRecentlyDown: n.outage.isRecent, Answers: n.frontend.Answers, Models: n.directory.Models, NotifyOwner: n.frontend.NotifyMoved}
 	n.gate = gate.New(n.directory, a.Sender, log, registry)
 	n.gate.Switches, n.gate.Current = switches, n.contact.isCurrent
 	n.addUsage(self, peers)
