--- a/internal/agentless/batchrun/adopt.go
+++ b/internal/agentless/batchrun/adopt.go
@@ -34,7 +34,7 @@
 	select {
 	case <-o.running:
 	default:
-		return // the assignments are listed once it runs
+		return // once it runs, the assignments are read from the store
 	}
 	assignment := kv.Record{Key: assignmentKey(o.Name, args.Job), Value: raw, Revision: args.Revision}
 	go o.adopt(o.lifetime, assignment)
@@ -89,23 +89,23 @@
 	}
 }
 
-// beginLoad reports whether the job must be loaded under the given mark, and keeps a second
-// notification of the same mark from loading it twice.
-func (o *Owner) beginLoad(id string, mark int64) bool {
+// beginLoad reports whether the job must be loaded under the given token, and keeps a second
+// notification of the same token from loading it twice.
+func (o *Owner) beginLoad(id string, token int64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if j := o.jobs[id]; j != nil && j.mark >= mark || o.loadingMarks[id] >= mark {
+	if j := o.jobs[id]; j != nil && j.token >= token || o.loadingTokens[id] >= token {
 		return false
 	}
-	o.loadingMarks[id] = mark
+	o.loadingTokens[id] = token
 	return true
 }
 
-func (o *Owner) endLoad(id string, mark int64) {
+func (o *Owner) endLoad(id string, token int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.loadingMarks[id] == mark {
-		delete(o.loadingMarks, id)
+	if o.loadingTokens[id] == token {
+		delete(o.loadingTokens, id)
 	}
 }
 
@@ -169,11 +169,11 @@
 // resumeTexts lets an adopted job continue the partial texts that are known of its items. The
 // owner's lock must be held.
 func (o *Owner) resumeTexts(owned *ownedJob, texts *batch.Texts) (items int) {
-	items, made := owned.job.ResumeTexts(texts)
+	items, eventCount := owned.job.ResumeTexts(texts)
 	if items > 0 {
 		o.stats.resumedItems.Inc(int64(items))
-		o.stats.resumedEvents.Inc(int64(made))
-		events.TextsRecovered.Log(o.Log, logrus.Fields{"job": owned.id, "mark": owned.mark, "items": items, "events": made})
+		o.stats.resumedEvents.Inc(int64(eventCount))
+		events.TextsRecovered.Log(o.Log, logrus.Fields{"job": owned.id, "mark": owned.token, "items": items, "events": eventCount})
 	}
 	o.sinksOf(owned).begin(owned)
 	return items
@@ -193,22 +193,22 @@
 }
 
 // takeOwnership starts to run a loaded job, unless its assignment was deleted or the job was
-// adopted under a newer mark meanwhile.
-func (o *Owner) takeOwnership(ctx context.Context, id string, mark int64, loaded loadedJob) {
+// adopted under a newer token meanwhile.
+func (o *Owner) takeOwnership(ctx context.Context, id string, token int64, loaded loadedJob) {
 	job := loaded.job
 	o.mu.Lock()
-	if o.former.removedSince(id, mark) {
+	if o.former.removedSince(id, token) {
 		o.mu.Unlock()
 		return
 	}
 	if old := o.jobs[id]; old != nil {
-		if old.mark >= mark {
+		if old.token >= token {
 			o.mu.Unlock()
 			return
 		}
 		old.cancel()
 	}
-	owned := &ownedJob{id: id, mark: mark, parts: loaded.parts, job: job, resultsChanged: make(chan struct{})}
+	owned := &ownedJob{id: id, token: token, parts: loaded.parts, job: job, resultsChanged: make(chan struct{})}
 	owned.ctx, owned.cancel = context.WithCancel(ctx)
 	o.jobs[id] = owned
 	o.former.forget(id)
@@ -220,6 +220,6 @@
 	if o.OnAdopt != nil {
 		o.OnAdopt(job.Spec)
 	}
-	events.JobOwned.Log(o.Log, logrus.Fields{"job": id, "mark": mark, "resumed": resumed, "items": job.Total(), "done": done, "model": job.Spec.Model, "min_version": job.Spec.MinVersion, "step": job.Spec.Step})
+	events.JobOwned.Log(o.Log, logrus.Fields{"job": id, "mark": token, "resumed": resumed, "items": job.Total(), "done": done, "model": job.Spec.Model, "min_version": job.Spec.MinVersion, "step": job.Spec.Step})
 	o.wakeDispatch()
 }
--- a/internal/agentless/batchrun/copies.go
+++ b/internal/agentless/batchrun/copies.go
@@ -43,7 +43,7 @@
 type CopyArgs struct {
 	Owner string
 	Job   string
-	Mark  int64
+	Mark  int64  // fencing token of the owner
 	Whole bool   // Raw holds all texts of the job that are long enough
 	Raw   []byte // compressed parts of texts
 	Spec  []byte // compressed spec, if Whole
@@ -77,11 +77,11 @@
 	targets map[string]copyTarget // by job
 }
 
-// copyTarget is the process that a job's texts were last sent to, and the mark under which they
-// were.
+// copyTarget is the process that a job's texts were last sent to, and the owner's fencing token
+// at that time.
 type copyTarget struct {
-	mark int64
-	name string
+	token int64
+	name  string
 }
 
 func newCopier(registry metrics.Registry) *Copier {
@@ -131,15 +131,15 @@
 // also takes over jobs without long texts.
 func (c *Copier) unannounced(pending []textlog.JobParts) []textlog.JobParts {
 	var jobs []textlog.JobParts
-	for id, mark := range c.Owner.Jobs() {
+	for id, token := range c.Owner.Jobs() {
 		if slices.ContainsFunc(pending, func(g textlog.JobParts) bool { return g.Job == id }) {
 			continue
 		}
 		c.mu.Lock()
 		target, found := c.targets[id]
 		c.mu.Unlock()
-		if !found || target.mark != mark {
-			jobs = append(jobs, textlog.JobParts{Job: id, Mark: mark})
+		if !found || target.token != token {
+			jobs = append(jobs, textlog.JobParts{Job: id, Mark: token})
 		}
 	}
 	return jobs
@@ -148,7 +148,7 @@
 // copy sends the new events of a job, or all of its events if the receiver may lack some.
 func (c *Copier) copy(ctx context.Context, g *textlog.JobParts) {
 	j := c.Owner.find(g.Job)
-	if j == nil || j.mark != g.Mark {
+	if j == nil || j.token != g.Mark {
 		return
 	}
 	to, found := c.StandbyFor(j.job.Spec.Model, g.Job)
@@ -191,8 +191,8 @@
 	return args, err
 }
 
-// errEventsMissing is logged if the receiver was restarted since earlier events were sent to
-// it.
+// errEventsMissing is logged if the receiver was restarted after earlier events had been sent
+// to it.
 var errEventsMissing = errors.New("batchrun: the receiver lacks earlier events")
 
 // resendAll makes the next message of a job hold all of its texts, even without new events: the
@@ -203,7 +203,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.job.Closed() {
-		c.buffer.Begin(j.id, j.mark, j.job.Texts())
+		c.buffer.Begin(j.id, j.token, j.job.Texts())
 	}
 }
 
@@ -222,8 +222,8 @@
 }
 
 // drop removes a job that this process no longer owns.
-func (c *Copier) drop(job string, mark int64) {
-	c.buffer.Drop(job, mark)
+func (c *Copier) drop(job string, token int64) {
+	c.buffer.Drop(job, token)
 	c.forget(job)
 }
 
--- a/internal/agentless/batchrun/copies_test.go
+++ b/internal/agentless/batchrun/copies_test.go
@@ -30,7 +30,7 @@
 		for _, name := range names {
 			p := newProcess(name, store, llm)
 			p.owner.Texts = textlog.New(GinkgoT().TempDir(), discardLogger(), metrics.NewRegistry())
-			p.owner.Copier.StandbyFor, p.owner.Copier.Send, p.owner.FetchTexts = p.desk.StandbyFor, p.desk.SendCopy, p.desk.FetchTexts
+			p.owner.Copier.StandbyFor, p.owner.Copier.Send, p.owner.FetchTexts = p.frontend.StandbyFor, p.frontend.SendCopy, p.frontend.FetchTexts
 			wrap(p)
 			processes = append(processes, p.run())
 		}
@@ -74,7 +74,7 @@
 		// The owner copies events to its standby, is killed, and its machine does not come
 		// back. The next owner requests only the events after the last copied one.
 		start("a", "b")
-		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
+		Expect(processes[0].frontend.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		owner, others := ownerOf("j")
 		Eventually(copied(others[0])).WithTimeout(eventuallyTimeout).Should(Equal(3 * firstEvents))
 		owner.stop()
@@ -93,7 +93,7 @@
 		wrap = func(p *process) { p.owner.Texts = onDisk() }
 		DeferCleanup(func() { wrap = func(*process) {} })
 		start("p")
-		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
+		Expect(processes[0].frontend.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		Eventually(func() int {
 			_, events := batch.NewJob(spec("j", 3), nil).ResumeTexts(onDisk().Load(context.Background(), "j"))
 			return events
@@ -112,10 +112,10 @@
 		// The job moves to a process that was not its standby, because a process joined or
 		// left meanwhile. It asks the other workers when it adopts the job.
 		start("a", "b", "c")
-		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
+		Expect(processes[0].frontend.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		owner, others := ownerOf("j")
 		standby, third := others[0], others[1]
-		if name, _ := owner.desk.StandbyFor("m", "j"); name == third.name {
+		if name, _ := owner.frontend.StandbyFor("m", "j"); name == third.name {
 			standby, third = third, standby
 		}
 		Eventually(copied(standby)).WithTimeout(eventuallyTimeout).Should(Equal(3 * firstEvents))
@@ -124,7 +124,7 @@
 		Expect(standby.register.Leave(context.Background())).To(Succeed())
 		Eventually(func() int { return len(third.members.Owners()) }).WithTimeout(eventuallyTimeout).Should(Equal(2))
 		owner.stop()
-		texts := third.desk.FetchTexts(context.Background(), "j")
+		texts := third.frontend.FetchTexts(context.Background(), "j")
 		Expect(texts).NotTo(BeEmpty(), "the standby is leaving but still has them")
 	})
 
@@ -143,7 +143,7 @@
 		}
 		DeferCleanup(func() { wrap = func(*process) {} })
 		start("a", "b")
-		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
+		Expect(processes[0].frontend.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		_, others := ownerOf("j")
 		Eventually(copied(others[0])).WithTimeout(eventuallyTimeout).Should(Equal(3 * firstEvents))
 	})
@@ -162,7 +162,7 @@
 		}
 		DeferCleanup(func() { wrap = func(*process) {} })
 		start("a", "b")
-		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
+		Expect(processes[0].frontend.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		_, others := ownerOf("j")
 		Eventually(copied(others[0])).WithTimeout(eventuallyTimeout).Should(Equal(3 * firstEvents))
 	})
--- a/internal/agentless/batchrun/export_test.go
+++ b/internal/agentless/batchrun/export_test.go
@@ -6,10 +6,10 @@
 )
 
 // MarkedUnresponsive reports whether a process was found unresponsive.
-func (d *Frontend) MarkedUnresponsive(name string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	_, found := d.unresponsive[name]
+func (f *Frontend) MarkedUnresponsive(name string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	_, found := f.unresponsive[name]
 	return found
 }
 
@@ -26,8 +26,8 @@
 func DecodeRecords(raw []byte) {
 	var record jobRecord
 	_ = decode(raw, &record)
-	var mark assignmentRecord
-	_ = decode(raw, &mark)
+	var assignment assignmentRecord
+	_ = decode(raw, &assignment)
 	_, _ = joinSpec([]kv.Record{{Value: raw}}, 1)
 	_, _ = joinDone([]kv.Record{{Value: raw}})
 }
--- a/internal/agentless/batchrun/fakes_test.go
+++ b/internal/agentless/batchrun/fakes_test.go
@@ -139,7 +139,7 @@
 	name     string
 	store    kv.TransactionalStore
 	owner    *batchrun.Owner
-	desk     *batchrun.Frontend
+	frontend *batchrun.Frontend
 	mover    *batchrun.Mover
 	members  *cluster.Members
 	register *cluster.Registrar
@@ -204,7 +204,7 @@
 	Expect(p.owner.Register(p.server)).To(Succeed())
 	go p.accept(p.server)
 	p.register = cluster.NewRegistrar(store, cluster.Member{Name: name, Address: listener.Addr().String(), Worker: true}, hour, p.members, discardLogger())
-	p.desk = &batchrun.Frontend{Store: store, Members: p.members, Peers: rpcpool.New(nil), Local: p.owner, Log: discardLogger(), ValueBytes: 64}
+	p.frontend = &batchrun.Frontend{Store: store, Members: p.members, Peers: rpcpool.New(nil), Local: p.owner, Log: discardLogger(), ValueBytes: 64}
 	p.mover = &batchrun.Mover{Self: name, Store: store, Members: p.members, Log: discardLogger(), StoreRecentlyDown: func() bool { return false }}
 	return p
 }
@@ -250,12 +250,12 @@
 
 // run starts the process; calling stop kills it.
 func (p *process) run() *process {
-	Expect(p.desk.Register(p.server)).To(Succeed())
+	Expect(p.frontend.Register(p.server)).To(Succeed())
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	marks := &cluster.Follower{Store: p.store, Topic: p.owner.Assignments(), Wait: batchrun.AssignmentsWait}
+	assignments := &cluster.Follower{Store: p.store, Topic: p.owner.Assignments(), Wait: batchrun.AssignmentsWait}
 	members := &cluster.Follower{Store: p.store, Topic: p.register.Topic()}
-	for _, part := range []func(context.Context) error{p.owner.Run, p.register.Run, members.Run, marks.Run} {
+	for _, part := range []func(context.Context) error{p.owner.Run, p.register.Run, members.Run, assignments.Run} {
 		done.Go(func() {
 			defer GinkgoRecover()
 			Expect(part(ctx)).To(Succeed())
--- a/internal/agentless/batchrun/former_jobs.go
+++ b/internal/agentless/batchrun/former_jobs.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxRemovedAssignments limits the deleted assignments that are remembered. Each is needed only for
-	// the second that loading a job takes.
+	// maxRemovedAssignments limits the deleted assignments that are remembered. Each is needed
+	// only for the second that loading a job takes.
 	maxRemovedAssignments = 256
 	// maxRetainedJobs limits the jobs whose results are retained, at half a megabyte each.
 	// Results of older jobs are read from the store.
@@ -31,19 +31,21 @@
 
 // recordRemoved records that an assignment was deleted, so that a job that is still being
 // loaded does not start afterwards.
-func (e *formerJobs) recordRemoved(id string, revision int64) {
-	if len(e.removedAt) >= maxRemovedAssignments {
-		e.removedAt = map[string]int64{}
-		e.ended = map[string]bool{}
+func (f *formerJobs) recordRemoved(id string, revision int64) {
+	if len(f.removedAt) >= maxRemovedAssignments {
+		f.removedAt = map[string]int64{}
+		f.ended = map[string]bool{}
 	}
-	e.removedAt[id] = max(e.removedAt[id], revision)
+	f.removedAt[id] = max(f.removedAt[id], revision)
 }
 
 // recordEnded records that a job was ended.
-func (e *formerJobs) recordEnded(id string) { e.ended[id] = true }
+func (f *formerJobs) recordEnded(id string) { f.ended[id] = true }
 
-// removedSince reports whether a job's assignment was deleted at or after the given mark.
-func (e *formerJobs) removedSince(id string, mark int64) bool { return e.removedAt[id] >= mark }
+// removedSince reports whether a job's assignment was deleted at or after the given revision.
+func (f *formerJobs) removedSince(id string, revision int64) bool {
+	return f.removedAt[id] >= revision
+}
 
 // retainedResults holds the durable results of a job that this process no longer owns.
 type retainedResults struct {
@@ -54,34 +56,34 @@
 }
 
 // retain stores the results of a job, so that its readers cause no calls to the store.
-func (e *formerJobs) retain(now time.Time, k retainedResults) {
-	e.forget(k.id)
-	for len(e.retained) > 0 && (len(e.retained) >= maxRetainedJobs || now.Sub(e.retained[0].submitted) > e.ttl) {
-		e.retained = e.retained[1:]
+func (f *formerJobs) retain(now time.Time, r retainedResults) {
+	f.forget(r.id)
+	for len(f.retained) > 0 && (len(f.retained) >= maxRetainedJobs || now.Sub(f.retained[0].submitted) > f.ttl) {
+		f.retained = f.retained[1:]
 	}
-	e.retained = append(e.retained, k)
+	f.retained = append(f.retained, r)
 }
 
 // forget drops the retained results of a job that this process adopts again. They are those
 // from when it lost the job before, and fewer than readers may have seen since.
-func (e *formerJobs) forget(id string) {
-	e.retained = slices.DeleteFunc(e.retained, func(old retainedResults) bool { return old.id == id })
+func (f *formerJobs) forget(id string) {
+	f.retained = slices.DeleteFunc(f.retained, func(old retainedResults) bool { return old.id == id })
 }
 
 // results returns the retained results of a job.
-func (e *formerJobs) results(id string) (retainedResults, bool) {
-	for _, k := range e.retained {
-		if k.id == id {
-			return k, true
+func (f *formerJobs) results(id string) (retainedResults, bool) {
+	for _, r := range f.retained {
+		if r.id == id {
+			return r, true
 		}
 	}
 	return retainedResults{}, false
 }
 
 // fromPosition returns the results from a position on.
-func (k *retainedResults) fromPosition(position int) []batch.Result {
-	if position >= len(k.results) {
+func (r *retainedResults) fromPosition(position int) []batch.Result {
+	if position >= len(r.results) {
 		return nil
 	}
-	return k.results[max(0, position):]
+	return r.results[max(0, position):]
 }
--- a/internal/agentless/batchrun/frontend.go
+++ b/internal/agentless/batchrun/frontend.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// maxUnknownTries limits the retries of a submission or an end whose outcome is unknown.
-	// Retries are idempotent because of their conditions. Submitters give up after little more
-	// than a second.
+	// maxUnknownTries limits the tries to write a submission or an end after the first one whose
+	// outcome is unknown. Retries are idempotent because of the transaction's conditions.
+	// Submitters give up after little more than a second.
 	maxUnknownTries = 10
-	// unknownRetryDelay is the delay before such a retry.
+	// unknownRetryDelay is the delay before a write whose outcome is unknown is retried.
 	unknownRetryDelay = 50 * time.Millisecond
 	// maxKnownJobs limits the jobs of other processes whose records are cached.
 	maxKnownJobs = 64
@@ -68,29 +68,29 @@
 }
 
 // Register registers the calls that a hub serves for other processes.
-func (d *Frontend) Register(server *rpc.Server) error {
-	if !d.IsHub {
+func (f *Frontend) Register(server *rpc.Server) error {
+	if !f.IsHub {
 		return nil
 	}
-	return errors.Wrap(server.RegisterName(hubName, &Hub{frontend: d}), "batchrun")
+	return errors.Wrap(server.RegisterName(hubName, &Hub{frontend: f}), "batchrun")
 }
 
 // Submit accepts a job. It returns nil if the job is durable, ErrNotRun if no part of it will
 // run, and ErrOutcomeUnknown if the outcome cannot be determined.
-func (d *Frontend) Submit(ctx context.Context, spec *batch.Spec) error {
-	if d.snapshot(spec.ID) != nil {
+func (f *Frontend) Submit(ctx context.Context, spec *batch.Spec) error {
+	if f.snapshot(spec.ID) != nil {
 		return nil
 	}
-	parts, err := specParts(spec, d.ValueBytes)
+	parts, err := specParts(spec, f.ValueBytes)
 	if err != nil {
 		return err
 	}
-	err = d.commitWithRetry(ctx, func() (bool, error) { return d.tryAccept(ctx, spec, parts) })
+	err = f.commitWithRetry(ctx, func() (bool, error) { return f.tryAccept(ctx, spec, parts) })
 	if err == nil {
-		events.JobAccepted.Log(d.Log, logrus.Fields{"job": spec.ID, "items": len(spec.Items), "model": spec.Model, "step": spec.Step})
+		events.JobAccepted.Log(f.Log, logrus.Fields{"job": spec.ID, "items": len(spec.Items), "model": spec.Model, "step": spec.Step})
 		return nil
 	}
-	events.JobRefused.Log(d.Log, logrus.Fields{"job": spec.ID, "error": err.Error(), "retry_ms": RetryAfter(err).Milliseconds()})
+	events.JobRefused.Log(f.Log, logrus.Fields{"job": spec.ID, "error": err.Error(), "retry_ms": RetryAfter(err).Milliseconds()})
 	return err
 }
 
@@ -110,8 +110,8 @@
 
 // tryAccept writes the job once. done is true if the job is in the store, written by this try
 // or an earlier one.
-func (d *Frontend) tryAccept(ctx context.Context, spec *batch.Spec, parts [][]byte) (done bool, err error) {
-	owner, found := d.ownerFor(ctx, affinityKey(spec.Model, spec.ID))
+func (f *Frontend) tryAccept(ctx context.Context, spec *batch.Spec, parts [][]byte) (done bool, err error) {
+	owner, found := f.ownerFor(ctx, affinityKey(spec.Model, spec.ID))
 	if !found {
 		return false, errors.Wrap(kv.ErrUnavailable, "no process can own the job")
 	}
@@ -120,13 +120,13 @@
 	if err != nil {
 		return false, err
 	}
-	committed, err := d.Store.Commit(ctx, t)
+	committed, err := f.Store.Commit(ctx, t)
 	if err != nil {
 		return false, err
 	}
 	if committed.Done {
-		d.remember(spec.ID, record)
-		d.notifyAccepted(owner, spec.ID, committed.Revision)
+		f.remember(spec.ID, record)
+		f.notifyAccepted(owner, spec.ID, committed.Revision)
 	}
 	return true, nil // otherwise the key exists: the job was accepted before
 }
@@ -154,7 +154,7 @@
 // commitWithRetry retries a conditional write until its outcome is known, or for a while if no
 // process reaches the store. Once a try may have taken effect, a later refusal no longer means
 // that the write had no effect.
-func (d *Frontend) commitWithRetry(ctx context.Context, try func() (bool, error)) error {
+func (f *Frontend) commitWithRetry(ctx context.Context, try func() (bool, error)) error {
 	began := time.Now()
 	unknownTries := 0 // tries from the first one whose outcome is unknown
 	var last error
@@ -169,7 +169,7 @@
 		}
 		wait := unknownRetryDelay
 		if unknownTries == 0 {
-			wait = d.retryDelay(began, err)
+			wait = f.retryDelay(began, err)
 		}
 		if wait == 0 || ctx.Err() != nil {
 			break
@@ -184,8 +184,8 @@
 
 // retryDelay returns the delay before a write that certainly had no effect is retried, or 0 if
 // it must not be retried.
-func (d *Frontend) retryDelay(began time.Time, err error) time.Duration {
-	unreachable := d.Unreachable != nil && errors.Is(err, kv.ErrUnavailable) && d.Unreachable()
+func (f *Frontend) retryDelay(began time.Time, err error) time.Duration {
+	unreachable := f.Unreachable != nil && errors.Is(err, kv.ErrUnavailable) && f.Unreachable()
 	if time.Since(began) < storepath.HoldDuration(unreachable) {
 		return storepath.HoldRetryInterval
 	}
@@ -193,19 +193,19 @@
 }
 
 // End ends a job. It returns nil if the end is durable.
-func (d *Frontend) End(ctx context.Context, id string) error {
-	if known := d.snapshot(id); known != nil && known.record.Ended {
+func (f *Frontend) End(ctx context.Context, id string) error {
+	if known := f.snapshot(id); known != nil && known.record.Ended {
 		return nil
 	}
 	missing, asked := false, false
-	err := d.commitWithRetry(ctx, func() (bool, error) {
+	err := f.commitWithRetry(ctx, func() (bool, error) {
 		if !asked {
 			asked = true
-			if done, err := d.endAtOwner(ctx, id); done || err != nil {
+			if done, err := f.endAtOwner(ctx, id); done || err != nil {
 				return done, err
 			}
 		}
-		done, found, err := d.tryEnd(ctx, id)
+		done, found, err := f.tryEnd(ctx, id)
 		missing = err == nil && !found
 		return done || missing, err
 	})
@@ -213,20 +213,20 @@
 	case missing:
 		return ErrNoJob
 	case err == nil:
-		events.JobEnded.Log(d.Log, logrus.Fields{"job": id})
+		events.JobEnded.Log(f.Log, logrus.Fields{"job": id})
 	}
 	return err
 }
 
-// endAtOwner ends a job under the mark that its owner reports, which avoids reading the record:
-// every change of the record also changes the assignment. done is false if no owner knows the
-// job, or if it was moved meanwhile.
-func (d *Frontend) endAtOwner(ctx context.Context, id string) (done bool, err error) {
-	owner, found := d.likelyOwner(ctx, id)
+// endAtOwner ends a job under the fencing token that its owner reports. That avoids reading the
+// record, because every change of the record also changes the assignment. done is false if no
+// owner knows the job, or if it was moved meanwhile.
+func (f *Frontend) endAtOwner(ctx context.Context, id string) (done bool, err error) {
+	owner, found := f.likelyOwner(ctx, id)
 	if !found {
 		return false, nil
 	}
-	status, err := d.queryStatus(ctx, owner, id)
+	status, err := f.queryStatus(ctx, owner, id)
 	switch {
 	case err != nil:
 		return false, nil // fall back to the store
@@ -236,22 +236,22 @@
 		return false, nil
 	}
 	expect := kv.Expectation{Key: assignmentKey(owner, id), Revision: status.Mark}
-	return d.commitEnd(ctx, id, status.Record, expect)
+	return f.commitEnd(ctx, id, status.Record, expect)
 }
 
-func (d *Frontend) queryStatus(ctx context.Context, owner, id string) (StandingReply, error) {
-	return callOwner(ctx, d, owner, callStanding, 0, StandingArgs{Job: id}, func() StandingReply { return d.Local.jobStatus(id) })
+func (f *Frontend) queryStatus(ctx context.Context, owner, id string) (StandingReply, error) {
+	return callOwner(ctx, f, owner, callStanding, 0, StandingArgs{Job: id}, func() StandingReply { return f.Local.jobStatus(id) })
 }
 
 // commitEnd writes a job's end under an expectation that holds only while the record is as
 // given.
-func (d *Frontend) commitEnd(ctx context.Context, id string, record jobRecord, expect kv.Expectation) (done bool, err error) {
+func (f *Frontend) commitEnd(ctx context.Context, id string, record jobRecord, expect kv.Expectation) (done bool, err error) {
 	record.Ended = true
 	raw, err := encode(record)
 	if err != nil {
 		return false, err
 	}
-	committed, err := d.Store.Commit(ctx, kv.Transaction{
+	committed, err := f.Store.Commit(ctx, kv.Transaction{
 		Expect: []kv.Expectation{expect},
 		Puts:   []kv.Put{{Key: jobKey(id), Value: raw}},
 		Remove: []string{assignmentKey(record.Owner, id)},
@@ -259,20 +259,20 @@
 	if err != nil || !committed.Done {
 		return false, err
 	}
-	d.remember(id, record)
-	d.notifyOwner(record.Owner, callEnded, AssignmentArgs{Job: id, Revision: committed.Revision})
+	f.remember(id, record)
+	f.notifyOwner(record.Owner, callEnded, AssignmentArgs{Job: id, Revision: committed.Revision})
 	return true, nil
 }
 
-func (d *Frontend) tryEnd(ctx context.Context, id string) (done, found bool, err error) {
-	stored, record, err := d.fetchRecord(ctx, id)
+func (f *Frontend) tryEnd(ctx context.Context, id string) (done, found bool, err error) {
+	stored, record, err := f.fetchRecord(ctx, id)
 	if err != nil || stored.Revision == 0 {
 		return false, false, err
 	}
 	if record.Ended {
 		return true, true, nil
 	}
-	done, err = d.commitEnd(ctx, id, record, kv.Expectation{Key: jobKey(id), Revision: stored.Revision})
+	done, err = f.commitEnd(ctx, id, record, kv.Expectation{Key: jobKey(id), Revision: stored.Revision})
 	if err == nil && !done {
 		err = errors.Wrap(kv.ErrUnknown, "the job changed concurrently") // read it again
 	}
@@ -280,37 +280,37 @@
 }
 
 // NotifyMoved notifies a job's new owner of its assignment.
-func (d *Frontend) NotifyMoved(owner, job string, revision int64) {
-	d.notifyOwner(owner, callMarked, AssignmentArgs{Job: job, Revision: revision, Begun: true})
+func (f *Frontend) NotifyMoved(owner, job string, revision int64) {
+	f.notifyOwner(owner, callMarked, AssignmentArgs{Job: job, Revision: revision, Begun: true})
 }
 
 // NotifyLoading notifies the owner of a model's jobs that an endpoint was ordered to load
 // weights of the model. A lost notification costs a few refused requests.
-func (d *Frontend) NotifyLoading(args LoadingArgs) {
-	members := d.Members.Owners()
+func (f *Frontend) NotifyLoading(args LoadingArgs) {
+	members := f.Members.Owners()
 	if len(members) == 0 {
 		return
 	}
-	owner := newOwnerChooser(d.Models).choose(args.Model, members)
+	owner := newOwnerChooser(f.Models).choose(args.Model, members)
 	go func() {
-		_ = d.notify(owner, callLoading, args, logrus.Fields{"endpoint": args.Endpoint, "model": args.Model}, func() { d.Local.markLoading(args) })
+		_ = f.notify(owner, callLoading, args, logrus.Fields{"endpoint": args.Endpoint, "model": args.Model}, func() { f.Local.markLoading(args) })
 	}()
 }
 
 // OtherOwners returns the other processes that own jobs of these models.
-func (d *Frontend) OtherOwners(models []string) []string {
-	return slices.DeleteFunc(d.ownersOf(models), func(name string) bool { return name == d.Local.Name })
+func (f *Frontend) OtherOwners(models []string) []string {
+	return slices.DeleteFunc(f.ownersOf(models), func(name string) bool { return name == f.Local.Name })
 }
 
 // ownersOf returns the processes that own jobs of these models, each once.
-func (d *Frontend) ownersOf(models []string) []string {
-	members := d.Members.Owners()
+func (f *Frontend) ownersOf(models []string) []string {
+	members := f.Members.Owners()
 	if len(members) == 0 {
 		return nil
 	}
 	var names []string
 	for _, model := range models {
-		if name := newOwnerChooser(d.Models).choose(model, members); !slices.Contains(names, name) {
+		if name := newOwnerChooser(f.Models).choose(model, members); !slices.Contains(names, name) {
 			names = append(names, name)
 		}
 	}
@@ -318,24 +318,24 @@
 }
 
 // SendLoad sends this process's load to another process.
-func (d *Frontend) SendLoad(ctx context.Context, to string, args LoadArgs) error {
-	return d.call(ctx, to, callLoad, 0, args, &struct{}{})
+func (f *Frontend) SendLoad(ctx context.Context, to string, args LoadArgs) error {
+	return f.call(ctx, to, callLoad, 0, args, &struct{}{})
 }
 
 // StandbyFor returns the process that would own a job of this process if this one were gone.
-func (d *Frontend) StandbyFor(model, job string) (name string, found bool) {
-	others := without(d.responsive(d.Members.Owners()), d.Local.Name)
+func (f *Frontend) StandbyFor(model, job string) (name string, found bool) {
+	others := without(f.responsive(f.Members.Owners()), f.Local.Name)
 	if len(others) == 0 {
 		return "", false
 	}
-	return newOwnerChooser(d.Models).choose(affinityKey(model, job), others), true
+	return newOwnerChooser(f.Models).choose(affinityKey(model, job), others), true
 }
 
 // SendCopy sends new events of a job's texts to a process. lacking is true if the receiver
 // needs all events.
-func (d *Frontend) SendCopy(ctx context.Context, to string, args CopyArgs) (lacking bool, err error) {
+func (f *Frontend) SendCopy(ctx context.Context, to string, args CopyArgs) (lacking bool, err error) {
 	var reply CopyReply
-	if err := d.call(ctx, to, callCopy, 0, args, &reply); err != nil {
+	if err := f.call(ctx, to, callCopy, 0, args, &reply); err != nil {
 		return false, err // a late answer may still write to the reply
 	}
 	return reply.Lacking, nil
@@ -343,17 +343,17 @@
 
 // FetchTexts asks the other workers for a job's texts and returns the answers that arrive
 // before ctx ends. Workers that are leaving are asked too: one of them may have had the job.
-func (d *Frontend) FetchTexts(ctx context.Context, job string) [][]byte {
-	others := d.otherWorkers()
+func (f *Frontend) FetchTexts(ctx context.Context, job string) [][]byte {
+	others := f.otherWorkers()
 	for len(others) == 0 && ctx.Err() == nil {
 		pause(ctx, workersRetryDelay) // this process has just started
-		others = d.otherWorkers()
+		others = f.otherWorkers()
 	}
 	answers := make(chan []byte, len(others))
 	for _, other := range others {
 		go func() {
 			var reply TextsReply
-			if err := d.call(ctx, other.Name, callTexts, 0, TextsArgs{Job: job}, &reply); err != nil {
+			if err := f.call(ctx, other.Name, callTexts, 0, TextsArgs{Job: job}, &reply); err != nil {
 				answers <- nil
 				return
 			}
@@ -374,9 +374,9 @@
 	return texts
 }
 
-func (d *Frontend) otherWorkers() []cluster.Member {
+func (f *Frontend) otherWorkers() []cluster.Member {
 	var workers []cluster.Member
-	for _, m := range without(d.Members.Live(), d.Local.Name) {
+	for _, m := range without(f.Members.Live(), f.Local.Name) {
 		if m.Worker {
 			workers = append(workers, m)
 		}
@@ -386,64 +386,64 @@
 
 // notifyOwner notifies an owner, without blocking, of a change that its watch would report
 // later.
-func (d *Frontend) notifyOwner(owner, method string, args AssignmentArgs) {
-	go func() { _ = d.sendMark(owner, method, args) }()
+func (f *Frontend) notifyOwner(owner, method string, args AssignmentArgs) {
+	go func() { _ = f.sendNotification(owner, method, args) }()
 }
 
-// sendMark notifies an owner and returns the error of the call.
-func (d *Frontend) sendMark(owner, method string, args AssignmentArgs) error {
+// sendNotification notifies an owner of a changed assignment and returns the error of the call.
+func (f *Frontend) sendNotification(owner, method string, args AssignmentArgs) error {
 	fields := logrus.Fields{"job": args.Job, "revision": args.Revision}
-	return d.notify(owner, method, args, fields, func() { d.Local.handleMark(method, args) })
+	return f.notify(owner, method, args, fields, func() { f.Local.handleNotification(method, args) })
 }
 
 // notify calls a method of an owner that has no result, or local if the owner is this process.
 // It logs a failed call with the given fields.
-func (d *Frontend) notify(owner, method string, args any, fields logrus.Fields, local func()) error {
-	_, err := callOwner(context.Background(), d, owner, method, 0, args, func() struct{} {
+func (f *Frontend) notify(owner, method string, args any, fields logrus.Fields, local func()) error {
+	_, err := callOwner(context.Background(), f, owner, method, 0, args, func() struct{} {
 		local()
 		return struct{}{}
 	})
 	if err != nil {
 		fields["owner"], fields["error"] = owner, err.Error()
-		events.OwnerNotTold.Log(d.Log, fields)
+		events.OwnerNotTold.Log(f.Log, fields)
 	}
 	return err
 }
 
 // fetchRecord reads a job's record from the store and caches it.
-func (d *Frontend) fetchRecord(ctx context.Context, id string) (kv.Record, jobRecord, error) {
-	stored, record, err := readRecord(ctx, d.Store, id)
+func (f *Frontend) fetchRecord(ctx context.Context, id string) (kv.Record, jobRecord, error) {
+	stored, record, err := readRecord(ctx, f.Store, id)
 	if err == nil && stored.Revision != 0 {
-		d.remember(id, record)
+		f.remember(id, record)
 	}
 	return stored, record, err
 }
 
-func (d *Frontend) remember(id string, record jobRecord) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.known == nil {
-		d.known = map[string]*knownJob{}
+func (f *Frontend) remember(id string, record jobRecord) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.known == nil {
+		f.known = map[string]*knownJob{}
 	}
-	known := d.known[id]
+	known := f.known[id]
 	if known == nil {
 		known = &knownJob{}
-		d.known[id] = known
-		d.forgetOldest()
+		f.known[id] = known
+		f.forgetOldest()
 	}
 	ended := known.record.Ended
 	known.record = record
 	known.record.Ended = ended || record.Ended
 }
 
-func (d *Frontend) forgetOldest() {
-	for len(d.known) > maxKnownJobs {
+func (f *Frontend) forgetOldest() {
+	for len(f.known) > maxKnownJobs {
 		oldest := ""
-		for id, k := range d.known {
-			if oldest == "" || k.record.Submitted.Before(d.known[oldest].record.Submitted) {
+		for id, k := range f.known {
+			if oldest == "" || k.record.Submitted.Before(f.known[oldest].record.Submitted) {
 				oldest = id
 			}
 		}
-		delete(d.known, oldest)
+		delete(f.known, oldest)
 	}
 }
--- a/internal/agentless/batchrun/frontend_read.go
+++ b/internal/agentless/batchrun/frontend_read.go
@@ -27,29 +27,29 @@
 // An owner that lost its connection to the store may have lost the job without knowing, and its
 // answer could then lack results that other readers have seen. So an answer that is not certain
 // is used only if the store does not answer either.
-func (d *Frontend) Results(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
-	if d.Local.Switches.On(mechanism.CacheResults) {
-		return d.readCached(ctx, id, from, wait)
+func (f *Frontend) Results(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
+	if f.Local.Switches.On(mechanism.CacheResults) {
+		return f.readCached(ctx, id, from, wait)
 	}
-	return d.readUncached(ctx, id, from, wait)
+	return f.readUncached(ctx, id, from, wait)
 }
 
 // readCached returns the cached results followed by newer ones. If any are cached, it does not
 // wait for more, and returns the cached ones even if neither the owner nor the store answers:
 // durable results do not change.
-func (d *Frontend) readCached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
-	cached, next := d.cache.get(id, from)
+func (f *Frontend) readCached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
+	cached, next := f.cache.get(id, from)
 	if len(cached.Results) > 0 {
 		wait = 0
 	}
-	fresh, err := d.readUncached(ctx, id, next, wait)
+	fresh, err := f.readUncached(ctx, id, next, wait)
 	switch {
 	case errors.Is(err, ErrUnavailable) && len(cached.Results) > 0:
 		return cached, nil
 	case err != nil:
 		return Reading{}, err
 	}
-	d.cache.add(id, next, fresh)
+	f.cache.add(id, next, fresh)
 	fresh.Results = append(cached.Results, fresh.Results...)
 	return fresh, nil
 }
@@ -57,16 +57,16 @@
 // readUncached reads results via the hub if it can, otherwise from the owner, and from the
 // store if the owner's answer is not current. If the store does not answer either, it returns
 // what the owner answered.
-func (d *Frontend) readUncached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
-	if r, answered, err := d.readViaHub(ctx, id, from, wait); answered {
+func (f *Frontend) readUncached(ctx context.Context, id string, from int, wait time.Duration) (Reading, error) {
+	if r, answered, err := f.readViaHub(ctx, id, from, wait); answered {
 		return r, err
 	}
 	deadline := time.Now().Add(wait)
-	reply := d.readFromOwner(ctx, id, from, wait)
+	reply := f.readFromOwner(ctx, id, from, wait)
 	if reply.isCurrent() {
 		return newReading(reply), nil
 	}
-	stored, err := d.readFromStore(ctx, id, from, deadline)
+	stored, err := f.readFromStore(ctx, id, from, deadline)
 	if errors.Is(err, ErrUnavailable) && reply.Owned {
 		return newReading(reply), nil
 	}
@@ -77,36 +77,36 @@
 
 // readFromOwner reads results from the job's owner if that is known or can be guessed. It
 // returns the zero reply if there is no answer.
-func (d *Frontend) readFromOwner(ctx context.Context, id string, from int, wait time.Duration) ReadReply {
-	owner, found := d.likelyOwner(ctx, id)
+func (f *Frontend) readFromOwner(ctx context.Context, id string, from int, wait time.Duration) ReadReply {
+	owner, found := f.likelyOwner(ctx, id)
 	if !found {
 		return ReadReply{}
 	}
-	reply, err := d.askOwner(ctx, owner, id, from, wait)
+	reply, err := f.askOwner(ctx, owner, id, from, wait)
 	if err != nil {
 		return ReadReply{}
 	}
-	known := d.snapshot(id)
+	known := f.snapshot(id)
 	reply.Ended = reply.Ended || reply.Gone && known != nil && known.record.Ended
 	return reply
 }
 
 // likelyOwner returns the job's owner from the cached record, or else asks the owners of the
 // models that are served now.
-func (d *Frontend) likelyOwner(ctx context.Context, id string) (owner string, found bool) {
-	if known := d.snapshot(id); known != nil {
+func (f *Frontend) likelyOwner(ctx context.Context, id string) (owner string, found bool) {
+	if known := f.snapshot(id); known != nil {
 		return known.record.Owner, true
 	}
-	return d.locateOwner(ctx, id)
+	return f.locateOwner(ctx, id)
 }
 
 // locateOwner finds a job's owner among the processes that own the jobs of the models served
 // now, so that the many processes at which a job is read need no call to the store.
-func (d *Frontend) locateOwner(ctx context.Context, id string) (owner string, found bool) {
-	if d.Models == nil {
+func (f *Frontend) locateOwner(ctx context.Context, id string) (owner string, found bool) {
+	if f.Models == nil {
 		return "", false
 	}
-	candidates := d.ownersOf(d.Models())
+	candidates := f.ownersOf(f.Models())
 	type located struct {
 		owner string
 		reply ReadReply
@@ -114,7 +114,7 @@
 	answers := make(chan located, len(candidates))
 	for _, name := range candidates {
 		go func() {
-			reply, err := d.askOwner(ctx, name, id, math.MaxInt, 0) // past the end: no results
+			reply, err := f.askOwner(ctx, name, id, math.MaxInt, 0) // past the end: no results
 			if err != nil {
 				reply = ReadReply{}
 			}
@@ -123,7 +123,7 @@
 	}
 	for range candidates {
 		if a := <-answers; a.reply.isCurrent() {
-			d.remember(id, jobRecord{Owner: a.owner, Total: a.reply.Total, Ended: a.reply.Ended})
+			f.remember(id, jobRecord{Owner: a.owner, Total: a.reply.Total, Ended: a.reply.Ended})
 			return a.owner, true
 		}
 	}
@@ -131,19 +131,19 @@
 }
 
 // unavailable logs the error and wraps it as ErrUnavailable. ErrNoJob is returned as it is.
-func (d *Frontend) unavailable(id string, err error) error {
+func (f *Frontend) unavailable(id string, err error) error {
 	if errors.Is(err, ErrNoJob) {
 		return err
 	}
-	events.ReadFailed.Log(d.Log, logrus.Fields{"job": id, "error": err.Error()})
+	events.ReadFailed.Log(f.Log, logrus.Fields{"job": id, "error": err.Error()})
 	return withRetryAfter(errors.Wrap(ErrUnavailable, err.Error()))
 }
 
 // snapshot returns a copy of what is cached of a job, or nil.
-func (d *Frontend) snapshot(id string) *knownJob {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	known := d.known[id]
+func (f *Frontend) snapshot(id string) *knownJob {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	known := f.known[id]
 	if known == nil {
 		return nil
 	}
@@ -151,53 +151,53 @@
 	return &copied
 }
 
-func (d *Frontend) askOwner(ctx context.Context, owner, id string, from int, wait time.Duration) (ReadReply, error) {
+func (f *Frontend) askOwner(ctx context.Context, owner, id string, from int, wait time.Duration) (ReadReply, error) {
 	args := ReadArgs{Job: id, From: from, Wait: wait}
-	return callOwner(ctx, d, owner, callRead, wait, args, func() ReadReply { return d.Local.read(ctx, args) })
+	return callOwner(ctx, f, owner, callRead, wait, args, func() ReadReply { return f.Local.read(ctx, args) })
 }
 
 // callOwner calls a method of an owner, or runs local if the owner is this process.
-func callOwner[R any](ctx context.Context, d *Frontend, owner, method string, wait time.Duration, args any, local func() R) (R, error) {
-	if owner == d.Local.Name {
+func callOwner[R any](ctx context.Context, f *Frontend, owner, method string, wait time.Duration, args any, local func() R) (R, error) {
+	if owner == f.Local.Name {
 		return local(), nil
 	}
 	var reply, none R
-	if err := d.call(ctx, owner, method, wait, args, &reply); err != nil {
+	if err := f.call(ctx, owner, method, wait, args, &reply); err != nil {
 		return none, err // a late answer may still write to the reply
 	}
 	return reply, nil
 }
 
-func (d *Frontend) call(ctx context.Context, owner, method string, wait time.Duration, args, reply any) error {
-	member, found := d.Members.Get(owner)
+func (f *Frontend) call(ctx context.Context, owner, method string, wait time.Duration, args, reply any) error {
+	member, found := f.Members.Get(owner)
 	if !found {
 		return errors.Errorf("batchrun: process %s is not a known member", owner)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+callSlack)
 	defer cancel()
-	return d.Peers.Call(ctx, member.Address, method, args, reply)
+	return f.Peers.Call(ctx, member.Address, method, args, reply)
 }
 
 // readFromStore reads results from the store. It is used if the job has ended, or if its owner
 // does not answer or has changed.
-func (d *Frontend) readFromStore(ctx context.Context, id string, from int, deadline time.Time) (Reading, error) {
+func (f *Frontend) readFromStore(ctx context.Context, id string, from int, deadline time.Time) (Reading, error) {
 	for {
-		found, record, err := d.currentRecord(ctx, id)
+		found, record, err := f.currentRecord(ctx, id)
 		if err != nil {
-			return Reading{}, d.unavailable(id, err)
+			return Reading{}, f.unavailable(id, err)
 		}
 		if !found {
 			return Reading{}, ErrNoJob
 		}
-		results, err := d.storedResults(ctx, id, from)
+		results, err := f.storedResults(ctx, id, from)
 		if err != nil {
-			return Reading{}, d.unavailable(id, err)
+			return Reading{}, f.unavailable(id, err)
 		}
 		if len(results) > 0 || record.Ended || from >= record.Total || time.Until(deadline) < storePollInterval || ctx.Err() != nil {
 			return Reading{Total: record.Total, Results: results}, nil
 		}
 		pause(ctx, storePollInterval)
-		if reply, err := d.askOwner(ctx, record.Owner, id, from, max(0, time.Until(deadline))); err == nil && reply.isCurrent() {
+		if reply, err := f.askOwner(ctx, record.Owner, id, from, max(0, time.Until(deadline))); err == nil && reply.isCurrent() {
 			return newReading(reply), nil
 		}
 	}
@@ -205,24 +205,24 @@
 
 // currentRecord returns the record from the store, or the cached one if the job has ended,
 // because that one can no longer change.
-func (d *Frontend) currentRecord(ctx context.Context, id string) (found bool, record jobRecord, err error) {
-	if known := d.snapshot(id); known != nil && known.record.Ended {
+func (f *Frontend) currentRecord(ctx context.Context, id string) (found bool, record jobRecord, err error) {
+	if known := f.snapshot(id); known != nil && known.record.Ended {
 		return true, known.record, nil
 	}
-	stored, record, err := d.fetchRecord(ctx, id)
+	stored, record, err := f.fetchRecord(ctx, id)
 	return stored.Revision != 0, record, err
 }
 
 // storedResults returns the durable results from a position on. It reads only chunks that are
 // not cached.
-func (d *Frontend) storedResults(ctx context.Context, id string, from int) ([]batch.Result, error) {
-	known := d.snapshot(id)
+func (f *Frontend) storedResults(ctx context.Context, id string, from int) ([]batch.Result, error) {
+	known := f.snapshot(id)
 	if known == nil {
 		known = &knownJob{}
 	}
 	complete := known.record.Total > 0 && len(known.results) >= known.record.Total
 	if from >= len(known.results) && !complete {
-		if err := d.readChunks(ctx, id, known); err != nil {
+		if err := f.readChunks(ctx, id, known); err != nil {
 			return nil, err
 		}
 	}
@@ -232,10 +232,10 @@
 	return known.results[from:], nil
 }
 
-func (d *Frontend) readChunks(ctx context.Context, id string, known *knownJob) error {
+func (f *Frontend) readChunks(ctx context.Context, id string, known *knownJob) error {
 	results, after := known.results[:len(known.results):len(known.results)], known.lastKey
 	for {
-		page, err := d.Store.ReadPage(ctx, donePrefix(id), after)
+		page, err := f.Store.ReadPage(ctx, donePrefix(id), after)
 		if err != nil {
 			return err
 		}
@@ -252,9 +252,9 @@
 		}
 	}
 	known.results, known.lastKey = results, after
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if current := d.known[id]; current != nil && len(current.results) < len(results) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if current := f.known[id]; current != nil && len(current.results) < len(results) {
 		current.results, current.lastKey = results, after
 	}
 	return nil
@@ -262,9 +262,9 @@
 
 // Body returns the body of an item that has no durable result yet. It returns ErrNoJob if the
 // job does not exist, has ended, or has no such item without a durable result.
-func (d *Frontend) Body(ctx context.Context, id, item string) ([]byte, error) {
-	if owner, found := d.likelyOwner(ctx, id); found {
-		reply, err := d.askBody(ctx, owner, id, item)
+func (f *Frontend) Body(ctx context.Context, id, item string) ([]byte, error) {
+	if owner, found := f.likelyOwner(ctx, id); found {
+		reply, err := f.askBody(ctx, owner, id, item)
 		switch {
 		case err != nil:
 		case reply.Found:
@@ -273,33 +273,33 @@
 			return nil, ErrNoJob
 		}
 	}
-	return d.storedBody(ctx, id, item)
+	return f.storedBody(ctx, id, item)
 }
 
-func (d *Frontend) askBody(ctx context.Context, owner, id, item string) (BodyReply, error) {
+func (f *Frontend) askBody(ctx context.Context, owner, id, item string) (BodyReply, error) {
 	args := BodyArgs{Job: id, Item: item}
-	return callOwner(ctx, d, owner, callBody, 0, args, func() BodyReply { return d.Local.body(args) })
+	return callOwner(ctx, f, owner, callBody, 0, args, func() BodyReply { return f.Local.body(args) })
 }
 
-func (d *Frontend) storedBody(ctx context.Context, id, item string) ([]byte, error) {
-	found, record, err := d.currentRecord(ctx, id)
+func (f *Frontend) storedBody(ctx context.Context, id, item string) ([]byte, error) {
+	found, record, err := f.currentRecord(ctx, id)
 	if err != nil {
-		return nil, d.unavailable(id, err)
+		return nil, f.unavailable(id, err)
 	}
 	if !found || record.Ended {
 		return nil, ErrNoJob
 	}
-	parts, err := kv.ReadAll(ctx, d.Store, specPrefix(id))
+	parts, err := kv.ReadAll(ctx, f.Store, specPrefix(id))
 	if err != nil {
-		return nil, d.unavailable(id, err)
+		return nil, f.unavailable(id, err)
 	}
 	spec, err := joinSpec(parts.Records, record.Parts)
 	if err != nil {
-		return nil, d.unavailable(id, err)
+		return nil, f.unavailable(id, err)
 	}
-	listed, err := d.storedResults(ctx, id, 0)
+	listed, err := f.storedResults(ctx, id, 0)
 	if err != nil {
-		return nil, d.unavailable(id, err)
+		return nil, f.unavailable(id, err)
 	}
 	job := batch.NewJob(spec, listed)
 	body, known := job.Body(item)
--- a/internal/agentless/batchrun/frontend_test.go
+++ b/internal/agentless/batchrun/frontend_test.go
@@ -19,14 +19,14 @@
 		// is being written.
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		d := &Frontend{Store: standin.NewTransactionalStore(), Log: log}
-		d.remember("j", jobRecord{Owner: "w", Ended: true})
+		f := &Frontend{Store: standin.NewTransactionalStore(), Log: log}
+		f.remember("j", jobRecord{Owner: "w", Ended: true})
 		var calls sync.WaitGroup
 		for range 100 {
-			calls.Go(func() { d.remember("j", jobRecord{Owner: "w", Ended: true}) })
+			calls.Go(func() { f.remember("j", jobRecord{Owner: "w", Ended: true}) })
 			calls.Go(func() {
 				defer GinkgoRecover()
-				Expect(d.End(context.Background(), "j")).To(Succeed())
+				Expect(f.End(context.Background(), "j")).To(Succeed())
 			})
 		}
 		calls.Wait()
--- a/internal/agentless/batchrun/helpers_test.go
+++ b/internal/agentless/batchrun/helpers_test.go
@@ -49,7 +49,7 @@
 
 func results(p *process, id string) func() int {
 	return func() int {
-		all, err := readAll(p.desk, id)
+		all, err := readAll(p.frontend, id)
 		if err != nil {
 			return -1
 		}
--- a/internal/agentless/batchrun/hub.go
+++ b/internal/agentless/batchrun/hub.go
@@ -43,15 +43,15 @@
 }
 
 // hubFor returns the worker in this process's failure domain through which a job's results are
-// read. It is the same for all processes of the domain. Without it every entry would transfer
+// read. It is the same for all processes of the domain. Without a hub every entry would transfer
 // each result across the domain's border, or read it from the store once the job's owner no
 // longer retains it, as after all processes were killed.
-func (d *Frontend) hubFor(job string) (name string, found bool) {
-	if d.IsHub || !d.Local.Switches.On(mechanism.ReadNear) {
+func (f *Frontend) hubFor(job string) (name string, found bool) {
+	if f.IsHub || !f.Local.Switches.On(mechanism.ReadNear) {
 		return "", false
 	}
-	near := inDomain(d.Members.Owners(), d.Domain)
-	responsive := d.responsive(near)
+	near := inDomain(f.Members.Owners(), f.Domain)
+	responsive := f.responsive(near)
 	if len(near) == 0 || !near[0].Worker || len(responsive) == 0 {
 		return "", false
 	}
@@ -74,18 +74,18 @@
 
 // readViaHub reads results via the domain's hub. answered is false if there is no hub or it
 // could not answer.
-func (d *Frontend) readViaHub(ctx context.Context, id string, from int, wait time.Duration) (r Reading, answered bool, err error) {
-	name, found := d.hubFor(id)
+func (f *Frontend) readViaHub(ctx context.Context, id string, from int, wait time.Duration) (r Reading, answered bool, err error) {
+	name, found := f.hubFor(id)
 	if !found {
 		return Reading{}, false, nil
 	}
 	limited, cancel := context.WithTimeout(ctx, wait+hubSlack)
 	defer cancel()
 	var reply ResultsReply
-	member, _ := d.Members.Get(name)
-	if err := d.Peers.Call(limited, member.Address, callResults, ResultsArgs{Job: id, From: from, Wait: wait}, &reply); err != nil {
+	member, _ := f.Members.Get(name)
+	if err := f.Peers.Call(limited, member.Address, callResults, ResultsArgs{Job: id, From: from, Wait: wait}, &reply); err != nil {
 		if ctx.Err() == nil && isUnanswered(err) {
-			d.markUnresponsive(name)
+			f.markUnresponsive(name)
 		}
 		return Reading{}, false, nil
 	}
--- a/internal/agentless/batchrun/itemrun.go
+++ b/internal/agentless/batchrun/itemrun.go
@@ -56,8 +56,8 @@
 		return classifyRunError(ctx, err)
 	}
 	defer func() { _ = answer.Body.Close() }()
-	if how, outcome, done := classifyAnswer(answer, r.start); done {
-		return how, outcome, errors.Errorf("status %d", answer.Status)
+	if runOutcome, endpointOutcome, done := classifyAnswer(answer, r.start); done {
+		return runOutcome, endpointOutcome, errors.Errorf("status %d", answer.Status)
 	}
 	return r.read(ctx, dispatch.NewEventReader(answer), idleTimer)
 }
@@ -103,16 +103,16 @@
 }
 
 // minMoveGain is the least gain, in events, for which a run is moved to another engine. A move
-// takes less than the time of one event, but also a new connection, and it changes what runs
-// where.
+// takes less than the time of one event, but it also needs a new connection and changes the
+// loads of two engines.
 const minMoveGain = 8.0
 
 // crowdedCheckEvents is the number of events after which a run checks for a less loaded engine.
 const crowdedCheckEvents = 8
 
 // crowded reports whether a critical item would be done sooner at an engine with fewer
-// requests. Otherwise the last runs of a step continue in full batches while other engines are
-// nearly idle, because the next step's items fill the batches.
+// requests. Without this check the last runs of a step continue in batches that the next step's
+// items fill, while other engines are nearly idle.
 func (r *itemRun) crowded() bool {
 	if r.generated%crowdedCheckEvents != 0 || !r.owner.Switches.On(mechanism.MoveCrowded) {
 		return false
@@ -171,8 +171,8 @@
 // eventSeconds returns the running mean of the seconds per event.
 func (p *pace) eventSeconds() float64 { return p.mean }
 
-// measured returns the seconds per event, and whether there were enough events to show the
-// engine's speed.
+// measured returns the running mean, and whether there were enough events to show the engine's
+// speed.
 func (p *pace) measured() (float64, bool) { return p.mean, p.gaps >= minPaceEvents }
 
 func itemRequest(spec *batch.Spec, start batch.RunStart) *dispatch.Request {
--- a/internal/agentless/batchrun/lengths.go
+++ b/internal/agentless/batchrun/lengths.go
@@ -23,8 +23,8 @@
 }
 
 // RemainingWork implements batch.Estimator.
-func (s *sharedLengths) RemainingWork(item *batch.Item, made int64) float64 {
+func (s *sharedLengths) RemainingWork(item *batch.Item, generated int64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lengths.RemainingWork(item, made)
+	return s.lengths.RemainingWork(item, generated)
 }
--- a/internal/agentless/batchrun/loads.go
+++ b/internal/agentless/batchrun/loads.go
@@ -16,8 +16,8 @@
 	// loadInterval is how often owners send each other their load: the time of three events, in
 	// which few runs start or end, except when a step arrives.
 	loadInterval = 100 * time.Millisecond
-	// maxLoadRate limits the bytes per second that a process sends to other owners for this.
-	// With many engines or owners the messages are sent less often.
+	// maxLoadRate limits the bytes per second of the messages that a process sends to other
+	// owners. With many engines or owners they are sent less often.
 	maxLoadRate = 10_000
 	// loadMessageBytes and endpointLoadBytes are the approximate sizes of a message and of each
 	// endpoint in it.
@@ -89,7 +89,7 @@
 	if o.OtherOwners == nil {
 		return nil
 	}
-	reported := map[string]bool{} // services with a load in the last round
+	reported := map[string]bool{} // services that had a load when they were last reported
 	for ctx.Err() == nil {
 		bytes := 0
 		if o.Switches.On(mechanism.ShareLoad) {
--- a/internal/agentless/batchrun/loads_test.go
+++ b/internal/agentless/batchrun/loads_test.go
@@ -15,7 +15,8 @@
 var _ = Describe("the loads that owners send each other", func() {
 	It("contain the requests in flight, and afterwards that there are none", func() {
 		// One of two owners has a job whose runs pause in the middle. It sends the other one
-		// its requests in flight, and once the job is ended, that there are none.
+		// its requests in flight, and once the job is ended, that there are none. Without the
+		// last message the other owner would count the earlier load until that is too old.
 		llm := &engines{sent: map[string]int{}, hold: make(chan struct{})}
 		store := standin.NewTransactionalStore()
 		sent := make(chan batchrun.LoadArgs, 1000)
@@ -29,7 +30,7 @@
 		}
 		p.run()
 		Eventually(func() int { return len(p.members.Live()) }).WithTimeout(eventuallyTimeout).Should(Equal(1))
-		Expect(p.desk.Submit(context.Background(), spec("j", 4))).To(Succeed())
+		Expect(p.frontend.Submit(context.Background(), spec("j", 4))).To(Succeed())
 		running := func(args batchrun.LoadArgs) int {
 			n := 0
 			for _, share := range args.Shares {
@@ -42,7 +43,7 @@
 		Expect(args.From).To(Equal("a"))
 		Expect(args.Service).To(Equal("llm"))
 		Expect(args.Load.Work).To(BeNumerically(">", 0))
-		Expect(p.desk.End(context.Background(), "j")).To(Succeed())
+		Expect(p.frontend.End(context.Background(), "j")).To(Succeed())
 		close(llm.hold)
 		Eventually(func() int { return running(<-sent) }).WithTimeout(eventuallyTimeout).Should(BeZero())
 		drain(sent)
--- a/internal/agentless/batchrun/mover.go
+++ b/internal/agentless/batchrun/mover.go
@@ -21,7 +21,7 @@
 	// meanwhile are back within two seconds.
 	outageGrace = 2200 * time.Millisecond
 	// rankDelay keeps processes that detect the same loss from moving the same jobs: each
-	// process waits this long for every process of a lower rank.
+	// process waits this long for every process that precedes it in rank.
 	rankDelay = 700 * time.Millisecond
 	// maxMoveTries limits the tries for one job; each failed one costs a call.
 	maxMoveTries = 5
@@ -163,7 +163,7 @@
 // handoverTransaction returns the transaction that assigns a job to another owner, on condition
 // that its assignment and its record have the given revisions. fresh means that no result is
 // durable.
-func handoverTransaction(id, from, to string, mark, recordRevision int64, record jobRecord, fresh bool) (kv.Transaction, error) {
+func handoverTransaction(id, from, to string, assignmentRevision, recordRevision int64, record jobRecord, fresh bool) (kv.Transaction, error) {
 	raw, err := encode(record)
 	if err != nil {
 		return kv.Transaction{}, err
@@ -173,7 +173,7 @@
 		return kv.Transaction{}, err
 	}
 	return kv.Transaction{
-		Expect: []kv.Expectation{{Key: assignmentKey(from, id), Revision: mark}, {Key: jobKey(id), Revision: recordRevision}},
+		Expect: []kv.Expectation{{Key: assignmentKey(from, id), Revision: assignmentRevision}, {Key: jobKey(id), Revision: recordRevision}},
 		Puts:   []kv.Put{{Key: jobKey(id), Value: raw}, {Key: assignmentKey(to, id), Value: state}},
 		Remove: []string{assignmentKey(from, id)},
 	}, nil
--- a/internal/agentless/batchrun/mover_test.go
+++ b/internal/agentless/batchrun/mover_test.go
@@ -27,18 +27,18 @@
 		// The owner is killed when some of four results are durable. Its successor generates
 		// the others; a result that a trainer read at a position must stay there.
 		llm.hold = make(chan struct{})
-		Expect(a.desk.Submit(context.Background(), spec("j", 4))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 4))).To(Succeed())
 		owner, other := ownerOf("j")
 		close(llm.hold)
 		Eventually(results(other, "j")).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", 0))
-		before, err := readAll(other.desk, "j")
+		before, err := readAll(other.frontend, "j")
 		Expect(err).NotTo(HaveOccurred())
 		owner.stop()
 		store.Revoke("live/members/" + owner.name)
 		Eventually(func() bool { _, found := other.members.Get(owner.name); return found }).WithTimeout(eventuallyTimeout).Should(BeFalse())
 		other.mover.MemberGone(context.Background(), owner.name)
 		Eventually(results(other, "j")).WithTimeout(eventuallyTimeout).Should(Equal(4))
-		after, err := readAll(other.desk, "j")
+		after, err := readAll(other.frontend, "j")
 		Expect(err).NotTo(HaveOccurred())
 		checkResults(after)
 		Expect(after[:len(before)]).To(Equal(before))
@@ -49,15 +49,15 @@
 		// arrives seconds later; if it took effect, a position would hold another result
 		// than the one that the new process writes there.
 		llm.hold = make(chan struct{})
-		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 2))).To(Succeed())
 		owner, other := ownerOf("j")
-		mark, err := store.Read(context.Background(), "todo/"+owner.name+"/j")
+		assignment, err := store.Read(context.Background(), "todo/"+owner.name+"/j")
 		Expect(err).NotTo(HaveOccurred())
 		owner.stop()
 		again := newProcess(owner.name, store, llm).run()
-		Eventually(func() bool { return again.owner.Jobs()["j"] > mark.Revision }).WithTimeout(eventuallyTimeout).Should(BeTrue())
+		Eventually(func() bool { return again.owner.Jobs()["j"] > assignment.Revision }).WithTimeout(eventuallyTimeout).Should(BeTrue())
 		late, err := store.Commit(context.Background(), kv.Transaction{
-			Expect: []kv.Expectation{{Key: "todo/" + owner.name + "/j", Revision: mark.Revision}, {Key: "done/j/000000"}},
+			Expect: []kv.Expectation{{Key: "todo/" + owner.name + "/j", Revision: assignment.Revision}, {Key: "done/j/000000"}},
 			Puts:   []kv.Put{{Key: "done/j/000000", Value: []byte("of the dead process")}},
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -68,9 +68,10 @@
 
 	It("is the same process after its restart, before its watch reports assignments", func() {
 		// All processes were killed and restarted, and none follows the store for the others
-		// yet. The process lists its assignments, writes them anew and adopts its jobs.
+		// yet. The process lists its assignments, writes them anew and adopts its jobs. If it
+		// waited for the watch, the jobs' steps would be delayed by half a second.
 		llm.hold = make(chan struct{})
-		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 2))).To(Succeed())
 		owner, _ := ownerOf("j")
 		owner.stop()
 		again := newProcess(owner.name, &unwatchedStore{TransactionalStore: store}, llm).run()
@@ -83,7 +84,7 @@
 		// end the owner answers readers from memory: with the results at the end of the job,
 		// not with none, as when it lost the job before.
 		llm.hold = make(chan struct{})
-		Expect(a.desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		owner, other := ownerOf("j")
 		Expect(other.mover.MoveAll(context.Background(), owner.name)).To(Succeed())
 		Eventually(other.owner.Jobs).WithTimeout(eventuallyTimeout).Should(HaveKey("j"))
@@ -92,11 +93,11 @@
 		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).Should(HaveKey("j"))
 		close(llm.hold)
 		Eventually(results(owner, "j")).WithTimeout(eventuallyTimeout).Should(Equal(3))
-		Expect(other.desk.End(context.Background(), "j")).To(Succeed())
+		Expect(other.frontend.End(context.Background(), "j")).To(Succeed())
 		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).ShouldNot(HaveKey("j"))
 		store.SetDown(true)
 		defer store.SetDown(false)
-		all, err := readAll(other.desk, "j")
+		all, err := readAll(other.frontend, "j")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(all).To(HaveLen(3))
 	})
@@ -105,15 +106,15 @@
 		// The owner dies while the store is unreachable, so it is still registered when the
 		// next job is accepted for it. The trainer gets results after the timeout of one
 		// call, not after the TTL of a lease.
-		Expect(a.desk.Submit(context.Background(), spec("first", 1))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("first", 1))).To(Succeed())
 		owner, other := ownerOf("first")
 		Eventually(results(other, "first")).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		owner.stop()
 		Expect(other.members.Registered(owner.name)).To(BeTrue())
-		Expect(other.desk.Submit(context.Background(), spec("second", 2))).To(Succeed())
+		Expect(other.frontend.Submit(context.Background(), spec("second", 2))).To(Succeed())
 		Eventually(results(other, "second")).WithTimeout(eventuallyTimeout).Should(Equal(2))
 		Expect(other.owner.Jobs()).To(HaveKey("second"))
-		Expect(other.desk.Submit(context.Background(), spec("third", 1))).To(Succeed())
+		Expect(other.frontend.Submit(context.Background(), spec("third", 1))).To(Succeed())
 		_, err := store.Read(context.Background(), "todo/"+other.name+"/third")
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(func() map[string]int64 { return other.owner.Jobs() }).WithTimeout(eventuallyTimeout).Should(HaveKey("third"), "the unresponsive owner is skipped")
@@ -122,26 +123,26 @@
 	It("is a process that answers, not one that died while the store was unreachable", func() {
 		// The dead owner is still registered. A step accepted for it would be moved only
 		// after the timeout of a call; the job must not be assigned to it at all.
-		Expect(a.desk.Submit(context.Background(), spec("first", 1))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("first", 1))).To(Succeed())
 		owner, other := ownerOf("first")
 		Eventually(results(other, "first")).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		owner.stop()
 		Expect(other.members.Registered(owner.name)).To(BeTrue())
-		Expect(other.desk.Submit(context.Background(), spec("second", 1))).To(Succeed())
-		mark, err := store.Read(context.Background(), "todo/"+other.name+"/second")
+		Expect(other.frontend.Submit(context.Background(), spec("second", 1))).To(Succeed())
+		assignment, err := store.Read(context.Background(), "todo/"+other.name+"/second")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(mark.Revision).To(BeNumerically(">", 0))
+		Expect(assignment.Revision).To(BeNumerically(">", 0))
 	})
 
 	It("does not change if only the connection to it is stale", func() {
 		// The owner was restarted, or its connections were reset. The first call fails at
 		// once on the stale connection. If the job were moved for that, one model would have
 		// two owners that do not know of each other's runs.
-		Expect(a.desk.Submit(context.Background(), spec("first", 1))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("first", 1))).To(Succeed())
 		owner, other := ownerOf("first")
 		Eventually(results(other, "first")).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		owner.resetConns()
-		Expect(other.desk.Submit(context.Background(), spec("second", 1))).To(Succeed())
+		Expect(other.frontend.Submit(context.Background(), spec("second", 1))).To(Succeed())
 		Eventually(results(other, "second")).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		Expect(owner.owner.Jobs()).To(HaveKey("second"))
 	})
@@ -151,12 +152,12 @@
 		// while the store drops history that the owner's watch has not read. In that case a
 		// trainer got no result for twelve seconds, and items of a job whose end was
 		// acknowledged were still sent to engines.
-		Expect(a.desk.Submit(context.Background(), spec("first", 1))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("first", 1))).To(Succeed())
 		owner, other := ownerOf("first")
 		Eventually(results(other, "first")).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		entry := newProcess("e", store, llm)
-		entry.desk.Members = other.members
-		entry.desk.Peers = rpcpool.New(func(context.Context, string) (net.Conn, error) { return nil, errors.New("cut off") })
+		entry.frontend.Members = other.members
+		entry.frontend.Peers = rpcpool.New(func(context.Context, string) (net.Conn, error) { return nil, errors.New("cut off") })
 		withoutWatch := func(do func() error) {
 			store.StallWatches(true)
 			ExpectWithOffset(1, do()).To(Succeed())
@@ -166,22 +167,22 @@
 		}
 		const soon = 12 * time.Second // a watch with a long timeout got the change after 20 s
 		llm.hold = make(chan struct{})
-		withoutWatch(func() error { return entry.desk.Submit(context.Background(), spec("j", 1)) })
+		withoutWatch(func() error { return entry.frontend.Submit(context.Background(), spec("j", 1)) })
 		Eventually(owner.owner.Jobs).WithTimeout(soon).Should(HaveKey("j"))
-		withoutWatch(func() error { return entry.desk.End(context.Background(), "j") })
+		withoutWatch(func() error { return entry.frontend.End(context.Background(), "j") })
 		Eventually(owner.owner.Jobs).WithTimeout(soon).ShouldNot(HaveKey("j"))
 	})
 
 	It("does not change if no other owner answers", func() {
 		// An entry that is partitioned from all workers accepts the job through the store.
 		// It must not move the job from one owner to the next.
-		Expect(a.desk.Submit(context.Background(), spec("first", 1))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("first", 1))).To(Succeed())
 		owner, other := ownerOf("first")
 		entry := newProcess("e", store, llm)
-		entry.desk.Members = other.members
+		entry.frontend.Members = other.members
 		owner.stop()
 		other.stop()
-		Expect(entry.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
+		Expect(entry.frontend.Submit(context.Background(), spec("j", 1))).To(Succeed())
 		record, err := store.Read(context.Background(), "todo/"+owner.name+"/j")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(record.Revision).NotTo(BeZero())
@@ -213,7 +214,7 @@
 
 	It("hands its jobs over when it stops", func() {
 		llm.hold = make(chan struct{})
-		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 2))).To(Succeed())
 		owner, other := ownerOf("j")
 		Expect(owner.mover.MoveAll(context.Background(), owner.name)).To(Succeed())
 		Eventually(func() int { return len(other.owner.Jobs()) }).WithTimeout(eventuallyTimeout).Should(Equal(1))
--- a/internal/agentless/batchrun/owner.go
+++ b/internal/agentless/batchrun/owner.go
@@ -25,12 +25,11 @@
 )
 
 const (
-	// dispatchInterval is how often waiting items are examined without a change that wakes the
-	// dispatcher.
+	// dispatchInterval is how often the dispatcher examines waiting items if no change wakes it.
 	dispatchInterval = 25 * time.Millisecond
 	// minWriteInterval is the least time between two writes of a job's results. A result that
-	// completes its group, as a straggler's does, is written at once. Readers poll twice a
-	// second, and at this interval a job costs at most four writes a second.
+	// completes its group later than that, as a straggler's does, is written at once. Readers
+	// poll twice a second, and at this interval a job costs at most four writes a second.
 	minWriteInterval = 250 * time.Millisecond
 	// AssignmentsWait is the long-poll timeout of a watch of the assignments. Processes that
 	// accept, end or move a job notify its owner by a call; the watch covers calls that failed,
@@ -77,7 +76,7 @@
 
 	mu             sync.Mutex
 	jobs           map[string]*ownedJob
-	loadingMarks   map[string]int64 // mark under which a job is being loaded, by job
+	loadingTokens  map[string]int64 // fencing token under which a job is being loaded, by job
 	former         *formerJobs
 	lengths        map[string]*sharedLengths // by model
 	loads          reportedLoads
@@ -94,10 +93,10 @@
 }
 
 type stats struct {
-	listed        metrics.Counter
-	aborted       metrics.Counter
-	broken        metrics.Counter
-	moved         metrics.Counter
+	listed        metrics.Counter // items whose result became durable
+	aborted       metrics.Counter // those of them that were aborted
+	broken        metrics.Counter // runs that were interrupted
+	moved         metrics.Counter // runs that were cancelled to move the item
 	resumedItems  metrics.Counter // items that continued a partial text
 	resumedEvents metrics.Counter // events of those texts
 	sample        metrics.Timer   // time from a job's submission until an item's result is durable
@@ -107,7 +106,7 @@
 // ownedJob is a job that this process runs, with its lock.
 type ownedJob struct {
 	id     string
-	mark   int64 // revision of the assignment; 0: another process owns the job, and this one runs it as its standby
+	token  int64 // fencing token; 0: another process owns the job, and this one runs it as its standby
 	parts  int   // number of values that hold the spec
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -124,7 +123,7 @@
 // Init initializes the owner. It must be called before any other method.
 func (o *Owner) Init() {
 	o.jobs = map[string]*ownedJob{}
-	o.loadingMarks = map[string]int64{}
+	o.loadingTokens = map[string]int64{}
 	o.former = newFormerJobs(o.ResultTTL)
 	o.lengths = map[string]*sharedLengths{}
 	o.wake = make(chan struct{}, 1)
@@ -196,14 +195,14 @@
 	o.mu.Lock()
 	o.former.recordRemoved(id, revision)
 	owned := o.jobs[id]
-	if owned == nil || owned.mark > revision {
+	if owned == nil || owned.token > revision {
 		o.mu.Unlock()
 		return
 	}
 	delete(o.jobs, id)
 	o.retire(owned)
 	o.mu.Unlock()
-	events.JobDropped.Log(o.Log, logrus.Fields{"job": id, "mark": owned.mark, "revision": revision})
+	events.JobDropped.Log(o.Log, logrus.Fields{"job": id, "mark": owned.token, "revision": revision})
 }
 
 // retire stops a job's runs and retains its results for readers, unless a write is pending:
@@ -216,8 +215,8 @@
 	j.cancel()
 	close(j.resultsChanged)
 	j.resultsChanged = make(chan struct{})
-	o.Texts.Drop(j.id, j.mark)
-	o.Copier.drop(j.id, j.mark)
+	o.Texts.Drop(j.id, j.token)
+	o.Copier.drop(j.id, j.token)
 	if !j.writePending {
 		o.former.retain(now, *j.retained())
 	}
@@ -240,13 +239,13 @@
 	return o.jobs[id]
 }
 
-// Jobs returns the marks of the owned jobs by job ID.
+// Jobs returns the fencing tokens of the owned jobs by job ID.
 func (o *Owner) Jobs() map[string]int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	owned := make(map[string]int64, len(o.jobs))
 	for id, j := range o.jobs {
-		owned[id] = j.mark
+		owned[id] = j.token
 	}
 	return owned
 }
--- a/internal/agentless/batchrun/owner_read.go
+++ b/internal/agentless/batchrun/owner_read.go
@@ -70,7 +70,7 @@
 	return o.former.ended[id]
 }
 
-// jobStatus returns the mark and the record of a job if this process owns it.
+// jobStatus returns the fencing token and the record of a job if this process owns it.
 func (o *Owner) jobStatus(id string) StandingReply {
 	j := o.find(id)
 	if j == nil {
@@ -78,5 +78,5 @@
 	}
 	spec := j.job.Spec
 	record := jobRecord{Owner: o.Name, Model: spec.Model, Submitted: spec.Submitted, Total: len(spec.Items), Parts: j.parts}
-	return StandingReply{Owned: true, Mark: j.mark, Record: record}
+	return StandingReply{Owned: true, Mark: j.token, Record: record}
 }
--- a/internal/agentless/batchrun/records.go
+++ b/internal/agentless/batchrun/records.go
@@ -4,9 +4,10 @@
 //
 // Keys: jobs/ID holds a job's record, spec/ID/NN the parts of its spec, todo/OWNER/ID its
 // assignment to an owner, done/ID/NNNNNN its results from that position on. The revision of an
-// assignment is called its mark and serves as a fencing token: every result is written under
-// the condition that the assignment still has the mark that the owner knows, so an owner that
-// lost a job can't list any more of its results.
+// assignment is the owner's fencing token: every result is written under the condition that the
+// assignment still has this revision, so an owner that lost a job can write no more of its
+// results. Messages between processes and log fields call the token the mark. A result is listed
+// when it is durable and readers may see it.
 package batchrun
 
 import (
@@ -120,7 +121,7 @@
 		parts = append(parts, raw[:n])
 		raw = raw[n:]
 	}
-	const others = 3 // the expectation, the record and the assignment
+	const others = 3 // other entries of the transaction: the expectation, the record and the assignment
 	if len(parts) > kv.MaxTransactionEntries-others {
 		return nil, ErrTooLarge
 	}
--- a/internal/agentless/batchrun/resultcache_test.go
+++ b/internal/agentless/batchrun/resultcache_test.go
@@ -38,6 +38,8 @@
 	})
 
 	It("is not changed by a caller that appends to the results it got", func() {
+		// The caller gets a part of the cache's slice. If that had spare capacity, an append
+		// would overwrite the result that the cache adds next.
 		c := &resultCache{}
 		c.add("j", 0, Reading{Results: all[:10]})
 		cached, _ := c.get("j", 0)
--- a/internal/agentless/batchrun/results_test.go
+++ b/internal/agentless/batchrun/results_test.go
@@ -28,7 +28,7 @@
 		// relied on the retry alone returned fewer results than others had read.
 		a.owner.RetryDelay, b.owner.RetryDelay = time.Hour, time.Hour
 		llm.hold = make(chan struct{})
-		Expect(a.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 1))).To(Succeed())
 		owner, other := ownerOf("j")
 		tries := func() int { return store.Count("commit") }
 		store.LoseAnswers(1)
@@ -45,36 +45,36 @@
 			return tries()
 		}).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", before))
 		store.SetDown(false)
-		Expect(other.desk.End(context.Background(), "j")).To(Succeed())
+		Expect(other.frontend.End(context.Background(), "j")).To(Succeed())
 		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).ShouldNot(HaveKey("j"))
 		Expect(results(other, "j")()).To(Equal(1))
 	})
 
-	It("stay readable after the job was ended under its owner's mark, without a read of the store", func() {
+	It("stay readable after the job was ended under its owner's fencing token, without a read of the store", func() {
 		// Each end is retried at other processes. Reading the record for each retry was a
 		// twelfth of all calls to the store; the caller notices no difference.
-		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 2))).To(Succeed())
 		owner, other := ownerOf("j")
 		Eventually(results(other, "j")).WithTimeout(eventuallyTimeout).Should(Equal(2))
 		third := newProcess("c", store, llm)
-		third.desk.Members = other.members
-		third.desk.Models = func() []string { return []string{"m"} }
+		third.frontend.Members = other.members
+		third.frontend.Models = func() []string { return []string{"m"} }
 		reads := store.Count("read")
-		Expect(third.desk.End(context.Background(), "j")).To(Succeed())
+		Expect(third.frontend.End(context.Background(), "j")).To(Succeed())
 		Expect(store.Count("read")).To(Equal(reads))
 		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).ShouldNot(HaveKey("j"))
 		fourth := newProcess("d", store, llm)
-		fourth.desk.Members = other.members
-		fourth.desk.Models = third.desk.Models
+		fourth.frontend.Members = other.members
+		fourth.frontend.Models = third.frontend.Models
 		Eventually(func() int {
 			before := store.Count("read")
-			Expect(fourth.desk.End(context.Background(), "j")).To(Succeed())
+			Expect(fourth.frontend.End(context.Background(), "j")).To(Succeed())
 			return store.Count("read") - before
 		}).WithTimeout(eventuallyTimeout).Should(BeZero(), "the owner is notified of the end just after its assignment was deleted")
-		all, err := readAll(fourth.desk, "j")
+		all, err := readAll(fourth.frontend, "j")
 		Expect(err).NotTo(HaveOccurred())
 		checkResults(all)
-		_, err = fourth.desk.Body(context.Background(), "j", "i0")
+		_, err = fourth.frontend.Body(context.Background(), "j", "i0")
 		Expect(err).To(MatchError(batchrun.ErrNoJob))
 	})
 
@@ -82,14 +82,14 @@
 		// Trainers end a job as soon as their last group is complete, and other readers
 		// follow for seconds. If the owner mistakes the interval between two writes for a
 		// pending write, it retains no results, and each reader reads the store.
-		Expect(a.desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		owner, other := ownerOf("j")
 		Eventually(results(other, "j")).WithTimeout(eventuallyTimeout).Should(Equal(3))
-		Expect(other.desk.End(context.Background(), "j")).To(Succeed())
+		Expect(other.frontend.End(context.Background(), "j")).To(Succeed())
 		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).ShouldNot(HaveKey("j"))
 		reader := newProcess("r", store, llm)
-		reader.desk.Members = other.members
-		reader.desk.Models = func() []string { return []string{"m"} }
+		reader.frontend.Members = other.members
+		reader.frontend.Models = func() []string { return []string{"m"} }
 		Eventually(func() int {
 			before := store.Count("read") + store.Count("page")
 			Expect(results(reader, "j")()).To(Equal(3))
@@ -102,7 +102,7 @@
 		// write is known. Others may have read its results; the owner must not answer readers
 		// with fewer.
 		llm.hold = make(chan struct{})
-		Expect(a.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 1))).To(Succeed())
 		owner, other := ownerOf("j")
 		store.LoseAnswers(1)
 		close(llm.hold)
@@ -111,7 +111,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			return record.Revision
 		}).WithTimeout(eventuallyTimeout).ShouldNot(BeZero())
-		Expect(other.desk.End(context.Background(), "j")).To(Succeed())
+		Expect(other.frontend.End(context.Background(), "j")).To(Succeed())
 		Eventually(owner.owner.Jobs).WithTimeout(eventuallyTimeout).ShouldNot(HaveKey("j"))
 		Expect(results(other, "j")()).To(Equal(1))
 	})
@@ -122,7 +122,7 @@
 		// retry delay never ends within the test.
 		slowRetry := newProcess("p", store, llm)
 		slowRetry.owner.RetryDelay = time.Hour
-		slowRetry.desk.Members = a.members
+		slowRetry.frontend.Members = a.members
 		a.stop()
 		b.stop()
 		slowRetry.register.Members = a.members
@@ -132,7 +132,7 @@
 		store.Revoke("live/members/b")
 		Eventually(a.members.Live).WithTimeout(eventuallyTimeout).Should(HaveLen(1))
 		llm.hold = make(chan struct{})
-		Expect(slowRetry.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
+		Expect(slowRetry.frontend.Submit(context.Background(), spec("j", 1))).To(Succeed())
 		Eventually(llm.total).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", 0))
 		commits := store.Count("commit")
 		store.SetDown(true)
@@ -145,18 +145,19 @@
 		}).WithTimeout(eventuallyTimeout).Should(Equal(1))
 	})
 
-	It("do not keep the job from being ended if its owner's mark is stale", func() {
-		// The owner was partitioned from the store and lost the job without knowing. The mark
-		// that it reports is of a deleted assignment; the end must not count as done.
+	It("do not keep the job from being ended if its owner's fencing token is outdated", func() {
+		// The owner was partitioned from the store and lost the job without knowing. The token
+		// that it reports is the revision of a deleted assignment, so the transaction that ends
+		// the job fails. The end must not count as done.
 		llm.hold = make(chan struct{})
-		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 2))).To(Succeed())
 		owner, other := ownerOf("j")
 		entry := newProcess("e", store, llm)
-		entry.desk.Members = other.members
+		entry.frontend.Members = other.members
 		Expect(results(entry, "j")()).To(Equal(0))
 		owner.cutOff.Store(true)
 		Expect(other.mover.MoveAll(context.Background(), owner.name)).To(Succeed())
-		Expect(entry.desk.End(context.Background(), "j")).To(Succeed())
+		Expect(entry.frontend.End(context.Background(), "j")).To(Succeed())
 		record, err := store.Read(context.Background(), "todo/"+other.name+"/j")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(record.Revision).To(BeZero(), "the new owner's assignment is deleted")
@@ -166,7 +167,7 @@
 		// The store is down for seconds. Trainers still read durable results, runs continue,
 		// and results decided meanwhile become durable once the store is back.
 		llm.hold = make(chan struct{})
-		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 2))).To(Succeed())
 		_, other := ownerOf("j")
 		Expect(results(other, "j")()).To(Equal(0))
 		store.SetDown(true)
@@ -181,10 +182,10 @@
 		// and another process owns the job and has written results. A reader whose process
 		// has cached the old owner must get what others have read.
 		llm.hold = make(chan struct{})
-		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 2))).To(Succeed())
 		owner, other := ownerOf("j")
 		reader := newProcess("r", store, llm)
-		reader.desk.Members = other.members
+		reader.frontend.Members = other.members
 		Expect(results(reader, "j")()).To(Equal(0))
 		owner.owner.OwnershipCertain = func() bool { return false }
 		owner.cutOff.Store(true)
@@ -196,31 +197,31 @@
 
 	It("are never reported as missing without an answer of the store", func() {
 		// Neither its owner nor the store answers a process that never saw the job.
-		Expect(a.desk.Submit(context.Background(), spec("j", 1))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 1))).To(Succeed())
 		owner, other := ownerOf("j")
 		fresh := newProcess("c", store, llm)
 		owner.stop()
 		other.stop()
 		store.SetDown(true)
-		_, err := readAll(fresh.desk, "j")
+		_, err := readAll(fresh.frontend, "j")
 		Expect(err).To(MatchError(batchrun.ErrUnavailable))
 		store.SetDown(false)
-		_, err = readAll(fresh.desk, "j")
+		_, err = readAll(fresh.frontend, "j")
 		Expect(err).NotTo(HaveOccurred())
 	})
 
 	It("leave the bodies of items without results readable, from the store too", func() {
 		llm.hold = make(chan struct{})
-		Expect(a.desk.Submit(context.Background(), spec("j", 2))).To(Succeed())
+		Expect(a.frontend.Submit(context.Background(), spec("j", 2))).To(Succeed())
 		owner, other := ownerOf("j")
-		body, err := other.desk.Body(context.Background(), "j", "i1")
+		body, err := other.frontend.Body(context.Background(), "j", "i1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal(bytes.Repeat([]byte{1}, 40)))
 		owner.stop()
-		body, err = other.desk.Body(context.Background(), "j", "i1")
+		body, err = other.frontend.Body(context.Background(), "j", "i1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal(bytes.Repeat([]byte{1}, 40)))
-		_, err = other.desk.Body(context.Background(), "j", "nobody")
+		_, err = other.frontend.Body(context.Background(), "j", "nobody")
 		Expect(err).To(MatchError(batchrun.ErrNoJob))
 	})
 })
--- a/internal/agentless/batchrun/rpc.go
+++ b/internal/agentless/batchrun/rpc.go
@@ -86,7 +86,7 @@
 type StandingReply struct {
 	Owned  bool
 	Ended  bool      // the job is known to have ended
-	Mark   int64     // revision of the assignment
+	Mark   int64     // fencing token: revision of the assignment
 	Record jobRecord // as in the store while the assignment has this revision
 }
 
@@ -131,13 +131,13 @@
 
 // Ended notifies this process that a job was ended. It is called by net/rpc.
 func (s *Service) Ended(args AssignmentArgs, _ *struct{}) error {
-	s.owner.handleMark(callEnded, args)
+	s.owner.handleNotification(callEnded, args)
 	return nil
 }
 
-// handleMark handles a notification for this process's owner; method is callMarked or
+// handleNotification handles a notification of a changed assignment; method is callMarked or
 // callEnded.
-func (o *Owner) handleMark(method string, args AssignmentArgs) {
+func (o *Owner) handleNotification(method string, args AssignmentArgs) {
 	if method == callMarked {
 		o.handleAssigned(args)
 		return
--- a/internal/agentless/batchrun/runs.go
+++ b/internal/agentless/batchrun/runs.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// noEngineDelay is the delay of an item for which no engine is available.
+	// noEngineDelay is how long an item waits after no engine was available for it.
 	noEngineDelay = 25 * time.Millisecond
-	// noRouteDelay is the delay of an item that no route allows.
+	// noRouteDelay is how long an item waits after no route matched it.
 	noRouteDelay = 500 * time.Millisecond
 	// firstEventTimeout is the timeout for the first event of a run. A batch that loads new
 	// weights pauses for one to two seconds.
 	firstEventTimeout = 3 * time.Second
 	// eventGapTimeout is the timeout between two events.
 	eventGapTimeout = 2 * time.Second
-	// scoreTimeout is the timeout of a scoring call. Calls take a fifth of a second; one that
-	// hangs is better retried at another scorer.
+	// scoreTimeout is the timeout of a scoring call. Calls take 200 ms; one that hangs is better
+	// retried at another scorer.
 	scoreTimeout = 1500 * time.Millisecond
 	// defaultRunTimeout is the timeout of a run whose job has no expiry time.
 	defaultRunTimeout = time.Minute
@@ -38,26 +38,26 @@
 // run lets one engine continue an item's text.
 func (o *Owner) run(j *ownedJob, start batch.RunStart, pick *directory.Pick) {
 	r := &itemRun{owner: o, job: j, start: start, pick: pick, began: time.Now()}
-	how, outcome, err := r.generate()
+	runOutcome, endpointOutcome, err := r.generate()
 	now := time.Now()
 	if seconds, known := r.pace.measured(); known {
 		pick.ObservePace(seconds)
 	}
-	pick.End(now, outcome, now.Sub(r.began), float64(r.generated))
+	pick.End(now, endpointOutcome, now.Sub(r.began), float64(r.generated))
 	j.mu.Lock()
-	j.job.RunEnded(now, start.Index, how, pick.ID)
-	o.sinksOf(j).ended(j, start.Index, how)
+	j.job.RunEnded(now, start.Index, runOutcome, pick.ID)
+	o.sinksOf(j).ended(j, start.Index, runOutcome)
 	j.mu.Unlock()
 	if j.ctx.Err() == nil {
-		o.recordRun(r, how, now.Sub(r.began), err)
+		o.recordRun(r, runOutcome, now.Sub(r.began), err)
 	}
 	o.wakeDispatch()
 }
 
 var runOutcomeNames = [...]string{"complete", "broke", "refused", "failed", "impossible", "off-version", "moved"}
 
-func (o *Owner) recordRun(r *itemRun, how batch.RunOutcome, took time.Duration, err error) {
-	switch how {
+func (o *Owner) recordRun(r *itemRun, runOutcome batch.RunOutcome, took time.Duration, err error) {
+	switch runOutcome {
 	case batch.RunInterrupted:
 		o.stats.broken.Inc(1)
 	case batch.RunCancelledToMove:
@@ -65,7 +65,7 @@
 	}
 	spec := r.job.job.Spec
 	fields := logrus.Fields{
-		"job": r.job.id, "request": spec.Items[r.start.Index].ID, "endpoint": r.pick.ID, "end": runOutcomeNames[how], "events": r.generated,
+		"job": r.job.id, "request": spec.Items[r.start.Index].ID, "endpoint": r.pick.ID, "end": runOutcomeNames[runOutcome], "events": r.generated,
 		"after_event": r.start.ResumeAfter, "version": r.pick.Versions[spec.Model], "ms": took.Milliseconds(),
 	}
 	if err != nil {
@@ -110,27 +110,27 @@
 	}
 }
 
-func (o *Owner) scored(j *ownedJob, now time.Time, i int, how batch.ScoreOutcome, score string, attempts int) {
+func (o *Owner) scored(j *ownedJob, now time.Time, i int, scoreOutcome batch.ScoreOutcome, score string, attempts int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if made := j.job.EventCount(i); how == batch.ScoreGiven && made > 0 { // no other call was faster
-		o.sinksOf(j).scored(j, j.job.Spec.Items[i].ID, made, score)
+	if eventCount := j.job.EventCount(i); scoreOutcome == batch.ScoreGiven && eventCount > 0 { // no other call was faster
+		o.sinksOf(j).scored(j, j.job.Spec.Items[i].ID, eventCount, score)
 	}
-	j.job.ScoringEnded(now, i, how, score, attempts)
+	j.job.ScoringEnded(now, i, scoreOutcome, score, attempts)
 }
 
 func (o *Owner) score(j *ownedJob, i int, pick *directory.Pick, attempts int) {
 	began := time.Now()
 	scorer := j.job.Spec.Items[i].Scorer
-	how, outcome, seal, err := o.askScorer(j, scorer, pick)
+	scoreOutcome, endpointOutcome, seal, err := o.askScorer(j, scorer, pick)
 	now := time.Now()
-	if how == batch.ScoreGiven {
+	if scoreOutcome == batch.ScoreGiven {
 		o.scoreTimes.observe(now.Sub(began))
 	}
-	pick.End(now, outcome, now.Sub(began), 1)
-	o.scored(j, now, i, how, seal, attempts)
-	if how != batch.ScoreGiven && j.ctx.Err() == nil {
-		fields := logrus.Fields{"job": j.id, "request": scorer.ID, "item": j.job.Spec.Items[i].ID, "endpoint": pick.ID, "failed": how == batch.ScoreFailed, "ms": now.Sub(began).Milliseconds()}
+	pick.End(now, endpointOutcome, now.Sub(began), 1)
+	o.scored(j, now, i, scoreOutcome, seal, attempts)
+	if scoreOutcome != batch.ScoreGiven && j.ctx.Err() == nil {
+		fields := logrus.Fields{"job": j.id, "request": scorer.ID, "item": j.job.Spec.Items[i].ID, "endpoint": pick.ID, "failed": scoreOutcome == batch.ScoreFailed, "ms": now.Sub(began).Milliseconds()}
 		if err != nil {
 			fields["error"] = err.Error()
 		}
--- a/internal/agentless/batchrun/scheduling.go
+++ b/internal/agentless/batchrun/scheduling.go
@@ -24,8 +24,8 @@
 // openJob is the state of a job in a round.
 type openJob struct {
 	*ownedJob
-	view    schedule.Job
-	blocked bool // no more items of the job can be started in this round
+	view    schedule.Job // the job as package schedule compares it
+	blocked bool         // no more items of the job can be started in this round
 }
 
 // startRuns starts items while engines have free slots. Items of the step that would be
--- a/internal/agentless/batchrun/standby.go
+++ b/internal/agentless/batchrun/standby.go
@@ -40,7 +40,7 @@
 
 // GuardedState is the state of a job at its owner.
 type GuardedState struct {
-	Mark   int64
+	Mark   int64    // fencing token of the owner
 	Listed []string // items with durable results, from the requested position on
 }
 
@@ -56,7 +56,7 @@
 	for id, from := range args.Listed {
 		if j := s.owner.find(id); j != nil {
 			j.mu.Lock()
-			reply.Jobs[id] = GuardedState{Mark: j.mark, Listed: j.job.ListedItems(from)}
+			reply.Jobs[id] = GuardedState{Mark: j.token, Listed: j.job.ListedItems(from)}
 			j.mu.Unlock()
 		}
 	}
@@ -104,7 +104,7 @@
 type standbyJob struct {
 	id     string
 	owner  string
-	mark   int64
+	token  int64 // fencing token of the owner
 	spec   *batch.Spec
 	listed []string // items with durable results, in order of position
 
@@ -127,24 +127,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.jobs[args.Job]
-	if old != nil && old.mark >= args.Mark {
+	if old != nil && old.token >= args.Mark {
 		return
 	}
 	if old != nil {
 		old.stopRun()
 	}
-	s.jobs[args.Job] = &standbyJob{id: args.Job, owner: args.Owner, mark: args.Mark, spec: spec}
+	s.jobs[args.Job] = &standbyJob{id: args.Job, owner: args.Owner, token: args.Mark, spec: spec}
 }
 
-// has reports whether this process is the standby for a job under at least the given mark.
-func (s *Standby) has(job string, mark int64) bool {
+// has reports whether this process is the standby for a job and knows at least the given
+// fencing token of its owner.
+func (s *Standby) has(job string, token int64) bool {
 	if s.Peers == nil {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.jobs[job]
-	return known != nil && known.mark >= mark
+	return known != nil && known.token >= token
 }
 
 func (j *standbyJob) stopRun() {
@@ -169,7 +170,7 @@
 	return jobs
 }
 
-// HasOrphanedJobs reports whether the owner of a job is lost, so that this process needs the
+// HasOrphanedJobs reports whether the owner of any job is lost, so that this process needs the
 // store to take the job over.
 func (s *Standby) HasOrphanedJobs() bool {
 	s.mu.Lock()
@@ -290,8 +291,8 @@
 	case state.Mark == 0:
 		j.stopRun()
 		delete(s.jobs, j.id)
-	case state.Mark != j.mark:
-		j.mark, j.listed = state.Mark, nil // the owner adopted it anew
+	case state.Mark != j.token:
+		j.token, j.listed = state.Mark, nil // the owner adopted it anew
 	case from == len(j.listed):
 		j.listed = append(j.listed, state.Listed...)
 	}
@@ -364,7 +365,7 @@
 	s.owner.mu.Lock()
 	s.owner.configure(job)
 	s.owner.mu.Unlock()
-	items, made := job.ResumeTexts(s.owner.Texts.Load(ctx, j.id))
+	items, eventCount := job.ResumeTexts(s.owner.Texts.Load(ctx, j.id))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.jobs[j.id] != j {
@@ -372,7 +373,7 @@
 	}
 	j.run, j.runSince = &ownedJob{id: j.id, job: job, resultsChanged: make(chan struct{})}, time.Now()
 	j.run.ctx, j.run.cancel = context.WithCancel(s.owner.lifetime)
-	events.StandbyRuns.Log(s.owner.Log, logrus.Fields{"job": j.id, "owner": j.owner, "mark": j.mark, "listed": len(listed), "resumed": items, "events": made})
+	events.StandbyRuns.Log(s.owner.Log, logrus.Fields{"job": j.id, "owner": j.owner, "mark": j.token, "listed": len(listed), "resumed": items, "events": eventCount})
 	s.owner.wakeDispatch()
 }
 
@@ -388,7 +389,7 @@
 		return ownerChanged
 	}
 	record.Owner = s.owner.Name
-	t, err := handoverTransaction(j.id, j.owner, s.owner.Name, j.mark, stored.Revision, record, false)
+	t, err := handoverTransaction(j.id, j.owner, s.owner.Name, j.token, stored.Revision, record, false)
 	if err != nil {
 		events.JobUnreadable.Log(s.owner.Log, logrus.Fields{"job": j.id, "error": err.Error()})
 		return ownerChanged
@@ -400,7 +401,7 @@
 	case !committed.Done:
 		return ownerChanged
 	}
-	events.JobHandedOn.Log(s.owner.Log, logrus.Fields{"job": j.id, "from": j.owner, "to": s.owner.Name, "mark": j.mark})
+	events.JobHandedOn.Log(s.owner.Log, logrus.Fields{"job": j.id, "from": j.owner, "to": s.owner.Name, "mark": j.token})
 	s.owner.handleAssigned(AssignmentArgs{Job: j.id, Revision: committed.Revision, Begun: true})
 	return jobTaken
 }
--- a/internal/agentless/batchrun/standby_test.go
+++ b/internal/agentless/batchrun/standby_test.go
@@ -50,8 +50,8 @@
 		for _, name := range []string{"a", "b", "c"} {
 			p := newProcess(name, store, llm)
 			p.owner.Switches = switches
-			p.owner.Copier.StandbyFor, p.owner.Copier.Send, p.owner.FetchTexts = p.desk.StandbyFor, p.desk.SendCopy, p.desk.FetchTexts
-			p.peers = &faultyPeers{StandbyPeers: p.desk}
+			p.owner.Copier.StandbyFor, p.owner.Copier.Send, p.owner.FetchTexts = p.frontend.StandbyFor, p.frontend.SendCopy, p.frontend.FetchTexts
+			p.peers = &faultyPeers{StandbyPeers: p.frontend}
 			p.owner.Standby.Peers = p.peers
 			p.run()
 			processes = append(processes, p)
@@ -62,7 +62,7 @@
 	// submitted submits a job. It returns the owner, and the standby once that knows of the
 	// job.
 	submitted := func() (owner, standby *process) {
-		Expect(processes[0].desk.Submit(context.Background(), spec("j", 3))).To(Succeed())
+		Expect(processes[0].frontend.Submit(context.Background(), spec("j", 3))).To(Succeed())
 		owned := func() *process {
 			for _, p := range processes {
 				if len(p.owner.Jobs()) > 0 {
@@ -73,7 +73,7 @@
 		}
 		Eventually(owned).WithTimeout(eventuallyTimeout).ShouldNot(BeNil())
 		owner = owned()
-		name, _ := owner.desk.StandbyFor("m", "j")
+		name, _ := owner.frontend.StandbyFor("m", "j")
 		for _, p := range processes {
 			if p.name == name {
 				standby = p
@@ -101,6 +101,8 @@
 	})
 
 	It("takes it over when its owner is killed, long before the owner's registration expires", func() {
+		// The owner's registration lasts for an hour here. A job that is moved only after the
+		// registration expired loses that time.
 		start(nil)
 		owner, standby := submitted()
 		owner.stop()
@@ -157,6 +159,8 @@
 	})
 
 	It("does not take it over while it reaches no process itself", func() {
+		// A standby that is partitioned from all processes cannot tell whether the owner is
+		// lost; a second owner would run every item twice.
 		start(nil)
 		owner, standby := submitted()
 		standby.peers.isolated.Store(true)
@@ -178,9 +182,11 @@
 	})
 
 	It("does not run a job that ended before its owner was lost", func() {
+		// The store is unreachable when the owner dies, so it cannot show that the job ended.
+		// The standby must know it from the owner; otherwise it runs items that nobody needs.
 		start(nil)
 		owner, standby := submitted()
-		Expect(owner.desk.End(context.Background(), "j")).To(Succeed())
+		Expect(owner.frontend.End(context.Background(), "j")).To(Succeed())
 		Eventually(func() bool { return batchrun.IsStandbyFor(standby.owner, "j") }).WithTimeout(eventuallyTimeout).Should(BeFalse())
 		store.SetDown(true)
 		owner.stop()
--- a/internal/agentless/batchrun/write_results.go
+++ b/internal/agentless/batchrun/write_results.go
@@ -19,7 +19,7 @@
 // startWriting starts to write a job's results if any are due and no writer is active. Only one
 // writer at a time assigns positions.
 func (o *Owner) startWriting(j *ownedJob) {
-	if j.mark == 0 {
+	if j.token == 0 {
 		return // only the owner writes results
 	}
 	j.mu.Lock()
@@ -55,8 +55,8 @@
 			j.clearWritePending()
 		}
 		if errors.Is(err, errNotOwner) {
-			o.drop(j.id, j.mark)
-			o.runs.Go(func() error { o.rewriteAssignment(o.lifetime, j.id, j.mark); return nil })
+			o.drop(j.id, j.token)
+			o.runs.Go(func() error { o.rewriteAssignment(o.lifetime, j.id, j.token); return nil })
 			return
 		}
 		o.waitForStore(j.ctx)
@@ -146,7 +146,7 @@
 	}
 	assignment, key := assignmentKey(o.Name, j.id), doneKey(j.id, position)
 	committed, err := o.Store.Commit(j.ctx, kv.Transaction{
-		Expect: []kv.Expectation{{Key: assignment, Revision: j.mark}, {Key: key}},
+		Expect: []kv.Expectation{{Key: assignment, Revision: j.token}, {Key: key}},
 		Puts:   []kv.Put{{Key: key, Value: raw}},
 	})
 	if err != nil {
@@ -166,19 +166,19 @@
 	if existing.Revision == 0 {
 		return 0, errNotOwner // the other expectation failed: the assignment changed
 	}
-	var listed []batch.Result
-	if err := decode(existing.Value, &listed); err != nil {
+	var stored []batch.Result
+	if err := decode(existing.Value, &stored); err != nil {
 		return 0, err
 	}
-	if len(listed) == 0 || len(listed) > len(results) {
+	if len(stored) == 0 || len(stored) > len(results) {
 		return 0, errNotOwner
 	}
-	for i := range listed {
-		if listed[i].Item != results[i].Item || !bytes.Equal(listed[i].Output, results[i].Output) || listed[i].Score != results[i].Score {
+	for i := range stored {
+		if stored[i].Item != results[i].Item || !bytes.Equal(stored[i].Output, results[i].Output) || stored[i].Score != results[i].Score {
 			return 0, errNotOwner
 		}
 	}
-	return len(listed), nil
+	return len(stored), nil
 }
 
 // markDurable marks results as durable and wakes the readers that wait for them.
