--- a/internal/agentless/textlog/buffer.go
+++ b/internal/agentless/textlog/buffer.go
@@ -14,7 +14,7 @@
 // written to disk or sent to another process. Adding never blocks on either. It is safe
 // for concurrent use. Begin, Add and Drop do nothing on a nil Buffer.
 type Buffer struct {
-	onStopped func(job string, mark int64, why string) // called with the lock held
+	onStopped func(job string, token int64, why string) // called with the lock held
 
 	mu      sync.Mutex
 	jobs    map[string]*openJob
@@ -23,7 +23,7 @@
 
 // openJob holds the buffered parts of one open job.
 type openJob struct {
-	mark    int64
+	token   int64 // fencing token of the job's owner
 	parts   []batch.TextPart
 	newest  map[string]int // index in parts of the newest part, by item
 	stopped bool           // the buffer was full or its consumer failed; further parts are discarded
@@ -32,19 +32,19 @@
 // JobParts holds the parts of one job that were drained from a Buffer.
 type JobParts struct {
 	Job   string
-	Mark  int64
+	Mark  int64 // fencing token of the job's owner
 	Parts []batch.TextPart
 }
 
 // NewBuffer returns an empty Buffer. onStopped is called when the Buffer stops
 // collecting a job's parts, while the Buffer is locked; it may be nil.
-func NewBuffer(onStopped func(job string, mark int64, why string)) *Buffer {
+func NewBuffer(onStopped func(job string, token int64, why string)) *Buffer {
 	return &Buffer{onStopped: onStopped, jobs: map[string]*openJob{}}
 }
 
-// Begin opens a job that an owner took over under its mark, with the texts that the job
-// starts from. It replaces the job if it is open already.
-func (b *Buffer) Begin(job string, mark int64, texts *batch.Texts) {
+// Begin opens a job that its owner adopted under a fencing token, with the texts that the
+// job starts from. It replaces the job if it is open already.
+func (b *Buffer) Begin(job string, token int64, texts *batch.Texts) {
 	if b == nil {
 		return
 	}
@@ -53,7 +53,7 @@
 	if old := b.jobs[job]; old != nil {
 		b.discardParts(old)
 	}
-	fresh := &openJob{mark: mark, newest: map[string]int{}}
+	fresh := &openJob{token: token, newest: map[string]int{}}
 	b.jobs[job] = fresh
 	for _, part := range texts.Parts() {
 		b.append(job, fresh, part)
@@ -61,30 +61,30 @@
 }
 
 // Event adds one event of an item's text.
-func (b *Buffer) Event(job string, mark int64, item string, id int64, data []byte, version int64) {
-	b.Add(job, mark, batch.TextPart{Item: item, First: id, Events: [][]byte{data}, Versions: []int64{version}})
+func (b *Buffer) Event(job string, token int64, item string, id int64, data []byte, version int64) {
+	b.Add(job, token, batch.TextPart{Item: item, First: id, Events: [][]byte{data}, Versions: []int64{version}})
 }
 
 // Complete records that an item's text is complete and has the given number of events.
-func (b *Buffer) Complete(job string, mark int64, item string, events int64) {
-	b.Add(job, mark, batch.TextPart{Item: item, First: events + 1, Complete: true})
+func (b *Buffer) Complete(job string, token int64, item string, events int64) {
+	b.Add(job, token, batch.TextPart{Item: item, First: events + 1, Complete: true})
 }
 
 // Restart records that an item's text starts from its beginning again.
-func (b *Buffer) Restart(job string, mark int64, item string) {
-	b.Add(job, mark, batch.TextPart{Item: item, First: 1})
+func (b *Buffer) Restart(job string, token int64, item string) {
+	b.Add(job, token, batch.TextPart{Item: item, First: 1})
 }
 
-// Add adds a part of a job and ignores it unless the job is open under this mark. A run
-// that was started under an earlier mark of the job may still deliver events; they
-// continue a different text.
-func (b *Buffer) Add(job string, mark int64, part batch.TextPart) {
+// Add adds a part of a job. It ignores the part unless the job is open under this token: a
+// run that was started under an earlier token may still deliver events, and they continue a
+// different text.
+func (b *Buffer) Add(job string, token int64, part batch.TextPart) {
 	if b == nil {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if open := b.jobs[job]; open != nil && open.mark == mark && !open.stopped {
+	if open := b.jobs[job]; open != nil && open.token == token && !open.stopped {
 		b.append(job, open, part)
 	}
 }
@@ -119,7 +119,7 @@
 	b.discardParts(open)
 	open.stopped = true
 	if b.onStopped != nil {
-		b.onStopped(job, open.mark, why)
+		b.onStopped(job, open.token, why)
 	}
 }
 
@@ -149,16 +149,15 @@
 	return size
 }
 
-// Drop removes a job unless it is open under a newer mark, in which case it returns
-// false.
-func (b *Buffer) Drop(job string, mark int64) bool {
+// Drop removes a job and returns true, unless the job is open under a newer token.
+func (b *Buffer) Drop(job string, token int64) bool {
 	if b == nil {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	open := b.jobs[job]
-	if open != nil && open.mark > mark {
+	if open != nil && open.token > token {
 		return false
 	}
 	if open != nil {
@@ -168,12 +167,12 @@
 	return true
 }
 
-// Mark returns the mark under which a job is open, and whether it is open.
-func (b *Buffer) Mark(job string) (mark int64, open bool) {
+// Token returns the fencing token under which a job is open, and whether it is open.
+func (b *Buffer) Token(job string) (token int64, open bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if o := b.jobs[job]; o != nil {
-		return o.mark, true
+		return o.token, true
 	}
 	return 0, false
 }
@@ -187,7 +186,7 @@
 	for job, open := range b.jobs {
 		parts := b.drainJob(open, minEvents)
 		if len(parts) > 0 {
-			taken = append(taken, JobParts{job, open.mark, parts})
+			taken = append(taken, JobParts{job, open.token, parts})
 		}
 	}
 	return taken
--- a/internal/agentless/textlog/files.go
+++ b/internal/agentless/textlog/files.go
@@ -35,7 +35,7 @@
 type header struct {
 	Format int
 	Job    string
-	Mark   int64 // mark of the owner that wrote the file
+	Mark   int64 // fencing token of the owner that wrote the file
 }
 
 // file is an open file. Tests substitute their own implementations.
@@ -48,8 +48,8 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 }
 
-// directory is the directory of the files. The name of a job's file consists of a
-// hash of the job's ID, because callers choose IDs freely, and of the owner's mark.
+// directory is the directory of the files. The name of a job's file consists of a hash of
+// the job's ID, because callers choose IDs freely, and of the owner's fencing token.
 type directory struct {
 	path   string
 	create func(path string) (file, error)
@@ -60,7 +60,7 @@
 	return hex.EncodeToString(sum[:16]) + "-"
 }
 
-// list returns the names of all files, sorted by job and mark.
+// list returns the names of all files, sorted by job and token.
 func (d *directory) list() []string {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return names
 }
 
-// filesOf returns the names of a job's files, oldest mark first.
+// filesOf returns the names of a job's files, sorted by token.
 func (d *directory) filesOf(job string) []string {
 	prefix := fileNamePrefix(job)
 	var names []string
@@ -88,8 +88,8 @@
 	return names
 }
 
-func fileName(job string, mark int64) string {
-	return fmt.Sprintf("%s%020d%s", fileNamePrefix(job), mark, suffix)
+func fileName(job string, token int64) string {
+	return fmt.Sprintf("%s%020d%s", fileNamePrefix(job), token, suffix)
 }
 
 // remove removes a file. If that fails, the next start of the process finds the file
@@ -99,25 +99,25 @@
 // logFile is the open file of one job. Records are framed and checksummed, so that
 // records torn by a power failure are detected.
 type logFile struct {
-	mark          int64
+	token         int64 // fencing token of the job's owner
 	file          file
 	out           *journal.Writer
 	size          int64
-	othersRemoved bool      // the job's files of other marks were removed
+	othersRemoved bool      // whether the job's files of other tokens were removed
 	lastAppend    time.Time // when a record was last appended
 }
 
-// open creates the file of a job and mark and writes its header.
-func (d *directory) open(job string, mark int64) (*logFile, error) {
+// open creates the file of a job and token and writes its header.
+func (d *directory) open(job string, token int64) (*logFile, error) {
 	if err := os.MkdirAll(d.path, 0o700); err != nil {
 		return nil, errors.Wrap(err, "textlog")
 	}
-	f, err := d.create(filepath.Join(d.path, fileName(job, mark)))
+	f, err := d.create(filepath.Join(d.path, fileName(job, token)))
 	if err != nil {
 		return nil, errors.Wrap(err, "textlog")
 	}
-	opened := &logFile{mark: mark, file: f, out: journal.NewWriter(f)}
-	if err := opened.writeRecord(header{Format: formatVersion, Job: job, Mark: mark}); err != nil {
+	opened := &logFile{token: token, file: f, out: journal.NewWriter(f)}
+	if err := opened.writeRecord(header{Format: formatVersion, Job: job, Mark: token}); err != nil {
 		opened.close()
 		return nil, err
 	}
--- a/internal/agentless/textlog/fuzz_test.go
+++ b/internal/agentless/textlog/fuzz_test.go
@@ -18,7 +18,7 @@
 func validFile(t testing.TB) []byte {
 	dir := t.TempDir()
 	registry := metrics.NewRegistry()
-	l := textlog.New(dir, silent(), registry)
+	l := textlog.New(dir, discardLogger(), registry)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- l.Run(ctx) }()
--- a/internal/agentless/textlog/textlog.go
+++ b/internal/agentless/textlog/textlog.go
@@ -1,11 +1,11 @@
 // Package textlog logs the texts that engines are generating to the machine's local
 // disk. An owner of batch jobs that was killed or lost power resumes them after its
 // restart, and another process that holds a copy resumes them when the owner is gone.
-// Without the log, a step's longest texts lose up to six seconds, which the step's
-// trainer rarely makes up.
+// Without the log, such a loss delays a step's longest texts by up to six seconds, which
+// the step's trainer rarely makes up.
 //
 // The log is never authoritative: the platform's store records who owns a job and which
-// of its results are listed. If the disk is slow, stalled, full or wiped, the texts that
+// of its results are durable. If the disk is slow, stalled, full or wiped, the texts that
 // it should hold are lost, but nothing waits for it.
 package textlog
 
@@ -83,23 +83,23 @@
 
 // logStopped logs and counts that the log stopped storing a job's texts. Those on disk
 // remain usable.
-func (l *Log) logStopped(job string, mark int64, why string) {
+func (l *Log) logStopped(job string, token int64, why string) {
 	l.stats.stopped.Inc(1)
-	events.TextsStopped.Log(l.log, logrus.Fields{"job": job, "mark": mark, "why": why})
+	events.TextsStopped.Log(l.log, logrus.Fields{"job": job, "mark": token, "why": why})
 }
 
-// Begin opens the log of a job that an owner took over under its mark, with the texts
-// that the job starts from.
-func (l *Log) Begin(job string, mark int64, texts *batch.Texts) {
+// Begin opens the log of a job that its owner adopted under a fencing token, with the
+// texts that the job starts from.
+func (l *Log) Begin(job string, token int64, texts *batch.Texts) {
 	if l != nil {
-		l.Buffer.Begin(job, mark, texts)
+		l.Buffer.Begin(job, token, texts)
 	}
 }
 
-// Add adds a part of a job and ignores it unless the job is open under this mark.
-func (l *Log) Add(job string, mark int64, part batch.TextPart) {
+// Add adds a part of a job. It ignores the part unless the job is open under this token.
+func (l *Log) Add(job string, token int64, part batch.TextPart) {
 	if l != nil {
-		l.Buffer.Add(job, mark, part)
+		l.Buffer.Add(job, token, part)
 	}
 }
 
@@ -107,11 +107,11 @@
 // texts so far. Put returns false if they continue parts that this process lacks because
 // it started after those were sent. It then stores nothing, so that the files of an
 // earlier run of this process remain usable until the owner sends a full copy.
-func (l *Log) Put(p JobParts, full bool) (follows bool) {
+func (l *Log) Put(p JobParts, full bool) (stored bool) {
 	if l == nil {
 		return true
 	}
-	if mark, open := l.Mark(p.Job); !open || mark < p.Mark {
+	if token, open := l.Token(p.Job); !open || token < p.Mark {
 		if !full {
 			return false
 		}
@@ -124,9 +124,9 @@
 }
 
 // Drop schedules the removal of the files of a job that ended or moved to another owner,
-// unless the job is open under a newer mark.
-func (l *Log) Drop(job string, mark int64) {
-	if l == nil || !l.Buffer.Drop(job, mark) {
+// unless the job is open under a newer token.
+func (l *Log) Drop(job string, token int64) {
+	if l == nil || !l.Buffer.Drop(job, token) {
 		return
 	}
 	select {
--- a/internal/agentless/textlog/textlog_test.go
+++ b/internal/agentless/textlog/textlog_test.go
@@ -19,9 +19,9 @@
 	"siskinloom.example/siskinloom/internal/policy/batch"
 )
 
-const patience = 20 * time.Second
+const eventuallyTimeout = 20 * time.Second
 
-func silent() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
@@ -42,7 +42,7 @@
 
 	open := func() *textlog.Log {
 		registry = metrics.NewRegistry()
-		return textlog.New(dir, silent(), registry)
+		return textlog.New(dir, discardLogger(), registry)
 	}
 	run := func(l *textlog.Log) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -51,16 +51,16 @@
 		stop = func() { cancel(); done.Wait() }
 		DeferCleanup(stop)
 	}
-	write := func(l *textlog.Log, mark int64, item string, from, to int64) {
+	write := func(l *textlog.Log, token int64, item string, from, to int64) {
 		for id := from; id <= to; id++ {
-			l.Event("job", mark, item, id, []byte(fmt.Sprintf("e%d", id)), 3)
+			l.Event("job", token, item, id, []byte(fmt.Sprintf("e%d", id)), 3)
 		}
 	}
 	synced := func() int64 { return metrics.GetOrRegisterTimer("texts.sync", registry).Count() }
 	awaitSync := func(l *textlog.Log) {
 		before := synced()
 		l.Event("job", 7, "settle", 1, []byte("x"), 3)
-		EventuallyWithOffset(1, synced).WithTimeout(patience).Should(BeNumerically(">", before))
+		EventuallyWithOffset(1, synced).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", before))
 	}
 	// resumedEvents returns the number of events that each of a job's three items has
 	// after the job resumed the loaded texts.
@@ -101,21 +101,21 @@
 		before := open()
 		run(before)
 		Expect(before.Put(textlog.JobParts{Job: "job", Mark: 7, Parts: []batch.TextPart{part(1, 40)}}, true)).To(BeTrue())
-		Eventually(synced).WithTimeout(patience).Should(BeNumerically(">", 0))
+		Eventually(synced).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", 0))
 		stop()
 		again := open()
 		run(again)
 		Expect(again.Put(textlog.JobParts{Job: "job", Mark: 7, Parts: []batch.TextPart{part(41, 8)}}, false)).To(BeFalse(), "the owner must send a full copy")
 		Consistently(func() int64 { return resumedEvents(again)[0] }).WithTimeout(300 * time.Millisecond).Should(Equal(int64(40)))
 		Expect(again.Put(textlog.JobParts{Job: "job", Mark: 7, Parts: []batch.TextPart{part(1, 48)}}, true)).To(BeTrue())
-		Eventually(func() int64 { return resumedEvents(again)[0] }).WithTimeout(patience).Should(Equal(int64(48)))
+		Eventually(func() int64 { return resumedEvents(again)[0] }).WithTimeout(eventuallyTimeout).Should(Equal(int64(48)))
 		Expect(again.Put(textlog.JobParts{Job: "job", Mark: 7, Parts: []batch.TextPart{part(49, 2)}}, false)).To(BeTrue())
-		Eventually(func() int64 { return resumedEvents(again)[0] }).WithTimeout(patience).Should(Equal(int64(50)))
+		Eventually(func() int64 { return resumedEvents(again)[0] }).WithTimeout(eventuallyTimeout).Should(Equal(int64(50)))
 	})
 
 	It("restores the texts of a killed process", func() {
 		// The owner is killed in the middle of a step. Its successor takes over the job
-		// under a newer mark and continues after the last event on disk. If it is killed
+		// under a newer token and continues after the last event on disk. If it is killed
 		// before it generated any event, nothing is lost either.
 		first := open()
 		run(first)
@@ -130,7 +130,7 @@
 		Expect(resumedEvents(second)).To(Equal([]int64{40, 3, 0}))
 		run(second)
 		second.Begin("job", 9, second.Load(context.Background(), "job"))
-		Eventually(func() []string { return files() }).WithTimeout(patience).Should(ConsistOf(ContainSubstring("09.texts")))
+		Eventually(func() []string { return files() }).WithTimeout(eventuallyTimeout).Should(ConsistOf(ContainSubstring("09.texts")))
 		stop()
 		Expect(resumedEvents(open())).To(Equal([]int64{40, 3, 0}))
 	})
@@ -168,7 +168,7 @@
 		Expect(results[0].Score).To(Equal("sealed"))
 	})
 
-	It("ignores the events of a run that was started under an earlier mark", func() {
+	It("ignores the events of a run that was started under an earlier token", func() {
 		// The job is taken over again while an earlier run is still ending. The events of
 		// that run continue a text that the new run does not continue.
 		l := open()
@@ -215,6 +215,7 @@
 	})
 
 	It("loads only events in order from a file truncated at any byte", func() {
+		// The process is killed while it writes a record, which leaves a part of it.
 		l := open()
 		run(l)
 		l.Begin("job", 7, batch.NewTexts())
@@ -233,6 +234,7 @@
 	})
 
 	It("ignores a file of another job under the job's file name", func() {
+		// If the header were not checked, the job would resume the texts of another one.
 		l := open()
 		run(l)
 		l.Begin("job", 7, batch.NewTexts())
@@ -246,7 +248,7 @@
 		run(other)
 		other.Begin("other", 7, batch.NewTexts())
 		other.Event("other", 7, "i0", 1, []byte("x"), 3)
-		Eventually(func() int { return len(files()) }).WithTimeout(patience).Should(Equal(2))
+		Eventually(func() int { return len(files()) }).WithTimeout(eventuallyTimeout).Should(Equal(2))
 		stop()
 		for _, path := range files() {
 			if filepath.Base(path) != name {
@@ -259,6 +261,8 @@
 	})
 
 	It("removes the files of a job that ended", func() {
+		// A drop under an older token belongs to an earlier adoption of the job, and must not
+		// remove the texts of the current one.
 		l := open()
 		run(l)
 		l.Begin("job", 7, batch.NewTexts())
@@ -267,10 +271,10 @@
 		l.Drop("job", 5)
 		write(l, 7, "i0", 4, 4)
 		awaitSync(l)
-		Expect(files()).To(HaveLen(1), "it is open under a newer mark")
+		Expect(files()).To(HaveLen(1), "it is open under a newer token")
 		l.Drop("job", 7)
 		Consistently(files).WithTimeout(200*time.Millisecond).Should(HaveLen(1), "the next owner may ask for it")
-		Eventually(files).WithTimeout(patience).Should(BeEmpty())
+		Eventually(files).WithTimeout(eventuallyTimeout).Should(BeEmpty())
 	})
 
 	It("stops storing a job when the disk is full, without blocking", func() {
@@ -287,13 +291,14 @@
 		write(l, 7, "i0", 1, 3)
 		awaitSync(l)
 		write(l, 7, "i0", 4, 500)
-		Eventually(func() int64 { return metrics.GetOrRegisterCounter("texts.stopped", registry).Count() }).WithTimeout(patience).Should(Equal(int64(1)))
+		Eventually(func() int64 { return metrics.GetOrRegisterCounter("texts.stopped", registry).Count() }).WithTimeout(eventuallyTimeout).Should(Equal(int64(1)))
 		write(l, 7, "i0", 501, 600)
 		stop()
 		Expect(resumedEvents(open())[0]).To(BeElementOf(int64(0), int64(3)))
 	})
 
 	It("accepts a bounded number of events without blocking while the disk hangs", func() {
+		// Events are added under the lock of their job. If that blocked, the job would stop.
 		l := open()
 		hang := make(chan struct{})
 		l.SetCreate(func(path string) (textlog.File, error) {
@@ -313,7 +318,7 @@
 
 	It("stores nothing on a machine without a disk", func() {
 		var none *textlog.Log
-		Expect(textlog.New("", silent(), metrics.NewRegistry())).To(BeNil())
+		Expect(textlog.New("", discardLogger(), metrics.NewRegistry())).To(BeNil())
 		none.Begin("job", 7, batch.NewTexts())
 		none.Add("job", 7, batch.TextPart{Item: "i0", First: 1})
 		Expect(none.Put(textlog.JobParts{Job: "job", Mark: 7}, false)).To(BeTrue(), "a nil log never asks for a full copy")
--- a/internal/agentless/textlog/writer.go
+++ b/internal/agentless/textlog/writer.go
@@ -31,12 +31,12 @@
 	w.log.stats.onDisk.Update(w.onDisk())
 }
 
-// write appends parts to the job's file and syncs it. The first write under a mark starts
+// write appends parts to the job's file and syncs it. The first write under a token starts
 // a new file, which contains all texts known so far; write then removes the job's older
 // files.
 func (w *writer) write(g *JobParts, now time.Time) error {
 	f := w.files[g.Job]
-	if f == nil || f.mark != g.Mark {
+	if f == nil || f.token != g.Mark {
 		fresh, err := w.log.dir.open(g.Job, g.Mark)
 		if err != nil {
 			return err
@@ -66,10 +66,10 @@
 	return nil
 }
 
-// removeOthers removes a job's files of other marks.
-func (w *writer) removeOthers(job string, mark int64) {
+// removeOthers removes a job's files of other tokens.
+func (w *writer) removeOthers(job string, token int64) {
 	for _, name := range w.log.dir.filesOf(job) {
-		if name != fileName(job, mark) {
+		if name != fileName(job, token) {
 			delete(w.removeAt, name)
 			w.log.dir.remove(name)
 		}
@@ -102,7 +102,7 @@
 func (w *writer) closeIdle(now time.Time) {
 	for job, f := range w.files {
 		if now.Sub(f.lastAppend) > idleFileTTL {
-			w.log.Buffer.Drop(job, f.mark)
+			w.log.Buffer.Drop(job, f.token)
 			w.drop(job, now)
 		}
 	}
