--- a/internal/agentless/cluster/cluster_test.go
+++ b/internal/agentless/cluster/cluster_test.go
@@ -18,11 +18,11 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-// patience is how long a spec waits for an expected state. It is generous, as no spec
+// eventuallyTimeout is how long a spec waits for an expected state. It is long, because no spec
 // checks speed.
-const patience = 20 * time.Second
+const eventuallyTimeout = 20 * time.Second
 
-func silent() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
@@ -89,10 +89,10 @@
 		}
 		v := &view{}
 		start((&cluster.Follower{Store: store, Topic: v.topic("p/")}).Run)
-		Eventually(v.snapshot).WithTimeout(patience).Should(HaveLen(4))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(HaveLen(4))
 		put(store, "p/e", "2")
 		store.Revoke("p/a")
-		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/b": "1", "p/c": "1", "p/d": "1", "p/e": "2"}))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(Equal(map[string]string{"p/b": "1", "p/c": "1", "p/d": "1", "p/e": "2"}))
 	})
 
 	It("reports changes under the sub-topic's prefix to the sub-topic as well", func() {
@@ -107,13 +107,13 @@
 		own.Listed = func() { close(synced) }
 		all.SubTopic = own
 		start((&cluster.Follower{Store: store, Topic: all}).Run)
-		Eventually(synced).WithTimeout(patience).Should(BeClosed())
+		Eventually(synced).WithTimeout(eventuallyTimeout).Should(BeClosed())
 		Expect(part.snapshot()).To(Equal(map[string]string{"p/self/a": "1"}))
 		put(store, "p/self/b", "2")
 		put(store, "p/other/b", "2")
 		store.Revoke("p/self/a")
-		Eventually(part.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/self/b": "2"}))
-		Eventually(whole.snapshot).WithTimeout(patience).Should(HaveLen(3))
+		Eventually(part.snapshot).WithTimeout(eventuallyTimeout).Should(Equal(map[string]string{"p/self/b": "2"}))
+		Eventually(whole.snapshot).WithTimeout(eventuallyTimeout).Should(HaveLen(3))
 		Expect(own.AsOf()).To(BeNumerically(">", 0), "the sub-topic can be followed on its own from there")
 	})
 
@@ -126,13 +126,13 @@
 		put(store, "p/gone", "1")
 		v := &view{}
 		start((&cluster.Follower{Store: store, Topic: v.topic("p/")}).Run)
-		Eventually(v.snapshot).WithTimeout(patience).Should(HaveLen(2))
-		Eventually(func() int { return store.Count("watch") }).WithTimeout(patience).Should(BeNumerically(">", 0))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(HaveLen(2))
+		Eventually(func() int { return store.Count("watch") }).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", 0))
 		store.StallWatches(true)
 		put(store, "p/a", "2")
 		store.Revoke("p/gone")
 		store.DropHistory()
-		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/a": "2"}))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(Equal(map[string]string{"p/a": "2"}))
 	})
 
 	It("continues after an outage with the changes made meanwhile", func() {
@@ -141,20 +141,20 @@
 		v := &view{}
 		var mu sync.Mutex
 		var states []string
-		note := func(s string) {
+		record := func(s string) {
 			mu.Lock()
 			defer mu.Unlock()
 			if len(states) == 0 || states[len(states)-1] != s {
 				states = append(states, s)
 			}
 		}
-		start((&cluster.Follower{Store: store, Topic: v.topic("p/"), Failed: func(error) { note("lost") }, Recovered: func() { note("back") }}).Run)
-		Eventually(v.snapshot).WithTimeout(patience).Should(HaveLen(1))
+		start((&cluster.Follower{Store: store, Topic: v.topic("p/"), Failed: func(error) { record("lost") }, Recovered: func() { record("back") }}).Run)
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(HaveLen(1))
 		store.SetDown(true)
-		Eventually(func() int { mu.Lock(); defer mu.Unlock(); return len(states) }).WithTimeout(patience).Should(Equal(1))
+		Eventually(func() int { mu.Lock(); defer mu.Unlock(); return len(states) }).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		store.SetDown(false)
 		put(store, "p/a", "2")
-		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/a": "2"}))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(Equal(map[string]string{"p/a": "2"}))
 		mu.Lock()
 		defer mu.Unlock()
 		Expect(states).To(Equal([]string{"lost", "back"}))
@@ -197,14 +197,14 @@
 
 	firstStart := false
 	subscribe := func(own kv.TransactionalStore, workers ...*worker) {
-		registrar := cluster.NewRegistrar(store, cluster.Member{Name: "self"}, time.Hour, members, silent())
+		registrar := cluster.NewRegistrar(store, cluster.Member{Name: "self"}, time.Hour, members, discardLogger())
 		start((&cluster.Follower{Store: store, Topic: registrar.Topic()}).Run)
 		for i, w := range workers {
 			name := string(rune('a' + i))
-			r := cluster.NewRegistrar(store, cluster.Member{Name: name, Address: w.address, Worker: true}, time.Hour, cluster.NewMembers(), silent())
+			r := cluster.NewRegistrar(store, cluster.Member{Name: name, Address: w.address, Worker: true}, time.Hour, cluster.NewMembers(), discardLogger())
 			start(r.Run)
 		}
-		Eventually(func() int { return len(members.Live()) }).WithTimeout(patience).Should(Equal(len(workers)))
+		Eventually(func() int { return len(members.Live()) }).WithTimeout(eventuallyTimeout).Should(Equal(len(workers)))
 		s := &cluster.Subscriber{
 			Store: own, Topics: []*cluster.Topic{topic}, Members: members, Peers: rpcpool.New(nil), Self: cluster.Member{Name: "self"}, FirstStart: firstStart,
 			SourceChanged: func(name string, _ error) {
@@ -226,12 +226,12 @@
 		w := newWorker(store, 1)
 		own := &countingStore{TransactionalStore: store}
 		subscribe(own, w)
-		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
-		Eventually(func() bool { return w.relay != nil && own.quiet() }).WithTimeout(patience).Should(BeTrue())
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(HaveKey("p/a"))
+		Eventually(func() bool { return w.relay != nil && own.quiet() }).WithTimeout(eventuallyTimeout).Should(BeTrue())
 		before := own.count()
 		put(store, "p/b", "2")
 		store.Revoke("p/a")
-		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/b": "2"}))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(Equal(map[string]string{"p/b": "2"}))
 		Expect(own.count()).To(Equal(before))
 	})
 
@@ -249,48 +249,49 @@
 		}
 		firstStart = true // only the members are listed
 		subscribe(store, newWorker(store, 1))
-		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/app": "app"}))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(Equal(map[string]string{"p/app": "app"}))
 		put(store, "p/llm2", "llm")
 		put(store, "p/app2", "app")
-		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/app": "app", "p/app2": "app"}))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(Equal(map[string]string{"p/app": "app", "p/app2": "app"}))
 		mu.Lock()
 		needed = []string{"app", "llm"}
 		mu.Unlock()
-		Eventually(v.snapshot).WithTimeout(patience).Should(HaveLen(4))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(HaveLen(4))
 	})
 
 	It("are awaited without calls to the store while the whole system starts", func() {
-		// Without the delay each of hundreds of processes listed everything two or
-		// three times in its first second, because the relays were not registered yet.
+		// Without the delay each of hundreds of processes lists everything two or three
+		// times in its first second, because the relays are not registered yet.
 		firstStart = true
 		own := &countingStore{TransactionalStore: store}
 		subscribe(own, newWorker(store, 1))
-		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(HaveKey("p/a"))
 		Expect(own.count()).To(BeZero())
 	})
 
 	It("cause few calls of each process at the start of an outage and no listing at its end", func() {
-		// The store answers no process for some seconds. Formerly every process retried
-		// every topic again and again meanwhile, and listed all of them afterwards.
+		// The store answers no process for some seconds. If every process retries every
+		// topic meanwhile and lists all of them afterwards, the store gets many times its
+		// usual number of calls.
 		cut := &cuttableStore{TransactionalStore: store}
 		own := &countingStore{TransactionalStore: cut}
 		subscribe(own, newWorker(cut, 1))
-		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
-		Eventually(own.quiet).WithTimeout(patience).Should(BeTrue())
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(HaveKey("p/a"))
+		Eventually(own.quiet).WithTimeout(eventuallyTimeout).Should(BeTrue())
 		before, listed := own.count(), own.listings()
 		cut.cut(true)
-		Eventually(func() int { return own.count() - before }).WithTimeout(patience).Should(BeNumerically(">=", 3))
+		Eventually(func() int { return own.count() - before }).WithTimeout(eventuallyTimeout).Should(BeNumerically(">=", 3))
 		Expect(own.listings()).To(Equal(listed))
 		cut.cut(false)
 		put(store, "p/b", "2")
-		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/b"))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(HaveKey("p/b"))
 		Expect(own.listings()).To(Equal(listed))
 	})
 
 	It("come from the store at once when a process starts while the relays are down", func() {
 		// All processes were killed and start again. The relays are still registered
-		// but do not answer yet. An entry that waited for them refused callers for half
-		// a second longer.
+		// but do not answer yet. An entry that waits for them refuses callers for half a
+		// second longer.
 		w := newWorker(store, 1)
 		w.stop()
 		topic = v.topic("p/")
@@ -302,7 +303,7 @@
 			changed(r)
 		}
 		subscribe(store, w)
-		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(HaveKey("p/a"))
 		mu.Lock()
 		defer mu.Unlock()
 		Expect(reported).To(BeZero(), "sources that were reported before")
@@ -313,10 +314,10 @@
 		// It may know only an old declaration, which the entry must not keep.
 		cut := &cuttableStore{TransactionalStore: store}
 		subscribe(store, newWorker(cut, 1))
-		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(HaveKey("p/a"))
 		cut.cut(true)
 		put(store, "p/a", "2")
-		Eventually(v.snapshot).WithTimeout(patience).Should(Equal(map[string]string{"p/a": "2"}))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(Equal(map[string]string{"p/a": "2"}))
 	})
 
 	It("never restore old state from a relay that lags behind", func() {
@@ -326,10 +327,10 @@
 		lagging := newWorker(cut, 2)
 		first := newWorker(store, 1)
 		subscribe(store, first, lagging)
-		Eventually(v.snapshot).WithTimeout(patience).Should(HaveKey("p/a"))
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(HaveKey("p/a"))
 		cut.cut(true)
 		store.Revoke("p/a")
-		Eventually(v.snapshot).WithTimeout(patience).Should(BeEmpty())
+		Eventually(v.snapshot).WithTimeout(eventuallyTimeout).Should(BeEmpty())
 		first.stop()
 		Consistently(v.snapshot).WithTimeout(2 * time.Second).Should(BeEmpty())
 	})
@@ -340,8 +341,8 @@
 	kv.TransactionalStore
 	mu    sync.Mutex
 	calls int
-	pages int // calls of ReadPage
-	last  time.Time
+	pages int       // calls of ReadPage
+	last  time.Time // of the last call
 }
 
 func (c *countingStore) listings() int {
@@ -350,7 +351,7 @@
 	return c.pages
 }
 
-func (c *countingStore) note() {
+func (c *countingStore) countCall() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
@@ -371,7 +372,7 @@
 }
 
 func (c *countingStore) ReadPage(ctx context.Context, prefix, after string) (kv.Page, error) {
-	c.note()
+	c.countCall()
 	c.mu.Lock()
 	c.pages++
 	c.mu.Unlock()
@@ -379,11 +380,11 @@
 }
 
 func (c *countingStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
-	c.note()
+	c.countCall()
 	return c.TransactionalStore.Await(ctx, prefix, after, wait)
 }
 
-// cuttableStore is one process's path to the store, which can be cut.
+// cuttableStore is one process's connection to the store, which can be cut.
 type cuttableStore struct {
 	kv.TransactionalStore
 	mu  sync.Mutex
--- a/internal/agentless/cluster/leader.go
+++ b/internal/agentless/cluster/leader.go
@@ -39,14 +39,16 @@
 	Self          string
 	TTL           time.Duration
 	HandoverDelay time.Duration // least time between the acts of two holders
-	Log           func(taken bool, term int64)
+	// Log is called with the term when this process acquired the duty, and when it lost it
+	// or gave it up.
+	Log func(acquired bool, term int64)
 	// Eligible reports whether this process should try to acquire the duty.
 	Eligible func() bool
 
 	mu          sync.Mutex
 	lease       kv.LeaseID
 	term        int64
-	actFrom     time.Time // this process may not act before
+	actFrom     time.Time // earliest time at which this process may act
 	confirmedAt time.Time // start of the last call in which the store confirmed the lease
 	lostAt      time.Time // when the duty was last lost or given up
 	wake        chan struct{}
@@ -147,7 +149,8 @@
 	return now.Sub(began) < confirmationTTL/2 && now.Round(0).Sub(began.Round(0)) < confirmationTTL/2
 }
 
-// Resign makes this process forget the duty, because another process has it.
+// Resign makes this process forget the duty, without a call to the store. It is called when
+// another process has the duty or may have it.
 func (l *Leader) Resign() {
 	l.mu.Lock()
 	term := l.term
--- a/internal/agentless/cluster/leader_test.go
+++ b/internal/agentless/cluster/leader_test.go
@@ -13,25 +13,25 @@
 )
 
 var _ = Describe("Leader", func() {
-	lead := func(store kv.TransactionalStore, name string, apart time.Duration) *cluster.Leader {
-		l := cluster.NewLeader(store, "live/duty/x", name, apart, 0, func() bool { return true }, func(bool, int64) {})
+	startLeader := func(store kv.TransactionalStore, name string, handoverDelay time.Duration) *cluster.Leader {
+		l := cluster.NewLeader(store, "live/duty/x", name, handoverDelay, 0, func() bool { return true }, func(bool, int64) {})
 		start(l.Run)
 		return l
 	}
-	acts := func(l *cluster.Leader) func() bool {
+	mayAct := func(l *cluster.Leader) func() bool {
 		return func() bool { _, ok := l.Term(time.Now()); return ok }
 	}
 
 	It("has one holder at a time, and its successor gets a higher term", func() {
 		store := standin.NewTransactionalStore()
-		first := lead(store, "a", 0)
-		Eventually(acts(first)).WithTimeout(patience).Should(BeTrue())
-		second := lead(store, "b", 0)
-		Consistently(acts(second)).Should(BeFalse())
+		first := startLeader(store, "a", 0)
+		Eventually(mayAct(first)).WithTimeout(eventuallyTimeout).Should(BeTrue())
+		second := startLeader(store, "b", 0)
+		Consistently(mayAct(second)).Should(BeFalse())
 		before, _ := first.Term(time.Now())
 		Expect(first.Release(context.Background())).To(Succeed())
 		second.TryNow()
-		Eventually(acts(second)).WithTimeout(patience).Should(BeTrue())
+		Eventually(mayAct(second)).WithTimeout(eventuallyTimeout).Should(BeTrue())
 		after, _ := second.Term(time.Now())
 		Expect(after).To(BeNumerically(">", before))
 	})
@@ -45,13 +45,15 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, err = store.Commit(context.Background(), kv.Transaction{Puts: []kv.Put{{Key: "live/duty/x", Value: []byte("a"), Lease: 1}}})
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(acts(lead(store, "a", time.Hour))).WithTimeout(patience).Should(BeTrue())
+		Eventually(mayAct(startLeader(store, "a", time.Hour))).WithTimeout(eventuallyTimeout).Should(BeTrue())
 	})
 
 	It("does not confirm the term after the store deleted the duty's key", func() {
+		// The store deletes a key without notice. If the process did not read it, it would
+		// continue to act next to a new holder.
 		store := standin.NewTransactionalStore()
-		l := lead(store, "a", 0)
-		Eventually(acts(l)).WithTimeout(patience).Should(BeTrue())
+		l := startLeader(store, "a", 0)
+		Eventually(mayAct(l)).WithTimeout(eventuallyTimeout).Should(BeTrue())
 		term, _ := l.Term(time.Now())
 		confirmed, ok := l.Confirm(context.Background())
 		Expect(ok).To(BeTrue())
@@ -62,17 +64,18 @@
 	})
 
 	It("may not act while the store does not confirm the duty", func() {
+		// Another process may have acquired the duty meanwhile.
 		store := standin.NewTransactionalStore()
-		l := lead(store, "a", 0)
-		Eventually(acts(l)).WithTimeout(patience).Should(BeTrue())
+		l := startLeader(store, "a", 0)
+		Eventually(mayAct(l)).WithTimeout(eventuallyTimeout).Should(BeTrue())
 		store.SetDown(true)
 		_, ok := l.Confirm(context.Background())
 		Expect(ok).To(BeFalse())
-		Eventually(acts(l)).WithTimeout(patience).Should(BeFalse())
+		Eventually(mayAct(l)).WithTimeout(eventuallyTimeout).Should(BeFalse())
 	})
 
 	It("waits before the first act when another holder may just have acted", func() {
 		store := standin.NewTransactionalStore()
-		Consistently(acts(lead(store, "b", time.Hour))).WithTimeout(time.Second).Should(BeFalse())
+		Consistently(mayAct(startLeader(store, "b", time.Hour))).WithTimeout(time.Second).Should(BeFalse())
 	})
 })
--- a/internal/agentless/cluster/members.go
+++ b/internal/agentless/cluster/members.go
@@ -41,9 +41,9 @@
 	Name    string
 	Address string // ip:port of the internal protocol
 	Domain  string // failure domain
-	Worker  bool   // whether it takes on batch jobs before other processes do
-	Leaving bool
-	Boot    int64 // start of the process in Unix nanoseconds
+	Worker  bool   // whether it owns batch jobs; other processes do only if there is no worker
+	Leaving bool   // whether it is stopping and gets no new work
+	Boot    int64  // start of the process in Unix nanoseconds
 }
 
 // Members is the list of the system's live processes and of the holders of duties. It
@@ -109,7 +109,7 @@
 	return live
 }
 
-// Owners returns the members that may take on work: the workers that are not leaving
+// Owners returns the members that may own batch jobs: the workers that are not leaving
 // or, if there are none, all members that are not leaving.
 func (m *Members) Owners() []Member {
 	var workers, others []Member
@@ -395,8 +395,8 @@
 	return current, nil
 }
 
-// Leave marks this process as stopping in its registration, so that others give it no
-// new work.
+// Leave marks this process as leaving in its registration, so that others give it no new
+// work.
 func (r *Registrar) Leave(ctx context.Context) error {
 	r.mu.Lock()
 	r.leaving = true
--- a/internal/agentless/cluster/members_test.go
+++ b/internal/agentless/cluster/members_test.go
@@ -17,14 +17,14 @@
 		// would move this process's jobs and never give it new ones.
 		store := standin.NewTransactionalStore()
 		members := cluster.NewMembers()
-		r := cluster.NewRegistrar(store, cluster.Member{Name: "self", Worker: true}, time.Hour, members, silent())
+		r := cluster.NewRegistrar(store, cluster.Member{Name: "self", Worker: true}, time.Hour, members, discardLogger())
 		start((&cluster.Follower{Store: store, Topic: r.Topic()}).Run)
 		start(r.Run)
 		listed := func() bool { _, found := members.Get("self"); return found }
-		Eventually(listed).WithTimeout(patience).Should(BeTrue())
+		Eventually(listed).WithTimeout(eventuallyTimeout).Should(BeTrue())
 		store.Revoke("live/members/self")
-		Eventually(func() int { return store.Count("lease") }).WithTimeout(patience).Should(Equal(2))
-		Eventually(listed).WithTimeout(patience).Should(BeTrue())
+		Eventually(func() int { return store.Count("lease") }).WithTimeout(eventuallyTimeout).Should(Equal(2))
+		Eventually(listed).WithTimeout(eventuallyTimeout).Should(BeTrue())
 	})
 
 	It("keeps its registration when the store's answer was lost", func() {
@@ -32,18 +32,18 @@
 		// process took that for a failure, it would register again and let its first
 		// key expire.
 		store := standin.NewTransactionalStore()
-		r := cluster.NewRegistrar(store, cluster.Member{Name: "self"}, time.Hour, cluster.NewMembers(), silent())
+		r := cluster.NewRegistrar(store, cluster.Member{Name: "self"}, time.Hour, cluster.NewMembers(), discardLogger())
 		store.LoseAnswers(1)
 		start(r.Run)
-		Eventually(func() int { return store.Count("commit") }).WithTimeout(patience).Should(Equal(1))
+		Eventually(func() int { return store.Count("commit") }).WithTimeout(eventuallyTimeout).Should(Equal(1))
 		Consistently(func() int { return store.Count("lease") }).WithTimeout(time.Second).Should(Equal(1))
 	})
 
 	It("lists workers that are not leaving as owners, and other members only if there are none", func() {
 		store := standin.NewTransactionalStore()
 		members := cluster.NewMembers()
-		r := cluster.NewRegistrar(store, cluster.Member{Name: "w", Worker: true}, time.Hour, members, silent())
-		entry := cluster.NewRegistrar(store, cluster.Member{Name: "entry"}, time.Hour, cluster.NewMembers(), silent())
+		r := cluster.NewRegistrar(store, cluster.Member{Name: "w", Worker: true}, time.Hour, members, discardLogger())
+		entry := cluster.NewRegistrar(store, cluster.Member{Name: "entry"}, time.Hour, cluster.NewMembers(), discardLogger())
 		start((&cluster.Follower{Store: store, Topic: r.Topic()}).Run)
 		start(r.Run)
 		start(entry.Run)
@@ -54,9 +54,9 @@
 			}
 			return list
 		}
-		Eventually(func() int { return len(members.Live()) }).WithTimeout(patience).Should(Equal(2))
+		Eventually(func() int { return len(members.Live()) }).WithTimeout(eventuallyTimeout).Should(Equal(2))
 		Expect(names()).To(Equal([]string{"w"}))
 		Expect(r.Leave(context.Background())).To(Succeed())
-		Eventually(names).WithTimeout(patience).Should(Equal([]string{"entry"}))
+		Eventually(names).WithTimeout(eventuallyTimeout).Should(Equal([]string{"entry"}))
 	})
 })
--- a/internal/agentless/cluster/relays.go
+++ b/internal/agentless/cluster/relays.go
@@ -21,6 +21,7 @@
 			keys = append(keys, rendezvous.Key(m.Name))
 		}
 	}
+	// Processes of all releases must use this key, or they would compute different relays.
 	ranked := rendezvous.Ranked(rendezvous.Key("scouts"), keys, relayCount)
 	relays := make([]Member, len(ranked))
 	for i, at := range ranked {
--- a/internal/agentless/cluster/subscribe.go
+++ b/internal/agentless/cluster/subscribe.go
@@ -118,10 +118,10 @@
 }
 
 // listTopics lists some of the topics from the store.
-func (s *Subscriber) listTopics(ctx context.Context, which func(*Topic) bool) {
+func (s *Subscriber) listTopics(ctx context.Context, filter func(*Topic) bool) {
 	var group errgroup.Group
 	for _, topic := range s.Topics {
-		if !which(topic) {
+		if !filter(topic) {
 			continue
 		}
 		group.Go(func() error {
@@ -154,10 +154,10 @@
 
 // callTopics makes one call to the store for each of some topics, and reports whether
 // all succeeded.
-func (s *Subscriber) callTopics(ctx context.Context, wait time.Duration, which func(*Topic) bool) bool {
+func (s *Subscriber) callTopics(ctx context.Context, wait time.Duration, filter func(*Topic) bool) bool {
 	var group errgroup.Group
 	for _, topic := range s.Topics {
-		if !which(topic) {
+		if !filter(topic) {
 			continue
 		}
 		if needed, known := topic.neededScopes(); known {
--- a/internal/agentless/cluster/topic.go
+++ b/internal/agentless/cluster/topic.go
@@ -101,7 +101,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.asOf = 0
-	maps.DeleteFunc(t.tombstones, func(_ string, g tombstone) bool { return g.inferred })
+	maps.DeleteFunc(t.tombstones, func(_ string, stone tombstone) bool { return stone.inferred })
 }
 
 // advance records that all changes up to a revision were applied.
--- a/internal/agentless/cluster/topic_test.go
+++ b/internal/agentless/cluster/topic_test.go
@@ -30,6 +30,8 @@
 	})
 
 	It("does not restore a key that is known to be deleted", func() {
+		// More scopes are needed, and the new listing comes from a relay that lags behind.
+		// Only inferred deletions may be forgotten then; this one was received.
 		v := &view{}
 		topic := v.topic("p/")
 		cluster.ApplyListing(topic, kv.Page{AsOf: 10, Records: []kv.Record{record("p/app", 3)}})
