--- a/internal/agentless/storepath/relay.go
+++ b/internal/agentless/storepath/relay.go
@@ -189,7 +189,7 @@
 }
 
 // relayServed records that a peer reached the store. While the store is slow, that
-// doesn't mean that the direct path is broken, because its answer is just as late.
+// doesn't mean that the direct path is broken: its answer is just as late.
 func (s *Store) relayServed(m cluster.Member, began time.Time) {
 	s.mu.Lock()
 	switched := !s.estimator.Slow() && s.path.RelayServed(time.Now(), began)
--- a/internal/agentless/storepath/store.go
+++ b/internal/agentless/storepath/store.go
@@ -28,9 +28,9 @@
 	// trip to the peer.
 	relayTimeout = 700 * time.Millisecond
 	// downProbeInterval is the least time between two probes of a store that answers no
-	// process; operations that wait for its return wait half of that on average. A
-	// process in which nothing waits learns from others that the store is back
-	// (PeersServed). It probes at idleDownProbeInterval, in case no other process
+	// process; operations that wait for its return are delayed by half of that on average.
+	// A process in which nothing waits learns from others that the store is back
+	// (PeersServed), and probes only at idleDownProbeInterval, in case no other process
 	// reaches the store.
 	downProbeInterval     = 400 * time.Millisecond
 	idleDownProbeInterval = 4 * downProbeInterval
@@ -38,8 +38,8 @@
 	probeKey = "live/look"
 )
 
-// Store reaches the platform's store directly or through peers. It implements kv.TransactionalStore
-// and is safe for concurrent use.
+// Store reaches the platform's store directly or through peers. It implements
+// kv.TransactionalStore and is safe for concurrent use.
 type Store struct {
 	// Recovered is called when the store answers again after it answered no process; it
 	// may be nil.
@@ -73,7 +73,8 @@
 
 var _ kv.TransactionalStore = (*Store)(nil)
 
-// New returns a Store that uses the direct path or, if that fails, one of members.
+// New returns a Store that uses the direct path or, if that fails, one of members as a
+// peer.
 func New(direct kv.TransactionalStore, self cluster.Member, members *cluster.Members, peers *rpcpool.Pool, log *logrus.Logger, registry metrics.Registry) *Store {
 	return &Store{
 		direct: direct, self: self, members: members, peers: peers, log: log,
@@ -203,8 +204,8 @@
 	if !errors.Is(o.err, kv.ErrUnavailable) || !s.mayRelay() {
 		return o.result, o.err
 	}
-	if by := s.relay(ctx, q, began); !errors.Is(by.err, kv.ErrUnavailable) {
-		return by.result, by.err
+	if relayed := s.relay(ctx, q, began); !errors.Is(relayed.err, kv.ErrUnavailable) {
+		return relayed.result, relayed.err
 	}
 	return o.result, o.err
 }
@@ -221,15 +222,15 @@
 	return true
 }
 
-// hasRecovered probes whether a store that answered no process answers again. Reads of
-// this process share one probe per interval: otherwise every watch and listing of every
-// process would try for itself, and an outage would bring the store many times its
-// usual number of calls. Every write probes for itself, because callers wait for it,
-// and a write that is sent during an outage has an unknown outcome.
-func (s *Store) hasRecovered(ctx context.Context, read bool) bool {
+// hasRecovered probes whether a store that answered no process answers again. Repeatable
+// calls of this process share one probe per interval: otherwise every watch and listing
+// of every process would try for itself, and an outage would bring the store many times
+// its usual number of calls. Every transaction probes for itself, because callers wait
+// for it, and one that is sent during an outage has an unknown outcome.
+func (s *Store) hasRecovered(ctx context.Context, repeatable bool) bool {
 	interval := s.probeInterval()
 	s.mu.Lock()
-	if read && time.Since(s.probedAt) < interval {
+	if repeatable && time.Since(s.probedAt) < interval {
 		s.mu.Unlock()
 		return false
 	}
@@ -325,13 +326,13 @@
 // directServed records that the direct path answered a call that was sent at began.
 func (s *Store) directServed(began time.Time) {
 	s.mu.Lock()
-	away := s.path.Relaying()
+	wasRelaying := s.path.Relaying()
 	switched := s.path.DirectServed(began)
 	if switched {
 		s.notifySwitch()
 	}
 	s.mu.Unlock()
-	if away {
+	if wasRelaying {
 		events.StoreDirect.Log(s.log, logrus.Fields{})
 	}
 	if switched && s.Recovered != nil {
--- a/internal/agentless/storepath/storepath_test.go
+++ b/internal/agentless/storepath/storepath_test.go
@@ -28,56 +28,55 @@
 	RunSpecs(t, "storepath")
 }
 
-// faultyStore is one process's direct path to the store. It can be made to not answer
-// or to refuse calls.
+// faultyStore is one process's direct path to the store, which can be made to fail.
 type faultyStore struct {
 	kv.TransactionalStore
-	silent atomic.Bool
-	refuse atomic.Bool
+	silent atomic.Bool // calls get no answer
+	refuse atomic.Bool // calls are refused
 	calls  atomic.Int64
 }
 
-func (c *faultyStore) fault(ctx context.Context) error {
-	c.calls.Add(1)
-	if c.refuse.Load() {
+func (f *faultyStore) fault(ctx context.Context) error {
+	f.calls.Add(1)
+	if f.refuse.Load() {
 		return errors.Wrap(kv.ErrUnavailable, "refused")
 	}
-	if !c.silent.Load() {
+	if !f.silent.Load() {
 		return nil
 	}
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func (c *faultyStore) Read(ctx context.Context, key string) (kv.Record, error) {
-	if err := c.fault(ctx); err != nil {
+func (f *faultyStore) Read(ctx context.Context, key string) (kv.Record, error) {
+	if err := f.fault(ctx); err != nil {
 		return kv.Record{}, errors.Wrap(kv.ErrUnavailable, err.Error())
 	}
-	return c.TransactionalStore.Read(ctx, key)
+	return f.TransactionalStore.Read(ctx, key)
 }
 
-func (c *faultyStore) KeepLease(ctx context.Context, id kv.LeaseID) error {
-	if err := c.fault(ctx); err != nil {
+func (f *faultyStore) KeepLease(ctx context.Context, id kv.LeaseID) error {
+	if err := f.fault(ctx); err != nil {
 		return errors.Wrap(kv.ErrUnknown, err.Error())
 	}
-	return c.TransactionalStore.KeepLease(ctx, id)
+	return f.TransactionalStore.KeepLease(ctx, id)
 }
 
-func (c *faultyStore) Commit(ctx context.Context, t kv.Transaction) (kv.Committed, error) {
-	if err := c.fault(ctx); err != nil {
-		if c.refuse.Load() {
+func (f *faultyStore) Commit(ctx context.Context, t kv.Transaction) (kv.Committed, error) {
+	if err := f.fault(ctx); err != nil {
+		if f.refuse.Load() {
 			return kv.Committed{}, err
 		}
 		return kv.Committed{}, errors.Wrap(kv.ErrUnknown, err.Error())
 	}
-	return c.TransactionalStore.Commit(ctx, t)
+	return f.TransactionalStore.Commit(ctx, t)
 }
 
-func (c *faultyStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
-	if err := c.fault(ctx); err != nil {
+func (f *faultyStore) Await(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Changes, error) {
+	if err := f.fault(ctx); err != nil {
 		return kv.Changes{}, errors.Wrap(kv.ErrUnavailable, err.Error())
 	}
-	return c.TransactionalStore.Await(ctx, prefix, after, wait)
+	return f.TransactionalStore.Await(ctx, prefix, after, wait)
 }
 
 // process is one process of the system with its path to the store.
@@ -124,7 +123,7 @@
 	It("renews a lease while this process gets no answers from the store", func() {
 		// An owner of batch jobs is cut off from the store. Its renewal gets no answer
 		// and goes through another worker before the lease expires; later renewals go
-		// there at once. Without relaying the lease expired, and the owner's jobs were
+		// there at once. Without relaying the lease expires, and the owner's jobs are
 		// started again elsewhere.
 		all := newProcesses(ctx, store, "a", "b", "c")
 		lease, _, err := all[0].store.GrantLease(ctx, time.Hour)
@@ -137,7 +136,7 @@
 	})
 
 	It("never makes a transaction twice, and returns that its outcome is unknown", func() {
-		// A write is in flight when the process is cut off. Nobody knows whether it
+		// A write is in flight when the process is cut off, and it is unknown whether it
 		// took effect. If it were repeated through a peer, its own condition would
 		// fail, which looks like a conflict with another writer.
 		all := newProcesses(ctx, store, "a", "b")
@@ -154,6 +153,8 @@
 	})
 
 	It("makes a refused call through a peer at once", func() {
+		// A refused call certainly had no effect, so that even a transaction may be
+		// repeated.
 		all := newProcesses(ctx, store, "a", "b")
 		all[0].direct.refuse.Store(true)
 		committed, err := all[0].store.Commit(ctx, kv.Transaction{Puts: []kv.Put{{Key: "k", Value: []byte("v")}}})
@@ -184,19 +185,19 @@
 		// and the watch receives a change at once instead of after its own long wait.
 		all := newProcesses(ctx, store, "a", "b")
 		all[0].direct.silent.Store(true)
-		heard := make(chan kv.Changes, 1)
+		received := make(chan kv.Changes, 1)
 		go func() {
 			defer GinkgoRecover()
 			changes, err := all[0].store.Await(ctx, "news/", 0, time.Minute)
 			Expect(err).NotTo(HaveOccurred())
-			heard <- changes
+			received <- changes
 		}()
 		Eventually(all[0].direct.calls.Load).Should(BeNumerically(">", 0))
 		_, err := all[0].store.Read(ctx, "any")
 		Expect(err).NotTo(HaveOccurred())
 		_, err = store.Commit(ctx, kv.Transaction{Puts: []kv.Put{{Key: "news/1", Value: []byte("v")}}})
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(heard, 5*time.Second).Should(Receive())
+		Eventually(received, 5*time.Second).Should(Receive())
 	})
 
 	It("goes through an entry when the workers are cut off as well, and keeps using it", func() {
@@ -225,14 +226,14 @@
 		_, err := all[0].store.Read(ctx, "any")
 		Expect(err).NotTo(HaveOccurred())
 		all[0].direct.refuse.Store(false)
-		passed := func() int64 {
+		relayedCalls := func() int64 {
 			before := all[1].direct.calls.Load()
 			_, err := all[0].store.Read(ctx, "any")
 			Expect(err).NotTo(HaveOccurred())
 			return all[1].direct.calls.Load() - before
 		}
-		Expect(passed()).To(BeEquivalentTo(1))
-		Eventually(passed, 5*time.Second).Should(BeZero())
+		Expect(relayedCalls()).To(BeEquivalentTo(1))
+		Eventually(relayedCalls, 5*time.Second).Should(BeZero())
 	})
 
 	It("returns the store's error while no process reaches it", func() {
@@ -266,18 +267,18 @@
 		for _, p := range all {
 			p.direct.silent.Store(false)
 		}
-		returned := 0
-		all[0].store.Recovered = func() { returned++ }
+		recovered := 0
+		all[0].store.Recovered = func() { recovered++ }
 		committed, err := all[0].store.Commit(ctx, write)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(committed.Done).To(BeTrue())
-		Expect(returned).To(Equal(1), "calls of Recovered")
+		Expect(recovered).To(Equal(1), "calls of Recovered")
 	})
 
 	It("shares one probe among all reads while the store answers no process", func() {
 		// During an outage of the store the watches and listings of a process retry
-		// again and again. Each retry was a call of its own, refused or lost, in every
-		// process of the system.
+		// again and again. Without the shared probe each retry is a call of its own,
+		// refused or lost, in every process of the system.
 		all := newProcesses(ctx, store, "a", "b")
 		for _, p := range all {
 			p.direct.refuse.Store(true)
