--- a/internal/agentless/cluster/members.go
+++ b/internal/agentless/cluster/members.go
@@ -21,8 +21,8 @@
 	// registrations and duties. One watch covers both.
 	prefixLive    = "live/"
 	prefixMembers = prefixLive + "members/"
-	// DutyKey is the prefix of the keys of duties.
-	DutyKey = prefixLive + "duty/"
+	// DutyPrefix is the prefix of the keys of duties.
+	DutyPrefix = prefixLive + "duty/"
 )
 
 const (
@@ -220,7 +220,7 @@
 
 // changed applies a new or changed key.
 func (r *Registrar) changed(record kv.Record) {
-	if strings.HasPrefix(record.Key, DutyKey) {
+	if strings.HasPrefix(record.Key, DutyPrefix) {
 		r.Members.setHolder(record.Key, string(record.Value))
 		return
 	}
@@ -245,7 +245,7 @@
 // deleted applies the deletion of a key. If the store was recently down, the member
 // stays listed for lingerDuration.
 func (r *Registrar) deleted(key string, revision int64) {
-	if strings.HasPrefix(key, DutyKey) {
+	if strings.HasPrefix(key, DutyPrefix) {
 		if r.DutyVacant != nil {
 			r.DutyVacant(key)
 		}
--- a/internal/agentless/node/node.go
+++ b/internal/agentless/node/node.go
@@ -100,7 +100,7 @@
 
 // keyDuty is the key of the duty of sending weight orders and reporting usage. One process
 // holds one duty for both: a second duty would double the calls to the store.
-const keyDuty = cluster.DutyKey + "weights"
+const keyDuty = cluster.DutyPrefix + "weights"
 
 // workerTTL is the TTL of the lease of a worker's registration. The worker's jobs move once the
 // lease has expired, and a step is due 7.5 s after its submission, so each second of the TTL
--- a/internal/agentless/usagerun/usagerun_test.go
+++ b/internal/agentless/usagerun/usagerun_test.go
@@ -25,7 +25,7 @@
 
 const patience = 20 * time.Second
 
-const duty = cluster.DutyKey + "weights"
+const duty = cluster.DutyPrefix + "weights"
 
 var config = usage.Config{WindowLength: 300 * time.Millisecond, DueAfter: 3 * time.Second}
 
