--- a/internal/agentless/batchrun/copies.go
+++ b/internal/agentless/batchrun/copies.go
@@ -111,8 +111,8 @@
 func (c *Copier) copyAll(ctx context.Context) {
 	var group errgroup.Group
 	drained := c.buffer.Drain(minCopiedEvents)
-	for _, g := range append(drained, c.unannounced(drained)...) {
-		group.Go(func() error { c.copy(ctx, &g); return nil })
+	for _, p := range append(drained, c.unannounced(drained)...) {
+		group.Go(func() error { c.copy(ctx, &p); return nil })
 	}
 	_ = group.Wait() // each goroutine logs its own error
 }
@@ -132,7 +132,7 @@
 func (c *Copier) unannounced(pending []textlog.JobParts) []textlog.JobParts {
 	var jobs []textlog.JobParts
 	for id, token := range c.Owner.Jobs() {
-		if slices.ContainsFunc(pending, func(g textlog.JobParts) bool { return g.Job == id }) {
+		if slices.ContainsFunc(pending, func(p textlog.JobParts) bool { return p.Job == id }) {
 			continue
 		}
 		c.mu.Lock()
@@ -146,24 +146,24 @@
 }
 
 // copy sends the new events of a job, or all of its events if the receiver may lack some.
-func (c *Copier) copy(ctx context.Context, g *textlog.JobParts) {
-	j := c.Owner.find(g.Job)
-	if j == nil || j.token != g.Mark {
+func (c *Copier) copy(ctx context.Context, p *textlog.JobParts) {
+	j := c.Owner.find(p.Job)
+	if j == nil || j.token != p.Mark {
 		return
 	}
-	to, found := c.StandbyFor(j.job.Spec.Model, g.Job)
+	to, found := c.StandbyFor(j.job.Spec.Model, p.Job)
 	if !found {
-		c.forget(g.Job)
+		c.forget(p.Job)
 		return
 	}
-	complete := !c.upToDate(g, to)
-	if complete {
-		g.Parts = j.longTexts()
+	full := !c.upToDate(p, to)
+	if full {
+		p.Parts = j.longTexts()
 	}
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	lacking := false
-	args, err := c.newCopyArgs(j, g, complete)
+	args, err := c.newCopyArgs(j, p, full)
 	if err == nil {
 		lacking, err = c.Send(ctx, to, args)
 	}
@@ -172,20 +172,20 @@
 	}
 	if err != nil {
 		c.resendAll(j)
-		events.TextsNotCopied.Log(c.Owner.Log, logrus.Fields{"job": g.Job, "mark": g.Mark, "to": to, "error": err.Error()})
+		events.TextsNotCopied.Log(c.Owner.Log, logrus.Fields{"job": p.Job, "mark": p.Mark, "to": to, "error": err.Error()})
 		return
 	}
 	c.bytes.Inc(int64(len(args.Raw) + len(args.Spec)))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.targets[g.Job] = copyTarget{g.Mark, to}
+	c.targets[p.Job] = copyTarget{p.Mark, to}
 }
 
 // newCopyArgs returns the arguments of a copy call. They hold the spec only if they hold all
 // texts.
-func (c *Copier) newCopyArgs(j *ownedJob, g *textlog.JobParts, complete bool) (args CopyArgs, err error) {
-	args = CopyArgs{Owner: c.Owner.Name, Job: g.Job, Mark: g.Mark, Whole: complete}
-	if args.Raw, err = pack(g.Parts); err == nil && complete {
+func (c *Copier) newCopyArgs(j *ownedJob, p *textlog.JobParts, full bool) (args CopyArgs, err error) {
+	args = CopyArgs{Owner: c.Owner.Name, Job: p.Job, Mark: p.Mark, Whole: full}
+	if args.Raw, err = pack(p.Parts); err == nil && full {
 		args.Spec, err = pack(j.job.Spec)
 	}
 	return args, err
@@ -208,10 +208,10 @@
 }
 
 // upToDate reports whether a process has all earlier events.
-func (c *Copier) upToDate(g *textlog.JobParts, to string) bool {
+func (c *Copier) upToDate(p *textlog.JobParts, to string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.targets[g.Job] == copyTarget{g.Mark, to}
+	return c.targets[p.Job] == copyTarget{p.Mark, to}
 }
 
 // forget makes the next message of a job hold all of its texts.
--- a/internal/agentless/batchrun/loads.go
+++ b/internal/agentless/batchrun/loads.go
@@ -64,12 +64,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := schedule.Load{}
-	for from, t := range l.byOwner {
-		if now.Sub(t.at) > loadTTL {
+	for from, reported := range l.byOwner {
+		if now.Sub(reported.at) > loadTTL {
 			delete(l.byOwner, from)
 			continue
 		}
-		sum.Merge(t.load)
+		sum.Merge(reported.load)
 	}
 	return sum
 }
--- a/internal/agentless/batchrun/runs.go
+++ b/internal/agentless/batchrun/runs.go
@@ -54,6 +54,7 @@
 	o.wakeDispatch()
 }
 
+// runOutcomeNames holds the names of the outcomes of runs in log lines, by batch.RunOutcome.
 var runOutcomeNames = [...]string{"complete", "broke", "refused", "failed", "impossible", "off-version", "moved"}
 
 func (o *Owner) recordRun(r *itemRun, runOutcome batch.RunOutcome, took time.Duration, err error) {
@@ -113,7 +114,7 @@
 func (o *Owner) scored(j *ownedJob, now time.Time, i int, scoreOutcome batch.ScoreOutcome, score string, attempts int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if eventCount := j.job.EventCount(i); scoreOutcome == batch.ScoreGiven && eventCount > 0 { // no other call was faster
+	if eventCount := j.job.EventCount(i); scoreOutcome == batch.ScoreGiven && eventCount > 0 { // 0 if the item has a result, as after a faster call
 		o.sinksOf(j).scored(j, j.job.Spec.Items[i].ID, eventCount, score)
 	}
 	j.job.ScoringEnded(now, i, scoreOutcome, score, attempts)
--- a/internal/agentless/batchrun/scheduling.go
+++ b/internal/agentless/batchrun/scheduling.go
@@ -63,6 +63,8 @@
 	return r
 }
 
+// view aborts the items without a result of a job that has expired, and returns the job as
+// package schedule compares it.
 func (o *Owner) view(table *routes.Table, j *ownedJob, now time.Time) schedule.Job {
 	spec := j.job.Spec
 	view := schedule.Job{Age: now.Sub(spec.Submitted).Seconds()}
@@ -156,6 +158,7 @@
 	j.job.Postpone(i, until)
 }
 
+// pickEngine picks an engine for a run, if possible another one than ran the item before.
 func (o *Owner) pickEngine(service string, start batch.RunStart, request endpoints.Request) *directory.Pick {
 	if start.PreviousEngine != "" {
 		request.Tried = []string{start.PreviousEngine}
--- a/internal/agentless/textlog/writer.go
+++ b/internal/agentless/textlog/writer.go
@@ -21,9 +21,9 @@
 // flush writes the buffered events, then closes idle files and removes those that are
 // due.
 func (w *writer) flush(now time.Time) {
-	for _, g := range w.log.Drain(0) {
-		if err := w.write(&g, now); err != nil {
-			w.log.Stop(g.Job, err.Error())
+	for _, p := range w.log.Drain(0) {
+		if err := w.write(&p, now); err != nil {
+			w.log.Stop(p.Job, err.Error())
 		}
 	}
 	w.closeIdle(now)
@@ -34,10 +34,10 @@
 // write appends parts to the job's file and syncs it. The first write under a token starts
 // a new file, which contains all texts known so far; write then removes the job's older
 // files.
-func (w *writer) write(g *JobParts, now time.Time) error {
-	f := w.files[g.Job]
-	if f == nil || f.token != g.Mark {
-		fresh, err := w.log.dir.open(g.Job, g.Mark)
+func (w *writer) write(p *JobParts, now time.Time) error {
+	f := w.files[p.Job]
+	if f == nil || f.token != p.Mark {
+		fresh, err := w.log.dir.open(p.Job, p.Mark)
 		if err != nil {
 			return err
 		}
@@ -45,11 +45,11 @@
 			f.close()
 		}
 		f = fresh
-		w.files[g.Job] = f
-		delete(w.removeAt, fileName(g.Job, g.Mark))
+		w.files[p.Job] = f
+		delete(w.removeAt, fileName(p.Job, p.Mark))
 	}
 	began := time.Now()
-	written, err := f.append(g.Parts)
+	written, err := f.append(p.Parts)
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	}
 	if !f.othersRemoved {
 		f.othersRemoved = true
-		w.removeOthers(g.Job, g.Mark)
+		w.removeOthers(p.Job, p.Mark)
 	}
 	return nil
 }
