--- a/internal/agentless/batchrun/copies.go
+++ b/internal/agentless/batchrun/copies.go
@@ -43,7 +43,7 @@
 type CopyArgs struct {
 	Owner string
 	Job   string
-	Mark  int64
+	Mark  int64  // fencing token of the owner
 	Whole bool   // Raw holds all texts of the job that are long enough
 	Raw   []byte // compressed parts of texts
 	Spec  []byte // compressed spec, if Whole
@@ -77,11 +77,11 @@
 	targets map[string]copyTarget // by job
 }
 
-// copyTarget is the process that a job's texts were last sent to, and the mark under which they
-// were.
+// copyTarget is the process that a job's texts were last sent to, and the owner's fencing token
+// at that time.
 type copyTarget struct {
-	mark int64
-	name string
+	token int64
+	name  string
 }
 
 func newCopier(registry metrics.Registry) *Copier {
@@ -111,8 +111,8 @@
 func (c *Copier) copyAll(ctx context.Context) {
 	var group errgroup.Group
 	drained := c.buffer.Drain(minCopiedEvents)
-	for _, g := range append(drained, c.unannounced(drained)...) {
-		group.Go(func() error { c.copy(ctx, &g); return nil })
+	for _, p := range append(drained, c.unannounced(drained)...) {
+		group.Go(func() error { c.copy(ctx, &p); return nil })
 	}
 	_ = group.Wait() // each goroutine logs its own error
 }
@@ -131,39 +131,39 @@
 // also takes over jobs without long texts.
 func (c *Copier) unannounced(pending []textlog.JobParts) []textlog.JobParts {
 	var jobs []textlog.JobParts
-	for id, mark := range c.Owner.Jobs() {
-		if slices.ContainsFunc(pending, func(g textlog.JobParts) bool { return g.Job == id }) {
+	for id, token := range c.Owner.Jobs() {
+		if slices.ContainsFunc(pending, func(p textlog.JobParts) bool { return p.Job == id }) {
 			continue
 		}
 		c.mu.Lock()
 		target, found := c.targets[id]
 		c.mu.Unlock()
-		if !found || target.mark != mark {
-			jobs = append(jobs, textlog.JobParts{Job: id, Mark: mark})
+		if !found || target.token != token {
+			jobs = append(jobs, textlog.JobParts{Job: id, Mark: token})
 		}
 	}
 	return jobs
 }
 
 // copy sends the new events of a job, or all of its events if the receiver may lack some.
-func (c *Copier) copy(ctx context.Context, g *textlog.JobParts) {
-	j := c.Owner.find(g.Job)
-	if j == nil || j.mark != g.Mark {
+func (c *Copier) copy(ctx context.Context, p *textlog.JobParts) {
+	j := c.Owner.find(p.Job)
+	if j == nil || j.token != p.Mark {
 		return
 	}
-	to, found := c.StandbyFor(j.job.Spec.Model, g.Job)
+	to, found := c.StandbyFor(j.job.Spec.Model, p.Job)
 	if !found {
-		c.forget(g.Job)
+		c.forget(p.Job)
 		return
 	}
-	complete := !c.upToDate(g, to)
-	if complete {
-		g.Parts = j.longTexts()
+	full := !c.upToDate(p, to)
+	if full {
+		p.Parts = j.longTexts()
 	}
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	lacking := false
-	args, err := c.newCopyArgs(j, g, complete)
+	args, err := c.newCopyArgs(j, p, full)
 	if err == nil {
 		lacking, err = c.Send(ctx, to, args)
 	}
@@ -172,27 +172,27 @@
 	}
 	if err != nil {
 		c.resendAll(j)
-		events.TextsNotCopied.Log(c.Owner.Log, logrus.Fields{"job": g.Job, "mark": g.Mark, "to": to, "error": err.Error()})
+		events.TextsNotCopied.Log(c.Owner.Log, logrus.Fields{"job": p.Job, "mark": p.Mark, "to": to, "error": err.Error()})
 		return
 	}
 	c.bytes.Inc(int64(len(args.Raw) + len(args.Spec)))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.targets[g.Job] = copyTarget{g.Mark, to}
+	c.targets[p.Job] = copyTarget{p.Mark, to}
 }
 
 // newCopyArgs returns the arguments of a copy call. They hold the spec only if they hold all
 // texts.
-func (c *Copier) newCopyArgs(j *ownedJob, g *textlog.JobParts, complete bool) (args CopyArgs, err error) {
-	args = CopyArgs{Owner: c.Owner.Name, Job: g.Job, Mark: g.Mark, Whole: complete}
-	if args.Raw, err = pack(g.Parts); err == nil && complete {
+func (c *Copier) newCopyArgs(j *ownedJob, p *textlog.JobParts, full bool) (args CopyArgs, err error) {
+	args = CopyArgs{Owner: c.Owner.Name, Job: p.Job, Mark: p.Mark, Whole: full}
+	if args.Raw, err = pack(p.Parts); err == nil && full {
 		args.Spec, err = pack(j.job.Spec)
 	}
 	return args, err
 }
 
-// errEventsMissing is logged if the receiver was restarted since earlier events were sent to
-// it.
+// errEventsMissing is logged if the receiver was restarted after earlier events had been sent
+// to it.
 var errEventsMissing = errors.New("batchrun: the receiver lacks earlier events")
 
 // resendAll makes the next message of a job hold all of its texts, even without new events: the
@@ -203,15 +203,15 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.job.Closed() {
-		c.buffer.Begin(j.id, j.mark, j.job.Texts())
+		c.buffer.Begin(j.id, j.token, j.job.Texts())
 	}
 }
 
 // upToDate reports whether a process has all earlier events.
-func (c *Copier) upToDate(g *textlog.JobParts, to string) bool {
+func (c *Copier) upToDate(p *textlog.JobParts, to string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.targets[g.Job] == copyTarget{g.Mark, to}
+	return c.targets[p.Job] == copyTarget{p.Mark, to}
 }
 
 // forget makes the next message of a job hold all of its texts.
@@ -222,8 +222,8 @@
 }
 
 // drop removes a job that this process no longer owns.
-func (c *Copier) drop(job string, mark int64) {
-	c.buffer.Drop(job, mark)
+func (c *Copier) drop(job string, token int64) {
+	c.buffer.Drop(job, token)
 	c.forget(job)
 }
 
