--- a/internal/lab/callers/claims.go
+++ b/internal/lab/callers/claims.go
@@ -1,6 +1,6 @@
-// Package callers measures what callers get: the decision packages of the
-// callers' side are stepped in virtual time, seeded, with small models of the
-// service, agents and endpoints around them.
+// Package callers measures which answers callers get. It runs the decision packages
+// for claims, poison requests and retries in virtual time against small models of
+// the key-value service, agents and endpoints, with fixed seeds.
 package callers
 
 import (
@@ -14,66 +14,68 @@
 )
 
 const (
-	// schedules is how many seeds are played for the verdict on claims.
-	schedules = 10_000
-	// plainSchedules is how many of them the baseline without claims plays.
-	plainSchedules = 1_000
+	// claimScheduleCount is the number of schedules that are simulated with claims.
+	claimScheduleCount = 10_000
+	// baselineScheduleCount is how many of them are also simulated without claims.
+	baselineScheduleCount = 1_000
 )
 
-// tally adds up the verdicts of schedules.
-type tally struct {
-	mu          sync.Mutex
-	schedules   int
-	attempts    int
-	runs        int
-	doubleRuns  int
-	falseNotRun int
-	wrongOrCut  int
-	unreadable  int
-	answers     map[wire.Outcome]int
+// claimTotals adds up the results of schedules.
+type claimTotals struct {
+	mu                sync.Mutex
+	schedules         int
+	submissions       int
+	runs              int
+	doubleRuns        int
+	falseNotRun       int
+	wrongOrCut        int
+	unreadableRecords int
+	outcomes          map[wire.Outcome]int
 }
 
-func (t *tally) add(w *claimWorld) {
+func (t *claimTotals) add(w *claimWorld) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.schedules++
-	t.attempts += w.ledger.attempts
+	t.submissions += w.recorder.submissions
 	t.runs += w.runCount
-	t.doubleRuns += w.ledger.doubleRuns
-	t.falseNotRun += w.ledger.falseNotRun
-	t.wrongOrCut += w.ledger.wrongOrCut
-	t.unreadable += w.faults
-	for outcome, n := range w.ledger.answers {
-		t.answers[outcome] += n
+	t.doubleRuns += w.recorder.doubleRuns
+	t.falseNotRun += w.recorder.falseNotRun
+	t.wrongOrCut += w.recorder.wrongOrCut
+	t.unreadableRecords += w.unreadableRecords
+	for outcome, n := range w.recorder.outcomes {
+		t.outcomes[outcome] += n
 	}
 }
 
-func (t *tally) share(outcome wire.Outcome) float64 {
+// share returns the share of all answers that have the outcome.
+func (t *claimTotals) share(outcome wire.Outcome) float64 {
 	total := 0
-	for _, n := range t.answers {
+	for _, n := range t.outcomes {
 		total += n
 	}
-	return float64(t.answers[outcome]) / float64(total)
+	return float64(t.outcomes[outcome]) / float64(total)
 }
 
-// play runs schedules with the seeds 1 to count.
-func play(count int, broken variant) (*tally, error) {
-	t := &tally{answers: map[wire.Outcome]int{}}
+// runClaimSchedules simulates the schedules with the seeds 1 to count and returns
+// their totals.
+func runClaimSchedules(count int, disabled claimSafeguard) (*claimTotals, error) {
+	totals := &claimTotals{outcomes: map[wire.Outcome]int{}}
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
-	const chunk = 100
-	for from := 0; from < count; from += chunk {
+	const chunkSize = 100
+	for from := 0; from < count; from += chunkSize {
 		group.Go(func() error {
-			for seed := from; seed < min(from+chunk, count); seed++ {
-				t.add(runSchedule(uint64(seed+1), broken))
+			for seed := from; seed < min(from+chunkSize, count); seed++ {
+				totals.add(runClaimSchedule(uint64(seed+1), disabled))
 			}
 			return nil
 		})
 	}
-	return t, group.Wait()
+	return totals, group.Wait()
 }
 
-// ClaimsBounds lists the measurements of claims, poison requests and retries.
+// ClaimsBounds returns the measurements of this package.
 func ClaimsBounds() []bounds.Measurement {
 	return []bounds.Measurement{
 		{Name: "callers.claims", Run: measureClaims},
@@ -85,23 +87,23 @@
 }
 
 func measureClaims() ([]bounds.Figure, error) {
-	t, err := play(schedules, none)
+	totals, err := runClaimSchedules(claimScheduleCount, noClaimSafeguard)
 	if err != nil {
 		return nil, err
 	}
-	plain, err := play(plainSchedules, plainForward)
+	baseline, err := runClaimSchedules(baselineScheduleCount, allClaims)
 	if err != nil {
 		return nil, err
 	}
 	return []bounds.Figure{
-		{Name: "callers.schedules", Value: float64(t.schedules)},
-		{Name: "callers.double_runs", Value: float64(t.doubleRuns)},
-		{Name: "callers.double_runs.baseline", Value: float64(plain.doubleRuns)},
-		{Name: "callers.false_not_run", Value: float64(t.falseNotRun)},
-		{Name: "callers.false_not_run.baseline", Value: float64(plain.falseNotRun)},
-		{Name: "callers.wrong_or_cut", Value: float64(t.wrongOrCut + t.unreadable)},
-		{Name: "callers.wrong_or_cut.baseline", Value: float64(plain.wrongOrCut)},
-		{Name: "callers.claims_answered", Value: t.share(wire.Answered)},
-		{Name: "callers.claims_unknown", Value: t.share(wire.Unknown)},
+		{Name: "callers.schedules", Value: float64(totals.schedules)},
+		{Name: "callers.double_runs", Value: float64(totals.doubleRuns)},
+		{Name: "callers.double_runs.baseline", Value: float64(baseline.doubleRuns)},
+		{Name: "callers.false_not_run", Value: float64(totals.falseNotRun)},
+		{Name: "callers.false_not_run.baseline", Value: float64(baseline.falseNotRun)},
+		{Name: "callers.wrong_or_cut", Value: float64(totals.wrongOrCut + totals.unreadableRecords)},
+		{Name: "callers.wrong_or_cut.baseline", Value: float64(baseline.wrongOrCut)},
+		{Name: "callers.claims_answered", Value: totals.share(wire.Answered)},
+		{Name: "callers.claims_unknown", Value: totals.share(wire.Unknown)},
 	}, nil
 }
--- a/internal/lab/callers/claims_crash.go
+++ b/internal/lab/callers/claims_crash.go
@@ -10,100 +10,103 @@
 )
 
 const (
-	crashes     = 40
-	crashAfter  = 3 * time.Second
-	crashSpread = time.Second
-	// crashGap is until a successor takes a crashed owner's duty: its lease with
-	// the margins.
-	crashGap = 6 * time.Second
+	crashCount    = 40
+	minCrashDelay = 3 * time.Second
+	crashJitter   = time.Second
+	// takeoverDelay is the time after which a successor takes over the duty of a
+	// crashed owner: the lease with its margins.
+	takeoverDelay = 6 * time.Second
 )
 
-// crashTally adds up owners' crashes.
-type crashTally struct {
-	inFlight int // calls without an answer at the crash
-	unknown  int // of these, whose repeat was "unknown"
-	calls    int // questions to agents
-	asking   int // take-overs that asked any
+// crashTotals adds up the results of crashes of owners.
+type crashTotals struct {
+	inFlight          int // calls without an answer at the crash
+	unknown           int // calls in flight whose retry was answered "unknown"
+	agentQueries      int // queries to agents
+	queryingTakeovers int // takeovers that queried the agents
 }
 
-// crashOwner plays the load until its owner crashes, lets a successor take
-// over and repeats every call that was in flight. Of the agents, lost ones
-// crashed too; without ask the successor asks none.
-func (t *crashTally) crashOwner(seed uint64, ask bool, lost int) {
+// runOwnerCrash simulates the load until the owner crashes, then a takeover by a
+// successor and a retry of every call that was in flight. As many agents as lostAgents
+// crash too. The successor queries the agents only if queryAgents is true.
+func (t *crashTotals) runOwnerCrash(seed uint64, queryAgents bool, lostAgents int) {
 	l := newClaimLoad(seed, claims.DefaultPartitions, loadAgents, claims.DefaultCommitInterval)
-	l.clock.runUntil(l.clock.now.Add(crashAfter + l.clock.between(0, crashSpread)))
+	l.clock.runUntil(l.clock.now.Add(minCrashDelay + l.clock.between(0, crashJitter)))
 	l.stopped = true
-	var open []int64
+	var unanswered []int64
 	for id := range int64(len(l.arrived)) + 1 {
-		if _, answered := l.replies[id]; id > 0 && !answered {
-			open = append(open, id)
+		if _, answered := l.outcomes[id]; id > 0 && !answered {
+			unanswered = append(unanswered, id)
 		}
 	}
-	for _, p := range l.parts {
+	for _, p := range l.partitions {
 		p.crashed = true
 	}
-	l.clock.runUntil(l.clock.now.Add(crashGap))
-	for i, p := range l.parts {
-		l.parts[i] = t.successor(l, p, i, ask, lost)
+	l.clock.runUntil(l.clock.now.Add(takeoverDelay))
+	for i, p := range l.partitions {
+		l.partitions[i] = t.addSuccessor(l, p, i, queryAgents, lostAgents)
 	}
 	l.clock.runUntil(l.clock.now.Add(time.Second))
-	for _, id := range open {
+	for _, id := range unanswered {
 		l.submit(id, -id)
 	}
 	l.clock.runUntil(l.clock.now.Add(2 * loadDeadline))
-	t.inFlight += len(open)
-	for _, id := range open {
-		if l.replies[-id] == wire.Unknown {
+	t.inFlight += len(unanswered)
+	for _, id := range unanswered {
+		if l.outcomes[-id] == wire.Unknown {
 			t.unknown++
 		}
 	}
 }
 
-func (t *crashTally) successor(l *claimLoad, old *loadPart, i int, ask bool, lost int) *loadPart {
+// addSuccessor returns a partition that has the duty and the records of its
+// predecessor.
+func (t *crashTotals) addSuccessor(l *claimLoad, predecessor *loadPartition, i int, queryAgents bool, lostAgents int) *loadPartition {
 	name := fmt.Sprintf("claims/%d", i)
-	p := &loadPart{load: l, machine: claims.New(claims.DefaultConfig(name, name, "successor")), kv: old.kv}
-	p.asked = func(a claims.QueryAgents) {
-		if !ask {
+	p := &loadPartition{load: l, partition: claims.New(claims.DefaultConfig(name, name, "successor")), kv: predecessor.kv}
+	p.onQueryAgents = func(a claims.QueryAgents) {
+		if !queryAgents {
 			return
 		}
-		t.asking++
-		t.calls += loadAgents
+		t.queryingTakeovers++
+		t.agentQueries += loadAgents
 		l.clock.after(l.clock.between(2*time.Millisecond, 5*time.Millisecond), func() {
-			p.step(claims.ResultsReceived{Results: l.remembered(a, lost)})
+			p.step(claims.ResultsReceived{Results: l.agentResults(a, lostAgents)})
 		})
 	}
 	p.step(claims.Acquired{Epoch: 2, Until: l.clock.now.Add(time.Hour)})
 	return p
 }
 
-// remembered is what the agents tell together. A claim's agent is drawn from
-// its key, so that the share on lost ones is as large as theirs of all.
-func (l *claimLoad) remembered(a claims.QueryAgents, lost int) []wire.ClaimResult {
-	var all []wire.ClaimResult
-	for _, ref := range a.Refs {
-		answer, ran := l.ran[ref]
-		if !ran || int(ref.Key[0])%loadAgents < lost {
+// agentResults returns the results that all agents report together. The agent of a
+// claim is derived from its key, so the share of claims on lost agents equals the share
+// of lost agents.
+func (l *claimLoad) agentResults(query claims.QueryAgents, lostAgents int) []wire.ClaimResult {
+	var results []wire.ClaimResult
+	for _, ref := range query.Refs {
+		answer, ran := l.results[ref]
+		if !ran || int(ref.Key[0])%loadAgents < lostAgents {
 			continue
 		}
-		all = append(all, wire.ClaimResult{Claim: ref, Outcome: wire.Answered, Kept: true, Status: answer.Status, Body: answer.Body})
+		results = append(results, wire.ClaimResult{Claim: ref, Outcome: wire.Answered, Kept: true, Status: answer.Status, Body: answer.Body})
 	}
-	return all
+	return results
 }
 
 func measureClaimCrash() ([]bounds.Figure, error) {
-	play := func(ask bool, lost int) *crashTally {
-		t := &crashTally{}
-		for seed := range uint64(crashes) {
-			t.crashOwner(seed+1, ask, lost)
+	run := func(queryAgents bool, lostAgents int) *crashTotals {
+		t := &crashTotals{}
+		for seed := range uint64(crashCount) {
+			t.runOwnerCrash(seed+1, queryAgents, lostAgents)
 		}
 		return t
 	}
-	asked, plain, oneLost := play(true, 0), play(false, 0), play(true, 1)
-	share := func(t *crashTally) float64 { return float64(t.unknown) / float64(t.inFlight) }
+	withQueries, withoutQueries, withOneAgentLost := run(true, 0), run(false, 0), run(true, 1)
+	unknownShare := func(t *crashTotals) float64 { return float64(t.unknown) / float64(t.inFlight) }
 	return []bounds.Figure{
-		{Name: "claims.crash_unknown", Value: share(asked)},
-		{Name: "claims.crash_unknown.baseline", Value: share(plain)},
-		{Name: "claims.crash_unknown_agent_lost", Value: share(oneLost)},
-		{Name: "claims.crash_calls_per_takeover", Value: float64(asked.calls) / float64(asked.asking)},
+		{Name: "claims.crash_unknown", Value: unknownShare(withQueries)},
+		{Name: "claims.crash_unknown.baseline", Value: unknownShare(withoutQueries)},
+		{Name: "claims.crash_unknown_agent_lost", Value: unknownShare(withOneAgentLost)},
+		{Name: "claims.crash_calls_per_takeover", Value: float64(withQueries.agentQueries) / float64(withQueries.queryingTakeovers)},
 	}, nil
 }
--- a/internal/lab/callers/claims_entry.go
+++ b/internal/lab/callers/claims_entry.go
@@ -8,44 +8,44 @@
 )
 
 const (
-	repeatWindow   = 30 * time.Second
-	forwardTimeout = 90 * time.Millisecond
-	rerouteWait    = 15 * time.Millisecond
-	attemptTime    = 400 * time.Millisecond
+	retryWindow       = 30 * time.Second
+	forwardTimeout    = 90 * time.Millisecond
+	rerouteDelay      = 15 * time.Millisecond
+	submissionTimeout = 400 * time.Millisecond
 )
 
-// claimEntry hosts the partition machine on one entry instance, as the runtime
-// of an entry does: it keeps the duty, forwards calls to the owner, carries
-// out the machine's actions.
+// claimEntry simulates an entry with its partition, as the runtime of an entry does. It
+// keeps the lease of the duty, forwards calls to the owner and executes the partition's
+// actions.
 type claimEntry struct {
 	world       *claimWorld
 	name        string
 	incarnation int
 	up          bool
 	paused      bool
-	held        []func() // what arrived during a pause
+	deferred    []func() // events that arrived during a pause
 
-	part     *claims.Partition
-	owner    string    // holder of the duty as last heard
-	until    time.Time // lease proven until
-	promised time.Time // the duty is not released before
-	waiters  map[int64]*waitingCall
+	partition        *claims.Partition
+	owner            string                 // last known holder of the duty
+	leaseUntil       time.Time              // the lease is provably valid until then
+	releaseNotBefore time.Time              // the duty is not released before it
+	calls            map[int64]*waitingCall // by waiter number
 }
 
-// waitingCall is a call that the machine knows by its waiter number.
+// waitingCall is a call that the partition identifies by its waiter number.
 type waitingCall struct {
-	attempt *attempt
-	reply   func(moved bool, answer wire.Answer)
+	submission *submission
+	reply      func(moved bool, answer wire.Answer)
 }
 
-// start brings up a new process without memory.
+// start starts a new process, which has no state.
 func (e *claimEntry) start() {
 	e.incarnation++
 	e.up = true
 	e.owner = ""
-	e.until = time.Time{}
-	e.promised = time.Time{}
-	e.waiters = map[int64]*waitingCall{}
+	e.leaseUntil = time.Time{}
+	e.releaseNotBefore = time.Time{}
+	e.calls = map[int64]*waitingCall{}
 	config := claims.DefaultConfig("claims/0", "claims/0", e.identity())
 	config.CommitInterval = 10 * time.Millisecond
 	config.RetryDelay = 30 * time.Millisecond
@@ -53,46 +53,46 @@
 	config.RetryAfter = 100 * time.Millisecond
 	config.ResultTimeout = 300 * time.Millisecond
 	config.SealBytes = 600
-	config.MaxAnswerBytes = len(longAnswer) - 1
-	e.part = claims.New(config)
-	e.keepDuty()
+	config.MaxAnswerBytes = len(longAnswerSuffix) - 1
+	e.partition = claims.New(config)
+	e.maintainLease()
 }
 
-// identity differs between the processes of one instance, so that a restarted
-// one must take its duties anew under a higher epoch.
+// identity returns the name of the current process. It differs between the processes of
+// an instance, so that a restarted one has to acquire its duties under a higher epoch.
 func (e *claimEntry) identity() string {
 	return e.name + "#" + string(rune('a'+e.incarnation))
 }
 
-func (e *claimEntry) crash(down time.Duration) {
+func (e *claimEntry) crash(downtime time.Duration) {
 	e.up = false
-	e.held = nil
+	e.deferred = nil
 	e.incarnation++
-	e.world.clock.after(down, e.start)
+	e.world.clock.after(downtime, e.start)
 }
 
 func (e *claimEntry) pause(d time.Duration) {
 	e.paused = true
 	e.world.clock.after(d, func() {
 		e.paused = false
-		held := e.held
-		e.held = nil
-		for _, run := range held {
+		deferred := e.deferred
+		e.deferred = nil
+		for _, run := range deferred {
 			run()
 		}
 	})
 }
 
-// deliver returns fn bound to the process that runs now: it is dropped if that
-// process ends, and held while it is paused.
-func (e *claimEntry) deliver(fn func()) func() {
+// bind returns a function that calls fn if the process that runs now still runs, and
+// defers the call while it is paused.
+func (e *claimEntry) bind(fn func()) func() {
 	incarnation := e.incarnation
 	var bound func()
 	bound = func() {
 		switch {
 		case !e.up || e.incarnation != incarnation:
 		case e.paused:
-			e.held = append(e.held, bound)
+			e.deferred = append(e.deferred, bound)
 		default:
 			fn()
 		}
@@ -100,74 +100,76 @@
 	return bound
 }
 
-// keepDuty renews or takes the duty, again and again.
-func (e *claimEntry) keepDuty() {
-	sent := e.world.clock.now
-	var got duty
-	op := func() { got = e.world.kv.keep(e.identity()) }
-	heard := e.deliver(func() { e.dutyHeard(sent, got) })
+// maintainLease renews or acquires the duty repeatedly.
+func (e *claimEntry) maintainLease() {
+	sentAt := e.world.clock.now
+	var current dutyRecord
+	op := func() { current = e.world.kv.renewOrAcquire(e.identity()) }
+	onDuty := e.bind(func() { e.handleDuty(sentAt, current) })
 	e.world.kv.call(op, func(ok bool) {
 		if ok {
-			heard()
+			onDuty()
 		}
 	})
-	next := e.world.clock.between(keepInterval/2, keepInterval)
-	e.world.clock.after(next, e.deliver(e.keepDuty))
+	next := e.world.clock.between(leaseRenewInterval/2, leaseRenewInterval)
+	e.world.clock.after(next, e.bind(e.maintainLease))
 }
 
-func (e *claimEntry) dutyHeard(sent time.Time, got duty) {
-	e.owner = got.holder
-	if got.holder != e.identity() {
-		if e.until != (time.Time{}) {
-			e.until = time.Time{}
+// handleDuty handles the duty's record as read by a call that was sent at sentAt.
+func (e *claimEntry) handleDuty(sentAt time.Time, current dutyRecord) {
+	e.owner = current.holder
+	if current.holder != e.identity() {
+		if e.leaseUntil != (time.Time{}) {
+			e.leaseUntil = time.Time{}
 			e.step(claims.Lost{})
 		}
 		return
 	}
-	e.until = sent.Add(leaseTTL - leaseMargin)
-	if got.epoch > e.part.Epoch() {
-		e.step(claims.Acquired{Epoch: got.epoch, Until: e.until})
+	e.leaseUntil = sentAt.Add(leaseTTL - leaseMargin)
+	if current.epoch > e.partition.Epoch() {
+		e.step(claims.Acquired{Epoch: current.epoch, Until: e.leaseUntil})
 		return
 	}
-	e.step(claims.Renewed{Until: e.until})
+	e.step(claims.Renewed{Until: e.leaseUntil})
 }
 
-// handOver gives the duty up, as a graceful stop does.
+// handOver gives up the duty, as a planned stop does.
 func (e *claimEntry) handOver() {
 	if e.owner != e.identity() {
 		return
 	}
 	e.owner = ""
-	e.until = time.Time{}
+	e.leaseUntil = time.Time{}
 	e.step(claims.Lost{})
-	if e.world.broken == silenceProves {
-		e.tellNotRun()
+	if e.world.disabled == resultAfterRun {
+		e.sendFalseNotRun()
 	}
-	wait := max(e.promised.Sub(e.world.clock.now), 0)
-	e.world.clock.after(wait, e.deliver(func() {
+	delay := max(e.releaseNotBefore.Sub(e.world.clock.now), 0)
+	e.world.clock.after(delay, e.bind(func() {
 		e.world.kv.call(func() { e.world.kv.release(e.identity()) }, func(bool) {})
 	}))
 }
 
-// step feeds the machine and carries out what it asks for.
+// step passes an event to the partition and executes the resulting actions.
 func (e *claimEntry) step(event claims.Event) {
-	for _, action := range e.part.Step(e.world.clock.now, event) {
-		e.carryOut(action)
+	for _, action := range e.partition.Step(e.world.clock.now, event) {
+		e.execute(action)
 	}
-	if at, ok := e.part.NextWake(); ok {
-		wait := max(at.Sub(e.world.clock.now), time.Millisecond)
-		e.world.clock.after(wait, e.deliver(func() { e.wake(at) }))
+	if at, ok := e.partition.NextWake(); ok {
+		delay := max(at.Sub(e.world.clock.now), time.Millisecond)
+		e.world.clock.after(delay, e.bind(func() { e.wake(at) }))
 	}
 }
 
-// wake ticks the machine unless a later step made the tick needless.
+// wake sends the planned tick to the partition, unless a later step has made it
+// unnecessary.
 func (e *claimEntry) wake(planned time.Time) {
-	if at, ok := e.part.NextWake(); ok && !at.After(planned) {
+	if at, ok := e.partition.NextWake(); ok && !at.After(planned) {
 		e.step(claims.Tick{})
 	}
 }
 
-func (e *claimEntry) carryOut(action claims.Action) {
+func (e *claimEntry) execute(action claims.Action) {
 	switch a := action.(type) {
 	case claims.Read:
 		e.read(a)
@@ -176,27 +178,29 @@
 	case claims.Delete:
 		delete(e.world.kv.records, a.Key)
 	case claims.Run:
-		e.run(a)
+		e.dispatchClaimed(a)
 	case claims.Reply:
-		w := e.waiters[a.Waiter]
-		delete(e.waiters, a.Waiter)
-		w.reply(a.Moved, e.checked(a))
+		call := e.calls[a.Waiter]
+		delete(e.calls, a.Waiter)
+		call.reply(a.Moved, e.limitRefusal(a))
 	case claims.SendResult:
-		e.tell(a, e.world.clock.now.Add(tellTime))
+		e.sendResult(a, e.world.clock.now.Add(resultSendTimeout))
 	case claims.QueryAgents:
-		e.askAgents(a)
+		e.queryAgents(a)
 	case claims.Fault:
-		e.world.faults++
+		e.world.unreadableRecords++
 	}
 }
 
-// checked holds the keeper of the duty to a refusal that rests on the lease.
-func (e *claimEntry) checked(r claims.Reply) wire.Answer {
-	if r.LeaseUntil.After(e.until) {
+// limitRefusal returns the answer of a reply. If it relies on the lease, the duty is
+// not released before the time that it relies on; if the lease does not last until then,
+// the answer becomes "unknown".
+func (e *claimEntry) limitRefusal(r claims.Reply) wire.Answer {
+	if r.LeaseUntil.After(e.leaseUntil) {
 		return claims.RefusalAsUnknown(r.Answer)
 	}
-	if r.LeaseUntil.After(e.promised) {
-		e.promised = r.LeaseUntil
+	if r.LeaseUntil.After(e.releaseNotBefore) {
+		e.releaseNotBefore = r.LeaseUntil
 	}
 	return r.Answer
 }
@@ -207,7 +211,7 @@
 	e.world.kv.call(op, func(ok bool) {
 		done := claims.ReadDone{Record: record, Failed: !ok}
 		done.Record.Key = r.Key
-		e.deliver(func() { e.step(done) })()
+		e.bind(func() { e.step(done) })()
 	})
 }
 
@@ -215,29 +219,29 @@
 	var swapped bool
 	var current claims.Record
 	op := func() { swapped, current = e.world.kv.swap(w) }
-	heard := func(ok bool) claims.WriteDone {
+	result := func(ok bool) claims.WriteDone {
 		return claims.WriteDone{ID: w.ID, Swapped: swapped, Current: current, Failed: !ok}
 	}
 	incarnation := e.incarnation
 	e.world.kv.call(op, func(ok bool) {
 		if e.incarnation == incarnation {
-			done := heard(ok)
-			e.deliver(func() { e.step(done) })()
+			done := result(ok)
+			e.bind(func() { e.step(done) })()
 		}
 	})
-	if e.world.broken == dispatchEarly && w.Key == "claims/0/head" {
-		e.dispatchEarly()
+	if e.world.disabled == commitBeforeDispatch && w.Key == "claims/0/head" {
+		e.dispatchUncommitted()
 	}
 }
 
-// dispatchEarly is the broken variant that runs what waits while its claim is
-// still on its way.
-func (e *claimEntry) dispatchEarly() {
-	for id, w := range e.waiters {
-		if !w.attempt.early {
-			w.attempt.early = true
-			e.run(claims.Run{Key: claims.NewKey("caller", w.attempt.key), Waiter: id,
-				Deadline: e.world.clock.now.Add(attemptTime)})
+// dispatchUncommitted dispatches all waiting calls while their claims are still being
+// written. It runs only if the safeguard commitBeforeDispatch is disabled.
+func (e *claimEntry) dispatchUncommitted() {
+	for id, call := range e.calls {
+		if !call.submission.dispatchedUncommitted {
+			call.submission.dispatchedUncommitted = true
+			e.dispatchClaimed(claims.Run{Key: claims.NewKey("caller", call.submission.key), Waiter: id,
+				Deadline: e.world.clock.now.Add(submissionTimeout)})
 		}
 	}
 }
--- a/internal/lab/callers/claims_kv.go
+++ b/internal/lab/callers/claims_kv.go
@@ -7,63 +7,63 @@
 )
 
 const (
-	kvTimeout     = 60 * time.Millisecond // after which a call counts as unanswered
-	leaseTTL      = 700 * time.Millisecond
-	leaseMargin   = 30 * time.Millisecond
-	keepInterval  = 150 * time.Millisecond
-	lateKVCallMax = 400 * time.Millisecond
+	kvTimeout          = 60 * time.Millisecond
+	leaseTTL           = 700 * time.Millisecond
+	leaseMargin        = 30 * time.Millisecond
+	leaseRenewInterval = 150 * time.Millisecond
+	maxLateKVDelay     = 400 * time.Millisecond
 )
 
-// duty is the lease record of the partition.
-type duty struct {
-	holder string
-	epoch  int64
-	lapses time.Time
+// dutyRecord is the record of the partition's duty with its lease.
+type dutyRecord struct {
+	holder    string
+	epoch     int64
+	expiresAt time.Time
 }
 
-// fakeKV is the platform's service in a schedule: it loses requests and
-// answers, carries some out late, and has outages.
+// fakeKV simulates the key-value service. It loses requests and answers, executes some
+// requests late, and has outages.
 type fakeKV struct {
-	clock     *clock
-	records   map[string]claims.Record
-	revision  int64
-	duty      duty
-	down      bool
-	writes    int
-	unchecked bool // broken variant: swaps whatever the revision
+	clock           *clock
+	records         map[string]claims.Record
+	revision        int64
+	duty            dutyRecord
+	down            bool
+	writes          int
+	noRevisionCheck bool // swaps succeed whatever the revision is
 }
 
 func newFakeKV(c *clock) *fakeKV {
 	return &fakeKV{clock: c, records: map[string]claims.Record{}}
 }
 
-// call carries out op on its way through a network that may lose the request
-// or the answer. done hears at most once: with true after op ran and its
-// answer arrived in time, else with false.
-func (k *fakeKV) call(op func(), done func(ok bool)) {
-	heard := false
-	tell := func(ok bool) {
-		if !heard {
-			heard = true
-			done(ok)
+// call executes op over a network that may lose the request or the answer. It calls
+// onDone once: with true if the answer arrives in time, otherwise with false after the
+// timeout.
+func (k *fakeKV) call(op func(), onDone func(ok bool)) {
+	done := false
+	finish := func(ok bool) {
+		if !done {
+			done = true
+			onDone(ok)
 		}
 	}
-	k.clock.after(kvTimeout, func() { tell(false) })
-	there := k.clock.between(time.Millisecond, 4*time.Millisecond)
+	k.clock.after(kvTimeout, func() { finish(false) })
+	requestDelay := k.clock.between(time.Millisecond, 4*time.Millisecond)
 	switch {
 	case k.clock.chance(0.03):
 		return
 	case k.clock.chance(0.03):
-		there = k.clock.between(kvTimeout, lateKVCallMax)
+		requestDelay = k.clock.between(kvTimeout, maxLateKVDelay)
 	}
-	answered := !k.clock.chance(0.05)
-	k.clock.after(there, func() {
+	answerArrives := !k.clock.chance(0.05)
+	k.clock.after(requestDelay, func() {
 		if k.down {
 			return
 		}
 		op()
-		if answered {
-			k.clock.after(k.clock.between(time.Millisecond, 3*time.Millisecond), func() { tell(true) })
+		if answerArrives {
+			k.clock.after(k.clock.between(time.Millisecond, 3*time.Millisecond), func() { finish(true) })
 		}
 	})
 }
@@ -74,10 +74,12 @@
 	return r
 }
 
+// swap stores a value if the record has the expected revision. It reports whether it
+// did and returns the current record.
 func (k *fakeKV) swap(w claims.Write) (bool, claims.Record) {
 	k.writes++
 	current := k.get(w.Key)
-	if current.Revision != w.Expected && !k.unchecked {
+	if current.Revision != w.Expected && !k.noRevisionCheck {
 		return false, current
 	}
 	k.revision++
@@ -87,22 +89,23 @@
 	return true, current
 }
 
-// keep renews or takes the duty and returns who holds it.
-func (k *fakeKV) keep(who string) duty {
+// renewOrAcquire renews the duty for its holder, or acquires it for the process if the
+// lease has expired, and returns the current record.
+func (k *fakeKV) renewOrAcquire(process string) dutyRecord {
 	now := k.clock.now
-	if k.duty.holder != who && now.Before(k.duty.lapses) {
+	if k.duty.holder != process && now.Before(k.duty.expiresAt) {
 		return k.duty
 	}
-	if k.duty.holder != who || !now.Before(k.duty.lapses) {
+	if k.duty.holder != process || !now.Before(k.duty.expiresAt) {
 		k.duty.epoch++
-		k.duty.holder = who
+		k.duty.holder = process
 	}
-	k.duty.lapses = now.Add(leaseTTL)
+	k.duty.expiresAt = now.Add(leaseTTL)
 	return k.duty
 }
 
-func (k *fakeKV) release(who string) {
-	if k.duty.holder == who {
-		k.duty.lapses = k.clock.now
+func (k *fakeKV) release(process string) {
+	if k.duty.holder == process {
+		k.duty.expiresAt = k.clock.now
 	}
 }
--- a/internal/lab/callers/claims_schedule.go
+++ b/internal/lab/callers/claims_schedule.go
@@ -7,48 +7,48 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// variant is a deliberate fault in the host of the machine, which the judge
-// must find. none is the product.
-type variant int
+// claimSafeguard is a safeguard that a schedule can run without, to show that the
+// recorder detects the violations that follow.
+type claimSafeguard int
 
 const (
-	none          variant = iota
-	dispatchEarly         // dispatches while the claim is still being written
-	uncheckedSwap         // the service swaps whatever the revision, so no epoch holds
-	trustForwards         // takes a resent forward's "not run" for the first one's too
-	plainForward          // no claims at all: the baseline
-	silenceProves         // tells a successor that what still runs never ran
+	noClaimSafeguard     claimSafeguard = iota // every safeguard is enabled
+	commitBeforeDispatch                       // a request is dispatched only after its claim is committed
+	revisionCheck                              // the service swaps a record only at the expected revision, so a lower epoch cannot write
+	unresolvedForwards                         // "not run" on a second forward does not count for the first one
+	allClaims                                  // requests are claimed; the baseline has no claims
+	resultAfterRun                             // a process reports a result to its successor only after the run
 )
 
 const (
-	scheduleEntries = 3
-	scheduleAgents  = 3
-	scheduleKeys    = 7
-	scheduleTime    = 3 * time.Second
-	scheduleEnd     = 7 * time.Second // by which every fault is over and every call answered
-	maxSendings     = 5
+	scheduleEntries  = 3
+	scheduleAgents   = 3
+	scheduleKeys     = 7
+	schedulePeriod   = 3 * time.Second // in which faults and callers start
+	scheduleDuration = 7 * time.Second // at its end every fault is over and every call answered
+	maxSubmissions   = 5
 )
 
-// claimWorld is one schedule: entries, agents, callers and the platform's
-// service under faults drawn from one seed.
+// claimWorld simulates one schedule: entries, agents, callers and the key-value service
+// with faults drawn from a seed.
 type claimWorld struct {
-	clock    *clock
-	kv       *fakeKV
-	entries  []*claimEntry
-	agents   []*claimAgent
-	ledger   *ledger
-	broken   variant
-	runCount int
-	faults   int // records that could not be read
-	asked    int // take-overs that asked the agents
-	adopted  int // answers that agents told
-	last     int64
+	clock             *clock
+	kv                *fakeKV
+	entries           []*claimEntry
+	agents            []*claimAgent
+	recorder          *runRecorder
+	disabled          claimSafeguard
+	runCount          int
+	unreadableRecords int
+	agentQueries      int // takeovers that queried the agents
+	agentResults      int // results that agents reported
+	lastID            int64
 }
 
-func newClaimWorld(seed uint64, broken variant) *claimWorld {
+func newClaimWorld(seed uint64, disabled claimSafeguard) *claimWorld {
 	c := newClock(seed)
-	w := &claimWorld{clock: c, kv: newFakeKV(c), ledger: newLedger(), broken: broken}
-	w.kv.unchecked = broken == uncheckedSwap
+	w := &claimWorld{clock: c, kv: newFakeKV(c), recorder: newRunRecorder(), disabled: disabled}
+	w.kv.noRevisionCheck = disabled == revisionCheck
 	for range scheduleAgents {
 		w.agents = append(w.agents, newClaimAgent(w))
 	}
@@ -60,26 +60,27 @@
 	return w
 }
 
-func (w *claimWorld) number() int64 {
-	w.last++
-	return w.last
+func (w *claimWorld) nextID() int64 {
+	w.lastID++
+	return w.lastID
 }
 
-// netDelay is the time of a message: mostly a millisecond, now and then long.
-func (w *claimWorld) netDelay() time.Duration {
+// messageDelay returns the time that a message takes: 1 to 3 ms, and for 4% of the
+// messages much longer.
+func (w *claimWorld) messageDelay() time.Duration {
 	if w.clock.chance(0.04) {
 		return w.clock.between(50*time.Millisecond, 900*time.Millisecond)
 	}
 	return w.clock.between(time.Millisecond, 3*time.Millisecond)
 }
 
-func (w *claimWorld) lost() bool { return w.clock.chance(0.04) }
+func (w *claimWorld) messageLost() bool { return w.clock.chance(0.04) }
 
-func (w *claimWorld) pickAgent() *claimAgent {
+func (w *claimWorld) randomAgent() *claimAgent {
 	return w.agents[w.clock.random.IntN(len(w.agents))]
 }
 
-func (w *claimWorld) entryOf(identity string) *claimEntry {
+func (w *claimWorld) entryByIdentity(identity string) *claimEntry {
 	for _, e := range w.entries {
 		if e.up && e.identity() == identity {
 			return e
@@ -88,45 +89,45 @@
 	return nil
 }
 
-// runSchedule plays one seeded schedule to its end.
-func runSchedule(seed uint64, broken variant) *claimWorld {
-	w := newClaimWorld(seed, broken)
+// runClaimSchedule simulates the schedule of a seed.
+func runClaimSchedule(seed uint64, disabled claimSafeguard) *claimWorld {
+	w := newClaimWorld(seed, disabled)
 	for range 2 + w.clock.random.IntN(4) {
-		w.planFault()
+		w.scheduleFault()
 	}
 	for i := range scheduleKeys {
-		w.planCall(fmt.Sprintf("key-%d", i))
+		w.scheduleCaller(fmt.Sprintf("key-%d", i))
 	}
-	w.clock.runUntil(w.clock.now.Add(scheduleEnd))
+	w.clock.runUntil(w.clock.now.Add(scheduleDuration))
 	return w
 }
 
-// planFault draws a fault and its time; several may meet.
-func (w *claimWorld) planFault() {
+// scheduleFault draws a fault and its time. Several faults may coincide.
+func (w *claimWorld) scheduleFault() {
 	e := w.entries[w.clock.random.IntN(len(w.entries))]
 	length := w.clock.between(50*time.Millisecond, 2*time.Second)
 	faults := []func(){
-		func() { w.withUp(e, func() { e.crash(length) }) },
-		func() { w.withUp(e, func() { e.pause(length) }) },
-		func() { w.withOwner(func(o *claimEntry) { o.crash(length) }) },
-		func() { w.withOwner(func(o *claimEntry) { o.pause(length) }) },
-		func() { w.withOwner(func(o *claimEntry) { o.handOver() }) },
-		func() { w.pickAgent().crash(length) },
+		func() { w.ifRunning(e, func() { e.crash(length) }) },
+		func() { w.ifRunning(e, func() { e.pause(length) }) },
+		func() { w.ifOwnerRunning(func(o *claimEntry) { o.crash(length) }) },
+		func() { w.ifOwnerRunning(func(o *claimEntry) { o.pause(length) }) },
+		func() { w.ifOwnerRunning(func(o *claimEntry) { o.handOver() }) },
+		func() { w.randomAgent().crash(length) },
 		func() { w.outage(length) },
 	}
 	fault := faults[w.clock.random.IntN(len(faults))]
-	w.clock.after(w.clock.between(0, scheduleTime), fault)
+	w.clock.after(w.clock.between(0, schedulePeriod), fault)
 }
 
-func (w *claimWorld) withUp(e *claimEntry, do func()) {
+func (w *claimWorld) ifRunning(e *claimEntry, fn func()) {
 	if e.up && !e.paused {
-		do()
+		fn()
 	}
 }
 
-func (w *claimWorld) withOwner(do func(*claimEntry)) {
-	if o := w.entryOf(w.kv.duty.holder); o != nil && !o.paused {
-		do(o)
+func (w *claimWorld) ifOwnerRunning(fn func(*claimEntry)) {
+	if owner := w.entryByIdentity(w.kv.duty.holder); owner != nil && !owner.paused {
+		fn(owner)
 	}
 }
 
@@ -135,54 +136,56 @@
 	w.clock.after(length, func() { w.kv.down = false })
 }
 
-// planCall is a caller with one key: it sends it, sometimes twice at once, and
-// repeats it through any entry until it is answered.
-func (w *claimWorld) planCall(key string) {
-	w.clock.after(w.clock.between(0, scheduleTime), func() {
+// scheduleCaller adds a caller that submits a request with one key, sometimes twice at
+// once, and retries it through random entries.
+func (w *claimWorld) scheduleCaller(key string) {
+	w.clock.after(w.clock.between(0, schedulePeriod), func() {
 		c := &caller{world: w, key: key}
-		c.send()
+		c.submit()
 		if w.clock.chance(0.3) {
-			c.send()
+			c.submit()
 		}
 	})
 }
 
-// caller is one client with one call.
+// caller simulates a client with one request.
 type caller struct {
-	world *claimWorld
-	key   string
-	sent  int
-	done  bool
+	world       *claimWorld
+	key         string
+	submissions int
+	done        bool
 }
 
-func (c *caller) send() {
-	if c.done || c.sent >= maxSendings {
+func (c *caller) submit() {
+	if c.done || c.submissions >= maxSubmissions {
 		return
 	}
-	c.sent++
+	c.submissions++
 	w := c.world
 	body := "body"
-	if c.sent > 1 && w.clock.chance(0.05) {
+	if c.submissions > 1 && w.clock.chance(0.05) {
 		body = "other body"
 	}
-	a := &attempt{id: w.number(), key: c.key, body: body}
-	heard := false
-	a.then = func(answer wire.Answer) {
-		heard = true
-		c.heard(answer)
+	s := &submission{id: w.nextID(), key: c.key, body: body}
+	answered := false
+	s.onAnswer = func(answer wire.Answer) {
+		answered = true
+		c.handleAnswer(answer)
 	}
 	entry := w.entries[w.clock.random.IntN(len(w.entries))]
-	w.clock.after(w.netDelay(), entry.deliver(func() { entry.take(a) }))
-	w.clock.after(attemptTime+w.clock.between(0, 200*time.Millisecond), func() {
-		if !heard {
-			c.send()
+	w.clock.after(w.messageDelay(), entry.bind(func() { entry.receive(s) }))
+	w.clock.after(submissionTimeout+w.clock.between(0, 200*time.Millisecond), func() {
+		if !answered {
+			c.submit()
 		}
 	})
 }
 
-func (c *caller) heard(answer wire.Answer) {
+// handleAnswer schedules another submission. Some callers stop after an answer, the
+// others send a retry of a request that has run.
+func (c *caller) handleAnswer(answer wire.Answer) {
 	if answer.Outcome == wire.Answered {
 		c.done = c.world.clock.chance(0.7)
 	}
-	c.world.clock.after(c.world.clock.between(time.Millisecond, 150*time.Millisecond), c.send)
+	c.world.clock.after(c.world.clock.between(time.Millisecond, 150*time.Millisecond), c.submit)
 }
--- a/internal/lab/callers/claims_test.go
+++ b/internal/lab/callers/claims_test.go
@@ -13,86 +13,87 @@
 }
 
 var _ = Describe("claim schedules", func() {
-	// The caller sends one key to several entries, twice at once now and then,
-	// while owners crash or are paused, the service loses answers or is down.
-	// At most one sending may run, and no "not run" may be false.
-	It("keep every promise", func() {
-		t, err := play(400, none)
+	// Callers send one key to several entries, sometimes twice at once, while owners
+	// crash or are paused and the key-value service loses answers or is down. A request
+	// must run at most once, and no "not run" may be false.
+	It("have no violations", func() {
+		totals, err := runClaimSchedules(400, noClaimSafeguard)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(t.doubleRuns).To(BeZero())
-		Expect(t.falseNotRun).To(BeZero())
-		Expect(t.wrongOrCut).To(BeZero())
-		Expect(t.unreadable).To(BeZero())
-		Expect(t.runs).To(BeNumerically(">", 400))
+		Expect(totals.doubleRuns).To(BeZero())
+		Expect(totals.falseNotRun).To(BeZero())
+		Expect(totals.wrongOrCut).To(BeZero())
+		Expect(totals.unreadableRecords).To(BeZero())
+		Expect(totals.runs).To(BeNumerically(">", 400))
 	})
 
-	// A judge that finds nothing proves nothing: each of these hosts has one
-	// safeguard taken out, and the same schedules must show its failure.
-	DescribeTable("show the failure when a safeguard is missing",
-		func(broken variant, count int, doubles, lies bool) {
-			t, err := play(count, broken)
+	// Each entry disables one safeguard and shows that the recorder detects the
+	// violations that follow.
+	DescribeTable("have violations if a safeguard is disabled",
+		func(disabled claimSafeguard, count int, doubleRuns, falseNotRun bool) {
+			totals, err := runClaimSchedules(count, disabled)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(t.doubleRuns > 0).To(Equal(doubles), "double runs: %d", t.doubleRuns)
-			Expect(t.falseNotRun > 0).To(Equal(lies), "false not run: %d", t.falseNotRun)
+			Expect(totals.doubleRuns > 0).To(Equal(doubleRuns), "double runs: %d", totals.doubleRuns)
+			Expect(totals.falseNotRun > 0).To(Equal(falseNotRun), "false not run: %d", totals.falseNotRun)
 		},
-		Entry("dispatch before the claim is committed", dispatchEarly, 200, true, true),
-		Entry("swaps that no epoch guards", uncheckedSwap, 400, true, true),
-		Entry("a resent forward's refusal taken for all", trustForwards, 1000, false, true),
-		Entry("a running request told as not run", silenceProves, 1000, true, true),
-		Entry("no claims at all", plainForward, 200, true, true),
+		Entry("dispatch before the claim is committed", commitBeforeDispatch, 200, true, true),
+		Entry("swap at any revision", revisionCheck, 400, true, true),
+		Entry("refusal of a second forward counts for the first", unresolvedForwards, 1000, false, true),
+		Entry("running request reported as not run", resultAfterRun, 1000, true, true),
+		Entry("no claims", allClaims, 200, true, true),
 	)
 
-	It("give the same verdict for the same seed", func() {
+	It("have the same result for the same seed", func() {
 		for seed := range uint64(20) {
-			a, b := runSchedule(seed, none), runSchedule(seed, none)
-			Expect(a.ledger.answers).To(Equal(b.ledger.answers))
+			a, b := runClaimSchedule(seed, noClaimSafeguard), runClaimSchedule(seed, noClaimSafeguard)
+			Expect(a.recorder.outcomes).To(Equal(b.recorder.outcomes))
 			Expect(a.kv.writes).To(Equal(b.kv.writes))
 		}
 	})
 })
 
 var _ = Describe("poison schedules", func() {
-	// A caller sends a request that crashes whatever runs it, again and again
-	// through any entry, sometimes twice at once, beside a load of innocent ones.
-	// If it resends faster than the crash, several copies run while nobody is
-	// suspect: seeds 211 and 359 then lost a third endpoint.
-	DescribeTable("lose at most two endpoints and no innocent request", func(count int, s poisonScenario) {
-		t, err := playPoison(count, s)
+	// A caller sends a request that crashes its endpoint repeatedly through random
+	// entries, sometimes twice at once, beside a load of innocent requests. If it resends
+	// the request before the first crash, several copies run before any request is a
+	// suspect. With allPlacement disabled, seeds 211 and 359 then crash a third endpoint.
+	DescribeTable("crash at most two endpoints and quarantine no innocent request", func(count int, scenario poisonScenario) {
+		totals, err := runPoisonSchedules(count, scenario)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(t.worst).To(BeNumerically("<=", 2))
-		Expect(t.innocent).To(BeZero())
-		Expect(t.caught).To(Equal(t.sent))
+		Expect(totals.maxCrashedEndpoints).To(BeNumerically("<=", 2))
+		Expect(totals.quarantinedInnocent).To(BeZero())
+		Expect(totals.quarantinedPoison).To(Equal(totals.poisonRequests))
 	},
-		Entry("to resends after the crash", 200, usualResends),
-		Entry("to resends faster than the crash", 400, quickResends),
+		Entry("with resends after the crash", 200, slowResends),
+		Entry("with resends before the crash", 400, quickResends),
 	)
 
-	// An innocent request runs beside the culprit and then alone at an endpoint
-	// that crashes by itself. Both look alike until one of them is answered.
-	DescribeTable("quarantine no innocent request that met an unrelated crash", func(seed uint64) {
-		w := runPoison(seed, strayCrashes)
-		Expect(w.innocent).To(BeEmpty())
-		Expect(w.worst()).To(BeNumerically("<=", 2))
-		Expect(w.blocked).To(HaveLen(len(w.crashed)))
+	// An innocent request runs beside the poison request and then alone at an endpoint
+	// that crashes by itself. The two requests cannot be told apart until one of them is
+	// answered.
+	DescribeTable("quarantine no innocent request that ran at an unrelated crash", func(seed uint64) {
+		w := runPoisonSchedule(seed, unrelatedCrashes)
+		Expect(w.quarantinedInnocent).To(BeEmpty())
+		Expect(w.maxCrashedEndpoints()).To(BeNumerically("<=", 2))
+		Expect(w.quarantinedPoison).To(HaveLen(len(w.crashedEndpoints)))
 	},
-		Entry("two copies crash in company, the third alone", uint64(1699)),
-		Entry("beside the culprit, then alone", uint64(3199)),
-		Entry("the culprit still at large", uint64(4650)),
-		Entry("with two copies of the culprit", uint64(9964)),
+		Entry("after two copies beside others and one alone", uint64(1699)),
+		Entry("after running beside the poison request, then alone", uint64(3199)),
+		Entry("while the poison request is not identified", uint64(4650)),
+		Entry("with two copies of the poison request", uint64(9964)),
 	)
 
-	It("show the failure without quarantine", func() {
-		t, err := playPoison(20, usualResends.with(unguarded))
+	It("crash more than two endpoints without quarantine", func() {
+		totals, err := runPoisonSchedules(20, slowResends.without(suspicionAndQuarantine))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(t.worst).To(BeNumerically(">", 2))
+		Expect(totals.maxCrashedEndpoints).To(BeNumerically(">", 2))
 	})
 
-	DescribeTable("show the failure when a safeguard is missing", func(broken poisonVariant) {
-		t, err := playPoison(400, quickResends.with(broken))
+	DescribeTable("crash more than two endpoints if a safeguard is disabled", func(disabled poisonSafeguard) {
+		totals, err := runPoisonSchedules(400, quickResends.without(disabled))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(t.worst).To(BeNumerically(">", 2))
+		Expect(totals.maxCrashedEndpoints).To(BeNumerically(">", 2))
 	},
-		Entry("copies of unknown requests run anywhere", unfollowed),
-		Entry("suspects that crashed two endpoints run anywhere too", anywhere),
+		Entry("copies of requests that were never answered run anywhere", copyPlacement),
+		Entry("suspects that crashed two endpoints run anywhere too", allPlacement),
 	)
 })
--- a/internal/lab/callers/claims_world.go
+++ b/internal/lab/callers/clock.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// event is something that happens at a virtual time. Equal times keep the
-// order in which they were planned.
+// event is a function to be called at a virtual time. Events at the same time run in the
+// order in which they were scheduled.
 type event struct {
-	at    time.Time
-	order int
-	run   func()
+	at     time.Time
+	serial int
+	run    func()
 }
 
 type eventQueue []event
@@ -19,7 +19,7 @@
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	if q[i].at.Equal(q[j].at) {
-		return q[i].order < q[j].order
+		return q[i].serial < q[j].serial
 	}
 	return q[i].at.Before(q[j].at)
 }
@@ -32,11 +32,11 @@
 	return last
 }
 
-// clock runs events in virtual time.
+// clock runs events in virtual time and draws random numbers for one schedule.
 type clock struct {
 	now    time.Time
 	queue  eventQueue
-	order  int
+	serial int
 	random *rand.Rand
 }
 
@@ -47,13 +47,13 @@
 	}
 }
 
-// after plans run at d from now.
+// after schedules run after d.
 func (c *clock) after(d time.Duration, run func()) {
-	c.order++
-	heap.Push(&c.queue, event{at: c.now.Add(d), order: c.order, run: run})
+	c.serial++
+	heap.Push(&c.queue, event{at: c.now.Add(d), serial: c.serial, run: run})
 }
 
-// runUntil runs every event up to end.
+// runUntil runs all events up to end.
 func (c *clock) runUntil(end time.Time) {
 	for len(c.queue) > 0 && !c.queue[0].at.After(end) {
 		e := heap.Pop(&c.queue).(event)
@@ -63,10 +63,10 @@
 	c.now = end
 }
 
-// between draws a duration from lo to hi.
+// between returns a random duration from lo to hi.
 func (c *clock) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(c.random.Int64N(int64(hi-lo)+1))
 }
 
-// chance is true with probability p.
+// chance returns true with probability p.
 func (c *clock) chance(p float64) bool { return c.random.Float64() < p }
--- a/internal/lab/callers/poison.go
+++ b/internal/lab/callers/poison.go
@@ -13,218 +13,230 @@
 )
 
 const (
-	poisonSchedules = 2000
-	poisonEntries   = 3
-	poisonEndpoints = 8
-	poisonSlots     = 4
-	poisonTime      = 4 * time.Second
-	poisonRate      = 250 // innocent requests a second
-	poisonPopular   = 20  // fingerprints that half of them share
-	poisonSends     = 6   // by each caller of a poison request
-	poisonService   = "tone"
+	poisonScheduleCount    = 2000
+	poisonEntries          = 3
+	poisonEndpoints        = 8
+	slotsPerPoisonEndpoint = 4
+	poisonPeriod           = 4 * time.Second // a schedule ends one second later
+	innocentRate           = 250             // innocent requests per second
+	popularFingerprints    = 20              // number of fingerprints of half of the innocent requests
+	submissionsPerPoison   = 6               // submissions of each poison request by its caller
+	poisonService          = "tone"
 )
 
-// poisonScenario is how its schedules are drawn.
+// poisonScenario holds the parameters of schedules.
 type poisonScenario struct {
-	gapMin, gapMax time.Duration // between the sendings of a poison request
-	stray          float64       // schedules in which an endpoint crashes by itself
-	variant        poisonVariant
+	minInterval, maxInterval time.Duration // between two submissions of a poison request
+	unrelatedCrashShare      float64       // share of schedules in which an endpoint crashes by itself
+	disabled                 poisonSafeguard
 }
 
-// poisonVariant is a host of the registry with a safeguard taken out.
-type poisonVariant int
+// poisonSafeguard is a safeguard that a schedule can run without, to show that the
+// checks detect the violations that follow.
+type poisonSafeguard int
 
 const (
-	whole      poisonVariant = iota
-	unguarded                // neither suspicion nor quarantine
-	unfollowed               // copies of unknown requests run anywhere
-	anywhere                 // and so do suspects that crashed two endpoints
+	noPoisonSafeguard      poisonSafeguard = iota // every safeguard is enabled
+	suspicionAndQuarantine                        // suspects run alone, and quarantined requests do not run
+	copyPlacement                                 // copies of a request that was never answered follow its first copy
+	allPlacement                                  // copyPlacement, and a suspect that crashed two endpoints runs only on these
 )
 
-// The scenarios: resends after the crash is known, resends beside it, and an
-// unrelated crash in every schedule.
+// In slowResends the caller sends a poison request again after the crash is known, in
+// quickResends also before. In unrelatedCrashes an endpoint crashes by itself in every
+// schedule.
 var (
-	usualResends = poisonScenario{gapMin: 100 * time.Millisecond, gapMax: 600 * time.Millisecond, stray: 0.2}
-	quickResends = poisonScenario{gapMin: 20 * time.Millisecond, gapMax: 400 * time.Millisecond, stray: 0.2}
-	strayCrashes = poisonScenario{gapMin: 100 * time.Millisecond, gapMax: 600 * time.Millisecond, stray: 1}
+	slowResends      = poisonScenario{minInterval: 100 * time.Millisecond, maxInterval: 600 * time.Millisecond, unrelatedCrashShare: 0.2}
+	quickResends     = poisonScenario{minInterval: 20 * time.Millisecond, maxInterval: 400 * time.Millisecond, unrelatedCrashShare: 0.2}
+	unrelatedCrashes = poisonScenario{minInterval: 100 * time.Millisecond, maxInterval: 600 * time.Millisecond, unrelatedCrashShare: 1}
 )
 
-func (s poisonScenario) with(v poisonVariant) poisonScenario {
-	s.variant = v
+func (s poisonScenario) without(safeguard poisonSafeguard) poisonScenario {
+	s.disabled = safeguard
 	return s
 }
 
-// poisonWorld is one schedule: entries with a registry each, endpoints that
-// crash when they run a poison request, and now and then by themselves.
+// poisonWorld simulates one schedule: entries with a registry each, and endpoints that
+// crash when they run a poison request and in some schedules by themselves.
 type poisonWorld struct {
-	clock     *clock
-	entries   []*poisonEntry
-	endpoints []*poisonEndpoint
-	scenario  poisonScenario
-	lastInner uint64
-	crashed   map[uint64]map[int]bool // poison fingerprint: endpoints it crashed
-	innocent  map[uint64]bool         // innocent fingerprints in quarantine
-	blocked   map[uint64]bool         // poison fingerprints in quarantine
-	crashes   int                     // of endpoints, by poison
-	waits     []float64               // seconds until an innocent request was answered
-	refused   int                     // innocent requests given up
+	clock               *clock
+	entries             []*poisonEntry
+	endpoints           []*poisonEndpoint
+	scenario            poisonScenario
+	lastInnocent        uint64
+	crashedEndpoints    map[uint64]map[int]bool // endpoints that a request crashed, by poison fingerprint
+	quarantinedInnocent map[uint64]bool         // innocent fingerprints in quarantine at the end
+	quarantinedPoison   map[uint64]bool         // poison fingerprints in quarantine at the end
+	crashes             int                     // crashes of endpoints by poison requests
+	innocentDelays      []float64               // seconds until an innocent request was answered
+	givenUp             int                     // innocent requests that were not answered
 }
 
-const firstPoison = 1 << 40 // fingerprints from here on are poison
+// firstPoisonFingerprint is the lowest fingerprint of a poison request.
+const firstPoisonFingerprint = 1 << 40
 
-func runPoison(seed uint64, scenario poisonScenario) *poisonWorld {
+// runPoisonSchedule simulates the schedule of a seed.
+func runPoisonSchedule(seed uint64, scenario poisonScenario) *poisonWorld {
 	w := &poisonWorld{
-		clock:    newClock(seed),
-		scenario: scenario,
-		crashed:  map[uint64]map[int]bool{},
-		innocent: map[uint64]bool{},
-		blocked:  map[uint64]bool{},
+		clock:               newClock(seed),
+		scenario:            scenario,
+		crashedEndpoints:    map[uint64]map[int]bool{},
+		quarantinedInnocent: map[uint64]bool{},
+		quarantinedPoison:   map[uint64]bool{},
 	}
 	for i := range poisonEntries {
 		name := fmt.Sprintf("entry-%d", i)
-		w.entries = append(w.entries, &poisonEntry{world: w, name: name, registry: poison.New(poison.DefaultConfig(), name), posted: map[string]time.Time{}})
+		w.entries = append(w.entries, &poisonEntry{world: w, name: name, registry: poison.New(poison.DefaultConfig(), name), lastArrival: map[string]time.Time{}})
 	}
 	for i := range poisonEndpoints {
 		w.endpoints = append(w.endpoints, &poisonEndpoint{world: w, number: i, up: true})
 	}
 	w.clock.after(0, w.arrive)
-	if w.clock.chance(scenario.stray) {
-		w.clock.after(w.clock.between(0, poisonTime), func() { w.anyEndpoint().crash() })
+	if w.clock.chance(scenario.unrelatedCrashShare) {
+		w.clock.after(w.clock.between(0, poisonPeriod), func() { w.randomEndpoint().crash() })
 	}
 	for i := range 1 + w.clock.random.IntN(2) {
-		w.planPoison(firstPoison + uint64(i))
+		w.schedulePoisonCaller(firstPoisonFingerprint + uint64(i))
 	}
-	w.clock.runUntil(w.clock.now.Add(poisonTime + time.Second))
-	w.judge()
+	w.clock.runUntil(w.clock.now.Add(poisonPeriod + time.Second))
+	w.collectQuarantined()
 	return w
 }
 
-func (w *poisonWorld) judge() {
+// collectQuarantined records which fingerprints are in quarantine at any entry.
+func (w *poisonWorld) collectQuarantined() {
 	for _, e := range w.entries {
 		for _, q := range e.registry.List(w.clock.now) {
-			if q.Fingerprint < firstPoison {
-				w.innocent[q.Fingerprint] = true
+			if q.Fingerprint < firstPoisonFingerprint {
+				w.quarantinedInnocent[q.Fingerprint] = true
 			} else {
-				w.blocked[q.Fingerprint] = true
+				w.quarantinedPoison[q.Fingerprint] = true
 			}
 		}
 	}
 }
 
-func (w *poisonWorld) anyEntry() *poisonEntry {
+func (w *poisonWorld) randomEntry() *poisonEntry {
 	return w.entries[w.clock.random.IntN(len(w.entries))]
 }
 
-func (w *poisonWorld) anyEndpoint() *poisonEndpoint {
+func (w *poisonWorld) randomEndpoint() *poisonEndpoint {
 	return w.endpoints[w.clock.random.IntN(len(w.endpoints))]
 }
 
-// arrive is the stream of innocent requests; half are of a few popular kinds.
+// arrive submits an innocent request and schedules the next one. Half of them share a
+// few popular fingerprints.
 func (w *poisonWorld) arrive() {
-	w.lastInner++
-	fingerprint := w.lastInner + 1000
+	w.lastInnocent++
+	fingerprint := w.lastInnocent + 1000
 	if w.clock.chance(0.5) {
-		fingerprint = 1 + w.clock.random.Uint64N(poisonPopular)
+		fingerprint = 1 + w.clock.random.Uint64N(popularFingerprints)
 	}
-	w.anyEntry().take(&poisonCall{fingerprint: fingerprint, since: w.clock.now})
-	gap := time.Duration(w.clock.random.ExpFloat64() / poisonRate * float64(time.Second))
+	w.randomEntry().tryRun(&poisonCall{fingerprint: fingerprint, arrivedAt: w.clock.now})
+	gap := time.Duration(w.clock.random.ExpFloat64() / innocentRate * float64(time.Second))
 	w.clock.after(gap, w.arrive)
 }
 
-// planPoison is a caller that sends its poison request again and again under
-// new ids, through any entry, and now and then twice at once.
-func (w *poisonWorld) planPoison(fingerprint uint64) {
-	at := w.clock.between(0, poisonTime/2)
-	for range poisonSends {
+// schedulePoisonCaller adds a caller that submits a poison request repeatedly under new
+// request IDs, through random entries and sometimes twice at once.
+func (w *poisonWorld) schedulePoisonCaller(fingerprint uint64) {
+	at := w.clock.between(0, poisonPeriod/2)
+	for range submissionsPerPoison {
 		copies := 1
 		if w.clock.chance(0.2) {
 			copies = 2
 		}
 		w.clock.after(at, func() {
 			for range copies {
-				w.anyEntry().take(&poisonCall{fingerprint: fingerprint})
+				w.randomEntry().tryRun(&poisonCall{fingerprint: fingerprint})
 			}
 		})
-		at += w.clock.between(w.scenario.gapMin, w.scenario.gapMax)
+		at += w.clock.between(w.scenario.minInterval, w.scenario.maxInterval)
 	}
 }
 
-// worst returns the most endpoints that one poison request crashed.
-func (w *poisonWorld) worst() int {
+// maxCrashedEndpoints returns the largest number of endpoints that one poison request
+// crashed.
+func (w *poisonWorld) maxCrashedEndpoints() int {
 	most := 0
-	for _, endpoints := range w.crashed {
+	for _, endpoints := range w.crashedEndpoints {
 		most = max(most, len(endpoints))
 	}
 	return most
 }
 
-// poisonTally adds up schedules.
-type poisonTally struct {
-	mu       sync.Mutex
-	worst    int // endpoints that one request crashed
-	innocent int // innocent requests in quarantine
-	sent     int // poison requests that crashed an endpoint
-	caught   int // of them, in quarantine at the end
-	crashes  int // of endpoints, by poison
-	refused  int // innocent requests given up
-	waits    []float64
+// poisonTotals adds up the results of schedules.
+type poisonTotals struct {
+	mu                  sync.Mutex
+	maxCrashedEndpoints int // largest number of endpoints that one poison request crashed
+	quarantinedInnocent int // innocent requests in quarantine at the end
+	poisonRequests      int // poison requests that crashed an endpoint
+	quarantinedPoison   int // poison requests in quarantine at the end
+	crashes             int // crashes of endpoints by poison requests
+	givenUp             int // innocent requests that were not answered
+	innocentDelays      []float64
 }
 
-func (t *poisonTally) add(w *poisonWorld) {
+func (t *poisonTotals) add(w *poisonWorld) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.worst = max(t.worst, w.worst())
-	t.innocent += len(w.innocent)
-	t.sent += len(w.crashed)
-	t.caught += len(w.blocked)
+	t.maxCrashedEndpoints = max(t.maxCrashedEndpoints, w.maxCrashedEndpoints())
+	t.quarantinedInnocent += len(w.quarantinedInnocent)
+	t.poisonRequests += len(w.crashedEndpoints)
+	t.quarantinedPoison += len(w.quarantinedPoison)
 	t.crashes += w.crashes
-	t.refused += w.refused
-	t.waits = append(t.waits, w.waits...)
+	t.givenUp += w.givenUp
+	t.innocentDelays = append(t.innocentDelays, w.innocentDelays...)
 }
 
-func playPoison(count int, scenario poisonScenario) (*poisonTally, error) {
-	t := &poisonTally{}
+// runPoisonSchedules simulates the schedules with the seeds 1 to count and returns
+// their totals.
+func runPoisonSchedules(count int, scenario poisonScenario) (*poisonTotals, error) {
+	totals := &poisonTotals{}
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	for seed := range uint64(count) {
 		group.Go(func() error {
-			t.add(runPoison(seed+1, scenario))
+			totals.add(runPoisonSchedule(seed+1, scenario))
 			return nil
 		})
 	}
-	return t, group.Wait()
+	return totals, group.Wait()
 }
 
-// poisonEndpoint is an engine with its agent, which runs suspects alone.
+// poisonEndpoint simulates an engine with its agent, which runs suspects alone.
 type poisonEndpoint struct {
-	world   *poisonWorld
-	number  int
-	up      bool
-	life    int
-	running []*poisonRun
-	alone   bool         // a suspect runs, or waits for the endpoint to empty
-	queue   []*poisonRun // suspects, then others that came meanwhile
+	world       *poisonWorld
+	number      int
+	up          bool
+	incarnation int
+	running     []*poisonRun
+	alone       bool         // a suspect runs
+	queue       []*poisonRun // in the order of arrival
 }
 
-// poisonRun is one request at one endpoint.
+// poisonRun is one copy of a request at one endpoint.
 type poisonRun struct {
 	call  *poisonCall
 	alone bool
-	end   func(crashed bool, batch int)
+	onEnd func(crashed bool, batch int)
 }
 
-func (p *poisonEndpoint) offer(r *poisonRun) bool {
-	if !p.up || len(p.queue) > 2*poisonSlots {
+// enqueue adds a copy to the queue. It returns false if the endpoint is down or its
+// queue is full.
+func (p *poisonEndpoint) enqueue(r *poisonRun) bool {
+	if !p.up || len(p.queue) > 2*slotsPerPoisonEndpoint {
 		return false
 	}
 	p.queue = append(p.queue, r)
-	p.start()
+	p.startQueued()
 	return true
 }
 
-// start begins what the slots allow: a suspect only on an empty endpoint.
-func (p *poisonEndpoint) start() {
-	for len(p.queue) > 0 && !p.alone && len(p.running) < poisonSlots {
+// startQueued starts as many queued copies as the slots allow. A suspect starts only
+// if no other copy runs, and none starts beside it.
+func (p *poisonEndpoint) startQueued() {
+	for len(p.queue) > 0 && !p.alone && len(p.running) < slotsPerPoisonEndpoint {
 		next := p.queue[0]
 		if next.alone && len(p.running) > 0 {
 			return
@@ -237,14 +249,14 @@
 
 func (p *poisonEndpoint) run(r *poisonRun) {
 	p.running = append(p.running, r)
-	life := p.life
-	took := p.world.clock.between(5*time.Millisecond, 30*time.Millisecond)
-	p.world.clock.after(took, func() {
-		if p.life != life {
+	incarnation := p.incarnation
+	runTime := p.world.clock.between(5*time.Millisecond, 30*time.Millisecond)
+	p.world.clock.after(runTime, func() {
+		if p.incarnation != incarnation {
 			return
 		}
-		if r.call.fingerprint >= firstPoison {
-			p.world.noteCrash(r.call.fingerprint, p.number)
+		if r.call.fingerprint >= firstPoisonFingerprint {
+			p.world.recordCrash(r.call.fingerprint, p.number)
 			p.crash()
 			return
 		}
@@ -260,38 +272,39 @@
 		}
 	}
 	p.alone = false
-	r.end(false, 0)
-	p.start()
+	r.onEnd(false, 0)
+	p.startQueued()
 }
 
-// crash ends everything that runs; what was queued goes elsewhere.
+// crash ends the copies that run or are queued. Only those that ran get a batch size,
+// the number of different requests among them.
 func (p *poisonEndpoint) crash() {
 	if !p.up {
 		return
 	}
-	ran, waited := p.running, p.queue
+	running, queued := p.running, p.queue
 	p.running, p.queue = nil, nil
 	p.up, p.alone = false, false
-	p.life++
-	different := map[uint64]bool{}
-	for _, r := range ran {
-		different[r.call.fingerprint] = true
+	p.incarnation++
+	fingerprints := map[uint64]bool{}
+	for _, r := range running {
+		fingerprints[r.call.fingerprint] = true
 	}
-	for _, r := range ran {
-		r.end(true, len(different))
+	for _, r := range running {
+		r.onEnd(true, len(fingerprints))
 	}
-	for _, r := range waited {
-		r.end(true, 0)
+	for _, r := range queued {
+		r.onEnd(true, 0)
 	}
 	p.world.clock.after(p.world.clock.between(200*time.Millisecond, time.Second), func() { p.up = true })
 }
 
-func (w *poisonWorld) noteCrash(fingerprint uint64, endpoint int) {
+func (w *poisonWorld) recordCrash(fingerprint uint64, endpoint int) {
 	w.crashes++
-	if w.crashed[fingerprint] == nil {
-		w.crashed[fingerprint] = map[int]bool{}
+	if w.crashedEndpoints[fingerprint] == nil {
+		w.crashedEndpoints[fingerprint] = map[int]bool{}
 	}
-	w.crashed[fingerprint][endpoint] = true
+	w.crashedEndpoints[fingerprint][endpoint] = true
 }
 
 func endpointName(number int) string {
@@ -305,6 +318,6 @@
 		Endpoint:    endpointName(p.number),
 		Batch:       batch,
 		UnixMilli:   now.UnixMilli(),
-		Crash:       int64(p.life),
+		Crash:       int64(p.incarnation),
 	}
 }
--- a/internal/lab/callers/poison_entry.go
+++ b/internal/lab/callers/poison_entry.go
@@ -9,58 +9,58 @@
 )
 
 const (
-	poisonTries    = 3
-	poisonWait     = 20 * time.Millisecond // before a suspect asks the peers again
-	poisonAskLimit = 10 * time.Millisecond // for one round of questions
-	poisonAsks     = 40                    // rounds before a call is given up
-	followAsks     = 25                    // waits for an endpoint to follow another copy to
-	placementLoss  = 0.001                 // of the news of a copy
+	maxPoisonRetries  = 3
+	poisonRetryDelay  = 20 * time.Millisecond // before a call that cannot run yet is tried again
+	peerQueryTimeout  = 10 * time.Millisecond
+	maxWaits          = 40    // waits for peers or endpoints after which a call is given up
+	maxFollowWaits    = 25    // waits after which a copy need not follow another one
+	placementLossRate = 0.001 // share of the messages about copies that are lost
 )
 
-// poisonEntry hosts a registry as the runtime of an entry does.
+// poisonEntry simulates an entry with its registry, as the runtime of an entry does.
 type poisonEntry struct {
-	world    *poisonWorld
-	name     string
-	registry *poison.Registry
-	posted   map[string]time.Time // when the last news reaches a peer
+	world       *poisonWorld
+	name        string
+	registry    *poison.Registry
+	lastArrival map[string]time.Time // arrival of the last placement message, by peer
 }
 
-// poisonCall is one call of a caller at one entry.
+// poisonCall is one submission of a request to one entry.
 type poisonCall struct {
 	fingerprint uint64
-	tries       int
-	asks        int
-	since       time.Time // innocent requests only
+	runs        int       // copies that were sent to an endpoint
+	waits       int       // waits for peers or for an endpoint
+	arrivedAt   time.Time // zero for poison requests
 }
 
 func (c *poisonCall) id() poison.ID {
 	return poison.ID{Service: poisonService, Fingerprint: c.fingerprint}
 }
 
-// take runs the call as the registry allows.
-func (e *poisonEntry) take(c *poisonCall) {
-	if e.world.scenario.variant == unguarded {
-		e.run(c, false)
+// tryRun runs the call as the registry allows. A quarantined request is not run.
+func (e *poisonEntry) tryRun(c *poisonCall) {
+	if e.world.scenario.disabled == suspicionAndQuarantine {
+		e.startCopy(c, false)
 		return
 	}
 	switch e.registry.Verdict(e.world.clock.now, c.id()) {
 	case poison.Unrestricted:
-		e.run(c, false)
+		e.startCopy(c, false)
 	case poison.Alone:
-		e.ask(c)
+		e.queryPeers(c)
 	}
 }
 
-// ask looks at every other entry before a suspect starts. One that does not
-// answer is asked again, and taken for gone after that.
-func (e *poisonEntry) ask(c *poisonCall) {
-	if c.asks++; c.asks > poisonAsks {
+// queryPeers asks all other entries before a suspect starts. If an entry does not
+// answer after some attempts, the suspect starts without its answer.
+func (e *poisonEntry) queryPeers(c *poisonCall) {
+	if c.waits++; c.waits > maxWaits {
 		e.giveUp(c)
 		return
 	}
 	w := e.world
 	if !e.registry.Reserve(c.id()) {
-		w.clock.after(poisonWait, func() { e.take(c) })
+		w.clock.after(poisonRetryDelay, func() { e.tryRun(c) })
 		return
 	}
 	busy := false
@@ -68,174 +68,185 @@
 		if peer == e {
 			continue
 		}
-		e.exchange(peer, 3, c.id(), &busy)
+		e.syncWith(peer, 3, c.id(), &busy)
 	}
-	w.clock.after(poisonAskLimit, func() {
+	w.clock.after(peerQueryTimeout, func() {
 		verdict := e.registry.Verdict(w.clock.now, c.id())
 		if busy || verdict == poison.Blocked {
 			e.registry.CancelReservation(c.id())
-			w.clock.after(poisonWait, func() { e.take(c) })
+			w.clock.after(poisonRetryDelay, func() { e.tryRun(c) })
 			return
 		}
 		if !e.registry.Reserved(c.id()) {
-			w.clock.after(poisonWait, func() { e.take(c) })
+			w.clock.after(poisonRetryDelay, func() { e.tryRun(c) })
 			return
 		}
-		e.run(c, true)
+		e.startCopy(c, true)
 	})
 }
 
-// exchange tells a peer what is known here and takes in what it knows; either
-// way may be lost and is then tried again.
-func (e *poisonEntry) exchange(peer *poisonEntry, tries int, id poison.ID, busy *bool) {
-	if tries == 0 {
+// syncWith exchanges suspicions and quarantines with a peer, and sets busy if a copy of
+// the request runs or is reserved there. A lost exchange is retried until no attempts
+// are left.
+func (e *poisonEntry) syncWith(peer *poisonEntry, attempts int, id poison.ID, busy *bool) {
+	if attempts == 0 {
 		return
 	}
 	w := e.world
 	if w.clock.chance(0.06) {
-		w.clock.after(3*time.Millisecond, func() { e.exchange(peer, tries-1, id, busy) })
+		w.clock.after(3*time.Millisecond, func() { e.syncWith(peer, attempts-1, id, busy) })
 		return
 	}
-	suspicions, list := e.registry.Suspicions(), e.registry.List(w.clock.now)
+	suspicions, quarantine := e.registry.Suspicions(), e.registry.List(w.clock.now)
 	w.clock.after(w.clock.between(500*time.Microsecond, 1500*time.Microsecond), func() {
-		peer.learn(suspicions, list)
+		peer.merge(suspicions, quarantine)
 		if peer.registry.Busy(id, e.name) {
 			*busy = true
 		}
-		suspicions, list := peer.registry.Suspicions(), peer.registry.List(w.clock.now)
-		w.clock.after(w.clock.between(500*time.Microsecond, 1500*time.Microsecond), func() { e.learn(suspicions, list) })
+		suspicions, quarantine := peer.registry.Suspicions(), peer.registry.List(w.clock.now)
+		w.clock.after(w.clock.between(500*time.Microsecond, 1500*time.Microsecond), func() { e.merge(suspicions, quarantine) })
 	})
 }
 
-func (e *poisonEntry) learn(suspicions []wire.Suspicion, list []wire.QuarantineEntry) {
-	e.registry.Merge(e.world.clock.now, list)
+// merge records the suspicions and quarantines of a peer.
+func (e *poisonEntry) merge(suspicions []wire.Suspicion, quarantine []wire.QuarantineEntry) {
+	e.registry.Merge(e.world.clock.now, quarantine)
 	for _, s := range suspicions {
 		e.registry.RecordCrash(e.world.clock.now, s)
 	}
 }
 
-// run begins a copy where it may run.
-func (e *poisonEntry) run(c *poisonCall, alone bool) {
+// startCopy starts a copy of the request at an endpoint where it may run.
+func (e *poisonEntry) startCopy(c *poisonCall, alone bool) {
 	w := e.world
-	target := e.choose(c)
+	target := e.chooseEndpoint(c)
 	if target == nil {
 		e.registry.CancelReservation(c.id())
-		e.retake(c)
+		e.waitForEndpoint(c)
 		return
 	}
-	c.tries++
-	if news, some := e.registry.StartCopy(w.clock.now, c.id(), endpointName(target.number)); some {
-		e.tell(news)
+	c.runs++
+	if placement, changed := e.registry.StartCopy(w.clock.now, c.id(), endpointName(target.number)); changed {
+		e.sendPlacement(placement)
 	}
 	r := &poisonRun{call: c, alone: alone}
-	r.end = func(crashed bool, batch int) { e.ended(c, target, crashed, batch) }
-	if !target.offer(r) {
-		e.leave(c, target, false)
-		w.clock.after(poisonWait, func() { e.again(c) })
+	r.onEnd = func(crashed bool, batch int) { e.handleEnd(c, target, crashed, batch) }
+	if !target.enqueue(r) {
+		e.endCopy(c, target, false)
+		w.clock.after(poisonRetryDelay, func() { e.retry(c) })
 	}
 }
 
-// choose takes any endpoint, or of those where the request may run one that is
-// up, as the runtime's pool does; nil if none is.
-func (e *poisonEntry) choose(c *poisonCall) *poisonEndpoint {
+// chooseEndpoint returns a random endpoint if the request may run there, otherwise one
+// that is up and may run it, as the runtime's pool does. It returns nil if there is none.
+// After maxFollowWaits it returns the random endpoint unless the restriction is
+// exclusive.
+func (e *poisonEntry) chooseEndpoint(c *poisonCall) *poisonEndpoint {
 	w := e.world
-	wanted := w.anyEndpoint()
-	allowed, firm := e.allowed(c)
-	if len(allowed) == 0 || slices.Contains(allowed, endpointName(wanted.number)) {
-		return wanted
+	endpoint := w.randomEndpoint()
+	allowed, exclusive := e.allowedEndpoints(c)
+	if len(allowed) == 0 || slices.Contains(allowed, endpointName(endpoint.number)) {
+		return endpoint
 	}
 	for _, p := range w.endpoints {
 		if p.up && slices.Contains(allowed, endpointName(p.number)) {
 			return p
 		}
 	}
-	if !firm && c.asks > followAsks {
-		return wanted
+	if !exclusive && c.waits > maxFollowWaits {
+		return endpoint
 	}
 	return nil
 }
 
-// retake looks again after a while, as the runtime does without a new attempt.
-func (e *poisonEntry) retake(c *poisonCall) {
-	if c.asks++; c.asks > poisonAsks {
+// waitForEndpoint tries the call again after a delay. This does not count as a run, as
+// in the runtime.
+func (e *poisonEntry) waitForEndpoint(c *poisonCall) {
+	if c.waits++; c.waits > maxWaits {
 		e.giveUp(c)
 		return
 	}
-	e.world.clock.after(poisonWait, func() { e.take(c) })
+	e.world.clock.after(poisonRetryDelay, func() { e.tryRun(c) })
 }
 
-func (e *poisonEntry) allowed(c *poisonCall) (endpoints []string, firm bool) {
-	now, variant := e.world.clock.now, e.world.scenario.variant
+// allowedEndpoints returns Registry.AllowedEndpoints, or no restriction if the safeguard
+// is disabled.
+func (e *poisonEntry) allowedEndpoints(c *poisonCall) (endpoints []string, exclusive bool) {
+	now, disabled := e.world.clock.now, e.world.scenario.disabled
 	suspect := e.registry.Verdict(now, c.id()) == poison.Alone
-	if variant == unguarded || variant == anywhere || variant == unfollowed && !suspect {
+	if disabled == suspicionAndQuarantine || disabled == allPlacement || disabled == copyPlacement && !suspect {
 		return nil, false
 	}
 	return e.registry.AllowedEndpoints(now, c.id())
 }
 
-// leave ends a copy, as its answer says.
-func (e *poisonEntry) leave(c *poisonCall, p *poisonEndpoint, answered bool) {
-	if news, some := e.registry.EndCopy(e.world.clock.now, c.id(), endpointName(p.number), answered); some {
-		e.tell(news)
+// endCopy records the end of a copy.
+func (e *poisonEntry) endCopy(c *poisonCall, p *poisonEndpoint, answered bool) {
+	if placement, changed := e.registry.EndCopy(e.world.clock.now, c.id(), endpointName(p.number), answered); changed {
+		e.sendPlacement(placement)
 	}
 }
 
-// tell sends every peer where a copy runs or ended; some of it is lost.
-func (e *poisonEntry) tell(news wire.Placement) {
+// sendPlacement tells all peers that a copy started or ended. Some of the messages are
+// lost.
+func (e *poisonEntry) sendPlacement(placement wire.Placement) {
 	w := e.world
-	if w.scenario.variant != whole {
+	if w.scenario.disabled != noPoisonSafeguard {
 		return
 	}
 	for _, peer := range w.entries {
-		if peer == e || w.clock.chance(placementLoss) {
+		if peer == e || w.clock.chance(placementLossRate) {
 			continue
 		}
-		e.post(peer, func() { peer.registry.RecordPlacement(w.clock.now, news) })
+		e.sendInOrder(peer, func() { peer.registry.RecordPlacement(w.clock.now, placement) })
 	}
 }
 
-// post keeps the order of one entry's news to a peer.
-func (e *poisonEntry) post(peer *poisonEntry, arrive func()) {
+// sendInOrder calls deliver after the time that a message takes, in the order of this
+// entry's messages to the peer.
+func (e *poisonEntry) sendInOrder(peer *poisonEntry, deliver func()) {
 	w := e.world
 	at := w.clock.now.Add(w.clock.between(500*time.Microsecond, 1500*time.Microsecond))
-	if last := e.posted[peer.name]; at.Before(last) {
+	if last := e.lastArrival[peer.name]; at.Before(last) {
 		at = last
 	}
-	e.posted[peer.name] = at
-	w.clock.after(at.Sub(w.clock.now), arrive)
+	e.lastArrival[peer.name] = at
+	w.clock.after(at.Sub(w.clock.now), deliver)
 }
 
-func (e *poisonEntry) again(c *poisonCall) {
-	if c.tries > poisonTries {
+// retry tries the call again unless it has run too often.
+func (e *poisonEntry) retry(c *poisonCall) {
+	if c.runs > maxPoisonRetries {
 		e.giveUp(c)
 		return
 	}
-	e.take(c)
+	e.tryRun(c)
 }
 
 func (e *poisonEntry) giveUp(c *poisonCall) {
-	if !c.since.IsZero() {
-		e.world.refused++
+	if !c.arrivedAt.IsZero() {
+		e.world.givenUp++
 	}
 }
 
-// ended takes in an outcome. What is known of a crash goes to the peers before
-// the caller hears of it, so that no resend overtakes it.
-func (e *poisonEntry) ended(c *poisonCall, p *poisonEndpoint, crashed bool, batch int) {
+// handleEnd handles the end of a copy. After a crash the suspicion is sent to the peers
+// before the call is retried or given up, so that no resend by the caller reaches a peer
+// that does not know of the crash.
+func (e *poisonEntry) handleEnd(c *poisonCall, p *poisonEndpoint, crashed bool, batch int) {
 	w := e.world
-	defer e.leave(c, p, !crashed)
+	defer e.endCopy(c, p, !crashed)
 	if !crashed {
-		w.waits = append(w.waits, w.clock.now.Sub(c.since).Seconds())
+		w.innocentDelays = append(w.innocentDelays, w.clock.now.Sub(c.arrivedAt).Seconds())
 		return
 	}
-	if batch > 0 && w.scenario.variant != unguarded {
+	if batch > 0 && w.scenario.disabled != suspicionAndQuarantine {
 		e.registry.RecordCrash(w.clock.now, suspicionOf(c, p, batch, w.clock.now))
 		ignored := false
 		for _, peer := range w.entries {
 			if peer != e {
-				e.exchange(peer, 3, c.id(), &ignored)
+				e.syncWith(peer, 3, c.id(), &ignored)
 			}
 		}
 	}
-	w.clock.after(poisonAskLimit, func() { e.again(c) })
+	w.clock.after(peerQueryTimeout, func() { e.retry(c) })
 }
--- a/internal/lab/callers/poison_measure.go
+++ b/internal/lab/callers/poison_measure.go
@@ -12,27 +12,28 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// waitQuantile is the share of innocent requests answered within the wait that
-// is measured; about as many run beside a crash as it leaves out.
-const waitQuantile = 0.999
+// innocentDelayQuantile is the quantile of the innocent requests' delays that is
+// measured. The share of requests above it is about that of the requests that run beside
+// a crash.
+const innocentDelayQuantile = 0.999
 
 func measurePoison() ([]bounds.Figure, error) {
-	plain, err := playPoison(poisonSchedules/10, usualResends.with(unguarded))
+	baseline, err := runPoisonSchedules(poisonScheduleCount/10, slowResends.without(suspicionAndQuarantine))
 	if err != nil {
 		return nil, err
 	}
-	figures := []bounds.Figure{{Name: "callers.poison_endpoints.baseline", Value: float64(plain.worst)}}
+	figures := []bounds.Figure{{Name: "callers.poison_endpoints.baseline", Value: float64(baseline.maxCrashedEndpoints)}}
 	scenarios := []struct {
 		suffix   string
 		scenario poisonScenario
-	}{{"", usualResends}, {".quick", quickResends}, {".stray", strayCrashes}}
-	cost, err := placementBytes()
+	}{{"", slowResends}, {".quick", quickResends}, {".stray", unrelatedCrashes}}
+	placementCost, err := placementBytes()
 	if err != nil {
 		return nil, err
 	}
-	figures = append(figures, bounds.Figure{Name: "callers.placement_bytes", Value: cost})
+	figures = append(figures, bounds.Figure{Name: "callers.placement_bytes", Value: placementCost})
 	for _, s := range scenarios {
-		t, err := playPoison(poisonSchedules, s.scenario)
+		t, err := runPoisonSchedules(poisonScheduleCount, s.scenario)
 		if err != nil {
 			return nil, err
 		}
@@ -41,37 +42,37 @@
 	return figures, nil
 }
 
-func (t *poisonTally) figures(suffix string) []bounds.Figure {
-	slices.Sort(t.waits)
-	slowest := t.waits[int(waitQuantile*float64(len(t.waits)))]
-	all := float64(len(t.waits) + t.refused)
+func (t *poisonTotals) figures(suffix string) []bounds.Figure {
+	slices.Sort(t.innocentDelays)
+	slowest := t.innocentDelays[int(innocentDelayQuantile*float64(len(t.innocentDelays)))]
+	all := float64(len(t.innocentDelays) + t.givenUp)
 	return []bounds.Figure{
-		{Name: "callers.poison_endpoints" + suffix, Value: float64(t.worst)},
-		{Name: "callers.poison_crashes" + suffix, Value: float64(t.crashes) / float64(t.sent)},
-		{Name: "callers.poison_caught" + suffix, Value: float64(t.caught) / float64(t.sent)},
-		{Name: "callers.innocent_quarantined" + suffix, Value: float64(t.innocent)},
+		{Name: "callers.poison_endpoints" + suffix, Value: float64(t.maxCrashedEndpoints)},
+		{Name: "callers.poison_crashes" + suffix, Value: float64(t.crashes) / float64(t.poisonRequests)},
+		{Name: "callers.poison_caught" + suffix, Value: float64(t.quarantinedPoison) / float64(t.poisonRequests)},
+		{Name: "callers.innocent_quarantined" + suffix, Value: float64(t.quarantinedInnocent)},
 		{Name: "callers.innocent_wait_s" + suffix, Value: slowest},
-		{Name: "callers.innocent_unanswered" + suffix, Value: float64(t.refused) / all},
+		{Name: "callers.innocent_unanswered" + suffix, Value: float64(t.givenUp) / all},
 	}
 }
 
-// placementBytes returns what the news of one unknown request costs per entry
-// told: its begin and its end, each in a message of its own, as under low load.
+// placementBytes returns the bytes that an entry sends to each peer for one request that
+// was never answered: its start and its end, each in its own message, as under low load.
 func placementBytes() (float64, error) {
 	var buffer bytes.Buffer
 	encoder := gob.NewEncoder(&buffer)
-	begun := wire.Placement{Service: "reminder-ledger", Fingerprint: math.MaxUint64 / 3, Endpoint: "agent-1234.karamsad-hall"}
-	ended := begun
+	started := wire.Placement{Service: "reminder-ledger", Fingerprint: math.MaxUint64 / 3, Endpoint: "agent-1234.karamsad-hall"}
+	ended := started
 	ended.Ended, ended.Cleared = true, true
-	first := 0 // the first pair describes the types
+	pairStart := 0 // only the first pair carries the descriptions of the types
 	for range 2 {
-		first = buffer.Len()
-		for _, news := range []wire.Placement{begun, ended} {
+		pairStart = buffer.Len()
+		for _, placement := range []wire.Placement{started, ended} {
 			header := rpc.Request{ServiceMethod: wire.PoisonService + ".Place", Seq: 1 << 20}
-			if err := errors.Join(encoder.Encode(header), encoder.Encode([]wire.Placement{news})); err != nil {
+			if err := errors.Join(encoder.Encode(header), encoder.Encode([]wire.Placement{placement})); err != nil {
 				return 0, err
 			}
 		}
 	}
-	return float64(buffer.Len() - first), nil
+	return float64(buffer.Len() - pairStart), nil
 }
--- a/internal/lab/callers/retry.go
+++ b/internal/lab/callers/retry.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	retryEndpoints = 10
-	retryQueue     = 8 // requests on one endpoint at most, the running one included
-	retryService   = 20 * time.Millisecond
-	retryDeadline  = 400 * time.Millisecond
-	retryOverload  = 3.0
-	retryTime      = 60 * time.Second
-	retryAttempts  = 4
-	retryHedgeAt   = 0.95
+	retryEndpoints   = 10
+	retryQueueLimit  = 8 // limit of requests at one endpoint, including the running one
+	retryServiceTime = 20 * time.Millisecond
+	retryDeadline    = 400 * time.Millisecond
+	retryLoadFactor  = 3.0
+	retryDuration    = 60 * time.Second
+	maxRetryAttempts = 4
+	hedgeQuantile    = 0.95
 )
 
-// retryWorld is a service at a multiple of its capacity: endpoints with short
+// retryWorld simulates a service under a multiple of its capacity: endpoints with short
 // queues, callers of two businesses, and the entry's retry policy.
 type retryWorld struct {
 	clock    *clock
-	budget   *retry.Budget // nil: the baseline retries whatever fails
+	budget   *retry.Budget // nil in the baseline, which retries every refused request
 	hedge    *retry.Hedge
 	queued   [retryEndpoints]int
-	free     [retryEndpoints]time.Time
+	freeAt   [retryEndpoints]time.Time
 	requests int
 	attempts int
-	onTime   int
+	onTime   int // requests answered within their deadline
 }
 
 // retryCall is one idempotent request.
 type retryCall struct {
-	business string
-	arrived  time.Time
-	tries    int
-	ended    bool
+	business  string
+	arrivedAt time.Time
+	attempts  int
+	answered  bool
 }
 
 func runRetries(budgeted bool) *retryWorld {
@@ -48,13 +48,13 @@
 		w.budget.SetRatio("kartli", 0.05)
 	}
 	w.clock.after(0, w.arrive)
-	w.clock.runUntil(w.clock.now.Add(retryTime))
+	w.clock.runUntil(w.clock.now.Add(retryDuration))
 	return w
 }
 
 func (w *retryWorld) arrive() {
-	rate := retryOverload * retryEndpoints / retryService.Seconds()
-	c := &retryCall{business: "kheda", arrived: w.clock.now}
+	rate := retryLoadFactor * retryEndpoints / retryServiceTime.Seconds()
+	c := &retryCall{business: "kheda", arrivedAt: w.clock.now}
 	if w.clock.chance(0.5) {
 		c.business = "kartli"
 	}
@@ -63,80 +63,82 @@
 		w.budget.Earn(c.business)
 	}
 	w.send(c)
-	w.planHedge(c)
+	w.scheduleHedge(c)
 	gap := time.Duration(w.clock.random.ExpFloat64() / rate * float64(time.Second))
 	w.clock.after(gap, w.arrive)
 }
 
-// planHedge sends a second attempt once the first is slower than usual.
-func (w *retryWorld) planHedge(c *retryCall) {
-	delay, ok := w.hedge.Delay("lookup", retryHedgeAt)
+// scheduleHedge sends a second attempt if the first one takes longer than the
+// hedgeQuantile of the latencies.
+func (w *retryWorld) scheduleHedge(c *retryCall) {
+	delay, ok := w.hedge.Delay("lookup", hedgeQuantile)
 	if !ok {
 		return
 	}
 	w.clock.after(delay, func() {
-		if !c.ended && w.mayRetry(c) {
+		if !c.answered && w.mayRetry(c) {
 			w.send(c)
 		}
 	})
 }
 
 func (w *retryWorld) send(c *retryCall) {
-	if c.ended || c.tries >= retryAttempts {
+	if c.answered || c.attempts >= maxRetryAttempts {
 		return
 	}
-	c.tries++
+	c.attempts++
 	w.attempts++
 	e := w.clock.random.IntN(retryEndpoints)
-	if w.queued[e] >= retryQueue {
-		w.clock.after(time.Millisecond, func() { w.failed(c) })
+	if w.queued[e] >= retryQueueLimit {
+		w.clock.after(time.Millisecond, func() { w.handleRefusal(c) })
 		return
 	}
 	w.queued[e]++
 	start := w.clock.now
-	if w.free[e].After(start) {
-		start = w.free[e]
+	if w.freeAt[e].After(start) {
+		start = w.freeAt[e]
 	}
-	end := start.Add(w.clock.between(retryService/2, 3*retryService/2))
-	w.free[e] = end
+	end := start.Add(w.clock.between(retryServiceTime/2, 3*retryServiceTime/2))
+	w.freeAt[e] = end
 	w.clock.after(end.Sub(w.clock.now), func() {
 		w.queued[e]--
-		w.answered(c)
+		w.handleAnswer(c)
 	})
 }
 
-func (w *retryWorld) answered(c *retryCall) {
-	if c.ended {
+func (w *retryWorld) handleAnswer(c *retryCall) {
+	if c.answered {
 		return
 	}
-	c.ended = true
-	took := w.clock.now.Sub(c.arrived)
-	w.hedge.Observe("lookup", took)
-	if took <= retryDeadline {
+	c.answered = true
+	latency := w.clock.now.Sub(c.arrivedAt)
+	w.hedge.Observe("lookup", latency)
+	if latency <= retryDeadline {
 		w.onTime++
 	}
 }
 
-func (w *retryWorld) failed(c *retryCall) {
+func (w *retryWorld) handleRefusal(c *retryCall) {
 	refusal := wire.Answer{Outcome: wire.NotRun, Reason: wire.ReasonQueueFull}
-	if c.ended || !retry.Retryable(true, refusal) || !w.mayRetry(c) {
+	if c.answered || !retry.Retryable(true, refusal) || !w.mayRetry(c) {
 		return
 	}
-	w.clock.after(retry.Backoff(c.tries, w.clock.random), func() { w.send(c) })
+	w.clock.after(retry.Backoff(c.attempts, w.clock.random), func() { w.send(c) })
 }
 
 func (w *retryWorld) mayRetry(c *retryCall) bool {
 	return w.budget == nil || w.budget.Spend(c.business)
 }
 
+// amplification returns the number of attempts per request.
 func (w *retryWorld) amplification() float64 {
 	return float64(w.attempts) / float64(w.requests)
 }
 
 func measureRetries() ([]bounds.Figure, error) {
-	budgeted, plain := runRetries(true), runRetries(false)
+	budgeted, baseline := runRetries(true), runRetries(false)
 	return []bounds.Figure{
 		{Name: "callers.amplification", Value: budgeted.amplification()},
-		{Name: "callers.amplification.baseline", Value: plain.amplification()},
+		{Name: "callers.amplification.baseline", Value: baseline.amplification()},
 	}, nil
 }
