--- a/cmd/siskinlab/main.go
+++ b/cmd/siskinlab/main.go
@@ -25,7 +25,7 @@
 func measurements() []bounds.Measurement {
 	var all []bounds.Measurement
 	all = append(all, rollout.Bounds()...)
-	all = append(all, callers.ClaimsBounds()...)
+	all = append(all, callers.Bounds()...)
 	all = append(all, config.Bounds()...)
 	all = append(all, routing.Bounds()...)
 	all = append(all, weights.Bounds()...)
--- a/internal/lab/callers/claims.go
+++ b/internal/lab/callers/claims.go
@@ -75,8 +75,8 @@
 	return totals, group.Wait()
 }
 
-// ClaimsBounds returns the measurements of this package.
-func ClaimsBounds() []bounds.Measurement {
+// Bounds returns the measurements of this package.
+func Bounds() []bounds.Measurement {
 	return []bounds.Measurement{
 		{Name: "callers.claims", Run: measureClaims},
 		{Name: "claims.load", Run: measureClaimWrites},
