--- a/internal/lab/demo/judge.go
+++ b/internal/lab/demo/check.go
@@ -15,8 +15,8 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-// Judge prints the demo's tables from what was written into dir and returns
-// how often something was broken that must always hold.
+// Judge prints the tables of the demo's results in dir and returns the number of
+// violations of the invariants.
 func Judge(dir string, out io.Writer) (int, error) {
 	layout, err := Load(filepath.Join(dir, "layout.json"))
 	if err != nil {
@@ -30,18 +30,18 @@
 	if err != nil {
 		return 0, err
 	}
-	broken := 0
-	doubles, falseNotRun := compare(results, effects)
+	violations := 0
+	doubleRuns, falseNotRun := countViolations(results, effects)
 	if err := printClasses(out, results); err != nil {
 		return 0, err
 	}
 	for _, r := range results {
-		broken += r.Wrong
+		violations += r.Wrong
 	}
-	fmt.Fprintf(out, "operations run twice: %d, run though told \"not run\": %d, effects seen: %d\n", doubles, falseNotRun, len(effects))
-	broken += doubles + falseNotRun
-	feeds, err := printFeeds(dir, layout, out)
-	return broken + feeds, err
+	fmt.Fprintf(out, "operations run twice: %d, run though told \"not run\": %d, effects seen: %d\n", doubleRuns, falseNotRun, len(effects))
+	violations += doubleRuns + falseNotRun
+	feedViolations, err := printFeeds(dir, layout, out)
+	return violations + feedViolations, err
 }
 
 func readResults(dir string) ([]ClassResult, error) {
@@ -53,8 +53,8 @@
 	return results, errors.Wrap(json.Unmarshal(text, &results), "demo")
 }
 
-// readEffects counts each operation over all plain endpoints, those that were
-// killed included.
+// readEffects returns how often each operation ran, over all endpoints of the plain
+// services including those that were killed.
 func readEffects(layout Layout) (map[string]int, error) {
 	effects := map[string]int{}
 	for _, site := range layout.Sites {
@@ -62,7 +62,7 @@
 			if a.Effects == "" {
 				continue
 			}
-			if err := addEffects(a.Effects, effects); err != nil {
+			if err := countEffects(a.Effects, effects); err != nil {
 				return nil, err
 			}
 		}
@@ -70,7 +70,8 @@
 	return effects, nil
 }
 
-func addEffects(path string, effects map[string]int) error {
+// countEffects adds the operations in an endpoint's file of effects.
+func countEffects(path string, effects map[string]int) error {
 	file, err := os.Open(path)
 	if os.IsNotExist(err) {
 		return nil
@@ -86,10 +87,12 @@
 	return errors.Wrap(scanner.Err(), "demo")
 }
 
-func compare(results []ClassResult, effects map[string]int) (doubles, falseNotRun int) {
+// countViolations returns the number of operations that ran more than once, and of
+// those that ran although the caller was answered "not run".
+func countViolations(results []ClassResult, effects map[string]int) (doubleRuns, falseNotRun int) {
 	for _, n := range effects {
 		if n > 1 {
-			doubles++
+			doubleRuns++
 		}
 	}
 	for _, r := range results {
@@ -99,14 +102,14 @@
 			}
 		}
 	}
-	return doubles, falseNotRun
+	return doubleRuns, falseNotRun
 }
 
 func printClasses(out io.Writer, results []ClassResult) error {
 	table := tablewriter.NewWriter(out)
 	table.Header("deployment", "class", "on time", "late", "not run", "unknown", "wrong", "resent", "p50 ms", "p99 ms", "reasons")
 	for _, r := range results {
-		row := []any{r.Site, r.Class, r.OnTime, r.Late, r.NotRun, r.Unknown, r.Wrong, r.Resent, fmt.Sprintf("%.1f", r.P50), fmt.Sprintf("%.1f", r.P99), reasonsOf(r)}
+		row := []any{r.Site, r.Class, r.OnTime, r.Late, r.NotRun, r.Unknown, r.Wrong, r.Resent, fmt.Sprintf("%.1f", r.P50), fmt.Sprintf("%.1f", r.P99), formatReasons(r)}
 		if err := table.Append(row...); err != nil {
 			return errors.Wrap(err, "demo")
 		}
@@ -114,7 +117,7 @@
 	return errors.Wrap(table.Render(), "demo")
 }
 
-func reasonsOf(r ClassResult) string {
+func formatReasons(r ClassResult) string {
 	var list []string
 	for reason, n := range r.Reasons {
 		list = append(list, fmt.Sprintf("%s: %d", reason, n))
@@ -122,31 +125,32 @@
 	return strings.Join(list, ", ")
 }
 
-// printFeeds prints the trainers' own reports. A feed that handed nothing over
-// counts as broken: the demo would otherwise pass without a rollout.
+// printFeeds prints the reports of the trainers and returns the number of violations in
+// them. A feed without a complete step is a violation; otherwise the demo would pass
+// without a rollout.
 func printFeeds(dir string, layout Layout, out io.Writer) (int, error) {
 	table := tablewriter.NewWriter(out)
 	table.Header("feed", "steps", "samples", "idle s", "train s", "staleness mean", "max", "version", "too old", "duplicates", "mislabelled")
-	broken := 0
+	violations := 0
 	for _, site := range layout.Sites {
-		r, err := readTrainer(filepath.Join(dir, "logs", site.Deployment+"-trainer.out"))
+		r, err := readTrainerReport(filepath.Join(dir, "logs", site.Deployment+"-trainer.out"))
 		if err != nil {
-			return broken, err
+			return violations, err
 		}
-		broken += r.Stale + r.Duplicates + r.Mislabelled
+		violations += r.Stale + r.Duplicates + r.Mislabelled
 		if r.Steps == 0 {
-			broken++
+			violations++
 		}
 		row := []any{site.Feed, r.Steps, r.Samples, fmt.Sprintf("%.1f", r.IdleSeconds), fmt.Sprintf("%.1f", r.TrainSeconds), fmt.Sprintf("%.2f", r.StalenessMean), r.StalenessMax, r.Version, r.Stale, r.Duplicates, r.Mislabelled}
 		if err := table.Append(row...); err != nil {
-			return broken, errors.Wrap(err, "demo")
+			return violations, errors.Wrap(err, "demo")
 		}
 	}
-	return broken, errors.Wrap(table.Render(), "demo")
+	return violations, errors.Wrap(table.Render(), "demo")
 }
 
-// readTrainer reads the report that a trainer prints as its last line.
-func readTrainer(path string) (standin.TrainerReport, error) {
+// readTrainerReport reads the report that a trainer prints as its last line.
+func readTrainerReport(path string) (standin.TrainerReport, error) {
 	var r standin.TrainerReport
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/demo/control.go
+++ b/internal/lab/demo/control.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	controlLimit = 5 * time.Second
-	readyLimit   = 20 * time.Second
-	readyPause   = 100 * time.Millisecond
+	controlTimeout    = 5 * time.Second
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 100 * time.Millisecond
 )
 
-// PublishInstances hands each site's instance list to its platform.
+// PublishInstances sends each site's instance list to its platform.
 func PublishInstances(dir string, layout Layout) error {
 	for _, site := range layout.Sites {
 		text, err := os.ReadFile(filepath.Join(dir, "instances-"+site.Deployment+".json"))
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// Outage takes every key-value service away or gives it back.
+// Outage starts or ends an outage of all key-value services.
 func Outage(layout Layout, on bool) error {
 	for _, site := range layout.Sites {
 		if err := post(site.Control, fmt.Sprintf("/outage?on=%d", map[bool]int{true: 1}[on]), nil); err != nil {
@@ -40,22 +40,22 @@
 	return nil
 }
 
-// AwaitControls waits until every platform's switches answer.
+// AwaitControls waits until the fault switches of all platforms answer.
 func AwaitControls(layout Layout) error {
 	for _, site := range layout.Sites {
-		if err := await(site.Control, "/stats"); err != nil {
+		if err := awaitOK(site.Control, "/stats"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// AwaitReady waits until every entry and agent says that it is ready.
+// AwaitReady waits until all entries and agents report that they are ready.
 func AwaitReady(layout Layout) error {
 	for _, site := range layout.Sites {
 		for _, all := range [][]Instance{site.Entries, site.Agents} {
 			for _, instance := range all {
-				if err := await(instance.Metrics, "/readyz"); err != nil {
+				if err := awaitOK(instance.Metrics, "/readyz"); err != nil {
 					return errors.Wrap(err, instance.ID)
 				}
 			}
@@ -64,16 +64,17 @@
 	return nil
 }
 
-func await(address, path string) error {
-	end := time.Now().Add(readyLimit)
-	for time.Now().Before(end) {
+// awaitOK waits until a GET request is answered with status 200.
+func awaitOK(address, path string) error {
+	deadline := time.Now().Add(readyTimeout)
+	for time.Now().Before(deadline) {
 		status, _, err := fasthttp.GetTimeout(nil, "http://"+address+path, time.Second)
 		if err == nil && status == fasthttp.StatusOK {
 			return nil
 		}
-		time.Sleep(readyPause)
+		time.Sleep(readyPollInterval)
 	}
-	return errors.Errorf("demo: %s%s did not answer 200 within %s", address, path, readyLimit)
+	return errors.Errorf("demo: %s%s did not answer 200 within %s", address, path, readyTimeout)
 }
 
 func post(address, path string, body []byte) error {
@@ -84,7 +85,7 @@
 	req.SetRequestURI("http://" + address + path)
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetBody(body)
-	if err := fasthttp.DoTimeout(req, resp, controlLimit); err != nil {
+	if err := fasthttp.DoTimeout(req, resp, controlTimeout); err != nil {
 		return errors.Wrap(err, "demo: "+path)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
--- a/internal/lab/demo/faults.go
+++ b/internal/lab/demo/faults.go
@@ -14,29 +14,29 @@
 const (
 	Kill    Verb = "kill"    // SIGKILL
 	Stop    Verb = "stop"    // SIGTERM, a planned stop
-	Start   Verb = "start"   // once the process has ended
+	Start   Verb = "start"   // starts the process again, after it has ended
 	Pause   Verb = "pause"   // SIGSTOP
 	Resume  Verb = "resume"  // SIGCONT
 	Away    Verb = "outage"  // the key-value services stop answering
-	Recover Verb = "recover" // and answer again
+	Recover Verb = "recover" // the key-value services answer again
 )
 
 const (
-	faultsFrom   = 4 * time.Second // of the load
-	faultsUntil  = 8 * time.Second // before its end, so that what was begun can end
-	faultGap     = 4 * time.Second // between two faults at most
-	longestPause = 9 * time.Second // past a duty's lease
-	longestAway  = 12 * time.Second
-	// settleTime keeps a process that has come back from the next fault, since
-	// a process that is never up shows nothing.
-	settleTime = 3 * time.Second
+	firstFaultAt     = 4 * time.Second // after the start of the load
+	faultFreeTail    = 8 * time.Second // at the end of the load, so that open requests can end
+	maxFaultInterval = 4 * time.Second
+	maxDowntime      = 9 * time.Second // also of a pause; longer than a duty's lease
+	maxOutage        = 12 * time.Second
+	// recoveryTime is the minimum time between the end of a fault and the next fault of
+	// the same target. A process that is never up would test nothing.
+	recoveryTime = 3 * time.Second
 )
 
 // Fault is one event of a schedule.
 type Fault struct {
-	At     time.Duration // since the load began, whole seconds
+	At     time.Duration // since the start of the load, in whole seconds
 	Verb   Verb
-	Target string // process name; empty: the key-value services
+	Target string // name of a process; empty for the key-value services
 }
 
 // String returns the fault as a line of a schedule's file.
@@ -44,69 +44,71 @@
 	return fmt.Sprintf("%d %s %s", int(f.At.Seconds()), f.Verb, f.Target)
 }
 
-// faultPlan draws a schedule.
-type faultPlan struct {
-	rnd    *rand.Rand
-	layout Layout
-	end    time.Duration
-	busy   map[string]time.Duration // until when a target is left alone
-	faults []Fault
+// faultScheduler draws a schedule of faults.
+type faultScheduler struct {
+	rng       *rand.Rand
+	layout    Layout
+	end       time.Duration
+	busyUntil map[string]time.Duration // by target, which gets no other fault before it
+	faults    []Fault
 }
 
-// Faults draws a schedule of faults for a load that lasts span. Any process may
-// be killed, stopped or paused, also several at once; each comes back. The same
-// seed, span and layout give the same schedule.
-func Faults(layout Layout, seed uint64, span time.Duration) []Fault {
-	p := &faultPlan{
-		rnd:    rand.New(rand.NewPCG(seed, seed)),
-		layout: layout,
-		end:    span - faultsUntil,
-		busy:   map[string]time.Duration{},
+// Faults draws a schedule of faults for a load of the given duration. Any entry, agent
+// or endpoint and the key-value services may fail, several of them at the same time, and
+// each one recovers. The same seed, duration and layout give the same schedule.
+func Faults(layout Layout, seed uint64, duration time.Duration) []Fault {
+	s := &faultScheduler{
+		rng:       rand.New(rand.NewPCG(seed, seed)),
+		layout:    layout,
+		end:       duration - faultFreeTail,
+		busyUntil: map[string]time.Duration{},
 	}
-	for at := faultsFrom; at < p.end; at += p.upTo(faultGap) {
-		p.draw(at)
+	for at := firstFaultAt; at < s.end; at += s.randomSeconds(maxFaultInterval) {
+		s.addRandomFault(at)
 	}
-	sort.SliceStable(p.faults, func(i, j int) bool { return p.faults[i].At < p.faults[j].At })
-	return p.faults
+	sort.SliceStable(s.faults, func(i, j int) bool { return s.faults[i].At < s.faults[j].At })
+	return s.faults
 }
 
-func (p *faultPlan) upTo(longest time.Duration) time.Duration {
-	return time.Duration(1+p.rnd.IntN(int(longest/time.Second))) * time.Second
+// randomSeconds returns a random number of whole seconds from one second to the limit.
+func (s *faultScheduler) randomSeconds(limit time.Duration) time.Duration {
+	return time.Duration(1+s.rng.IntN(int(limit/time.Second))) * time.Second
 }
 
-func (p *faultPlan) draw(at time.Duration) {
-	site := p.layout.Sites[p.rnd.IntN(len(p.layout.Sites))]
-	agent := site.Agents[p.rnd.IntN(len(site.Agents))].ID
-	entry := site.Entries[p.rnd.IntN(len(site.Entries))].ID
+func (s *faultScheduler) addRandomFault(at time.Duration) {
+	site := s.layout.Sites[s.rng.IntN(len(s.layout.Sites))]
+	agent := site.Agents[s.rng.IntN(len(site.Agents))].ID
+	entry := site.Entries[s.rng.IntN(len(site.Entries))].ID
 	endpoint := agent + "-endpoint"
-	switch p.rnd.IntN(10) {
+	switch s.rng.IntN(10) {
 	case 0:
-		p.pair(at, p.upTo(longestAway), Away, Recover, "")
+		s.addFault(at, s.randomSeconds(maxOutage), Away, Recover, "")
 	case 1, 2:
-		p.pair(at, p.upTo(longestPause), Kill, Start, entry)
+		s.addFault(at, s.randomSeconds(maxDowntime), Kill, Start, entry)
 	case 3:
-		p.pair(at, time.Second, Stop, Start, entry)
+		s.addFault(at, time.Second, Stop, Start, entry)
 	case 4, 5:
-		p.pair(at, p.upTo(longestPause), Pause, Resume, entry)
+		s.addFault(at, s.randomSeconds(maxDowntime), Pause, Resume, entry)
 	case 6:
-		p.pair(at, p.upTo(longestPause), Kill, Start, agent)
+		s.addFault(at, s.randomSeconds(maxDowntime), Kill, Start, agent)
 	case 7:
-		p.pair(at, p.upTo(longestPause), Pause, Resume, agent)
+		s.addFault(at, s.randomSeconds(maxDowntime), Pause, Resume, agent)
 	case 8:
-		p.pair(at, p.upTo(longestPause), Kill, Start, endpoint)
+		s.addFault(at, s.randomSeconds(maxDowntime), Kill, Start, endpoint)
 	default:
-		down := p.upTo(longestPause)
-		p.pair(at, down, Kill, Start, agent)
-		p.pair(at, down, Kill, Start, endpoint)
+		downtime := s.randomSeconds(maxDowntime)
+		s.addFault(at, downtime, Kill, Start, agent)
+		s.addFault(at, downtime, Kill, Start, endpoint)
 	}
 }
 
-// pair adds a fault and its end, unless its target is under another one.
-func (p *faultPlan) pair(at, lasts time.Duration, begin, end Verb, target string) {
-	if at < p.busy[target] {
+// addFault adds a fault and its end, unless the target has another fault or has not
+// recovered from it.
+func (s *faultScheduler) addFault(at, duration time.Duration, startVerb, endVerb Verb, target string) {
+	if at < s.busyUntil[target] {
 		return
 	}
-	over := min(at+lasts, p.end)
-	p.busy[target] = over + settleTime
-	p.faults = append(p.faults, Fault{at, begin, target}, Fault{over, end, target})
+	endAt := min(at+duration, s.end)
+	s.busyUntil[target] = endAt + recoveryTime
+	s.faults = append(s.faults, Fault{at, startVerb, target}, Fault{endAt, endVerb, target})
 }
--- a/internal/lab/demo/faults_schedule_test.go
+++ b/internal/lab/demo/faults_schedule_test.go
@@ -7,27 +7,27 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a drawn schedule of faults", func() {
-	It("is the same for the same seed, and ends what it begins before the load ends", func() {
-		layout, err := write(GinkgoT().TempDir(), firstPort, plans)
+var _ = Describe("a random schedule of faults", func() {
+	It("is the same for the same seed, and ends all faults before the load ends", func() {
+		layout, err := writeSites(GinkgoT().TempDir(), firstPort, exampleSpecs)
 		Expect(err).NotTo(HaveOccurred())
-		const span = time.Minute
-		first := Faults(layout, 3, span)
-		Expect(first).To(Equal(Faults(layout, 3, span)))
-		Expect(first).NotTo(Equal(Faults(layout, 4, span)))
+		const duration = time.Minute
+		first := Faults(layout, 3, duration)
+		Expect(first).To(Equal(Faults(layout, 3, duration)))
+		Expect(first).NotTo(Equal(Faults(layout, 4, duration)))
 		ends := map[Verb]Verb{Kill: Start, Stop: Start, Pause: Resume, Away: Recover}
-		open := map[string]Verb{}
+		pending := map[string]Verb{}
 		for _, f := range first {
-			Expect(f.At).To(BeNumerically("<=", span-faultsUntil))
-			if end, begins := ends[f.Verb]; begins {
-				Expect(open).NotTo(HaveKey(f.Target))
-				open[f.Target] = end
+			Expect(f.At).To(BeNumerically("<=", duration-faultFreeTail))
+			if end, starts := ends[f.Verb]; starts {
+				Expect(pending).NotTo(HaveKey(f.Target))
+				pending[f.Target] = end
 				continue
 			}
-			Expect(open).To(HaveKeyWithValue(f.Target, f.Verb))
-			delete(open, f.Target)
+			Expect(pending).To(HaveKeyWithValue(f.Target, f.Verb))
+			delete(pending, f.Target)
 		}
-		Expect(open).To(BeEmpty())
+		Expect(pending).To(BeEmpty())
 		Expect(len(first)).To(BeNumerically(">=", 20))
 	})
 })
--- a/internal/lab/demo/faults_test.go
+++ b/internal/lab/demo/faults_test.go
@@ -8,78 +8,81 @@
 	. "github.com/onsi/gomega"
 )
 
+// Lookups, syncs and drafts are the request classes of trafficOf. Only syncs are
+// non-idempotent.
 var _ = Describe("a deployment of real processes", func() {
-	// The claims' owner is killed while billing sends syncs. Billing sees some
-	// connections end and repeats those syncs under their keys through another
-	// entry. A sync that ran under the dead owner must not run again.
+	// The owner of the claims is killed under load. The caller loses some connections
+	// and resends the syncs with their keys to another entry. A sync that ran under the
+	// killed owner must not run again.
 	It("runs no sync twice when the owner of its claim is killed", func() {
 		s := startSite()
-		owner := s.owner("claims/0")
-		s.holds(s.under(func() { s.signal(syscall.SIGKILL, owner) }))
+		owner := s.dutyOwner("claims/0")
+		s.checkInvariants(s.runLoad(func() { s.signal(syscall.SIGKILL, owner) }))
 	})
-	// The owner is stopped for longer than its lease and goes on afterwards, sure
-	// that it still holds it. Its successor has taken over meanwhile; what the
-	// old owner still sends is refused.
+	// The owner is paused for longer than its lease, and a successor takes over. When the
+	// old owner resumes, it does not know that it has lost the lease. What it still sends
+	// must be refused.
 	It("runs no sync twice when the owner of its claim is paused past its lease", func() {
 		s := startSite()
-		owner := s.owner("claims/0")
-		s.holds(s.under(func() {
+		owner := s.dutyOwner("claims/0")
+		s.checkInvariants(s.runLoad(func() {
 			s.signal(syscall.SIGSTOP, owner)
 			time.AfterFunc(3*time.Second, func() { s.signal(syscall.SIGCONT, owner) })
 		}))
 	})
-	// A ledger's agent dies with its endpoint in the middle of syncs. What was
-	// running there is unknown, never "not run", and is not run elsewhere.
-	It("tells the truth about syncs on an instance that is killed", func() {
+	// An agent of the plain service is killed with its endpoint while syncs run there.
+	// Their outcome must be "unknown", not "not run", and they must not run elsewhere.
+	It("reports no sync as not run that ran on an instance that is killed", func() {
 		s := startSite()
-		victim := "ledgerwise-reminder-ledger-1"
-		s.holds(s.under(func() { s.signal(syscall.SIGKILL, victim, victim+"-endpoint") }))
+		agent := "ledgerwise-reminder-ledger-1"
+		s.checkInvariants(s.runLoad(func() { s.signal(syscall.SIGKILL, agent, agent+"-endpoint") }))
 	})
-	// Only the agent dies; its endpoint goes on with what it was running, and
-	// the answers are lost. A repeat must not run them again.
-	It("tells the truth about syncs whose agent alone is killed", func() {
+	// Only the agent is killed. Its endpoint completes the running syncs, but their
+	// answers are lost. A retry must not run them again.
+	It("reports no sync as not run whose agent is killed but not its endpoint", func() {
 		s := startSite()
-		s.holds(s.under(func() { s.signal(syscall.SIGKILL, "ledgerwise-reminder-ledger-1") }))
+		s.checkInvariants(s.runLoad(func() { s.signal(syscall.SIGKILL, "ledgerwise-reminder-ledger-1") }))
 	})
-	// An engine dies under drafts, plain and streamed. Each goes on at another
-	// engine behind its last token; no caller sees a cut or a repeated token.
-	It("answers drafts whole when their engine is killed", func() {
+	// An engine is killed while it generates drafts, some of them streamed. Each draft
+	// must continue at another engine after its last token. No caller may see a missing
+	// or repeated token.
+	It("answers drafts completely when their engine is killed", func() {
 		s := startSite()
-		results := s.under(func() { s.signal(syscall.SIGKILL, "ledgerwise-tone-model-1-endpoint") })
-		s.holds(results)
-		Expect(class(results, "draft").Unknown).To(BeZero())
+		results := s.runLoad(func() { s.signal(syscall.SIGKILL, "ledgerwise-tone-model-1-endpoint") })
+		s.checkInvariants(results)
+		Expect(resultOf(results, "draft").Unknown).To(BeZero())
 	})
-	// The key-value service goes away for three seconds. Lookups do not need
-	// it; a sync that could not be claimed is never dispatched.
-	It("answers lookups and runs no sync twice when the key-value service is away", func() {
+	// The key-value service is down for three seconds. Lookups do not need it. A sync
+	// that cannot be claimed must not be dispatched.
+	It("answers lookups and runs no sync twice when the key-value service is down", func() {
 		s := startSite()
-		results := s.under(func() {
+		results := s.runLoad(func() {
 			Expect(Outage(s.layout, true)).To(Succeed())
 			time.AfterFunc(3*time.Second, func() { _ = Outage(s.layout, false) })
 		})
-		s.holds(results)
-		lookups := class(results, "lookup")
+		s.checkInvariants(results)
+		lookups := resultOf(results, "lookup")
 		Expect(lookups.NotRun+lookups.Unknown).To(BeZero(), "%v", lookups.Reasons)
 	})
-	// A ledger instance and an entry are stopped as planned. Nothing in flight is
-	// cut: no lookup and no sync ends as unknown.
-	It("cuts nothing off when an agent and an entry are stopped as planned", func() {
+	// An agent of the plain service and an entry are stopped as planned. No request in
+	// flight may end as "unknown".
+	It("interrupts no request when an agent and an entry are stopped as planned", func() {
 		s := startSite()
-		results := s.under(func() { s.signal(syscall.SIGTERM, "ledgerwise-reminder-ledger-1", "ledgerwise-entry-2") })
-		s.holds(results)
+		results := s.runLoad(func() { s.signal(syscall.SIGTERM, "ledgerwise-reminder-ledger-1", "ledgerwise-entry-2") })
+		s.checkInvariants(results)
 		for _, r := range results {
 			Expect(r.Unknown).To(BeZero(), "%s: %v", r.Class, r.Reasons)
 		}
 	})
-	// The entry that owns claims is stopped as planned under syncs whose runs take
-	// up to 300 ms. It finishes what it began, hands its duty over, and the
-	// successor has to serve the calls sent meanwhile within their deadline of
-	// 2 s. Before, a poll of up to 1.7 s and the drain came first: some ran out of time.
-	It("cuts nothing off when the owner of claims is stopped as planned", func() {
+	// The entry that owns the claims is stopped as planned while syncs run for up to
+	// 300 ms. It completes them and hands over its duty. The successor has to serve the
+	// calls that arrive meanwhile within their deadline of 2 s. If the handover waited for
+	// a poll of up to 1.7 s and for the drain, some calls would miss their deadline.
+	It("interrupts no request when the owner of claims is stopped as planned", func() {
 		s := startSite()
-		owner := s.owner("claims/0")
-		results := s.under(func() { s.signal(syscall.SIGTERM, owner) })
-		s.holds(results)
+		owner := s.dutyOwner("claims/0")
+		results := s.runLoad(func() { s.signal(syscall.SIGTERM, owner) })
+		s.checkInvariants(results)
 		for _, r := range results {
 			Expect(r.Unknown).To(BeZero(), "%s: %v", r.Class, r.Reasons)
 		}
--- a/internal/lab/demo/feeds_test.go
+++ b/internal/lab/demo/feeds_test.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	trainTime = 300 * time.Millisecond
-	stepLimit = time.Minute
+	trainDuration = 300 * time.Millisecond
+	stepTimeout   = time.Minute
 )
 
-// train runs a trainer of the site's feed until the spec ends.
-func (s *site) train() *standin.Trainer {
+// startTrainer runs a trainer of the site's feed until the spec ends.
+func (s *runningSite) startTrainer() *standin.Trainer {
 	var entries []string
 	for _, e := range s.Entries {
 		entries = append(entries, e.GRPC)
 	}
 	trainer, err := standin.NewTrainer(standin.TrainerOptions{
-		Entries: entries, Key: plans[0].trainerKey, Deployment: s.Deployment, Feed: s.Feed,
-		Model: plans[0].weights, Version: 1, StalenessBound: int64(plans[0].bound), TrainTime: trainTime,
+		Entries: entries, Key: exampleSpecs[0].trainerKey, Deployment: s.Deployment, Feed: s.Feed,
+		Model: exampleSpecs[0].weightModel, Version: 1, StalenessBound: int64(exampleSpecs[0].stalenessBound), TrainTime: trainDuration,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(done)
+		defer close(stopped)
 		trainer.Run(ctx)
 	}()
 	DeferCleanup(func() {
 		cancel()
-		Eventually(done).WithTimeout(stepLimit).Should(BeClosed())
+		Eventually(stopped).WithTimeout(stepTimeout).Should(BeClosed())
 	})
 	return trainer
 }
 
-// reach waits until the trainer has trained so many more steps.
-func reach(trainer *standin.Trainer, more int) {
+// awaitSteps waits until the trainer has trained the given number of further steps.
+func awaitSteps(trainer *standin.Trainer, more int) {
 	want := trainer.Report().Steps + more
-	Eventually(func() int { return trainer.Report().Steps }).WithTimeout(stepLimit).Should(BeNumerically(">=", want))
+	Eventually(func() int { return trainer.Report().Steps }).WithTimeout(stepTimeout).Should(BeNumerically(">=", want))
 }
 
-func holdsFeed(trainer *standin.Trainer) {
+// checkSamples checks the invariants of the samples that the trainer received.
+func checkSamples(trainer *standin.Trainer) {
 	r := trainer.Report()
 	Expect(r.Duplicates).To(BeZero(), "samples handed over twice")
 	Expect(r.Mislabelled).To(BeZero(), "samples with a wrong label")
@@ -56,52 +57,52 @@
 }
 
 var _ = Describe("a trainer of a deployment of real processes", func() {
-	// The feed's owner is killed while it hands samples over. Its successor does
-	// not know which lot the trainer got last; the trainer's next pull tells it.
+	// The feed's owner is killed while it hands over samples. Its successor does not know
+	// which lot the trainer received last. It learns it from the trainer's next pull.
 	It("gets each sample once when the feed's owner is killed", func() {
 		s := startSite()
-		trainer := s.train()
-		reach(trainer, 2)
-		s.signal(syscall.SIGKILL, s.owner(wire.FeedDuty(s.Deployment, s.Feed)))
-		reach(trainer, 3)
-		holdsFeed(trainer)
+		trainer := s.startTrainer()
+		awaitSteps(trainer, 2)
+		s.signal(syscall.SIGKILL, s.dutyOwner(wire.FeedDuty(s.Deployment, s.Feed)))
+		awaitSteps(trainer, 3)
+		checkSamples(trainer)
 	})
-	// The owner is stopped past its lease, a successor hands samples over, and
-	// the old owner goes on and serves pulls as if nothing had happened.
+	// The owner is paused for longer than its lease, and a successor hands over samples.
+	// The old owner then resumes and still serves pulls.
 	It("gets each sample once when the feed's owner is paused past its lease", func() {
 		s := startSite()
-		trainer := s.train()
-		reach(trainer, 2)
-		owner := s.owner(wire.FeedDuty(s.Deployment, s.Feed))
+		trainer := s.startTrainer()
+		awaitSteps(trainer, 2)
+		owner := s.dutyOwner(wire.FeedDuty(s.Deployment, s.Feed))
 		s.signal(syscall.SIGSTOP, owner)
-		reach(trainer, 2)
+		awaitSteps(trainer, 2)
 		s.signal(syscall.SIGCONT, owner)
-		reach(trainer, 3)
-		holdsFeed(trainer)
+		awaitSteps(trainer, 3)
+		checkSamples(trainer)
 	})
-	// The key-value service is away while the owner lives. The trainer goes on
-	// pulling; what cannot be recorded meanwhile is told by its own pulls.
-	It("goes on through an outage of the key-value service", func() {
+	// The key-value service is down while the owner runs. The trainer continues to pull.
+	// Its pulls carry the cursor that cannot be recorded meanwhile.
+	It("continues during an outage of the key-value service", func() {
 		s := startSite()
-		trainer := s.train()
-		reach(trainer, 2)
+		trainer := s.startTrainer()
+		awaitSteps(trainer, 2)
 		Expect(Outage(s.layout, true)).To(Succeed())
-		reach(trainer, 1)
+		awaitSteps(trainer, 1)
 		Expect(Outage(s.layout, false)).To(Succeed())
-		reach(trainer, 3)
-		holdsFeed(trainer)
+		awaitSteps(trainer, 3)
+		checkSamples(trainer)
 	})
-	// An engine and the agent beside it die in the middle of samples, and
-	// weights are swapped all along. Lost samples are generated again.
-	It("gets whole and rightly labelled samples when an engine and an agent die", func() {
+	// An engine and then its agent are killed while they generate samples, and new
+	// weights are loaded meanwhile. Lost samples must be generated again.
+	It("gets complete and correctly labelled samples when an engine and an agent are killed", func() {
 		s := startSite()
-		trainer := s.train()
-		reach(trainer, 1)
+		trainer := s.startTrainer()
+		awaitSteps(trainer, 1)
 		s.signal(syscall.SIGKILL, "ledgerwise-tone-model-1-endpoint")
-		reach(trainer, 2)
+		awaitSteps(trainer, 2)
 		s.signal(syscall.SIGKILL, "ledgerwise-tone-model-1")
-		reach(trainer, 2)
-		holdsFeed(trainer)
+		awaitSteps(trainer, 2)
+		checkSamples(trainer)
 		Expect(trainer.Report().Announced).To(BeNumerically(">", 1))
 	})
 })
--- a/internal/lab/demo/load.go
+++ b/internal/lab/demo/load.go
@@ -20,44 +20,45 @@
 )
 
 const (
-	maxResends    = 4
-	resendPause   = 100 * time.Millisecond
-	callSlack     = time.Second // past the deadline before the client gives up on an entry
-	histogramMax  = 60_000_000  // microseconds
-	histogramDigs = 3
+	maxSends         = 4
+	resendDelay      = 100 * time.Millisecond
+	timeoutMargin    = time.Second // added to a request's deadline for the timeout of the client
+	maxLatencyMicros = 60_000_000
+	histogramDigits  = 3 // significant digits
 )
 
-// traffic is one request class's load.
-type traffic struct {
-	class    string
-	site     Site
-	key      string
-	rate     float64 // requests per second
-	deadline time.Duration
-	build    func(n int) order
+// trafficClass describes the load of one request class.
+type trafficClass struct {
+	name       string
+	site       Site
+	key        string
+	rate       float64 // requests per second
+	deadline   time.Duration
+	newRequest func(n int) loadRequest
 }
 
-// order is one request to send, with what its answer must be.
-type order struct {
+// loadRequest is one request to send, with the values that its answer is checked
+// against.
+type loadRequest struct {
 	method, path string
 	body         []byte
-	operation    string // set for requests that may not be repeated
+	operation    string // set for non-idempotent requests
 	prompt       string // set for completions
 	seed         int64
 	stream       bool
 }
 
-// Tally counts one class's outcomes.
+// Tally counts the outcomes of one request class.
 type Tally struct {
 	Class   string
 	OnTime  int
 	Late    int
 	NotRun  int
 	Unknown int
-	Resent  int // after the connection to an entry was lost
-	Wrong   int // answers that are not the request's own, cut or mislabelled
+	Resent  int // sends whose connection was lost; all but the last one of a request are resent
+	Wrong   int // answers that belong to another request, are truncated or mislabelled
 	latency *hdrhistogram.Histogram
-	notRun  []string // operations told "not run" for good
+	notRun  []string // operations whose last answer was "not run"
 	reasons map[string]int
 	mu      sync.Mutex
 }
@@ -68,11 +69,11 @@
 }
 
 func newTally(class string) *Tally {
-	return &Tally{Class: class, latency: hdrhistogram.New(1, histogramMax, histogramDigs), reasons: map[string]int{}}
+	return &Tally{Class: class, latency: hdrhistogram.New(1, maxLatencyMicros, histogramDigits), reasons: map[string]int{}}
 }
 
-// client sends callers' requests, taking the balancer's part: it goes on to
-// the next entry when one is gone.
+// client sends the callers' requests. Like a load balancer, it uses the next entry after
+// the connection to one was lost.
 type client struct {
 	http *fasthttp.Client
 }
@@ -86,10 +87,10 @@
 	}}
 }
 
-// drive sends a class's traffic until ctx ends and waits for its answers.
-func (c *client) drive(ctx context.Context, t traffic, tally *Tally, seed uint64) {
-	rnd := rand.New(rand.NewPCG(seed, 1))
-	interval := time.Duration(float64(time.Second) / t.rate)
+// sendClass sends a class's traffic until ctx ends and waits for its answers.
+func (c *client) sendClass(ctx context.Context, class trafficClass, stats *Tally, seed uint64) {
+	rng := rand.New(rand.NewPCG(seed, 1))
+	interval := time.Duration(float64(time.Second) / class.rate)
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	var wg sync.WaitGroup
@@ -100,99 +101,99 @@
 			return
 		case <-ticker.C:
 		}
-		first := rnd.IntN(len(t.site.Entries))
-		wg.Go(func() { c.one(t, tally, t.build(n), first) })
+		first := rng.IntN(len(class.site.Entries))
+		wg.Go(func() { c.sendWithResends(class, stats, class.newRequest(n), first) })
 	}
 }
 
-// result is an exchange with one entry.
-type result struct {
+// loadResponse is the result of sending a request to one entry.
+type loadResponse struct {
 	status  int
 	body    []byte
 	problem struct {
 		Outcome string `json:"outcome"`
 		Reason  string `json:"reason"`
 	}
-	err error // the connection was lost: no answer at all
+	err error // not nil if the connection was lost before the answer was complete
 }
 
-// one sends a request to its end: through another entry, under the same key,
-// as long as entries are lost under it.
-func (c *client) one(t traffic, tally *Tally, o order, entry int) {
-	begun := time.Now()
-	var r result
-	for try := range maxResends {
-		r = c.send(t, o, t.site.Entries[(entry+try)%len(t.site.Entries)])
-		if r.err == nil {
+// sendWithResends sends a request and records the result. After a lost connection it
+// sends the request with the same key to the next entry, at most maxSends times in all.
+func (c *client) sendWithResends(class trafficClass, stats *Tally, request loadRequest, entry int) {
+	start := time.Now()
+	var response loadResponse
+	for try := range maxSends {
+		response = c.sendOnce(class, request, class.site.Entries[(entry+try)%len(class.site.Entries)])
+		if response.err == nil {
 			break
 		}
-		tally.resent()
-		time.Sleep(resendPause)
+		stats.countResent()
+		time.Sleep(resendDelay)
 	}
-	tally.add(t, o, r, time.Since(begun))
+	stats.record(class, request, response, time.Since(start))
 }
 
-func (c *client) send(t traffic, o order, entry Instance) result {
-	req := fasthttp.AcquireRequest()
-	defer fasthttp.ReleaseRequest(req)
-	resp := fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI("http://" + entry.HTTP + o.path)
-	req.Header.SetMethod(o.method)
-	req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+t.key)
-	if o.operation != "" {
-		req.Header.Set("Idempotency-Key", o.operation)
+func (c *client) sendOnce(class trafficClass, request loadRequest, entry Instance) loadResponse {
+	httpReq := fasthttp.AcquireRequest()
+	defer fasthttp.ReleaseRequest(httpReq)
+	httpResp := fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseResponse(httpResp)
+	httpReq.SetRequestURI("http://" + entry.HTTP + request.path)
+	httpReq.Header.SetMethod(request.method)
+	httpReq.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+class.key)
+	if request.operation != "" {
+		httpReq.Header.Set("Idempotency-Key", request.operation)
 	}
-	req.SetBody(o.body)
-	var r result
-	if r.err = c.http.DoTimeout(req, resp, t.deadline+callSlack); r.err != nil {
-		return r
+	httpReq.SetBody(request.body)
+	var response loadResponse
+	if response.err = c.http.DoTimeout(httpReq, httpResp, class.deadline+timeoutMargin); response.err != nil {
+		return response
 	}
-	r.status = resp.StatusCode()
-	if stream := resp.BodyStream(); stream != nil {
-		r.body, r.err = io.ReadAll(stream)
-		_ = resp.CloseBodyStream()
+	response.status = httpResp.StatusCode()
+	if stream := httpResp.BodyStream(); stream != nil {
+		response.body, response.err = io.ReadAll(stream)
+		_ = httpResp.CloseBodyStream()
 	} else {
-		r.body = append([]byte(nil), resp.Body()...)
+		response.body = append([]byte(nil), httpResp.Body()...)
 	}
-	if r.status >= fasthttp.StatusBadRequest {
-		_ = json.Unmarshal(r.body, &r.problem)
+	if response.status >= fasthttp.StatusBadRequest {
+		_ = json.Unmarshal(response.body, &response.problem)
 	}
-	return r
+	return response
 }
 
-func (t *Tally) resent() {
+func (t *Tally) countResent() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.Resent++
 }
 
-func (t *Tally) add(tr traffic, o order, r result, took time.Duration) {
+func (t *Tally) record(class trafficClass, request loadRequest, response loadResponse, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_ = t.latency.RecordValue(max(1, took.Microseconds()))
+	_ = t.latency.RecordValue(max(1, latency.Microseconds()))
 	switch {
-	case r.err != nil:
+	case response.err != nil:
 		t.Unknown++
-		t.reasons["connection: "+r.err.Error()]++
-	case r.status >= fasthttp.StatusBadRequest && r.problem.Outcome == "not-run":
+		t.reasons["connection: "+response.err.Error()]++
+	case response.status >= fasthttp.StatusBadRequest && response.problem.Outcome == "not-run":
 		t.NotRun++
-		t.reasons[r.problem.Reason]++
-		if o.operation != "" {
-			t.notRun = append(t.notRun, o.operation)
+		t.reasons[response.problem.Reason]++
+		if request.operation != "" {
+			t.notRun = append(t.notRun, request.operation)
 		}
-	case r.status >= fasthttp.StatusBadRequest:
+	case response.status >= fasthttp.StatusBadRequest:
 		t.Unknown++
-		t.reasons[r.problem.Reason]++
+		t.reasons[response.problem.Reason]++
 	default:
-		t.judge(tr, o, r, took)
+		t.recordAnswer(class, request, response, latency)
 	}
 }
 
-// judge holds an answer against its request.
-func (t *Tally) judge(tr traffic, o order, r result, took time.Duration) {
-	err := checkAnswer(o, r.body)
-	if errors.Is(err, errExplicitEnd) {
+// recordAnswer checks an answer against its request and counts it.
+func (t *Tally) recordAnswer(class trafficClass, request loadRequest, response loadResponse, latency time.Duration) {
+	err := checkAnswer(request, response.body)
+	if errors.Is(err, errStreamFailed) {
 		t.Unknown++
 		t.reasons[err.Error()]++
 		return
@@ -202,28 +203,29 @@
 		t.reasons["wrong: "+err.Error()]++
 		return
 	}
-	if took <= tr.deadline {
+	if latency <= class.deadline {
 		t.OnTime++
 		return
 	}
 	t.Late++
 }
 
-// errExplicitEnd marks a stream that ended by saying that it failed.
-var errExplicitEnd = errors.New("stream ended with an error event")
+// errStreamFailed is returned for a stream that ended with an error event.
+var errStreamFailed = errors.New("stream ended with an error event")
 
-func checkAnswer(o order, body []byte) error {
+// checkAnswer returns an error if the body is not the complete answer to the request.
+func checkAnswer(request loadRequest, body []byte) error {
 	switch {
-	case o.prompt == "":
-		return checkEcho(o, body)
-	case o.stream:
-		return checkStream(o, body)
+	case request.prompt == "":
+		return checkEcho(request, body)
+	case request.stream:
+		return checkStream(request, body)
 	default:
-		return checkCompletion(o, body)
+		return checkCompletion(request, body)
 	}
 }
 
-func checkEcho(o order, body []byte) error {
+func checkEcho(request loadRequest, body []byte) error {
 	var echo struct {
 		Path     string `json:"path"`
 		BodyHash string `json:"body_hash"`
@@ -231,26 +233,27 @@
 	if err := json.Unmarshal(body, &echo); err != nil {
 		return errors.Wrap(err, "echo")
 	}
-	if echo.BodyHash != standin.BodyHash(string(o.body)) {
+	if echo.BodyHash != standin.BodyHash(string(request.body)) {
 		return errors.New("answer to another request")
 	}
 	return nil
 }
 
-func checkCompletion(o order, body []byte) error {
-	var c engineapi.Completion
-	if err := json.Unmarshal(body, &c); err != nil {
+func checkCompletion(request loadRequest, body []byte) error {
+	var completion engineapi.Completion
+	if err := json.Unmarshal(body, &completion); err != nil {
 		return errors.Wrap(err, "completion")
 	}
-	if len(c.Choices) != 1 {
-		return errors.Errorf("%d choices", len(c.Choices))
+	if len(completion.Choices) != 1 {
+		return errors.Errorf("%d choices", len(completion.Choices))
 	}
-	return checkText(o, c.Choices[0].Text, labelsOf(c))
+	return checkText(request, completion.Choices[0].Text, versionLabels(completion))
 }
 
-func labelsOf(c engineapi.Completion) []int64 {
+// versionLabels returns the weight version of each token.
+func versionLabels(completion engineapi.Completion) []int64 {
 	var labels []int64
-	for _, s := range c.Segments {
+	for _, s := range completion.Segments {
 		for range s.To - s.From {
 			labels = append(labels, s.Version)
 		}
@@ -258,13 +261,14 @@
 	return labels
 }
 
-// checkText holds text against its prompt, its full length and its labels.
-func checkText(o order, text string, labels []int64) error {
-	versions, err := standin.CheckText(o.prompt, o.seed, text)
+// checkText checks that a text belongs to the request's prompt, is complete and has the
+// right weight version at each token.
+func checkText(request loadRequest, text string, labels []int64) error {
+	versions, err := standin.CheckText(request.prompt, request.seed, text)
 	if err != nil {
 		return err
 	}
-	if want := standin.TokenCount(o.prompt, o.seed, maxTokens); len(versions) != want {
+	if want := standin.TokenCount(request.prompt, request.seed, maxTokens); len(versions) != want {
 		return errors.Errorf("%d tokens of %d", len(versions), want)
 	}
 	if fmt.Sprint(versions) != fmt.Sprint(labels) {
@@ -273,21 +277,21 @@
 	return nil
 }
 
-func checkStream(o order, body []byte) error {
+func checkStream(request loadRequest, body []byte) error {
 	var text []byte
 	var labels []int64
 	scanner := bufio.NewScanner(bytes.NewReader(body))
 	for scanner.Scan() {
 		line := scanner.Bytes()
 		if bytes.HasPrefix(line, []byte("event: error")) {
-			return errExplicitEnd
+			return errStreamFailed
 		}
 		data, ok := bytes.CutPrefix(line, []byte("data: "))
 		if !ok {
 			continue
 		}
 		if string(data) == engineapi.StreamDone {
-			return checkText(o, string(text), labels)
+			return checkText(request, string(text), labels)
 		}
 		var event engineapi.Completion
 		if err := json.Unmarshal(data, &event); err != nil {
--- a/internal/lab/demo/operators_test.go
+++ b/internal/lab/demo/operators_test.go
@@ -12,20 +12,21 @@
 	"siskinloom.example/siskinloom/api/operatorpb"
 )
 
-const forceLimit = 30 * time.Second
+const applyTimeout = 30 * time.Second
 
-// changed returns the declarations with another weight for an agency.
-func (s *site) changed(weight string) []*operatorpb.File {
-	files := s.files()
+// declarationsWithWeight returns the declarations with the weight for one agency.
+func (s *runningSite) declarationsWithWeight(weight string) []*operatorpb.File {
+	files := s.declarations()
 	for _, f := range files {
 		f.Text = strings.Replace(f.Text, "[agency nadiad-desk]\nbusiness = collections", "[agency nadiad-desk]\nbusiness = collections\nweight = "+weight, 1)
 	}
 	return files
 }
 
-// revisions returns the lowest and highest revision in force over the instances.
-func (s *site) revisions(through Instance) (low, high int64) {
-	client, ctx := s.operator(through)
+// revisions returns the lowest and the highest revision that instances use, as the entry
+// reports them.
+func (s *runningSite) revisions(through Instance) (low, high int64) {
+	client, ctx := s.operatorClient(through)
 	reply, err := client.Status(ctx, &operatorpb.StatusRequest{Deployment: s.Deployment})
 	if err != nil || len(reply.Instances) == 0 {
 		return 0, 0
@@ -44,18 +45,18 @@
 const stateUnreachable = "unreachable"
 
 var _ = Describe("operators of a deployment of real processes", func() {
-	// Two operators change the same revision at the same moment through
-	// different entries. One is told that its change is accepted; the other is
-	// told what changed instead, and nothing of its change is in force.
-	It("accepts one of two changes that race", func() {
+	// Two operators change the same revision concurrently through different entries. One
+	// change must be accepted. The other one must be refused, with a list of the changes
+	// that were made instead, and must not take effect.
+	It("accepts one of two concurrent changes", func() {
 		s := startSite()
 		outcomes := make([]*operatorpb.ApplyResponse, 2)
 		var wg sync.WaitGroup
 		for i, weight := range []string{"2", "3"} {
 			wg.Go(func() {
 				defer GinkgoRecover()
-				client, ctx := s.operator(s.Entries[i])
-				reply, err := client.Apply(ctx, &operatorpb.ApplyRequest{Deployment: s.Deployment, Files: s.changed(weight), ExpectedRevision: 1, ChangeId: "race-" + weight})
+				client, ctx := s.operatorClient(s.Entries[i])
+				reply, err := client.Apply(ctx, &operatorpb.ApplyRequest{Deployment: s.Deployment, Files: s.declarationsWithWeight(weight), ExpectedRevision: 1, ChangeId: "race-" + weight})
 				Expect(err).NotTo(HaveOccurred())
 				outcomes[i] = reply
 			})
@@ -69,13 +70,12 @@
 			}
 		}
 	})
-	// A change is accepted and the entry that accepted it is killed at once. The
-	// change is in force at every instance that is left, and its audit record
-	// stands.
+	// The entry that accepted a change is killed immediately afterwards. All remaining
+	// instances must use the change, and its audit record must be kept.
 	It("keeps an accepted change when the entry that accepted it is killed", func() {
 		s := startSite()
-		client, ctx := s.operator(s.Entries[1])
-		reply, err := client.Apply(ctx, &operatorpb.ApplyRequest{Deployment: s.Deployment, Files: s.changed("5"), ExpectedRevision: 1, ChangeId: "kept"})
+		client, ctx := s.operatorClient(s.Entries[1])
+		reply, err := client.Apply(ctx, &operatorpb.ApplyRequest{Deployment: s.Deployment, Files: s.declarationsWithWeight("5"), ExpectedRevision: 1, ChangeId: "kept"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply.Outcome).To(Equal(operatorpb.ApplyOutcome_APPLY_OUTCOME_ACCEPTED))
 		s.signal(syscall.SIGKILL, s.Entries[1].ID)
@@ -83,8 +83,8 @@
 			low, high := s.revisions(s.Entries[0])
 			g.Expect(low).To(Equal(reply.Revision))
 			g.Expect(high).To(Equal(reply.Revision))
-		}).WithTimeout(forceLimit).Should(Succeed())
-		client, ctx = s.operator(s.Entries[2])
+		}).WithTimeout(applyTimeout).Should(Succeed())
+		client, ctx = s.operatorClient(s.Entries[2])
 		audit, err := client.Audit(ctx, &operatorpb.AuditRequest{Deployment: s.Deployment})
 		Expect(err).NotTo(HaveOccurred())
 		last := audit.Records[len(audit.Records)-1]
--- a/internal/lab/demo/run.go
+++ b/internal/lab/demo/run.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	maxTokens     = 64
-	progressEvery = 5 * time.Second
-	resultsFile   = "load.json"
+	maxTokens        = 64
+	progressInterval = 5 * time.Second
+	resultsFile      = "load.json"
 )
 
-// ClassResult is a class's outcome as it is written for Judge.
+// ClassResult is the result of a request class as it is written for Judge.
 type ClassResult struct {
 	Class   string         `json:"class"`
 	Site    string         `json:"site"`
@@ -34,12 +34,12 @@
 	P50     float64        `json:"p50_ms"`
 	P99     float64        `json:"p99_ms"`
 	Reasons map[string]int `json:"reasons"`
-	// NotRunOperations were told "not run" and never sent again.
+	// NotRunOperations lists the operations whose last answer was "not run".
 	NotRunOperations []string `json:"not_run_operations"`
 }
 
-// Drive loads both deployments for the duration and writes what came of it
-// into dir.
+// Drive generates the load of all sites for the duration and writes the results into
+// dir.
 func Drive(ctx context.Context, dir string, duration time.Duration, progress io.Writer) error {
 	layout, err := Load(filepath.Join(dir, "layout.json"))
 	if err != nil {
@@ -48,30 +48,30 @@
 	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	c := newClient()
-	var all []traffic
+	var classes []trafficClass
 	for _, site := range layout.Sites {
-		all = append(all, trafficOf(site)...)
+		classes = append(classes, trafficOf(site)...)
 	}
-	tallies := make([]*Tally, len(all))
+	stats := make([]*Tally, len(classes))
 	var group errgroup.Group
-	for i, t := range all {
-		tallies[i] = newTally(t.class)
+	for i, class := range classes {
+		stats[i] = newTally(class.name)
 		group.Go(func() error {
-			c.drive(ctx, t, tallies[i], uint64(i))
+			c.sendClass(ctx, class, stats[i], uint64(i))
 			return nil
 		})
 	}
-	go report(ctx, progress, tallies)
+	go printProgress(ctx, progress, stats)
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	return writeResults(dir, all, tallies)
+	return writeResults(dir, classes, stats)
 }
 
-// report prints a line of progress now and then.
-func report(ctx context.Context, out io.Writer, tallies []*Tally) {
-	begun := time.Now()
-	ticker := time.NewTicker(progressEvery)
+// printProgress prints a line of progress at every progressInterval.
+func printProgress(ctx context.Context, out io.Writer, stats []*Tally) {
+	start := time.Now()
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -80,23 +80,23 @@
 		case <-ticker.C:
 		}
 		answered, other := 0, 0
-		for _, t := range tallies {
-			t.mu.Lock()
-			answered += t.OnTime
-			other += t.Late + t.NotRun + t.Unknown + t.Wrong
-			t.mu.Unlock()
+		for _, s := range stats {
+			s.mu.Lock()
+			answered += s.OnTime
+			other += s.Late + s.NotRun + s.Unknown + s.Wrong
+			s.mu.Unlock()
 		}
-		fmt.Fprintf(out, "  %2.0f s: %d answered on time, %d otherwise\n", time.Since(begun).Seconds(), answered, other)
+		fmt.Fprintf(out, "  %2.0f s: %d answered on time, %d otherwise\n", time.Since(start).Seconds(), answered, other)
 	}
 }
 
-func writeResults(dir string, all []traffic, tallies []*Tally) error {
+func writeResults(dir string, classes []trafficClass, stats []*Tally) error {
 	var results []ClassResult
-	for i, t := range tallies {
+	for i, s := range stats {
 		results = append(results, ClassResult{
-			Class: t.Class, Site: all[i].site.Deployment,
-			OnTime: t.OnTime, Late: t.Late, NotRun: t.NotRun, Unknown: t.Unknown, Resent: t.Resent, Wrong: t.Wrong,
-			P50: t.Quantile(50), P99: t.Quantile(99), Reasons: t.reasons, NotRunOperations: t.notRun,
+			Class: s.Class, Site: classes[i].site.Deployment,
+			OnTime: s.OnTime, Late: s.Late, NotRun: s.NotRun, Unknown: s.Unknown, Resent: s.Resent, Wrong: s.Wrong,
+			P50: s.Quantile(50), P99: s.Quantile(99), Reasons: s.reasons, NotRunOperations: s.notRun,
 		})
 	}
 	text, err := json.MarshalIndent(results, "", " ")
@@ -106,41 +106,41 @@
 	return errors.Wrap(os.WriteFile(filepath.Join(dir, resultsFile), text, fileMode), "demo")
 }
 
-// trafficOf is the load of a site: what its callers' classes send.
-func trafficOf(site Site) []traffic {
+// trafficOf returns the request classes that the callers of a site send.
+func trafficOf(site Site) []trafficClass {
 	if site.Deployment == "ledgerwise" {
-		return []traffic{
+		return []trafficClass{
 			plainGet(site, "lookup", "demo-desk-nadiad", "/status/", 60, 300*time.Millisecond),
 			plainPost(site, "ledger-sync", "demo-billing-sync", "/sync", 25, 2*time.Second),
-			drafts(site, "draft", "demo-draft-studio", 6, 10*time.Second),
+			completions(site, "draft", "demo-draft-studio", 6, 10*time.Second),
 		}
 	}
-	return []traffic{
+	return []trafficClass{
 		plainGet(site, "lookup", "demo-kiosk-batumi", "/renewals/", 40, 400*time.Millisecond),
 		plainGet(site, "record-check", "demo-partner-rioni", "/records/", 20, time.Second),
 		plainPost(site, "renewal", "demo-kiosk-batumi", "/renewals", 15, 3*time.Second),
 	}
 }
 
-func plainGet(site Site, class, key, path string, rate float64, deadline time.Duration) traffic {
-	return traffic{class: class, site: site, key: key, rate: rate, deadline: deadline, build: func(n int) order {
-		return order{method: "GET", path: fmt.Sprintf("/svc/%s%s%d", site.Plain, path, n)}
+func plainGet(site Site, class, key, path string, rate float64, deadline time.Duration) trafficClass {
+	return trafficClass{name: class, site: site, key: key, rate: rate, deadline: deadline, newRequest: func(n int) loadRequest {
+		return loadRequest{method: "GET", path: fmt.Sprintf("/svc/%s%s%d", site.Plain, path, n)}
 	}}
 }
 
-func plainPost(site Site, class, key, path string, rate float64, deadline time.Duration) traffic {
-	return traffic{class: class, site: site, key: key, rate: rate, deadline: deadline, build: func(n int) order {
+func plainPost(site Site, class, key, path string, rate float64, deadline time.Duration) trafficClass {
+	return trafficClass{name: class, site: site, key: key, rate: rate, deadline: deadline, newRequest: func(n int) loadRequest {
 		operation := fmt.Sprintf("%s-%s-%d", site.Deployment, class, n)
 		body := fmt.Sprintf(`{"operation":%q}`, operation)
-		return order{method: "POST", path: "/svc/" + site.Plain + path, body: []byte(body), operation: operation}
+		return loadRequest{method: "POST", path: "/svc/" + site.Plain + path, body: []byte(body), operation: operation}
 	}}
 }
 
-// drafts sends completions, every other one as a stream.
-func drafts(site Site, class, key string, rate float64, deadline time.Duration) traffic {
-	return traffic{class: class, site: site, key: key, rate: rate, deadline: deadline, build: func(n int) order {
-		o := order{method: "POST", path: engineapi.PathCompletions, prompt: fmt.Sprintf("reminder for debtor %d", n), seed: int64(n), stream: n%2 == 0}
-		o.body, _ = json.Marshal(engineapi.CompletionRequest{Model: site.Model, Prompt: o.prompt, Seed: o.seed, MaxTokens: maxTokens, Stream: o.stream})
-		return o
+// completions returns a class of completion requests, half of them streamed.
+func completions(site Site, class, key string, rate float64, deadline time.Duration) trafficClass {
+	return trafficClass{name: class, site: site, key: key, rate: rate, deadline: deadline, newRequest: func(n int) loadRequest {
+		request := loadRequest{method: "POST", path: engineapi.PathCompletions, prompt: fmt.Sprintf("reminder for debtor %d", n), seed: int64(n), stream: n%2 == 0}
+		request.body, _ = json.Marshal(engineapi.CompletionRequest{Model: site.Model, Prompt: request.prompt, Seed: request.seed, MaxTokens: maxTokens, Stream: request.stream})
+		return request
 	}}
 }
--- a/internal/lab/demo/site_test.go
+++ b/internal/lab/demo/site_test.go
@@ -23,20 +23,21 @@
 )
 
 const (
-	loadTime   = 5 * time.Second
-	faultAt    = time.Second
-	startLimit = 30 * time.Second
-	// slowCall keeps some requests in flight at the moment of a fault; without
-	// it the specs pass even when nothing guards a sync against a second run.
-	slowCall = 300 * time.Millisecond
-	// siteEngines leaves one engine to swap under the declared floor of 0.6 when
-	// one is dead; with three, weights stand still until it is back or unlisted.
+	loadDuration = 5 * time.Second
+	faultDelay   = time.Second
+	startTimeout = 30 * time.Second
+	// slowCallLatency keeps some requests in flight at the time of a fault. Without it
+	// the specs would pass even if nothing prevented a second run of a sync.
+	slowCallLatency = 300 * time.Millisecond
+	// siteEngines allows one engine to load weights while another one is down, at the
+	// declared capacity floor of 0.6. With three engines none could load until the failed
+	// one has recovered or is no longer listed.
 	siteEngines = 5
-	portSpan    = 18000
+	portCount   = 18000
 	firstPort   = 10000
 )
 
-var binaries string
+var binaryDirs string
 
 func TestDemo(t *testing.T) {
 	if testing.Short() {
@@ -50,34 +51,34 @@
 	for _, name := range []string{"siskinloomd", "siskinstand"} {
 		path, err := gexec.Build("siskinloom.example/siskinloom/cmd/" + name)
 		Expect(err).NotTo(HaveOccurred())
-		binaries += filepath.Dir(path) + ":"
+		binaryDirs += filepath.Dir(path) + ":"
 	}
-	Expect(os.Setenv("PATH", binaries+os.Getenv("PATH"))).To(Succeed())
+	Expect(os.Setenv("PATH", binaryDirs+os.Getenv("PATH"))).To(Succeed())
 })
 
 var _ = AfterSuite(gexec.CleanupBuildArtifacts)
 
-// site is a small deployment of real processes under a ledger's load.
-type site struct {
+// runningSite is a small deployment of real processes.
+type runningSite struct {
 	Site
 	dir       string
 	layout    Layout
 	processes map[string]*exec.Cmd
 }
 
-func startSite() *site {
+func startSite() *runningSite {
 	return startSiteWith(func(string) {})
 }
 
-// startSiteWith lets prepare change the settings files in a folder before the
-// processes start.
-func startSiteWith(prepare func(settings string)) *site {
-	s := &site{dir: GinkgoT().TempDir(), processes: map[string]*exec.Cmd{}}
-	small := plans[0]
-	small.engines, small.plains, small.scorers = siteEngines, 3, 1
-	small.latency = slowCall
+// startSiteWith starts a site. It calls prepare with the folder of the settings files
+// before the processes start.
+func startSiteWith(prepare func(settings string)) *runningSite {
+	s := &runningSite{dir: GinkgoT().TempDir(), processes: map[string]*exec.Cmd{}}
+	small := exampleSpecs[0]
+	small.engines, small.plainEndpoints, small.scorerEndpoints = siteEngines, 3, 1
+	small.plainLatency = slowCallLatency
 	var err error
-	s.layout, err = write(s.dir, firstPort+(os.Getpid()*97)%portSpan, []plan{small})
+	s.layout, err = writeSites(s.dir, firstPort+(os.Getpid()*97)%portCount, []siteSpec{small})
 	Expect(err).NotTo(HaveOccurred())
 	s.Site = s.layout.Sites[0]
 	prepare(filepath.Join(s.dir, "settings"))
@@ -90,12 +91,12 @@
 	DeferCleanup(s.stopAll)
 	Expect(AwaitControls(s.layout)).To(Succeed())
 	Expect(PublishInstances(s.dir, s.layout)).To(Succeed())
-	s.apply()
+	s.applyDeclarations()
 	Expect(AwaitReady(s.layout)).To(Succeed())
 	return s
 }
 
-func (s *site) start(name string, words []string) {
+func (s *runningSite) start(name string, words []string) {
 	path, err := exec.LookPath(words[0])
 	Expect(err).NotTo(HaveOccurred())
 	cmd := exec.Command(path, words[1:]...)
@@ -105,28 +106,28 @@
 }
 
 // restart stops a process as planned, starts it again and waits until it is ready.
-func (s *site) restart(instance Instance) {
+func (s *runningSite) restart(instance Instance) {
 	cmd := s.processes[instance.ID]
 	s.signal(syscall.SIGTERM, instance.ID)
 	Expect(cmd.Wait()).To(Succeed())
 	s.start(instance.ID, cmd.Args)
-	Expect(await(instance.Metrics, "/readyz")).To(Succeed())
+	Expect(awaitOK(instance.Metrics, "/readyz")).To(Succeed())
 }
 
-func (s *site) stopAll() {
+func (s *runningSite) stopAll() {
 	for _, cmd := range s.processes {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 	}
 }
 
-func (s *site) signal(sig syscall.Signal, names ...string) {
+func (s *runningSite) signal(sig syscall.Signal, names ...string) {
 	for _, name := range names {
 		Expect(s.processes[name].Process.Signal(sig)).To(Succeed(), name)
 	}
 }
 
-func (s *site) operator(entry Instance) (operatorpb.OperatorClient, context.Context) {
+func (s *runningSite) operatorClient(entry Instance) (operatorpb.OperatorClient, context.Context) {
 	conn, err := grpc.NewClient(entry.GRPC, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(conn.Close)
@@ -134,35 +135,35 @@
 	return operatorpb.NewOperatorClient(conn), ctx
 }
 
-func (s *site) files() []*operatorpb.File {
+func (s *runningSite) declarations() []*operatorpb.File {
 	paths, err := filepath.Glob("../../../examples/ledgerwise/*.ini")
 	Expect(err).NotTo(HaveOccurred())
 	var files []*operatorpb.File
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		Expect(err).NotTo(HaveOccurred())
-		// A busy machine may take longer than a desk's deadline; what is tested
-		// here is what becomes of a request, not how soon.
-		patient := strings.ReplaceAll(string(text), "deadline = 300ms", "deadline = 5s")
-		files = append(files, &operatorpb.File{Name: filepath.Base(path), Text: patient})
+		// A busy machine may take longer than the deadline of the lookups. The specs
+		// check the outcomes of requests, not their latency.
+		relaxed := strings.ReplaceAll(string(text), "deadline = 300ms", "deadline = 5s")
+		files = append(files, &operatorpb.File{Name: filepath.Base(path), Text: relaxed})
 	}
 	return files
 }
 
-func (s *site) apply() {
-	client, ctx := s.operator(s.Entries[0])
+func (s *runningSite) applyDeclarations() {
+	client, ctx := s.operatorClient(s.Entries[0])
 	Eventually(func() operatorpb.ApplyOutcome {
-		reply, err := client.Apply(ctx, &operatorpb.ApplyRequest{Deployment: s.Deployment, Files: s.files(), ChangeId: "first"})
+		reply, err := client.Apply(ctx, &operatorpb.ApplyRequest{Deployment: s.Deployment, Files: s.declarations(), ChangeId: "first"})
 		if err != nil {
 			return operatorpb.ApplyOutcome_APPLY_OUTCOME_UNSPECIFIED
 		}
 		return reply.Outcome
-	}).WithTimeout(startLimit).Should(BeElementOf(operatorpb.ApplyOutcome_APPLY_OUTCOME_ACCEPTED, operatorpb.ApplyOutcome_APPLY_OUTCOME_UNCHANGED))
+	}).WithTimeout(startTimeout).Should(BeElementOf(operatorpb.ApplyOutcome_APPLY_OUTCOME_ACCEPTED, operatorpb.ApplyOutcome_APPLY_OUTCOME_UNCHANGED))
 }
 
-// owner returns the entry that holds a duty.
-func (s *site) owner(duty string) string {
-	client, ctx := s.operator(s.Entries[0])
+// dutyOwner returns the entry that holds a duty.
+func (s *runningSite) dutyOwner(duty string) string {
+	client, ctx := s.operatorClient(s.Entries[0])
 	var holder string
 	Eventually(func() string {
 		reply, err := client.Status(ctx, &operatorpb.StatusRequest{Deployment: s.Deployment})
@@ -175,7 +176,7 @@
 			}
 		}
 		return holder
-	}).WithTimeout(startLimit).ShouldNot(BeEmpty())
+	}).WithTimeout(startTimeout).ShouldNot(BeEmpty())
 	for _, e := range s.Entries {
 		if e.Inner == holder {
 			return e.ID
@@ -185,30 +186,30 @@
 	return ""
 }
 
-// under loads the site, calls fault in the middle and returns the results.
-func (s *site) under(fault func()) []ClassResult {
-	return s.underFor(loadTime, fault)
+// runLoad generates load, calls fault meanwhile and returns the results.
+func (s *runningSite) runLoad(fault func()) []ClassResult {
+	return s.runLoadFor(loadDuration, fault)
 }
 
-func (s *site) underFor(span time.Duration, fault func()) []ClassResult {
-	timer := time.AfterFunc(faultAt, func() {
+func (s *runningSite) runLoadFor(duration time.Duration, fault func()) []ClassResult {
+	timer := time.AfterFunc(faultDelay, func() {
 		defer GinkgoRecover()
 		fault()
 	})
 	defer timer.Stop()
 	var progress bytes.Buffer
-	Expect(Drive(context.Background(), s.dir, span, &progress)).To(Succeed())
+	Expect(Drive(context.Background(), s.dir, duration, &progress)).To(Succeed())
 	results, err := readResults(s.dir)
 	Expect(err).NotTo(HaveOccurred())
 	return results
 }
 
-// holds checks what must always hold over the load.
-func (s *site) holds(results []ClassResult) {
+// checkInvariants checks the results of a load against the invariants.
+func (s *runningSite) checkInvariants(results []ClassResult) {
 	effects, err := readEffects(s.layout)
 	Expect(err).NotTo(HaveOccurred())
-	doubles, falseNotRun := compare(results, effects)
-	Expect(doubles).To(BeZero(), "operations run twice")
+	doubleRuns, falseNotRun := countViolations(results, effects)
+	Expect(doubleRuns).To(BeZero(), "operations run twice")
 	Expect(falseNotRun).To(BeZero(), `operations run though told "not run"`)
 	Expect(effects).NotTo(BeEmpty())
 	for _, r := range results {
@@ -217,7 +218,7 @@
 	}
 }
 
-func class(results []ClassResult, name string) ClassResult {
+func resultOf(results []ClassResult, name string) ClassResult {
 	for _, r := range results {
 		if r.Class == name {
 			return r
--- a/internal/lab/demo/start_test.go
+++ b/internal/lab/demo/start_test.go
@@ -14,34 +14,35 @@
 )
 
 var _ = Describe("an entry that starts", func() {
-	// An entry starts again; the list that it reads lags and does not name the
-	// agents yet. It has a configuration at once, from the other entries. A desk
-	// that reaches it then would be told that there is no endpoint, although the
-	// other entries answer. So it listens once its services have endpoints.
-	It("takes no callers before it has endpoints for them", func() {
+	// An entry is restarted while the instance list lags and does not contain the agents.
+	// It receives a configuration from the other entries immediately. If it listened
+	// then, it would answer a caller that there is no endpoint, although the other
+	// entries could serve the request. So it listens only when its services have
+	// endpoints.
+	It("accepts no requests before it has endpoints", func() {
 		s := startSite()
 		entry := s.Entries[0]
 		cmd := s.processes[entry.ID]
 		s.signal(syscall.SIGKILL, entry.ID)
 		_ = cmd.Wait()
-		s.publishEntries()
+		s.publishEntriesOnly()
 		s.start(entry.ID, cmd.Args)
-		published := time.AfterFunc(time.Second, func() { _ = PublishInstances(s.dir, s.layout) })
-		defer published.Stop()
+		publish := time.AfterFunc(time.Second, func() { _ = PublishInstances(s.dir, s.layout) })
+		defer publish.Stop()
 
-		desk := trafficOf(s.Site)[0]
-		var first result
+		lookups := trafficOf(s.Site)[0]
+		var first loadResponse
 		Eventually(func() error {
-			first = newClient().send(desk, desk.build(1), entry)
+			first = newClient().sendOnce(lookups, lookups.newRequest(1), entry)
 			return first.err
-		}).WithTimeout(startLimit).Should(Succeed())
+		}).WithTimeout(startTimeout).Should(Succeed())
 		Expect(first.problem.Reason).To(BeEmpty())
 		Expect(first.status).To(Equal(200))
 	})
 })
 
-// publishEntries hands the platform a list of the site's entries alone.
-func (s *site) publishEntries() {
+// publishEntriesOnly sends the platform an instance list without the site's agents.
+func (s *runningSite) publishEntriesOnly() {
 	text, err := os.ReadFile(filepath.Join(s.dir, "instances-"+s.Deployment+".json"))
 	Expect(err).NotTo(HaveOccurred())
 	var all, entries []*platformpb.Instance
@@ -54,5 +55,5 @@
 	text, err = json.Marshal(entries)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(post(s.Control, "/instances", text)).To(Succeed())
-	time.Sleep(time.Second) // the list's lag, twice
+	time.Sleep(time.Second) // twice the lag of the instance list
 }
--- a/internal/lab/demo/tls_test.go
+++ b/internal/lab/demo/tls_test.go
@@ -22,15 +22,15 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
-// authority signs the certificates of one deployment's processes.
-type authority struct {
+// certificateAuthority signs the certificates of the processes of a deployment.
+type certificateAuthority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	dir  string
 }
 
-func newAuthority() *authority {
-	a := &authority{dir: GinkgoT().TempDir()}
+func newCertificateAuthority() *certificateAuthority {
+	a := &certificateAuthority{dir: GinkgoT().TempDir()}
 	a.cert = &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test authority"},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
@@ -43,20 +43,21 @@
 	return a
 }
 
-func (a *authority) sign(cert *x509.Certificate, key *ecdsa.PublicKey) []byte {
+func (a *certificateAuthority) sign(cert *x509.Certificate, key *ecdsa.PublicKey) []byte {
 	der, err := x509.CreateCertificate(rand.Reader, cert, a.cert, key, a.key)
 	Expect(err).NotTo(HaveOccurred())
 	return der
 }
 
-func (a *authority) write(name, kind string, der []byte) string {
+func (a *certificateAuthority) write(name, kind string, der []byte) string {
 	path := filepath.Join(a.dir, name)
 	Expect(os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600)).To(Succeed())
 	return path
 }
 
-// issue adds a certificate of its own to every settings file in the folder.
-func (a *authority) issue(settings string) {
+// issueCertificates issues a certificate for each settings file in the folder and adds it
+// to the file.
+func (a *certificateAuthority) issueCertificates(settings string) {
 	files, err := filepath.Glob(filepath.Join(settings, "*.ini"))
 	Expect(err).NotTo(HaveOccurred())
 	for i, file := range files {
@@ -72,33 +73,34 @@
 		Expect(err).NotTo(HaveOccurred())
 		cert := a.write(fmt.Sprintf("%d.pem", i), "CERTIFICATE", der)
 		keyFile := a.write(fmt.Sprintf("%d.key", i), "PRIVATE KEY", secret)
-		appendTo(file, fmt.Sprintf("\n[tls]\ninner_cert = %s\ninner_key = %s\ninner_ca = %s\n", cert, keyFile, filepath.Join(a.dir, "ca.pem")))
+		appendToFile(file, fmt.Sprintf("\n[tls]\ninner_cert = %s\ninner_key = %s\ninner_ca = %s\n", cert, keyFile, filepath.Join(a.dir, "ca.pem")))
 	}
 }
 
-// issuePlatform gives the platform a certificate of its own, and every process
-// the platform's authority and the process's own certificate to show.
-func (a *authority) issuePlatform(settings string) {
-	a.issue(settings)
+// issuePlatformCertificates issues certificates as issueCertificates does and configures
+// mutual TLS between the processes and the platform. The platform uses the certificate of
+// the first settings file.
+func (a *certificateAuthority) issuePlatformCertificates(settings string) {
+	a.issueCertificates(settings)
 	files, err := filepath.Glob(filepath.Join(settings, "*.ini"))
 	Expect(err).NotTo(HaveOccurred())
 	for i, file := range files {
-		replaceIn(file, "[platform]\n", fmt.Sprintf("[platform]\nca = %s\ncert = %s\nkey = %s\n",
+		replaceInFile(file, "[platform]\n", fmt.Sprintf("[platform]\nca = %s\ncert = %s\nkey = %s\n",
 			filepath.Join(a.dir, "ca.pem"), filepath.Join(a.dir, fmt.Sprintf("%d.pem", i)), filepath.Join(a.dir, fmt.Sprintf("%d.key", i))))
 	}
-	replaceIn(filepath.Join(filepath.Dir(settings), "processes"), "siskinstand platform", fmt.Sprintf(
+	replaceInFile(filepath.Join(filepath.Dir(settings), "processes"), "siskinstand platform", fmt.Sprintf(
 		"siskinstand platform --tls-cert %s --tls-key %s --tls-client-ca %s",
 		filepath.Join(a.dir, "0.pem"), filepath.Join(a.dir, "0.key"), filepath.Join(a.dir, "ca.pem")))
 }
 
-func replaceIn(path, before, after string) {
+func replaceInFile(path, before, after string) {
 	text, err := os.ReadFile(path)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(string(text)).To(ContainSubstring(before))
 	Expect(os.WriteFile(path, []byte(strings.Replace(string(text), before, after, 1)), 0o600)).To(Succeed())
 }
 
-func appendTo(path, text string) {
+func appendToFile(path, text string) {
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	Expect(err).NotTo(HaveOccurred())
 	defer file.Close()
@@ -107,38 +109,38 @@
 }
 
 var _ = Describe("a deployment with certificates", func() {
-	// Every process has a certificate and demands one. If any of the inner
-	// protocol's paths (heartbeats, requests, claims, weight orders, chunks) were
-	// still plain, its calls would be refused: lookups, syncs or steps would stop.
-	It("serves callers and trainers over mutual TLS, and nobody in plain text", func() {
-		s := startSiteWith(newAuthority().issue)
-		trainer := s.train()
-		s.holds(s.under(func() {}))
-		reach(trainer, 4)
-		holdsFeed(trainer)
+	// Every process has a certificate and requires one from its peers. If any use of the
+	// inner protocol (heartbeats, requests, claims, weight orders, chunks) were without
+	// TLS, its calls would be refused, and lookups, syncs or steps would stop.
+	It("serves callers and trainers over mutual TLS and refuses plain text", func() {
+		s := startSiteWith(newCertificateAuthority().issueCertificates)
+		trainer := s.startTrainer()
+		s.checkInvariants(s.runLoad(func() {}))
+		awaitSteps(trainer, 4)
+		checkSamples(trainer)
 		Expect(trainer.Report().Announced).To(BeNumerically(">", 1))
 		conn, err := net.Dial("tcp", s.Agents[0].Inner)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(conn.Close)
-		Expect(heartbeatOver(conn)).NotTo(Succeed())
+		Expect(sendPlaintextHeartbeat(conn)).NotTo(Succeed())
 	})
 
-	// The platform takes TLS with a certificate of the client's alone. If one of
-	// the uses (leases, claims, configuration, list, weight store) were still
-	// plain, duties, syncs, steps or new weights would stop.
-	It("speaks to the platform over TLS alone", func() {
-		s := startSiteWith(newAuthority().issuePlatform)
-		trainer := s.train()
-		s.holds(s.under(func() {}))
-		reach(trainer, 4)
-		holdsFeed(trainer)
+	// The platform accepts only TLS with a client certificate. If any use of it (leases,
+	// claims, configuration, instance list, weight store) were without TLS, duties, syncs,
+	// steps or new weights would stop.
+	It("uses only TLS to the platform", func() {
+		s := startSiteWith(newCertificateAuthority().issuePlatformCertificates)
+		trainer := s.startTrainer()
+		s.checkInvariants(s.runLoad(func() {}))
+		awaitSteps(trainer, 4)
+		checkSamples(trainer)
 		Expect(trainer.Report().Announced).To(BeNumerically(">", 1))
 	})
 })
 
-// heartbeatOver sends a heartbeat in plain text.
-func heartbeatOver(conn net.Conn) error {
-	Expect(conn.SetDeadline(time.Now().Add(startLimit))).To(Succeed())
+// sendPlainHeartbeat sends a heartbeat in plain text.
+func sendPlaintextHeartbeat(conn net.Conn) error {
+	Expect(conn.SetDeadline(time.Now().Add(startTimeout))).To(Succeed())
 	var reply wire.HeartbeatReply
 	return rpc.NewClient(conn).Call(wire.AgentService+".Heartbeat", wire.HeartbeatRequest{From: "intruder"}, &reply)
 }
--- a/internal/lab/demo/upgrade_test.go
+++ b/internal/lab/demo/upgrade_test.go
@@ -8,17 +8,17 @@
 	. "github.com/onsi/gomega"
 )
 
-// upgradeTime is longer than restarting the instances one after the other takes.
-const upgradeTime = 25 * time.Second
+// upgradeLoadDuration is longer than the rolling upgrade takes.
+const upgradeLoadDuration = 25 * time.Second
 
 var _ = Describe("a deployment whose instances are replaced", func() {
-	// Every entry and every ledger's agent is stopped as planned and started
-	// again, one after the other, as an upgrade does. Callers see connections end
-	// and use another entry; no request is cut off and none runs twice.
-	It("cuts nothing off in an upgrade of one instance after the other", func() {
+	// The entries and the agents of the plain service are stopped as planned and started
+	// again one after the other, as in an upgrade. Callers lose connections and use
+	// another entry. No request may end as "unknown" and no sync may run twice.
+	It("interrupts no request in a rolling upgrade", func() {
 		s := startSite()
 		upgraded := make(chan struct{})
-		results := s.underFor(upgradeTime, func() {
+		results := s.runLoadFor(upgradeLoadDuration, func() {
 			defer close(upgraded)
 			for _, entry := range s.Entries {
 				s.restart(entry)
@@ -29,19 +29,19 @@
 				}
 			}
 		})
-		Eventually(upgraded).WithTimeout(stepLimit).Should(BeClosed())
-		s.holds(results)
+		Eventually(upgraded).WithTimeout(stepTimeout).Should(BeClosed())
+		s.checkInvariants(results)
 		for _, r := range results {
 			Expect(r.Unknown).To(BeZero(), "%s: %v", r.Class, r.Reasons)
 		}
 	})
-	// All instances of one failure domain go at once: an entry, engines and a
-	// ledger with their agents. What ran there is told truthfully, and every
-	// class is still answered by the other domains.
-	It("goes on when a failure domain is lost", func() {
+	// All instances of one failure domain are killed at the same time: an entry, and
+	// agents with their endpoints. No request that ran there may be reported as not run,
+	// and the other domains must still answer every class.
+	It("continues when a failure domain is lost", func() {
 		s := startSite()
 		lost := s.Entries[0].Domain
-		results := s.under(func() {
+		results := s.runLoad(func() {
 			for _, instance := range append(s.Agents, s.Entries...) {
 				if instance.Domain != lost {
 					continue
@@ -52,7 +52,7 @@
 				}
 			}
 		})
-		s.holds(results)
-		Expect(class(results, "draft").Unknown).To(BeZero())
+		s.checkInvariants(results)
+		Expect(resultOf(results, "draft").Unknown).To(BeZero())
 	})
 })
