--- a/cmd/siskinlab/capacity.go
+++ b/cmd/siskinlab/capacity.go
@@ -22,7 +22,7 @@
 	var dir, pids, out, limitsFile string
 	var duration time.Duration
 	layout := &cobra.Command{Use: "layout", Short: "write the settings of a fleet", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		_, err := demo.WriteFleet(dir, basePort, entries, agents)
+		_, err := demo.WriteFleetLayout(dir, basePort, entries, agents)
 		return err
 	}}
 	measure := &cobra.Command{Use: "measure", Short: "watch a fleet's processes", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
--- a/cmd/siskinlab/demo.go
+++ b/cmd/siskinlab/demo.go
@@ -25,8 +25,8 @@
 			return demo.PublishInstances(dir, l)
 		}),
 		layoutStep("ready", "wait until every process is ready", func(_ string, l demo.Layout) error { return demo.AwaitReady(l) }),
-		layoutStep("outage", "take the key-value services away", func(_ string, l demo.Layout) error { return demo.Outage(l, true) }),
-		layoutStep("recover", "give the key-value services back", func(_ string, l demo.Layout) error { return demo.Outage(l, false) }),
+		layoutStep("outage", "take the key-value services away", func(_ string, l demo.Layout) error { return demo.SetOutage(l, true) }),
+		layoutStep("recover", "give the key-value services back", func(_ string, l demo.Layout) error { return demo.SetOutage(l, false) }),
 	)
 	return cmd
 }
@@ -39,7 +39,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			dir := demoDir(cmd)
-			layout, err := demo.Load(filepath.Join(dir, "layout.json"))
+			layout, err := demo.ReadLayout(filepath.Join(dir, "layout.json"))
 			if err != nil {
 				return err
 			}
@@ -59,7 +59,7 @@
 		Short: "write settings, instance lists and the list of processes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, err := demo.Write(demoDir(cmd), basePort)
+			_, err := demo.WriteLayout(demoDir(cmd), basePort)
 			return err
 		},
 	}
@@ -74,7 +74,7 @@
 		Short: "send the callers' traffic of both deployments",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return demo.Drive(cmd.Context(), demoDir(cmd), duration, cmd.OutOrStdout())
+			return demo.RunLoad(cmd.Context(), demoDir(cmd), duration, cmd.OutOrStdout())
 		},
 	}
 	cmd.Flags().DurationVar(&duration, "duration", 30*time.Second, "how long")
@@ -85,7 +85,7 @@
 	var seed uint64
 	var duration time.Duration
 	cmd := layoutStep("faults", "draw a schedule of faults for scripts/demo.sh", func(_ string, l demo.Layout) error {
-		for _, fault := range demo.Faults(l, seed, duration) {
+		for _, fault := range demo.DrawFaults(l, seed, duration) {
 			fmt.Println(fault)
 		}
 		return nil
@@ -101,7 +101,7 @@
 		Short: "print the demo's tables; fails if a promise was broken",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			violations, err := demo.Judge(demoDir(cmd), cmd.OutOrStdout())
+			violations, err := demo.Check(demoDir(cmd), cmd.OutOrStdout())
 			if err != nil {
 				return err
 			}
--- a/internal/lab/demo/check.go
+++ b/internal/lab/demo/check.go
@@ -15,10 +15,10 @@
 	"siskinloom.example/siskinloom/internal/standin"
 )
 
-// Judge prints the tables of the demo's results in dir and returns the number of
+// Check prints the tables of the demo's results in dir and returns the number of
 // violations of the invariants.
-func Judge(dir string, out io.Writer) (int, error) {
-	layout, err := Load(filepath.Join(dir, "layout.json"))
+func Check(dir string, out io.Writer) (int, error) {
+	layout, err := ReadLayout(filepath.Join(dir, "layout.json"))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/lab/demo/control.go
+++ b/internal/lab/demo/control.go
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// Outage starts or ends an outage of all key-value services.
-func Outage(layout Layout, on bool) error {
+// SetOutage starts or ends an outage of all key-value services.
+func SetOutage(layout Layout, on bool) error {
 	for _, site := range layout.Sites {
 		if err := post(site.Control, fmt.Sprintf("/outage?on=%d", map[bool]int{true: 1}[on]), nil); err != nil {
 			return err
--- a/internal/lab/demo/faults.go
+++ b/internal/lab/demo/faults.go
@@ -17,7 +17,7 @@
 	Start   Verb = "start"   // starts the process again, after it has ended
 	Pause   Verb = "pause"   // SIGSTOP
 	Resume  Verb = "resume"  // SIGCONT
-	Away    Verb = "outage"  // the key-value services stop answering
+	Outage  Verb = "outage"  // the key-value services stop answering
 	Recover Verb = "recover" // the key-value services answer again
 )
 
@@ -53,10 +53,10 @@
 	faults    []Fault
 }
 
-// Faults draws a schedule of faults for a load of the given duration. Any entry, agent
-// or endpoint and the key-value services may fail, several of them at the same time, and
-// each one recovers. The same seed, duration and layout give the same schedule.
-func Faults(layout Layout, seed uint64, duration time.Duration) []Fault {
+// DrawFaults draws a schedule of faults for a load of the given duration. Any entry,
+// agent or endpoint and the key-value services may fail, several of them at the same
+// time, and each one recovers. The same seed, duration and layout give the same schedule.
+func DrawFaults(layout Layout, seed uint64, duration time.Duration) []Fault {
 	s := &faultScheduler{
 		rng:       rand.New(rand.NewPCG(seed, seed)),
 		layout:    layout,
@@ -82,7 +82,7 @@
 	endpoint := agent + "-endpoint"
 	switch s.rng.IntN(10) {
 	case 0:
-		s.addFault(at, s.randomSeconds(maxOutage), Away, Recover, "")
+		s.addFault(at, s.randomSeconds(maxOutage), Outage, Recover, "")
 	case 1, 2:
 		s.addFault(at, s.randomSeconds(maxDowntime), Kill, Start, entry)
 	case 3:
--- a/internal/lab/demo/faults_schedule_test.go
+++ b/internal/lab/demo/faults_schedule_test.go
@@ -12,10 +12,10 @@
 		layout, err := writeSites(GinkgoT().TempDir(), firstPort, exampleSpecs)
 		Expect(err).NotTo(HaveOccurred())
 		const duration = time.Minute
-		first := Faults(layout, 3, duration)
-		Expect(first).To(Equal(Faults(layout, 3, duration)))
-		Expect(first).NotTo(Equal(Faults(layout, 4, duration)))
-		ends := map[Verb]Verb{Kill: Start, Stop: Start, Pause: Resume, Away: Recover}
+		first := DrawFaults(layout, 3, duration)
+		Expect(first).To(Equal(DrawFaults(layout, 3, duration)))
+		Expect(first).NotTo(Equal(DrawFaults(layout, 4, duration)))
+		ends := map[Verb]Verb{Kill: Start, Stop: Start, Pause: Resume, Outage: Recover}
 		pending := map[string]Verb{}
 		for _, f := range first {
 			Expect(f.At).To(BeNumerically("<=", duration-faultFreeTail))
--- a/internal/lab/demo/faults_test.go
+++ b/internal/lab/demo/faults_test.go
@@ -57,8 +57,8 @@
 	It("answers lookups and runs no sync twice when the key-value service is down", func() {
 		s := startSite()
 		results := s.runLoad(func() {
-			Expect(Outage(s.layout, true)).To(Succeed())
-			time.AfterFunc(3*time.Second, func() { _ = Outage(s.layout, false) })
+			Expect(SetOutage(s.layout, true)).To(Succeed())
+			time.AfterFunc(3*time.Second, func() { _ = SetOutage(s.layout, false) })
 		})
 		s.checkInvariants(results)
 		lookups := resultOf(results, "lookup")
--- a/internal/lab/demo/layout.go
+++ b/internal/lab/demo/layout.go
@@ -93,18 +93,18 @@
 	commands []string
 }
 
-// Write writes the files of the demo into dir and assigns free ports above base. The
-// files are layout.json, a settings file per instance, an instance list per site, and the
-// files processes and trainers, which have a line per command: its name, a tab and its
-// words.
-func Write(dir string, base int) (Layout, error) {
+// WriteLayout writes the files of the demo into dir and assigns free ports above base.
+// The files are layout.json, a settings file per instance, an instance list per site, and
+// the files processes and trainers, which have a line per command: its name, a tab and
+// its words.
+func WriteLayout(dir string, base int) (Layout, error) {
 	return writeSites(dir, base, exampleSpecs)
 }
 
-// WriteFleet writes the files of one deployment for measurements of control work. Its
-// entries and agents are spread over eight failure domains, and the agents share one
+// WriteFleetLayout writes the files of one deployment for measurements of control work.
+// Its entries and agents are spread over eight failure domains, and the agents share one
 // engine process.
-func WriteFleet(dir string, base, entries, agents int) (Layout, error) {
+func WriteFleetLayout(dir string, base, entries, agents int) (Layout, error) {
 	spec := exampleSpecs[0]
 	spec.domains = nil
 	for i := range fleetDomains {
@@ -137,8 +137,8 @@
 	})
 }
 
-// Load reads layout.json.
-func Load(path string) (Layout, error) {
+// ReadLayout reads layout.json.
+func ReadLayout(path string) (Layout, error) {
 	var layout Layout
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/demo/load.go
+++ b/internal/lab/demo/load.go
@@ -48,8 +48,8 @@
 	stream       bool
 }
 
-// Tally counts the outcomes of one request class.
-type Tally struct {
+// ClassStats counts the outcomes of one request class.
+type ClassStats struct {
 	Class   string
 	OnTime  int
 	Late    int
@@ -64,12 +64,12 @@
 }
 
 // Quantile returns the latency at q percent, in milliseconds.
-func (t *Tally) Quantile(q float64) float64 {
-	return float64(t.latency.ValueAtQuantile(q)) / 1000
+func (s *ClassStats) Quantile(q float64) float64 {
+	return float64(s.latency.ValueAtQuantile(q)) / 1000
 }
 
-func newTally(class string) *Tally {
-	return &Tally{Class: class, latency: hdrhistogram.New(1, maxLatencyMicros, histogramDigits), reasons: map[string]int{}}
+func newClassStats(class string) *ClassStats {
+	return &ClassStats{Class: class, latency: hdrhistogram.New(1, maxLatencyMicros, histogramDigits), reasons: map[string]int{}}
 }
 
 // client sends the callers' requests. Like a load balancer, it uses the next entry after
@@ -88,7 +88,7 @@
 }
 
 // sendClass sends a class's traffic until ctx ends and waits for its answers.
-func (c *client) sendClass(ctx context.Context, class trafficClass, stats *Tally, seed uint64) {
+func (c *client) sendClass(ctx context.Context, class trafficClass, stats *ClassStats, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	interval := time.Duration(float64(time.Second) / class.rate)
 	ticker := time.NewTicker(interval)
@@ -118,8 +118,9 @@
 }
 
 // sendWithResends sends a request and records the result. After a lost connection it
-// sends the request with the same key to the next entry, at most maxSends times in all.
-func (c *client) sendWithResends(class trafficClass, stats *Tally, request loadRequest, entry int) {
+// sends the request, with the same key if it has one, to the next entry, at most maxSends
+// times in all.
+func (c *client) sendWithResends(class trafficClass, stats *ClassStats, request loadRequest, entry int) {
 	start := time.Now()
 	var response loadResponse
 	for try := range maxSends {
@@ -162,52 +163,52 @@
 	return response
 }
 
-func (t *Tally) countResent() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.Resent++
+func (s *ClassStats) countResent() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.Resent++
 }
 
-func (t *Tally) record(class trafficClass, request loadRequest, response loadResponse, latency time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	_ = t.latency.RecordValue(max(1, latency.Microseconds()))
+func (s *ClassStats) record(class trafficClass, request loadRequest, response loadResponse, latency time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_ = s.latency.RecordValue(max(1, latency.Microseconds()))
 	switch {
 	case response.err != nil:
-		t.Unknown++
-		t.reasons["connection: "+response.err.Error()]++
+		s.Unknown++
+		s.reasons["connection: "+response.err.Error()]++
 	case response.status >= fasthttp.StatusBadRequest && response.problem.Outcome == "not-run":
-		t.NotRun++
-		t.reasons[response.problem.Reason]++
+		s.NotRun++
+		s.reasons[response.problem.Reason]++
 		if request.operation != "" {
-			t.notRun = append(t.notRun, request.operation)
+			s.notRun = append(s.notRun, request.operation)
 		}
 	case response.status >= fasthttp.StatusBadRequest:
-		t.Unknown++
-		t.reasons[response.problem.Reason]++
+		s.Unknown++
+		s.reasons[response.problem.Reason]++
 	default:
-		t.recordAnswer(class, request, response, latency)
+		s.recordAnswer(class, request, response, latency)
 	}
 }
 
 // recordAnswer checks an answer against its request and counts it.
-func (t *Tally) recordAnswer(class trafficClass, request loadRequest, response loadResponse, latency time.Duration) {
+func (s *ClassStats) recordAnswer(class trafficClass, request loadRequest, response loadResponse, latency time.Duration) {
 	err := checkAnswer(request, response.body)
 	if errors.Is(err, errStreamFailed) {
-		t.Unknown++
-		t.reasons[err.Error()]++
+		s.Unknown++
+		s.reasons[err.Error()]++
 		return
 	}
 	if err != nil {
-		t.Wrong++
-		t.reasons["wrong: "+err.Error()]++
+		s.Wrong++
+		s.reasons["wrong: "+err.Error()]++
 		return
 	}
 	if latency <= class.deadline {
-		t.OnTime++
+		s.OnTime++
 		return
 	}
-	t.Late++
+	s.Late++
 }
 
 // errStreamFailed is returned for a stream that ended with an error event.
--- a/internal/lab/demo/run.go
+++ b/internal/lab/demo/run.go
@@ -21,7 +21,7 @@
 	resultsFile      = "load.json"
 )
 
-// ClassResult is the result of a request class as it is written for Judge.
+// ClassResult is the result of a request class as it is written for Check.
 type ClassResult struct {
 	Class   string         `json:"class"`
 	Site    string         `json:"site"`
@@ -38,10 +38,10 @@
 	NotRunOperations []string `json:"not_run_operations"`
 }
 
-// Drive generates the load of all sites for the duration and writes the results into
+// RunLoad generates the load of all sites for the duration and writes the results into
 // dir.
-func Drive(ctx context.Context, dir string, duration time.Duration, progress io.Writer) error {
-	layout, err := Load(filepath.Join(dir, "layout.json"))
+func RunLoad(ctx context.Context, dir string, duration time.Duration, progress io.Writer) error {
+	layout, err := ReadLayout(filepath.Join(dir, "layout.json"))
 	if err != nil {
 		return err
 	}
@@ -52,10 +52,10 @@
 	for _, site := range layout.Sites {
 		classes = append(classes, trafficOf(site)...)
 	}
-	stats := make([]*Tally, len(classes))
+	stats := make([]*ClassStats, len(classes))
 	var group errgroup.Group
 	for i, class := range classes {
-		stats[i] = newTally(class.name)
+		stats[i] = newClassStats(class.name)
 		group.Go(func() error {
 			c.sendClass(ctx, class, stats[i], uint64(i))
 			return nil
@@ -69,7 +69,7 @@
 }
 
 // printProgress prints a line of progress at every progressInterval.
-func printProgress(ctx context.Context, out io.Writer, stats []*Tally) {
+func printProgress(ctx context.Context, out io.Writer, stats []*ClassStats) {
 	start := time.Now()
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
@@ -90,7 +90,7 @@
 	}
 }
 
-func writeResults(dir string, classes []trafficClass, stats []*Tally) error {
+func writeResults(dir string, classes []trafficClass, stats []*ClassStats) error {
 	var results []ClassResult
 	for i, s := range stats {
 		results = append(results, ClassResult{
--- a/internal/lab/demo/site_test.go
+++ b/internal/lab/demo/site_test.go
@@ -198,7 +198,7 @@
 	})
 	defer timer.Stop()
 	var progress bytes.Buffer
-	Expect(Drive(context.Background(), s.dir, duration, &progress)).To(Succeed())
+	Expect(RunLoad(context.Background(), s.dir, duration, &progress)).To(Succeed())
 	results, err := readResults(s.dir)
 	Expect(err).NotTo(HaveOccurred())
 	return results
