--- a/internal/lab/callers/poison_entry.go
+++ b/internal/lab/callers/poison_entry.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// sendPlacement tells all peers that a copy started or ended. Some of the messages are
-// lost.
+// sendPlacement sends all peers a message that a copy started or ended. Some of the
+// messages are lost. If a safeguard is disabled, none is sent.
 func (e *poisonEntry) sendPlacement(placement wire.Placement) {
 	w := e.world
 	if w.scenario.disabled != noPoisonSafeguard {
