--- a/internal/entry/claims_fakes_test.go
+++ b/internal/entry/claims_fakes_test.go
@@ -254,7 +254,7 @@
 	}
 }
 
-var errSilent = errors.New("the connection does not answer")
+var errNoAnswer = errors.New("the connection does not answer")
 
 func (c *fakeCluster) serve(s *ClaimServer, args, reply any) error {
 	if told, ok := args.(wire.ClaimsTold); ok {
@@ -275,13 +275,13 @@
 	c.mu.Unlock()
 	if silent {
 		<-ctx.Done()
-		return errSilent
+		return errNoAnswer
 	}
 	if err := c.serve(c.nodes[address].claims.Server(), args, reply); err != nil {
 		return err
 	}
 	if lost {
-		return errSilent
+		return errNoAnswer
 	}
 	return nil
 }
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -137,8 +137,9 @@
 		Expect(cluster.endpoint.fences[len(cluster.endpoint.fences)-1].Epoch).To(Equal(int64(2)))
 	})
 
-	// The write of the claim gets no answer, with or without having taken effect.
-	// The call is dispatched once, and only after the outcome was read.
+	// The answer to the write of the claim is lost, after the write or together with
+	// it. The call is dispatched once, and only after the outcome of the write was
+	// read.
 	DescribeTable("resolves a write with an unknown outcome", func(applied, dropped int) {
 		match(answered("run 1"), ask(a, "f0", testTimeout))
 		cluster.store.set(func() { cluster.store.applied, cluster.store.dropped = applied, dropped })
@@ -257,7 +258,8 @@
 	})
 
 	// The process is paused between the commit and the dispatch, for longer than
-	// the claim is kept, so that the claim has expired at its successor.
+	// the claim is kept, so that the claim has expired at its successor. A dispatch
+	// could now be the second run of a call that was repeated there.
 	It("dispatches nothing after the deadline", func() {
 		answer := dispatchBeforeDeadline(context.Background(), newRequest("f1", "body"), time.Now(), cluster.endpoint.dispatch)
 		Expect(answer.Outcome).To(Equal(wire.NotRun))
--- a/internal/entry/claimtest/claims_test.go
+++ b/internal/entry/claimtest/claims_test.go
@@ -352,8 +352,9 @@
 
 	// The owner stops as planned while a sync runs for longer than the handover
 	// takes. It releases its duty at once and finishes the sync; a repeat through
-	// another entry waits at the successor for the result. The fault: the release
-	// of the duty waited for the slowest run, or the repeat got "unknown".
+	// another entry waits at the successor for the result. Without that, the release
+	// of the duty would have to wait for the slowest run, or the repeat would get
+	// "unknown".
 	It("sends the results of requests in flight at a planned stop to the successor", func() {
 		gate := make(chan struct{})
 		ledger.gate = gate
--- a/internal/entry/pool/peer.go
+++ b/internal/entry/pool/peer.go
@@ -181,7 +181,8 @@
 	go c.close()
 }
 
-// reportOutcome tells the monitor what the end of a call shows about the connection.
+// reportOutcome reports to the monitor what the end of a call shows about the
+// connection.
 func (p *peer) reportOutcome(c *agentConn, ctx context.Context, err error, reply any) {
 	if err == nil {
 		p.updateLoad(reply)
--- a/internal/entry/pool/pool_test.go
+++ b/internal/entry/pool/pool_test.go
@@ -267,8 +267,8 @@
 func (noQuarantine) Blocked(string, uint64) bool             { return false }
 func (noQuarantine) ReportCrash(wire.Suspicion)              {}
 func (noQuarantine) EndCopy(entry.RequestCopy, string, bool) {}
-func (noQuarantine) StartCopy(_ context.Context, v entry.RequestCopy) (entry.Admission, wire.Answer, bool) {
-	return entry.Admission{Endpoint: v.Endpoint}, wire.Answer{}, true
+func (noQuarantine) StartCopy(_ context.Context, c entry.RequestCopy) (entry.Admission, wire.Answer, bool) {
+	return entry.Admission{Endpoint: c.Endpoint}, wire.Answer{}, true
 }
 
 type noRetries struct{}
--- a/internal/entry/quarantine_placement_test.go
+++ b/internal/entry/quarantine_placement_test.go
@@ -15,10 +15,10 @@
 var _ = Describe("PoisonQuarantine's choice of an endpoint", func() {
 	var quarantines map[string]*PoisonQuarantine
 	BeforeEach(func() { quarantines = newQuarantines("entry-1", "entry-2", "entry-3") })
-	admit := func(name string, v RequestCopy) string {
+	admit := func(name string, c RequestCopy) string {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		a, _, admitted := quarantines[name].StartCopy(ctx, v)
+		a, _, admitted := quarantines[name].StartCopy(ctx, c)
 		Expect(admitted).To(BeTrue())
 		return a.Endpoint
 	}
@@ -31,8 +31,9 @@
 	}
 
 	// A caller resends its request every 20 ms through another entry, and the
-	// first copy has not crashed yet. Every copy goes to the endpoint of the first,
-	// except for one hedge, which would be just as slow there.
+	// first copy has not crashed yet. If each copy ran at an endpoint of its own,
+	// each could crash one, so every copy goes to the endpoint of the first. One
+	// hedge may use another endpoint, since at the first it would be just as slow.
 	It("sends copies of an unproven request to the endpoint of the first, except for one hedge", func() {
 		Expect(admit("entry-1", copyAt("agent-1"))).To(Equal("agent-1"))
 		Eventually(func() []string { return placed("entry-2") }, time.Minute).Should(Equal([]string{"agent-1"}))
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -124,7 +124,7 @@
 var _ = Describe("PoisonQuarantine", func() {
 	var quarantines map[string]*PoisonQuarantine
 	BeforeEach(func() { quarantines = newQuarantines("entry-1", "entry-2", "entry-3") })
-	enter := func(name string, wait time.Duration) (bool, wire.Answer, bool) {
+	startCopy := func(name string, wait time.Duration) (bool, wire.Answer, bool) {
 		ctx, cancel := context.WithTimeout(context.Background(), wait)
 		defer cancel()
 		a, refusal, admitted := quarantines[name].StartCopy(ctx, copyAt("agent-9"))
@@ -135,13 +135,13 @@
 	// another entry. That entry must know of the crash already.
 	It("reports a crash to the other entries before the caller gets its answer", func() {
 		quarantines["entry-1"].ReportCrash(crashAt("agent-1", 4))
-		alone, _, admitted := enter("entry-2", time.Minute)
+		alone, _, admitted := startCopy("entry-2", time.Minute)
 		Expect(admitted).To(BeTrue())
 		Expect(alone).To(BeTrue())
 		quarantines["entry-2"].ReportCrash(crashAt("agent-2", 1))
 		quarantines["entry-2"].EndCopy(copyAt("agent-9"), "agent-9", false)
 		for name := range quarantines {
-			_, refusal, admitted := enter(name, time.Minute)
+			_, refusal, admitted := startCopy(name, time.Minute)
 			Expect(admitted).To(BeFalse())
 			Expect(refusal.Reason).To(Equal(wire.ReasonQuarantined))
 		}
@@ -149,16 +149,16 @@
 
 	It("runs a suspect through one entry at a time, and without restriction once answered", func() {
 		quarantines["entry-1"].ReportCrash(crashAt("agent-1", 4))
-		_, _, admitted := enter("entry-2", time.Minute)
+		_, _, admitted := startCopy("entry-2", time.Minute)
 		Expect(admitted).To(BeTrue())
-		_, refusal, admitted := enter("entry-3", 100*time.Millisecond)
+		_, refusal, admitted := startCopy("entry-3", 100*time.Millisecond)
 		Expect(admitted).To(BeFalse())
 		Expect(refusal.Outcome).To(Equal(wire.NotRun))
 		quarantines["entry-2"].EndCopy(copyAt("agent-9"), "agent-9", true)
-		_, _, admitted = enter("entry-3", time.Minute)
+		_, _, admitted = startCopy("entry-3", time.Minute)
 		Expect(admitted).To(BeTrue())
 		quarantines["entry-3"].EndCopy(copyAt("agent-9"), "agent-9", true)
-		alone, _, _ := enter("entry-2", time.Minute)
+		alone, _, _ := startCopy("entry-2", time.Minute)
 		Expect(alone).To(BeFalse())
 	})
 
--- a/internal/entry/weights.go
+++ b/internal/entry/weights.go
@@ -79,8 +79,8 @@
 
 // Announce records that a version is in the weight store and returns the newest
 // announced version, which will be served. It returns once the record is known to
-// be stored, and retries until ctx ends: after a write with an unknown outcome the
-// retry reads the record.
+// be stored, and retries until ctx ends: after an indeterminate write the retry
+// reads the record.
 func (w *Weights) Announce(ctx context.Context, deployment, feed, model string, version int64, adapter string) (int64, error) {
 	service, err := w.serviceOf(deployment, feed, model)
 	if err != nil {
@@ -115,7 +115,7 @@
 }
 
 // raiseRecord makes one attempt to raise the recorded version to at least version.
-// A retry after an unknown outcome is idempotent: a record that already has the
+// A retry after an indeterminate write is idempotent: a record that already has the
 // version is not written again.
 func (w *Weights) raiseRecord(ctx context.Context, service string, key weights.Key, version int64) (int64, error) {
 	path := weightsKey(w.options.Deployment, service)
--- a/internal/entry/weights_test.go
+++ b/internal/entry/weights_test.go
@@ -125,16 +125,16 @@
 		Expect(err).NotTo(HaveOccurred())
 		lister, err := kv.NewLister(address)
 		Expect(err).NotTo(HaveOccurred())
-		holders := &fakeDutyLeases{}
+		leases := &fakeDutyLeases{}
 		w := NewWeights(WeightsOptions{
-			Store: store, Duties: holders, Config: fixedConfig{deployment}, Instances: lister, Deployment: "d", Log: log,
+			Store: store, Duties: leases, Config: fixedConfig{deployment}, Instances: lister, Deployment: "d", Log: log,
 			AdjustConfig: func(c *weights.Config) {
 				c.LoadTimeout, c.MaxTargetAge = maxOrderTimeout*3/4, maxOrderTimeout/4
 				c.RecheckInterval = 300 * time.Millisecond
 			},
 		})
 		go func(ctx context.Context) { _ = w.Run(ctx) }(ctx)
-		return w, holders
+		return w, leases
 	}
 
 	versions := func() []int64 {
@@ -168,9 +168,9 @@
 	})
 
 	It("brings an announced version to every engine despite a failed load", func() {
-		w, holders := startEntry("a")
+		w, leases := startEntry("a")
 		engines[2].FailLoads(1)
-		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		leases.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
 		Eventually(versions).WithTimeout(weightsTestTimeout).Should(HaveEach(int64(2)))
 	})
@@ -178,19 +178,19 @@
 	// The key-value service fails after the owner has read the announcement and
 	// before an engine has loaded the version. Loads need no call to the service.
 	It("finishes a rollout during an outage", func() {
-		w, holders := startEntry("a")
+		w, leases := startEntry("a")
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
-		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		leases.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Eventually(func() int { return len(w.Progress()["tone"]) }).WithTimeout(weightsTestTimeout).Should(Equal(1))
 		platform.SetDown(true)
-		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Lapsed})
+		leases.notify(duties.Change{Epoch: 1, LeaseState: duties.Lapsed})
 		Eventually(versions).WithTimeout(weightsTestTimeout).Should(HaveEach(int64(2)))
 		Expect(w.Progress()["tone"]).To(HaveLen(1))
 	})
 
 	It("brings an adapter to every engine and keeps the model's version", func() {
-		w, holders := startEntry("a")
-		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		w, leases := startEntry("a")
+		leases.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 7, "polite")).To(Equal(int64(7)))
 		Eventually(func() []int64 {
 			var all []int64
@@ -203,10 +203,10 @@
 	})
 
 	// An engine crashes and restarts with its initial version. Its agent must accept
-	// the order for the newest version again.
+	// the order for the newest version again, although it executed that order before.
 	It("brings a restarted engine back to the newest version", func() {
-		w, holders := startEntry("a")
-		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		w, leases := startEntry("a")
+		leases.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
 		Eventually(versions).WithTimeout(weightsTestTimeout).Should(HaveEach(int64(2)))
 		engines[1].Crash()
@@ -218,8 +218,8 @@
 
 	It("skips an engine that an operator drained", func() {
 		deployment.DrainInstances = []string{"3"}
-		w, holders := startEntry("a")
-		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		w, leases := startEntry("a")
+		leases.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Expect(w.Announce(ctx, "d", "drafts", "m", 2, "")).To(Equal(int64(2)))
 		Eventually(versions).WithTimeout(weightsTestTimeout).Should(Equal([]int64{2, 2, 2, 1}))
 	})
@@ -228,7 +228,7 @@
 	// restarts without its role, and a successor replaces the owner.
 	It("gives the engines their declared roles and restores them", func() {
 		deployment.Services[0].Roles = []string{"prefill:1", "decode:3"}
-		_, holders := startEntry("a")
+		_, leases := startEntry("a")
 		_, next := startEntry("b")
 		engines[2].FailLoads(1)
 		roles := func() []string {
@@ -239,7 +239,7 @@
 			return all
 		}
 		divided := ConsistOf("prefill", "decode", "decode", "decode")
-		holders.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
+		leases.notify(duties.Change{Epoch: 1, LeaseState: duties.Holder})
 		Eventually(roles).WithTimeout(weightsTestTimeout).Should(divided)
 		engines[1].Crash()
 		_, err := engines[1].Start(endpoints[1])
