--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
 // Package agent is the runtime of the process beside one endpoint. The agent is
-// the only client of its endpoint: it queues requests, passes weight orders on,
-// and answers what became of a request.
+// the only client of its endpoint: it queues requests, passes on weight orders,
+// and reports the outcome of requests.
 package agent
 
 import (
@@ -39,8 +39,8 @@
 	shutdownDelay = time.Second
 	// listedLeavingTTL is how long a heartbeat's statement that the list says
 	// this agent leaves stays in force. It is longer than the longest interval
-	// between two reads of the list by the entries and the heartbeats that
-	// repeat it.
+	// between the reads of the list by two entries, plus the interval of the
+	// heartbeats with which they repeat the statement.
 	listedLeavingTTL  = 2 * time.Minute
 	drainPollInterval = 50 * time.Millisecond
 )
@@ -117,12 +117,12 @@
 	return time.Since(a.started)
 }
 
-// Ready returns whether the agent accepts new requests.
+// Ready reports whether the agent accepts new requests.
 func (a *Agent) Ready() bool {
 	return !a.isLeaving() && !a.down.Load()
 }
 
-// isLeaving returns whether the agent refuses new requests, either because of
+// isLeaving reports whether the agent refuses new requests, either because of
 // its own stop or because the platform's list says that it leaves. The list may
 // be wrong, so the statement expires after listedLeavingTTL unless entries
 // repeat it.
--- a/internal/agent/chunks.go
+++ b/internal/agent/chunks.go
@@ -80,7 +80,7 @@
 	return dirs
 }
 
-// fits returns whether a complete version of the given size can be stored
+// fits reports whether a complete version of the given size can be stored
 // beside the one that the engine loads. It is called before the fetch: a
 // version that runs out of memory in the middle would be fetched in vain over
 // and over.
--- a/internal/agent/crashes.go
+++ b/internal/agent/crashes.go
@@ -57,9 +57,10 @@
 
 // recordCrash records that the endpoint broke off a request that started at
 // startedAt while the given number of distinct requests were running, and
-// returns the crash. The requests of one crash break off one after the other.
-// If each counted only what still runs, the last one would seem to have been
-// alone.
+// returns the crash. The requests of one crash break off one after the other,
+// so a request that started before the last crash was noticed belongs to that
+// crash and gets its batch. If each counted only what still runs, the last one
+// would seem to have been alone.
 func (c *crashTracker) recordCrash(now, startedAt time.Time, req wire.Request, running int) wire.Suspicion {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +105,7 @@
 	return c.registry.List(now)
 }
 
-// isQuarantined returns whether the request is in quarantine.
+// isQuarantined reports whether the request is in quarantine.
 func (c *crashTracker) isQuarantined(now time.Time, req wire.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/crashes_test.go
+++ b/internal/agent/crashes_test.go
@@ -29,7 +29,7 @@
 	// A caller sends the same request twice concurrently and it crashes its
 	// endpoint. The entries learn of one fingerprint. If the crash counted two,
 	// they would wait forever for the second one before they quarantine the
-	// request, and a third endpoint is lost.
+	// request, and it would crash a third endpoint.
 	It("counts copies of one request once and identifies the crash", func() {
 		c := newCrashTracker("agent-1")
 		req := wire.Request{Service: "tone", Fingerprint: 7}
--- a/internal/agent/endpoint.go
+++ b/internal/agent/endpoint.go
@@ -172,7 +172,7 @@
 	defer stop()
 	finish, err := readEvents(httpResp.BodyStream(), emit)
 	if err != nil {
-		// Without this, closing would try to read the rest of a broken stream.
+		// Otherwise CloseBodyStream would try to read the rest of the broken stream.
 		httpResp.SetConnectionClose()
 	}
 	_ = httpResp.CloseBodyStream()
@@ -276,7 +276,7 @@
 	return load, json.Unmarshal(body, &load)
 }
 
-// alive returns whether the endpoint responds to a health check.
+// alive reports whether the endpoint responds to a health check.
 func (e *endpointClient) alive() bool {
 	status, _, err := e.roundTrip(fasthttp.MethodGet, engineapi.PathHealth, nil, time.Now().Add(probeTimeout))
 	return err == nil && status < fasthttp.StatusInternalServerError
--- a/internal/agent/fences.go
+++ b/internal/agent/fences.go
@@ -18,7 +18,7 @@
 	return &fenceTable{epochs: map[string]int64{}}
 }
 
-// accept records a fence and returns whether it is current.
+// accept records a fence and reports whether it is current.
 func (f *fenceTable) accept(fence wire.Fence) bool {
 	if fence.Duty == "" {
 		return true
--- a/internal/agent/kvcache.go
+++ b/internal/agent/kvcache.go
@@ -144,7 +144,7 @@
 	if e.resp == nil {
 		return
 	}
-	// Without this, closing the stream of a broken or unread body would read it to its end.
+	// Otherwise CloseBodyStream would read a broken or unread body to its end.
 	e.resp.SetConnectionClose()
 	_ = e.resp.CloseBodyStream()
 	fasthttp.ReleaseResponse(e.resp)
--- a/internal/agent/kvcache_test.go
+++ b/internal/agent/kvcache_test.go
@@ -126,8 +126,9 @@
 	})
 
 	It("end their export when the importing agent fails", func() {
-		// Nobody requests the next piece in order. Without a timeout, the few
-		// exports that may run concurrently would be used up permanently.
+		// Afterwards nobody requests the next piece, or the agent's successor
+		// requests a wrong one. If the exports did not end then, the few that may
+		// run concurrently would be used up permanently.
 		_, one := startEngine(standin.EngineOptions{Version: 7, StepTime: 5 * time.Millisecond, KVBytes: 1000})
 		from, _ := serveAgent(one)
 		begin(from, "first", wire.Resume{})
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -76,70 +76,70 @@
 }
 
 // ObserveFences records epochs received with a heartbeat.
-func (s *OrderHandler) ObserveFences(all []wire.Fence) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (h *OrderHandler) ObserveFences(all []wire.Fence) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	for _, f := range all {
-		s.filter.ObserveFence(f)
+		h.filter.ObserveFence(f)
 	}
 }
 
 // RecordReport records the engine's own report, which was requested at sentAt.
-func (s *OrderHandler) RecordReport(load engineapi.Load, sentAt time.Time) {
+func (h *OrderHandler) RecordReport(load engineapi.Load, sentAt time.Time) {
 	taken := sentAt.Add(-time.Duration(load.AgeMilli) * time.Millisecond)
 	versions := map[string]int64{"": load.WeightVersion}
 	for adapter, version := range load.Adapters {
 		versions[adapter] = version
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.filter.ReportRole(load.Role, taken)
-	s.filter.ReportVersions(versions, taken)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.filter.ReportRole(load.Role, taken)
+	h.filter.ReportVersions(versions, taken)
 }
 
 // RemainingLoadTime returns the estimated remaining time of the load in
 // progress, or 0 if there is none. It counts as queued work, so that entries
 // prefer other endpoints meanwhile.
-func (s *OrderHandler) RemainingLoadTime() time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.loadStartedAt.IsZero() {
+func (h *OrderHandler) RemainingLoadTime() time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.loadStartedAt.IsZero() {
 		return 0
 	}
-	return max(s.lastLoadDuration-time.Since(s.loadStartedAt), time.Millisecond)
+	return max(h.lastLoadDuration-time.Since(h.loadStartedAt), time.Millisecond)
 }
 
 // Handle executes an order or returns why it can't. A load continues until the
 // order's deadline even if ctx is done earlier.
-func (s *OrderHandler) Handle(ctx context.Context, o wire.Order) wire.OrderReply {
-	s.mu.Lock()
-	verdict := s.filter.Accept(o, time.Now())
-	s.mu.Unlock()
+func (h *OrderHandler) Handle(ctx context.Context, o wire.Order) wire.OrderReply {
+	h.mu.Lock()
+	verdict := h.filter.Accept(o, time.Now())
+	h.mu.Unlock()
 	if !verdict.Run {
 		return verdict.Reply
 	}
 	if o.Kind == wire.OrderPrepare {
-		return s.prepare(ctx, o, verdict.Deadline)
+		return h.prepare(ctx, o, verdict.Deadline)
 	}
-	return s.load(o, verdict.Deadline)
+	return h.load(o, verdict.Deadline)
 }
 
-func (s *OrderHandler) prepare(ctx context.Context, o wire.Order, deadline time.Time) wire.OrderReply {
+func (h *OrderHandler) prepare(ctx context.Context, o wire.Order, deadline time.Time) wire.OrderReply {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	began := time.Now()
-	if err := s.fetcher.prepare(ctx, o); err != nil {
-		s.incCounter("fetch_failed")
-		events.WeightsFetchFailed.Log(s.log, logFields(o, err))
+	if err := h.fetcher.prepare(ctx, o); err != nil {
+		h.incCounter("fetch_failed")
+		events.WeightsFetchFailed.Log(h.log, logFields(o, err))
 		return wire.OrderReply{Outcome: wire.NotRun, Reason: wire.ReasonLoadFailed, Detail: err.Error()}
 	}
-	metrics.GetOrRegisterTimer("weights.fetch", s.metrics).UpdateSince(began)
-	events.WeightsFetched.Log(s.log, logFields(o, nil))
+	metrics.GetOrRegisterTimer("weights.fetch", h.metrics).UpdateSince(began)
+	events.WeightsFetched.Log(h.log, logFields(o, nil))
 	return wire.OrderReply{Outcome: wire.Answered, Version: o.Version}
 }
 
-func (s *OrderHandler) incCounter(name string) {
-	metrics.GetOrRegisterCounter("weights."+name, s.metrics).Inc(1)
+func (h *OrderHandler) incCounter(name string) {
+	metrics.GetOrRegisterCounter("weights."+name, h.metrics).Inc(1)
 }
 
 func logFields(o wire.Order, err error) logrus.Fields {
@@ -153,25 +153,25 @@
 	return f
 }
 
-func (s *OrderHandler) load(o wire.Order, deadline time.Time) wire.OrderReply {
+func (h *OrderHandler) load(o wire.Order, deadline time.Time) wire.OrderReply {
 	began := time.Now()
-	s.mu.Lock()
-	s.loadStartedAt = began
-	s.mu.Unlock()
-	result, reason, err := s.sendLoad(o, deadline)
-	s.mu.Lock()
+	h.mu.Lock()
+	h.loadStartedAt = began
+	h.mu.Unlock()
+	result, reason, err := h.sendLoad(o, deadline)
+	h.mu.Lock()
 	now := time.Now()
-	reply := s.filter.Finish(result, now)
-	s.loadStartedAt = time.Time{}
-	s.lastLoadDuration = now.Sub(began)
-	s.mu.Unlock()
+	reply := h.filter.Finish(result, now)
+	h.loadStartedAt = time.Time{}
+	h.lastLoadDuration = now.Sub(began)
+	h.mu.Unlock()
 	if err == nil {
-		metrics.GetOrRegisterTimer("weights.load", s.metrics).UpdateSince(began)
-		events.WeightsLoaded.Log(s.log, logFields(o, nil))
+		metrics.GetOrRegisterTimer("weights.load", h.metrics).UpdateSince(began)
+		events.WeightsLoaded.Log(h.log, logFields(o, nil))
 		return reply
 	}
-	s.incCounter("load_failed")
-	events.WeightsLoadFailed.Log(s.log, logFields(o, err))
+	h.incCounter("load_failed")
+	events.WeightsLoadFailed.Log(h.log, logFields(o, err))
 	reply.Detail = err.Error()
 	if reason != wire.ReasonNone {
 		reply.Reason = reason
@@ -180,16 +180,16 @@
 }
 
 // sendLoad sends a load to the engine and waits until it ends.
-func (s *OrderHandler) sendLoad(o wire.Order, deadline time.Time) (weights.LoadResult, wire.Reason, error) {
-	s.mu.Lock()
-	valid := s.filter.StillValid(time.Now())
-	s.mu.Unlock()
+func (h *OrderHandler) sendLoad(o wire.Order, deadline time.Time) (weights.LoadResult, wire.Reason, error) {
+	h.mu.Lock()
+	valid := h.filter.StillValid(time.Now())
+	h.mu.Unlock()
 	if !valid {
 		return weights.LoadFailed, wire.ReasonDeadline, errors.New("agent: the order's deadline has passed")
 	}
-	s.table.pin(weightsName(o.Model, o.Adapter), o.Version)
-	defer s.table.unpin()
-	status, body, err := s.endpoint.postOrder(s.engineOrder(o, deadline), deadline)
+	h.table.pin(weightsName(o.Model, o.Adapter), o.Version)
+	defer h.table.unpin()
+	status, body, err := h.endpoint.postOrder(h.engineOrder(o, deadline), deadline)
 	switch {
 	case errors.Is(err, errNotSent):
 		return weights.LoadFailed, wire.ReasonNoEndpoint, err
@@ -204,7 +204,7 @@
 	}
 }
 
-func (s *OrderHandler) engineOrder(o wire.Order, deadline time.Time) engineapi.Order {
+func (h *OrderHandler) engineOrder(o wire.Order, deadline time.Time) engineapi.Order {
 	order := engineapi.Order{
 		Kind:          string(o.Kind),
 		Model:         o.Model,
@@ -218,7 +218,7 @@
 		return order
 	}
 	order.Adapter = o.Adapter
-	s.setWeightsSource(o, &order)
+	h.setWeightsSource(o, &order)
 	return order
 }
 
@@ -234,10 +234,10 @@
 
 // Chunk returns a chunk of weights to another agent. If the chunk is not stored
 // yet, it waits at most weights.ChunkHoldTimeout for it.
-func (s *OrderHandler) Chunk(ctx context.Context, id wire.ChunkRequest) wire.ChunkReply {
-	data, found := s.table.wait(ctx, id, weights.ChunkHoldTimeout)
+func (h *OrderHandler) Chunk(ctx context.Context, id wire.ChunkRequest) wire.ChunkReply {
+	data, found := h.table.wait(ctx, id, weights.ChunkHoldTimeout)
 	if found {
-		s.incCounter("chunks_given")
+		h.incCounter("chunks_given")
 	}
 	return wire.ChunkReply{Found: found, Data: data}
 }
--- a/internal/agent/queue.go
+++ b/internal/agent/queue.go
@@ -23,8 +23,8 @@
 	defaultQueueLimit = 1000
 )
 
-// Queue holds all requests for this agent's endpoint until they may run. It is
-// safe for concurrent use. One endpoint is one shard with one lock.
+// Queue holds all requests for this agent's endpoint until they may run. One lock
+// protects the whole queue. It is safe for concurrent use.
 type Queue struct {
 	service string
 	metrics *queueMetrics
@@ -169,7 +169,7 @@
 	}
 	w.baselineCost = q.estimator.BaselineCost(req.Class, req.Cost)
 	if _, taken := q.waiters[req.ID]; taken {
-		// Not NotRun: the request with this ID may be running.
+		// The outcome is not NotRun, since the request with this ID may be running.
 		w.refused = &wire.Answer{ID: req.ID, Outcome: wire.Unknown, Reason: wire.ReasonDuplicate, Load: q.load()}
 		w.events <- struct{}{}
 		return
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -189,7 +189,7 @@
 func (r *record) read(offset int, wait, gather time.Duration) wire.ReadReply {
 	r.waitFor(wait, func() bool { return r.done || len(r.tokens) > offset })
 	if gather > 0 {
-		// Not waitFor, which every token would wake.
+		// This does not use waitFor, which would wake up for every token.
 		timer := time.NewTimer(gather)
 		defer timer.Stop()
 		select {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -152,7 +152,7 @@
 	return wire.Answer{}, false
 }
 
-// remembers returns whether this incarnation of the agent remembers everything
+// remembers reports whether this incarnation of the agent remembers everything
 // that was sent to the target. Past the horizon, a refusal recorded in advance
 // may be evicted, and a request that arrives that late could run after its
 // caller was told "not run".
--- a/internal/agent/weights_http.go
+++ b/internal/agent/weights_http.go
@@ -81,17 +81,17 @@
 
 // ServeWeights serves the weights held in memory to the engine until ctx is
 // done. It returns immediately if the agent has a data directory.
-func (s *OrderHandler) ServeWeights(ctx context.Context) error {
-	if s.table.dir != "" {
+func (h *OrderHandler) ServeWeights(ctx context.Context) error {
+	if h.table.dir != "" {
 		return nil
 	}
-	server, err := newWeightsServer(s.table)
+	server, err := newWeightsServer(h.table)
 	if err != nil {
 		return err
 	}
-	s.mu.Lock()
-	s.weightsServer = server
-	s.mu.Unlock()
+	h.mu.Lock()
+	h.weightsServer = server
+	h.mu.Unlock()
 	stop := context.AfterFunc(ctx, func() {
 		_ = server.server.Shutdown()
 		_ = server.listener.Close() // needed if Serve has not started yet
@@ -107,20 +107,20 @@
 // setWeightsSource sets where the engine finds the version and the digest to
 // check it with. The URL and the digest are set only if this agent holds a
 // complete version: otherwise the engine would fail in the middle of a load.
-func (s *OrderHandler) setWeightsSource(o wire.Order, order *engineapi.Order) {
+func (h *OrderHandler) setWeightsSource(o wire.Order, order *engineapi.Order) {
 	model := weightsName(o.Model, o.Adapter)
-	v, held := s.table.findVerified(model, o.Version)
+	v, held := h.table.findVerified(model, o.Version)
 	if held {
 		order.WeightsChunks = v.chunks
 		order.WeightsSHA256 = hex.EncodeToString(v.digest)
 	}
-	if s.table.dir != "" {
-		order.WeightsDir = s.table.versionDir(model, o.Version)
+	if h.table.dir != "" {
+		order.WeightsDir = h.table.versionDir(model, o.Version)
 		return
 	}
-	s.mu.Lock()
-	server := s.weightsServer
-	s.mu.Unlock()
+	h.mu.Lock()
+	server := h.weightsServer
+	h.mu.Unlock()
 	if held && server != nil {
 		order.WeightsURL = server.url(model, o.Version)
 	}
--- a/internal/agent/weights_http_test.go
+++ b/internal/agent/weights_http_test.go
@@ -19,26 +19,26 @@
 
 var _ = Describe("weights from an agent's memory", func() {
 	const chunkBytes = 1000
-	var s *OrderHandler
+	var h *OrderHandler
 	var ctx context.Context
 
 	start := func(dir string, memory int) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		s = NewOrderHandler(OrderHandlerOptions{Incarnation: "a", Endpoint: "127.0.0.1:1", DataDir: dir, MemoryBytes: memory, Log: log})
+		h = NewOrderHandler(OrderHandlerOptions{Incarnation: "a", Endpoint: "127.0.0.1:1", DataDir: dir, MemoryBytes: memory, Log: log})
 		done := make(chan error, 1)
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithCancel(context.Background())
-		go func() { done <- s.ServeWeights(ctx) }()
+		go func() { done <- h.ServeWeights(ctx) }()
 		DeferCleanup(func() {
 			cancel()
 			Eventually(done).WithTimeout(time.Minute).Should(Receive(BeNil()))
 		})
 		if dir == "" {
 			Eventually(func() bool {
-				s.mu.Lock()
-				defer s.mu.Unlock()
-				return s.weightsServer != nil
+				h.mu.Lock()
+				defer h.mu.Unlock()
+				return h.weightsServer != nil
 			}).WithTimeout(time.Minute).Should(BeTrue())
 		}
 	}
@@ -57,14 +57,14 @@
 			if wrong && i == 2 {
 				data[2]++
 			}
-			if err := s.table.put(wire.ChunkRequest{Model: "m", Version: version, Index: i}, data); err != nil {
+			if err := h.table.put(wire.ChunkRequest{Model: "m", Version: version, Index: i}, data); err != nil {
 				return err
 			}
 		}
-		return s.fetcher.verify("m", version, 3, digest.Sum(nil))
+		return h.fetcher.verify("m", version, 3, digest.Sum(nil))
 	}
 	order := func(version int64) engineapi.Order {
-		return s.engineOrder(wire.Order{Kind: wire.OrderSwap, Model: "m", Version: version}, time.Now().Add(time.Minute))
+		return h.engineOrder(wire.Order{Kind: wire.OrderSwap, Model: "m", Version: version}, time.Now().Add(time.Minute))
 	}
 	get := func(url string) (int, []byte) {
 		status, body, err := fasthttp.GetTimeout(nil, url, time.Minute)
@@ -99,10 +99,10 @@
 		Expect(hold(2, false)).To(Succeed())
 		url := order(2).WeightsURL
 		Expect(hold(3, true)).NotTo(Succeed())
-		Expect(s.table.put(wire.ChunkRequest{Model: "m", Version: 4, Index: 0}, chunk(4, 0))).To(Succeed())
+		Expect(h.table.put(wire.ChunkRequest{Model: "m", Version: 4, Index: 0}, chunk(4, 0))).To(Succeed())
 		for _, version := range []int64{3, 4} {
 			Expect(order(version).WeightsURL).To(BeEmpty())
-			status, _ := get(s.weightsServer.url("m", version) + "0")
+			status, _ := get(h.weightsServer.url("m", version) + "0")
 			Expect(status).To(Equal(fasthttp.StatusNotFound))
 		}
 		status, _ := get(url + "0")
@@ -115,14 +115,14 @@
 	It("stay in memory while the engine loads them and are evictable afterwards", func() {
 		start("", 4*chunkBytes)
 		Expect(hold(2, false)).To(Succeed())
-		s.table.pin("m", 2)
-		Expect(s.table.fits("m", 3, 3*chunkBytes)).To(BeFalse())
-		Expect(s.table.fits("m", 2, 3*chunkBytes)).To(BeTrue())
+		h.table.pin("m", 2)
+		Expect(h.table.fits("m", 3, 3*chunkBytes)).To(BeFalse())
+		Expect(h.table.fits("m", 2, 3*chunkBytes)).To(BeTrue())
 		Expect(hold(3, false)).To(MatchError(errNoRoom))
 		status, _ := get(order(2).WeightsURL + "0")
 		Expect(status).To(Equal(fasthttp.StatusOK))
-		s.table.unpin()
-		Expect(s.table.fits("m", 3, 3*chunkBytes)).To(BeTrue())
+		h.table.unpin()
+		Expect(h.table.fits("m", 3, 3*chunkBytes)).To(BeTrue())
 		Expect(hold(3, false)).To(Succeed())
 		Expect(order(2).WeightsURL).To(BeEmpty())
 		Expect(order(3).WeightsURL).NotTo(BeEmpty())
