--- a/internal/feedrun/fakes_test.go
+++ b/internal/feedrun/fakes_test.go
@@ -193,24 +193,24 @@
 func (c *cluster) start(name string) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	i := &clusterEntry{c: c, name: name}
-	i.feeds = feedrun.New(feedrun.Options{
-		Instance: name, Store: c.store, Duties: i, Peers: c, Config: i, Generator: c.engines,
+	e := &clusterEntry{c: c, name: name}
+	e.feeds = feedrun.New(feedrun.Options{
+		Instance: name, Store: c.store, Duties: e, Peers: c, Config: e, Generator: c.engines,
 		Scorer: c.engines, Engines: c.engines, Versions: c.engines, Log: log, Metrics: metrics.NewRegistry(),
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	i.address = listener.Addr().String()
+	e.address = listener.Addr().String()
 	server := grpc.NewServer()
-	trainerpb.RegisterTrainerServer(server, feedrun.NewTrainer(i.feeds))
+	trainerpb.RegisterTrainerServer(server, feedrun.NewTrainer(e.feeds))
 	ctx, cancel := context.WithCancel(context.Background())
-	i.stop = func() { cancel(); server.Stop() }
+	e.stop = func() { cancel(); server.Stop() }
 	go func() { _ = server.Serve(listener) }()
-	go func() { _ = i.feeds.Run(ctx) }()
+	go func() { _ = e.feeds.Run(ctx) }()
 	c.mu.Lock()
-	c.entries[name] = i
+	c.entries[name] = e
 	c.mu.Unlock()
-	DeferCleanup(i.stop)
+	DeferCleanup(e.stop)
 }
 
 // setOwner gives the feed to an entry under the next epoch. The previous owner
@@ -232,38 +232,38 @@
 
 func (c *cluster) CallPeer(_ context.Context, address string, _ bool, _ string, args, reply any) error {
 	c.mu.Lock()
-	i := c.entries[address]
+	e := c.entries[address]
 	c.mu.Unlock()
-	if i == nil {
+	if e == nil {
 		return errors.New("no such entry")
 	}
-	return i.feeds.Server().Pull(args.(wire.PullRequest), reply.(*wire.PullReply))
+	return e.feeds.Server().Pull(args.(wire.PullRequest), reply.(*wire.PullReply))
 }
 
 func (c *cluster) crash(name string) {
 	c.mu.Lock()
-	i := c.entries[name]
+	e := c.entries[name]
 	delete(c.entries, name)
 	c.mu.Unlock()
-	i.stop()
+	e.stop()
 }
 
 func (c *cluster) addresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var all []string
-	for _, i := range c.entries {
-		all = append(all, i.address)
+	for _, e := range c.entries {
+		all = append(all, e.address)
 	}
 	return all
 }
 
-func (i *clusterEntry) Current() *decl.Deployment {
-	i.c.mu.Lock()
-	defer i.c.mu.Unlock()
+func (e *clusterEntry) Current() *decl.Deployment {
+	e.c.mu.Lock()
+	defer e.c.mu.Unlock()
 	d := declaration()
-	if i.c.groups > 0 {
-		d.Feeds[0].GroupsPerStep = i.c.groups
+	if e.c.groups > 0 {
+		d.Feeds[0].GroupsPerStep = e.c.groups
 	}
 	return d
 }
@@ -275,15 +275,15 @@
 	c.groups = n
 }
 
-func (i *clusterEntry) KnownHolder(string) (string, int64, bool) {
-	i.c.mu.Lock()
-	defer i.c.mu.Unlock()
-	return i.c.owner, i.c.epoch, i.c.owner == i.name
+func (e *clusterEntry) KnownHolder(string) (string, int64, bool) {
+	e.c.mu.Lock()
+	defer e.c.mu.Unlock()
+	return e.c.owner, e.c.epoch, e.c.owner == e.name
 }
 
-func (i *clusterEntry) LeaseState(string) duties.LeaseState { return duties.NotHolder }
+func (e *clusterEntry) LeaseState(string) duties.LeaseState { return duties.NotHolder }
 
-func (i *clusterEntry) OnChange(_ string, fn func(duties.Change)) { i.onChange = fn }
+func (e *clusterEntry) OnChange(_ string, fn func(duties.Change)) { e.onChange = fn }
 
 // startTrainer runs a trainer until the spec ends.
 func (c *cluster) startTrainer() *standin.Trainer {
--- a/internal/feedrun/feedrun_test.go
+++ b/internal/feedrun/feedrun_test.go
@@ -65,8 +65,8 @@
 	})
 
 	It("tolerates a paused owner beside its successor", func() {
-		// The old owner is not notified. It keeps answering the pulls that reach
-		// it and generating, until its first write fails.
+		// The old owner is not notified. It keeps generating samples and answering
+		// the pulls that reach it, until its first write fails.
 		c := newCluster("one", "two")
 		c.setOwner("one", true)
 		t := c.startTrainer()
@@ -110,8 +110,8 @@
 
 	// The prompt of one group crashes every engine that runs it. Its samples
 	// are quarantined for an hour. If the step waited for them, the trainer
-	// would idle as long. So the trainer gets, once for each sample, the
-	// information that it can't be generated.
+	// would idle as long. So the trainer is notified, once for each sample, that
+	// the sample can't be generated.
 	It("reports the samples of a group as failed if its prompt crashes engines", func() {
 		c := newCluster("one")
 		c.engines.poison = "remind 1 2"
--- a/internal/feedrun/feeds.go
+++ b/internal/feedrun/feeds.go
@@ -264,8 +264,8 @@
 	return reply, err
 }
 
-// Announce tells the owned feed the trainer's weight version and requests its
-// rollout.
+// Announce passes the trainer's weight version to the feed's owner, if it is this
+// entry, and requests the version's rollout.
 func (f *Feeds) Announce(ctx context.Context, deployment, feed, model string, version int64, adapter string) (int64, error) {
 	if o := f.owner(feed); o != nil {
 		o.deliver(handover.Announced{Version: version})
--- a/internal/feedrun/run.go
+++ b/internal/feedrun/run.go
@@ -26,7 +26,7 @@
 const (
 	defaultMaxTokens      = 256
 	runTimeout            = 30 * time.Minute // a step must be complete within 28 minutes
-	maxAttempts           = 4                // attempts of one run that break off
+	maxAttempts           = 4                // number of attempts of one run that may break off
 	scoreTimeout          = 10 * time.Second
 	maxScoreAttempts      = 4
 	retryDelay            = 100 * time.Millisecond
--- a/internal/feedrun/trainer.go
+++ b/internal/feedrun/trainer.go
@@ -78,7 +78,7 @@
 	digest := hex.EncodeToString(sum[:])
 	same := subtle.ConstantTimeCompare([]byte(digest), []byte(declared.TrainerSHA256)) == 1
 	if !found || current.Name != deployment || !same {
-		// All three cases get the same answer, which reveals no feed's name.
+		// All three cases get the same answer, so that it reveals no feed's name.
 		return status.Error(codes.Unauthenticated, "a bearer key of the feed's trainer is needed")
 	}
 	return nil
--- a/internal/feedrun/transfer.go
+++ b/internal/feedrun/transfer.go
@@ -125,7 +125,7 @@
 	r.moveLocked(to)
 }
 
-// hasTokensOf returns whether a weight version generated any token so far. If a
+// hasTokensOf reports whether a weight version generated any token so far. If a
 // swap took place between the last token and the export, the cache is of a
 // version that generated none. It would influence the next tokens without being
 // in the labels, so that the sample would look fresher than it is. Such a cache
--- a/internal/feedrun/transfer_test.go
+++ b/internal/feedrun/transfer_test.go
@@ -29,9 +29,9 @@
 	answers  chan wire.ImportReply
 }
 
-func (p *scriptedEngines) Generate(ctx context.Context, req wire.Request, onTokens func(wire.ReadReply)) wire.Answer {
+func (e *scriptedEngines) Generate(ctx context.Context, req wire.Request, onTokens func(wire.ReadReply)) wire.Answer {
 	a := &attempt{req: req, tokens: onTokens, end: make(chan wire.Answer, 1)}
-	p.attempts <- a
+	e.attempts <- a
 	select {
 	case answer := <-a.end:
 		return answer
@@ -40,10 +40,10 @@
 	}
 }
 
-func (p *scriptedEngines) ImportCache(ctx context.Context, _ string, req wire.ImportRequest) (wire.ImportReply, error) {
-	p.imports <- req
+func (e *scriptedEngines) ImportCache(ctx context.Context, _ string, req wire.ImportRequest) (wire.ImportReply, error) {
+	e.imports <- req
 	select {
-	case reply := <-p.answers:
+	case reply := <-e.answers:
 		return reply, nil
 	case <-ctx.Done():
 		return wire.ImportReply{}, ctx.Err()
@@ -60,7 +60,7 @@
 		err    error
 	}
 	var (
-		p       *scriptedEngines
+		engines *scriptedEngines
 		r       *run
 		first   *attempt
 		results chan result
@@ -70,7 +70,7 @@
 	// next returns the next attempt.
 	next := func() *attempt {
 		var a *attempt
-		Eventually(p.attempts).WithTimeout(10 * time.Second).Should(Receive(&a))
+		Eventually(engines.attempts).WithTimeout(10 * time.Second).Should(Receive(&a))
 		return a
 	}
 	finish := func(a *attempt) result {
@@ -81,11 +81,11 @@
 	}
 
 	BeforeEach(func() {
-		p = &scriptedEngines{attempts: make(chan *attempt, 4), imports: make(chan wire.ImportRequest, 1), answers: make(chan wire.ImportReply)}
+		engines = &scriptedEngines{attempts: make(chan *attempt, 4), imports: make(chan wire.ImportRequest, 1), answers: make(chan wire.ImportReply)}
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		o := &owner{ctx: ctx, deployment: "d", name: "f", feed: decl.Feed{Name: "f", Prompts: []string{"p"}}}
-		o.options = Options{Generator: p, Caches: p, Metrics: metrics.NewRegistry()}
+		o.options = Options{Generator: engines, Caches: engines, Metrics: metrics.NewRegistry()}
 		sampled := newRun(&generation{}, o, sample.ID{}, "a")
 		ended := make(chan result, 1)
 		r, results = sampled, ended
@@ -102,13 +102,13 @@
 			defer close(left)
 			sampled.transferTo("b", "source")
 		}()
-		Eventually(p.imports).WithTimeout(10 * time.Second).Should(Receive(HaveField("Request", "one")))
+		Eventually(engines.imports).WithTimeout(10 * time.Second).Should(Receive(HaveField("Request", "one")))
 	})
 
 	It("keeps running until the cache has arrived and then resumes from it", func() {
 		first.make("one", 1, 1)
-		Consistently(p.attempts, "50ms").ShouldNot(Receive(), "the old engine continues meanwhile")
-		p.answers <- wire.ImportReply{Imported: true, Version: 1}
+		Consistently(engines.attempts, "50ms").ShouldNot(Receive(), "the old engine continues meanwhile")
+		engines.answers <- wire.ImportReply{Imported: true, Version: 1}
 		second := next()
 		Expect(second.req.Prefer).To(Equal("b"))
 		Expect(second.req.Resume.Cache).NotTo(BeEmpty())
@@ -122,8 +122,9 @@
 	It("doesn't use a cache of a version that generated none of its tokens", func() {
 		// The old engine swaps to version 2 between the last token and the export,
 		// and the other engine to version 3. The cache of version 2 would influence
-		// the tokens of version 3 without a label of 2, so it is recomputed.
-		p.answers <- wire.ImportReply{Imported: true, Version: 2}
+		// the tokens of version 3 without a label of 2. So it is recomputed, and the
+		// sample need not be discarded.
+		engines.answers <- wire.ImportReply{Imported: true, Version: 2}
 		second := next()
 		Expect(second.req.Resume.Cache).To(BeEmpty())
 		second.make("two", 0, 3)
@@ -133,7 +134,7 @@
 	})
 
 	It("has its cache recomputed if the transfer fails, and transfers are suspended", func() {
-		p.answers <- wire.ImportReply{Detail: "the engine dies during the export, or the other one refuses"}
+		engines.answers <- wire.ImportReply{Detail: "the engine dies during the export, or the other one refuses"}
 		second := next()
 		Expect(second.req.Prefer).To(Equal("b"))
 		Expect(second.req.Resume.Cache).To(BeEmpty())
@@ -146,9 +147,9 @@
 		// The entry resumes the lost stream at a third engine before the failure of
 		// the import is reported. A move now would discard that engine's work.
 		first.make("two", 0, 1)
-		p.answers <- wire.ImportReply{}
+		engines.answers <- wire.ImportReply{}
 		Eventually(moved).WithTimeout(10 * time.Second).Should(BeClosed())
-		Consistently(p.attempts, "50ms").ShouldNot(Receive())
+		Consistently(engines.attempts, "50ms").ShouldNot(Receive())
 		Expect(strings.Count(finish(first).sample.Text, "x")).To(Equal(2))
 	})
 
@@ -156,7 +157,7 @@
 		got := finish(first)
 		Expect(got.err).NotTo(HaveOccurred())
 		Eventually(moved).WithTimeout(10 * time.Second).Should(BeClosed())
-		Consistently(p.attempts, "50ms").ShouldNot(Receive())
+		Consistently(engines.attempts, "50ms").ShouldNot(Receive())
 		Expect(got.sample.Segments).To(Equal([]wire.Segment{{Version: 1, To: 1}}))
 	})
 })
