--- a/internal/dutyrun/keeper.go
+++ b/internal/dutyrun/keeper.go
@@ -39,14 +39,15 @@
 	Members    func() []duties.Member // live entries, including this one unless it leaves
 	Log        *logrus.Logger
 	Config     duties.Config
-	// Offer tells the entry at an inner address that this one has released a
-	// duty, and returns the duty's new holder once there is one, or an error if
-	// the entry refuses it. If Offer is nil, successors find out by themselves.
+	// Offer offers a duty that this entry has released to the entry at an inner
+	// address. It returns the duty's new holder once there is one, or an error if
+	// the entry refuses the duty. If Offer is nil, successors notice the release
+	// at their next poll.
 	Offer func(ctx context.Context, address string, offer wire.DutyOffer) (wire.Holder, error)
 	// Probe asks the entry at an inner address whether it holds a duty under an
 	// epoch. If Probe is nil, no duty is taken over before its lease has
 	// expired.
-	Probe func(ctx context.Context, address string, asked wire.HoldsRequest) (bool, error)
+	Probe func(ctx context.Context, address string, query wire.HoldsRequest) (bool, error)
 }
 
 // Keeper acquires, renews and releases this entry's duties. It is safe for
@@ -156,9 +157,8 @@
 	return k.policy.HeldUntil(time.Now(), name)
 }
 
-// Promise returns whether no other process can hold the duty before until,
-// given that this process holds it under epoch. If so, the duty isn't released
-// before then.
+// Promise reports whether this process holds the duty under epoch and no other
+// process can hold it before until. If so, the duty is not released before then.
 func (k *Keeper) Promise(name string, epoch int64, until time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/dutyrun/probe.go
+++ b/internal/dutyrun/probe.go
@@ -30,7 +30,7 @@
 	k.wakeUp()
 }
 
-// Holds returns whether this entry holds a duty under the epoch. An expired
+// Holds reports whether this entry holds a duty under the epoch. An expired
 // lease counts as held, as its work continues until a successor starts.
 func (k *Keeper) Holds(duty string, epoch int64) bool {
 	k.mu.Lock()
