--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -30,10 +30,11 @@
 	}
 	p.mu.Unlock()
 	// The time at which the request was sent is unknown: a process that was
-	// paused reads it long afterwards. So the request doesn't prove that the
-	// sender's configuration was current at a known time, or a process that
+	// paused reads it long afterwards. So the request must not count as proof
+	// that the sender's configuration is current; otherwise a process that
 	// resumes after a pause would serve under an outdated configuration. Only
-	// its revision and the contact itself count. Proof comes with replies.
+	// the request's revision and the contact itself count. Proof comes with
+	// replies.
 	var sentAt time.Time
 	p.conf.Heard(context.Background(), config.Peer{ID: request.From, Domain: request.Domain}, request.Revisions, sentAt)
 	p.reportQuarantine(request.From, request.Quarantine)
@@ -64,7 +65,7 @@
 	return err
 }
 
-// Holds returns to another entry whether this one holds a duty under the epoch.
+// Holds reports to another entry whether this one holds a duty under the epoch.
 func (s *entryServer) Holds(query wire.HoldsRequest, reply *bool) error {
 	*reply = s.p.duties.Holds(query.Duty, query.Epoch)
 	return nil
