--- a/cmd/siskinlab/control.go
+++ b/cmd/siskinlab/control.go
@@ -5,16 +5,18 @@
 	"siskinloom.example/siskinloom/internal/lab/routing"
 )
 
+// The reference fleet has the long-term target size of a deployment, which the users
+// expect within two years.
 const (
-	entries     = 370 // number of entries at the expected size
-	fleetDuties = 64  // number of duties at the expected size and in the run that measures their key-value calls
+	referenceEntries = 370
+	referenceDuties  = 64 // also the number of duties in the run that measures their key-value calls
 )
 
 // controlFigures returns the bytes per second that control work sends and receives
-// at the busiest node of a deployment of the expected size. It takes the maximum
-// over all entries and several assignments of the duties, and adds up heartbeats,
-// instance list, epochs, configuration, leases and orders of each node. It returns
-// no figures if one of the needed measurements was not run.
+// at the busiest node of the reference fleet. It adds up heartbeats, instance list,
+// epochs, configuration, leases and orders of each node, and takes the maximum over
+// all entries and several assignments of the duties. It returns no figures if one of
+// the needed measurements was not run.
 func controlFigures(figures []bounds.Figure) ([]bounds.Figure, error) {
 	m, all := byName(figures, "control.bytes_per_s.list", "control.bytes_per_s.fences",
 		"control.lease_read_bytes", "control.lease_write_bytes", "duties.kv_reads_per_s", "duties.kv_writes_per_s",
@@ -31,10 +33,10 @@
 	for _, n := range nodes {
 		standbyDuties += n.StandbyDuties
 	}
-	standbysPerDuty := float64(standbyDuties) * entries / float64(len(nodes)) / fleetDuties
-	holdBytes := m["duties.kv_writes_per_s"] / fleetDuties * m["control.lease_write_bytes"]
-	standbyBytes := m["duties.kv_reads_per_s"] / fleetDuties / standbysPerDuty * m["control.lease_read_bytes"]
-	config := m["config.kv_calls_per_s"]/entries*m["control.config_read_bytes"] + m["config.spread_bytes_per_s"]
+	standbysPerDuty := float64(standbyDuties) * referenceEntries / float64(len(nodes)) / referenceDuties
+	holdBytes := m["duties.kv_writes_per_s"] / referenceDuties * m["control.lease_write_bytes"]
+	standbyBytes := m["duties.kv_reads_per_s"] / referenceDuties / standbysPerDuty * m["control.lease_read_bytes"]
+	config := m["config.kv_calls_per_s"]/referenceEntries*m["control.config_read_bytes"] + m["config.spread_bytes_per_s"]
 	orders := m["weights.orders"] / m["weights.engines"] / versionSeconds * m["control.order_bytes"] // of one engine
 	common := m["control.bytes_per_s.list"] + m["control.bytes_per_s.fences"] + config
 	busiest, maxLeases, maxOrders := m["control.bytes_per_s_agent"]+orders, 0.0, 0.0
--- a/cmd/siskinlab/platform.go
+++ b/cmd/siskinlab/platform.go
@@ -2,17 +2,17 @@
 
 import "siskinloom.example/siskinloom/internal/bounds"
 
-// The deployment's size that the users expect within two years.
+// Numbers and rates of the reference fleet.
 const (
 	feeds            = 14
-	stepSeconds      = 28 * 60
-	versionSeconds   = 11 * 60
+	stepSeconds      = 28 * 60 // duration of a feed's step
+	versionSeconds   = 11 * 60 // time between two weight versions of a feed
 	changesPerSecond = 6800.0 / (24 * 60 * 60)
 	swapsPerChange   = 1 // a change of the configuration writes one record, which contains its audit entry
 	swapsPerVersion  = 1 // an announced version writes one record per service
 )
 
-// platformFigures returns the rates of key-value calls at the expected size, added
+// platformFigures returns the rates of key-value calls of the reference fleet, added
 // up from the measured rates. It returns no figures if one of the needed
 // measurements was not run.
 func platformFigures(figures []bounds.Figure) []bounds.Figure {
