--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -26,10 +26,10 @@
 	minForwardTimeout = 200 * time.Millisecond
 )
 
-// ClaimPeers calls other entries. If fresh is true the call uses a new
+// ClaimPeers calls other entries. If newConn is set, the call is made over a new
 // connection. ErrNotSent means that the call was certainly not sent.
 type ClaimPeers interface {
-	CallPeer(ctx context.Context, address string, fresh bool, method string, args, reply any) error
+	CallPeer(ctx context.Context, address string, newConn bool, method string, args, reply any) error
 }
 
 // ClaimsOptions configures Claims.
@@ -124,13 +124,13 @@
 type claimCall struct {
 	claims   *Claims
 	call     wire.Request
-	window   time.Duration
+	window   time.Duration // retry window of the call's class
 	dispatch Dispatch
 	deadline time.Time
 	// unresolved is set once a forwarded call has an unknown outcome: it may still
 	// reach an owner and run, whatever the answer to a later one is.
-	unresolved    bool
-	newConnection bool // the next forwarded call uses a new connection
+	unresolved bool
+	newConn    bool // the next forwarded call uses a new connection
 }
 
 func (r *claimCall) run(ctx context.Context) wire.Answer {
@@ -192,9 +192,9 @@
 	request := wire.ClaimRequest{Call: r.call, RetryWindow: r.window}
 	request.Call.Remaining = remaining
 	var reply wire.ClaimReply
-	err := r.claims.options.Peers.CallPeer(ctx, address, r.newConnection, methodClaim, request, &reply)
+	err := r.claims.options.Peers.CallPeer(ctx, address, r.newConn, methodClaim, request, &reply)
 	if err != nil {
-		r.newConnection = true
+		r.newConn = true
 		r.unresolved = r.unresolved || !errors.Is(err, ErrNotSent)
 		return wire.Answer{}, false
 	}
--- a/internal/entry/claims_fakes_test.go
+++ b/internal/entry/claims_fakes_test.go
@@ -208,8 +208,8 @@
 	nodes    map[string]*fakeNode
 
 	mu          sync.Mutex
-	lostReplies int // number of next calls that are served and whose answers are lost
-	silent      map[string]bool
+	lostReplies int             // number of next calls that are served and whose answers are lost
+	silent      map[string]bool // addresses at which calls are neither served nor answered
 	forwards    int
 }
 
--- a/internal/entry/claims_partition.go
+++ b/internal/entry/claims_partition.go
@@ -41,8 +41,8 @@
 // submission is a call that the partition runs at most once.
 type submission struct {
 	call     wire.Request
-	window   time.Duration
-	deadline time.Time // of the waiting entry, or slightly later
+	window   time.Duration // retry window of the call's class
+	deadline time.Time     // of the waiting entry, or slightly later
 	dispatch Dispatch
 }
 
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -299,10 +299,10 @@
 // exchangeWith calls one peer, and once more over a new connection if the first call
 // fails. It reports whether the peer runs the request.
 func (q *PoisonQuarantine) exchangeWith(ctx context.Context, address string, request wire.PoisonExchange) bool {
-	for _, fresh := range []bool{false, true} {
+	for _, newConn := range []bool{false, true} {
 		limited, cancel := context.WithTimeout(ctx, exchangeTimeout)
 		var reply wire.PoisonExchange
-		err := q.peers.CallPeer(limited, address, fresh, methodExchange, request, &reply)
+		err := q.peers.CallPeer(limited, address, newConn, methodExchange, request, &reply)
 		cancel()
 		if err == nil {
 			q.merge(reply.Suspects, reply.Quarantine)
