--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -205,8 +205,8 @@
 }
 
 // holder returns the last known holder of the partition's duty. The address is
-// empty if that is this entry, since it is called only while this entry does not
-// serve the partition.
+// empty if that is this entry: callers use the holder when this entry did not accept
+// their call, and must not be sent back to it.
 func (c *Claims) holder(p *claimPartition) wire.Holder {
 	address, epoch, mine := c.options.Duties.KnownHolder(p.duty)
 	if mine {
--- a/internal/entry/claims_handover.go
+++ b/internal/entry/claims_handover.go
@@ -102,8 +102,9 @@
 	}
 }
 
-// sendResults sends results until none is left or no owner has accepted any for
-// handoverTimeout. Results dropped then stay "unknown" at the next owner.
+// sendResults sends results until none is left and, in a graceful stop, no request
+// runs any more, or until no owner has accepted a call for handoverTimeout. Results
+// that are dropped then stay "unknown" at the next owner.
 func (p *claimPartition) sendResults() {
 	end := time.Now().Add(handoverTimeout)
 	for {
@@ -176,8 +177,9 @@
 	return reply.Taken
 }
 
-// receiveResults passes on results and running requests that a former owner or
-// an agent sent. It returns false if this entry is not the owner.
+// receiveResults passes the results and the running requests that a former owner or
+// an agent reported to the state machine. It returns false if this entry is not the
+// owner.
 func (p *claimPartition) receiveResults(report wire.ClaimsTold) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -143,8 +143,10 @@
 }
 
 // chooseEndpoint returns the preferred endpoint if the copy may run there, and
-// otherwise another allowed one. A hedge may use a second endpoint, since at the
-// slow endpoint of the first attempt it would be just as slow.
+// otherwise a usable one of the allowed endpoints. If none is usable, it returns the
+// preferred endpoint after followTimeout, unless the allowed ones are exclusive. A
+// hedge may use a second endpoint, since at the slow endpoint of the first attempt it
+// would be just as slow.
 func (q *PoisonQuarantine) chooseEndpoint(now time.Time, c RequestCopy) (string, bool) {
 	id := requestID(c)
 	allowed, exclusive := q.registry.AllowedEndpoints(now, id)
