--- a/internal/confstate/missed.go
+++ b/internal/confstate/missed.go
@@ -29,7 +29,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// A newer configuration is left to another reply.
+	// If a newer configuration came into force meanwhile, another reply sends it.
 	if s != h.current.Load() {
 		return wire.ConfigReply{}, false
 	}
--- a/internal/confstate/state.go
+++ b/internal/confstate/state.go
@@ -121,14 +121,14 @@
 	return 0
 }
 
-// Ready returns whether the process may accept new work.
+// Ready reports whether the process may accept new work.
 func (h *State) Ready() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.follower.Ready(time.Now())
 }
 
-// MayAccept returns whether this entry may accept an operator's change.
+// MayAccept reports whether this entry may accept an operator's change.
 func (h *State) MayAccept() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -187,7 +187,7 @@
 }
 
 // UpdateFor returns the configuration for a peer whose heartbeat shows an older
-// one, and false if it doesn't.
+// one, and false if the peer's is not older.
 func (h *State) UpdateFor(revisions []wire.Revision) (wire.ConfigReply, bool) {
 	for _, r := range revisions {
 		if r.Deployment == h.options.Deployment && r.Revision < h.Revision() {
