--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -143,8 +143,10 @@
 }
 
 // chooseEndpoint returns the preferred endpoint if the copy may run there, and
-// otherwise another allowed one. A hedge may use a second endpoint, since at the
-// slow endpoint of the first attempt it would be just as slow.
+// otherwise a usable one of the allowed endpoints. If none is usable, it returns the
+// preferred endpoint after followTimeout, unless the allowed ones are exclusive. A
+// hedge may use a second endpoint, since at the slow endpoint of the first attempt it
+// would be just as slow.
 func (q *PoisonQuarantine) chooseEndpoint(now time.Time, c RequestCopy) (string, bool) {
 	id := requestID(c)
 	allowed, exclusive := q.registry.AllowedEndpoints(now, id)
@@ -299,10 +301,10 @@
 // exchangeWith calls one peer, and once more over a new connection if the first call
 // fails. It reports whether the peer runs the request.
 func (q *PoisonQuarantine) exchangeWith(ctx context.Context, address string, request wire.PoisonExchange) bool {
-	for _, fresh := range []bool{false, true} {
+	for _, newConn := range []bool{false, true} {
 		limited, cancel := context.WithTimeout(ctx, exchangeTimeout)
 		var reply wire.PoisonExchange
-		err := q.peers.CallPeer(limited, address, fresh, methodExchange, request, &reply)
+		err := q.peers.CallPeer(limited, address, newConn, methodExchange, request, &reply)
 		cancel()
 		if err == nil {
 			q.merge(reply.Suspects, reply.Quarantine)
