--- a/cmd/siskinlab/main.go
+++ b/cmd/siskinlab/main.go
@@ -14,8 +14,8 @@
 
 	"siskinloom.example/siskinloom/internal/bounds"
 	"siskinloom.example/siskinloom/internal/lab/callers"
+	"siskinloom.example/siskinloom/internal/lab/changefeed"
 	"siskinloom.example/siskinloom/internal/lab/config"
-	"siskinloom.example/siskinloom/internal/lab/fleetnews"
 	"siskinloom.example/siskinloom/internal/lab/rollout"
 	"siskinloom.example/siskinloom/internal/lab/routing"
 	"siskinloom.example/siskinloom/internal/lab/weights"
@@ -29,7 +29,7 @@
 	all = append(all, config.Bounds()...)
 	all = append(all, routing.Bounds()...)
 	all = append(all, weights.Bounds()...)
-	all = append(all, fleetnews.Bounds()...)
+	all = append(all, changefeed.Bounds()...)
 	return all
 }
 
--- a/internal/agentless/cluster/relay.go
+++ b/internal/agentless/cluster/relay.go
@@ -8,13 +8,13 @@
 	"github.com/pkg/errors"
 
 	"siskinloom.example/siskinloom/internal/kv"
-	"siskinloom.example/siskinloom/internal/policy/news"
+	"siskinloom.example/siskinloom/internal/policy/changefeed"
 )
 
-// Names of the net/rpc service and its method.
+// Names of the net/rpc service and its method, which are sent.
 const (
-	newsService = "News"
-	callNews    = newsService + ".After"
+	changefeedService = "News"
+	callAfter         = changefeedService + ".After"
 )
 
 const (
@@ -22,10 +22,10 @@
 	// an answer of the store. Declarations must be in force within two seconds, which
 	// leaves a process that lost the store no more time.
 	ttlMargin = 300 * time.Millisecond
-	// maxNewsWait is the longest wait of a call for news. The failure of a relay that
-	// does not answer is detected maxNewsWait plus newsCallMargin after its last
-	// answer.
-	maxNewsWait = time.Second
+	// maxUpdateWait is the longest wait of a call for updates. The failure of a relay
+	// that does not answer is detected maxUpdateWait plus updateCallMargin after its
+	// last answer.
+	maxUpdateWait = time.Second
 )
 
 // Relay serves the changes that this process receives from the store to other
@@ -33,16 +33,16 @@
 // that of all processes. It is safe for concurrent use.
 type Relay struct {
 	mu       sync.Mutex
-	topics   *news.Topics[kv.Change]
+	topics   *changefeed.Topics[kv.Change]
 	scopes   map[string]func(kv.Record) string // returns a record's scope, by topic
-	notified news.Position                     // position of which waiting calls were last notified
+	notified changefeed.Position               // position of which waiting calls were last notified
 	wake     chan struct{}
 }
 
 // NewRelay returns a Relay without topics. boot identifies this run of the process,
 // which numbers the changes.
 func NewRelay(boot int64) *Relay {
-	return &Relay{topics: news.NewTopics[kv.Change](boot), scopes: map[string]func(kv.Record) string{}, wake: make(chan struct{})}
+	return &Relay{topics: changefeed.NewTopics[kv.Change](boot), scopes: map[string]func(kv.Record) string{}, wake: make(chan struct{})}
 }
 
 // AddTopic adds a topic. wait is the wait of the topic's watch calls, and values below
@@ -60,7 +60,7 @@
 func (r *Relay) put(prefix string, c kv.Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change := news.Change[kv.Change]{Key: c.Record.Key, Revision: c.Record.Revision, Deleted: c.Deleted, Payload: c}
+	change := changefeed.Change[kv.Change]{Key: c.Record.Key, Revision: c.Record.Revision, Deleted: c.Deleted, Payload: c}
 	if scope := r.scopes[prefix]; scope != nil && !c.Deleted {
 		change.Scope = scope(c.Record)
 	}
@@ -88,21 +88,23 @@
 	}
 }
 
-// NewsArgs requests the changes since an earlier answer.
+// NewsArgs requests the changes since an earlier answer. encoding/gob sends the type's
+// name.
 type NewsArgs struct {
-	Position  news.Position // position of the last answer, of whichever process
-	Interests []news.Interest
+	Position  changefeed.Position // position of the last answer, of whichever process
+	Interests []changefeed.Interest
 	Wait      time.Duration
 }
 
-// NewsReply is the answer to NewsArgs.
+// NewsReply is the answer to NewsArgs. encoding/gob sends the type's name.
 type NewsReply struct {
 	Stale    bool // this process has had no contact with the store lately
-	Position news.Position
+	Position changefeed.Position
 	Topics   map[string]TopicNews // by prefix of the interest
 }
 
-// TopicNews contains the changes of one topic. It has the same fields as news.Update.
+// TopicNews is the update of one topic. It has the same fields as changefeed.Update.
+// encoding/gob sends the type's name.
 type TopicNews struct {
 	Full    bool // Changes and Stands are all existing keys; every other key is deleted
 	AsOf    int64
@@ -112,7 +114,7 @@
 
 // Register registers the net/rpc service that serves the relay's topics.
 func (r *Relay) Register(server *rpc.Server) error {
-	return errors.Wrap(server.RegisterName(newsService, &RelayService{relay: r}), "cluster")
+	return errors.Wrap(server.RegisterName(changefeedService, &RelayService{relay: r}), "cluster")
 }
 
 // RelayService is the net/rpc service of a Relay.
@@ -127,7 +129,7 @@
 // await returns an answer as soon as there are changes, the data becomes stale or the
 // wait of the call ends.
 func (r *Relay) await(args NewsArgs) NewsReply {
-	deadline := time.Now().Add(min(args.Wait, maxNewsWait))
+	deadline := time.Now().Add(min(args.Wait, maxUpdateWait))
 	for {
 		r.mu.Lock()
 		ttl := r.topics.RemainingTTL(time.Now(), args.Interests)
@@ -147,8 +149,8 @@
 	}
 }
 
-// answer returns the reply to a call for news, and whether it contains changes. ttl is
-// how much longer the requested topics may be served.
+// answer returns the reply to a call for updates, and whether it contains changes. ttl
+// is how much longer the requested topics may be served.
 func (r *Relay) answer(args NewsArgs, ttl time.Duration) (reply NewsReply, changed bool) {
 	if ttl <= 0 {
 		return NewsReply{Stale: true}, false
@@ -156,9 +158,9 @@
 	reply = NewsReply{Position: r.topics.Position(), Topics: make(map[string]TopicNews, len(args.Interests))}
 	for i := range args.Interests {
 		interest := &args.Interests[i]
-		n := r.topics.Get(interest.Prefix).Since(args.Position, interest)
-		reply.Topics[interest.Prefix] = TopicNews(n)
-		changed = changed || n.Full || len(n.Changes) > 0
+		update := r.topics.Get(interest.Prefix).Since(args.Position, interest)
+		reply.Topics[interest.Prefix] = TopicNews(update)
+		changed = changed || update.Full || len(update.Changes) > 0
 	}
 	return reply, changed
 }
--- a/internal/agentless/cluster/subscribe.go
+++ b/internal/agentless/cluster/subscribe.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"siskinloom.example/siskinloom/internal/kv"
-	"siskinloom.example/siskinloom/internal/policy/news"
+	"siskinloom.example/siskinloom/internal/policy/changefeed"
 	"siskinloom.example/siskinloom/internal/policy/rendezvous"
 	"siskinloom.example/siskinloom/internal/rpcpool"
 )
@@ -26,14 +26,14 @@
 	// starts for the first time. All processes have registered by then, so that one
 	// listing yields the relays, and there are no callers yet.
 	firstStartDelay = 800 * time.Millisecond
-	// newsCallMargin is how much longer than its own wait a call for news may take.
-	// fullNewsCallMargin applies to calls that are answered with complete listings, as
-	// the first call of a process is.
-	newsCallMargin     = 500 * time.Millisecond
-	fullNewsCallMargin = 2 * time.Second
+	// updateCallMargin is how much longer than its own wait a call for updates may
+	// take. fullUpdateCallMargin applies to calls that are answered with complete
+	// listings, as the first call of a process is.
+	updateCallMargin     = 500 * time.Millisecond
+	fullUpdateCallMargin = 2 * time.Second
 )
 
-var errStaleNews = errors.New("cluster: the relay has had no contact with the store lately")
+var errStaleRelay = errors.New("cluster: the relay has had no contact with the store lately")
 
 // Subscriber keeps topics up to date from a relay, or from the store while no relay can
 // serve them.
@@ -66,7 +66,7 @@
 	InitialSyncDone bool
 
 	storeFailing   bool // whether the last direct call to the store failed
-	position       news.Position
+	position       changefeed.Position
 	receivedScopes map[*Topic][]string // scopes that were received of each topic
 }
 
@@ -192,7 +192,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errStaleNews) {
+		if errors.Is(err, errStaleRelay) {
 			stale++
 		}
 		s.reportSource(relay.Name, err)
@@ -231,12 +231,12 @@
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
 		interests, asked := s.interests()
-		reply, err := s.requestNews(ctx, relay.Address, NewsArgs{Position: s.position, Interests: interests, Wait: wait})
+		reply, err := s.requestUpdates(ctx, relay.Address, NewsArgs{Position: s.position, Interests: interests, Wait: wait})
 		switch {
 		case err != nil:
 			return err
 		case reply.Stale:
-			return errStaleNews
+			return errStaleRelay
 		}
 		s.apply(reply, asked)
 		s.position = reply.Position
@@ -244,7 +244,7 @@
 			s.SyncedFromRelay()
 		}
 		s.InitialSyncDone = s.InitialSyncDone || len(asked) == len(s.Topics)
-		wait = maxNewsWait
+		wait = maxUpdateWait
 		if current, listed := s.Members.Get(relay.Name); !listed || current.Leaving {
 			return errors.New("cluster: the relay is leaving")
 		}
@@ -255,8 +255,8 @@
 // interests returns the interests to request, and the topics that they cover with their
 // scopes. A topic that needs more scopes than before is requested in full; one whose
 // scopes are not known yet is left out.
-func (s *Subscriber) interests() ([]news.Interest, map[*Topic][]string) {
-	var interests []news.Interest
+func (s *Subscriber) interests() ([]changefeed.Interest, map[*Topic][]string) {
+	var interests []changefeed.Interest
 	asked := map[*Topic][]string{}
 	for _, t := range s.Topics {
 		needed, known := t.neededScopes()
@@ -264,7 +264,7 @@
 			continue
 		}
 		s.ensureScopes(t, needed)
-		interest := news.Interest{Prefix: t.relayPrefix(), Scopes: needed, AsOf: t.AsOf()}
+		interest := changefeed.Interest{Prefix: t.relayPrefix(), Scopes: needed, AsOf: t.AsOf()}
 		if t.RelayPrefix != "" {
 			interest.Only = t.Prefix
 		}
@@ -286,16 +286,16 @@
 	return !slices.ContainsFunc(needed, func(scope string) bool { return !slices.Contains(received, scope) })
 }
 
-// requestNews calls a relay.
-func (s *Subscriber) requestNews(ctx context.Context, address string, args NewsArgs) (NewsReply, error) {
-	margin := newsCallMargin
-	if slices.ContainsFunc(args.Interests, func(i news.Interest) bool { return i.AsOf == 0 }) {
-		margin = fullNewsCallMargin
+// requestUpdates calls a relay.
+func (s *Subscriber) requestUpdates(ctx context.Context, address string, args NewsArgs) (NewsReply, error) {
+	margin := updateCallMargin
+	if slices.ContainsFunc(args.Interests, func(i changefeed.Interest) bool { return i.AsOf == 0 }) {
+		margin = fullUpdateCallMargin
 	}
 	ctx, cancel := context.WithTimeout(ctx, args.Wait+margin)
 	defer cancel()
 	var reply NewsReply
-	if err := s.Peers.Call(ctx, address, callNews, args, &reply); err != nil {
+	if err := s.Peers.Call(ctx, address, callAfter, args, &reply); err != nil {
 		return NewsReply{}, err // net/rpc may still write to reply
 	}
 	return reply, nil
--- a/internal/agentless/node/topics.go
+++ b/internal/agentless/node/topics.go
@@ -201,14 +201,14 @@
 	n := v.node
 	s := &cluster.Subscriber{
 		Store: n.adapter.Store, Topics: v.needed, Members: n.members, Peers: n.frontend.Peers, Self: n.registrar.Self, FirstStart: n.settings.FirstStart,
-		Failed: n.storeFailed, Recovered: n.storeRecovered, SyncedFromRelay: n.relayAnswered, SyncedFromStore: n.contact.record, RelaysCutOff: n.store.PeersCutOff, SourceChanged: n.logNewsSource,
+		Failed: n.storeFailed, Recovered: n.storeRecovered, SyncedFromRelay: n.relayAnswered, SyncedFromStore: n.contact.record, RelaysCutOff: n.store.PeersCutOff, SourceChanged: n.logUpdateSource,
 	}
 	for ctx.Err() == nil {
 		relaying := n.isRelay()
 		roleCtx, end := context.WithCancel(ctx)
 		go v.cancelOnRoleChange(roleCtx, end, relaying)
 		if relaying {
-			n.logNewsSource("store, as a relay", nil)
+			n.logUpdateSource("store, as a relay", nil)
 			n.leader.TryNow() // only a relay may campaign for the duty
 			v.followStore(roleCtx)
 			s.InitialSyncDone = true
@@ -279,8 +279,9 @@
 	_ = group.Wait() // followers end with their context and return no error
 }
 
-// logNewsSource logs from where this process receives changes of its topics, and why it left the previous source.
-func (n *Node) logNewsSource(name string, why error) {
+// logUpdateSource logs from where this process receives updates of its topics, and why it left the
+// previous source.
+func (n *Node) logUpdateSource(name string, why error) {
 	fields := logrus.Fields{"source": name}
 	if why != nil {
 		fields["failed"] = why.Error()
--- a/internal/lab/fleetnews/fleetnews.go
+++ b/internal/lab/changefeed/changefeed.go
@@ -1,10 +1,11 @@
-// Package fleetnews measures, at the fleet size expected within two years, how many
+// Package changefeed measures, at the fleet size expected within two years, how many
 // bytes of fleet updates a process receives: in an ordinary minute, and when it
-// turns to another relay, which has either run for long or just restarted.
+// switches to another relay, which has either run for long or just restarted.
 //
 // The figures cover the topics of an answer, encoded as they are between processes.
-// They leave out packet headers and the calls themselves.
-package fleetnews
+// They leave out packet headers and the calls themselves. The measurement and its
+// figures have older names: "news" for updates and "scout" for a relay.
+package changefeed
 
 import (
 	"bytes"
@@ -18,7 +19,7 @@
 	"siskinloom.example/siskinloom/internal/agentless/cluster"
 	"siskinloom.example/siskinloom/internal/bounds"
 	"siskinloom.example/siskinloom/internal/kv"
-	"siskinloom.example/siskinloom/internal/policy/news"
+	"siskinloom.example/siskinloom/internal/policy/changefeed"
 )
 
 // The expected fleet: endpoints of model services, and a few of plain services that
@@ -49,7 +50,7 @@
 type fleet struct {
 	random   *rand.Rand
 	revision int64
-	relays   []*news.Topics[kv.Change]
+	relays   []*changefeed.Topics[kv.Change]
 	service  map[string]string
 	keys     []string
 }
@@ -65,7 +66,7 @@
 		f.keys = append(f.keys, key)
 		f.service[key] = service
 	}
-	f.relays = []*news.Topics[kv.Change]{f.newRelay(1), f.newRelay(2)}
+	f.relays = []*changefeed.Topics[kv.Change]{f.newRelay(1), f.newRelay(2)}
 	for _, key := range f.keys {
 		f.write(key)
 	}
@@ -73,8 +74,8 @@
 	return f
 }
 
-func (f *fleet) newRelay(boot int64) *news.Topics[kv.Change] {
-	t := news.NewTopics[kv.Change](boot)
+func (f *fleet) newRelay(boot int64) *changefeed.Topics[kv.Change] {
+	t := changefeed.NewTopics[kv.Change](boot)
 	t.Add(prefix, time.Second)
 	return t
 }
@@ -92,11 +93,11 @@
 	}
 }
 
-func change(r kv.Record, scope string) news.Change[kv.Change] {
-	return news.Change[kv.Change]{Key: r.Key, Revision: r.Revision, Scope: scope, Payload: kv.Change{Record: r}}
+func change(r kv.Record, scope string) changefeed.Change[kv.Change] {
+	return changefeed.Change[kv.Change]{Key: r.Key, Revision: r.Revision, Scope: scope, Payload: kv.Change{Record: r}}
 }
 
-func (f *fleet) markSynced(relays ...*news.Topics[kv.Change]) {
+func (f *fleet) markSynced(relays ...*changefeed.Topics[kv.Change]) {
 	for _, s := range relays {
 		s.Get(prefix).MarkListed(f.revision)
 		s.Get(prefix).MarkSynced(time.Time{}, f.revision)
@@ -104,10 +105,10 @@
 }
 
 // restartedRelay returns a new relay that has just listed all endpoints.
-func (f *fleet) restartedRelay(from *news.Topics[kv.Change]) (*news.Topics[kv.Change], error) {
-	update := from.Get(prefix).Since(news.Position{}, &news.Interest{Prefix: prefix})
+func (f *fleet) restartedRelay(from *changefeed.Topics[kv.Change]) (*changefeed.Topics[kv.Change], error) {
+	update := from.Get(prefix).Since(changefeed.Position{}, &changefeed.Interest{Prefix: prefix})
 	if len(update.Changes) != endpoints {
-		return nil, errors.Errorf("fleetnews: the relay knows %d of %d endpoints", len(update.Changes), endpoints)
+		return nil, errors.Errorf("changefeed: the relay knows %d of %d endpoints", len(update.Changes), endpoints)
 	}
 	restarted := f.newRelay(3)
 	for _, c := range update.Changes {
@@ -119,12 +120,12 @@
 
 // follower is a process that receives updates from a relay.
 type follower struct {
-	interest news.Interest
-	position news.Position
+	interest changefeed.Interest
+	position changefeed.Position
 }
 
 // fetch gets an update from a relay and returns its size in bytes.
-func (p *follower) fetch(s *news.Topics[kv.Change]) (float64, error) {
+func (p *follower) fetch(s *changefeed.Topics[kv.Change]) (float64, error) {
 	update := s.Get(prefix).Since(p.position, &p.interest)
 	p.position, p.interest.AsOf = s.Position(), update.AsOf
 	var b bytes.Buffer
@@ -134,7 +135,7 @@
 
 // newEntry returns an entry, which receives the endpoints of the plain services only.
 func newEntry() *follower {
-	p := &follower{interest: news.Interest{Prefix: prefix, Scopes: []string{}}}
+	p := &follower{interest: changefeed.Interest{Prefix: prefix, Scopes: []string{}}}
 	for i := range plainServices {
 		p.interest.Scopes = append(p.interest.Scopes, fmt.Sprintf("plain-%d", i))
 	}
@@ -142,7 +143,7 @@
 }
 
 // newWorker returns a worker, which receives all endpoints.
-func newWorker() *follower { return &follower{interest: news.Interest{Prefix: prefix}} }
+func newWorker() *follower { return &follower{interest: changefeed.Interest{Prefix: prefix}} }
 
 // ordinaryMinute makes the changes of one minute while the follower fetches once a
 // second, and returns the bytes per second that it received.
--- a/internal/policy/news/news.go
+++ b/internal/policy/changefeed/changefeed.go
@@ -1,6 +1,7 @@
-// Package news keeps a replica of the keys under some prefixes of a shared store
-// and computes incremental updates of it for followers. It does no I/O and reads no
-// clock.
+// Package changefeed serves the changes of a shared store to followers. It keeps a
+// replica of the keys under some prefixes, and computes the update that brings a
+// follower up to date from the revision or the position that it has reached. It does
+// no I/O and reads no clock.
 //
 // Hundreds of processes follow a list of thousands of endpoints through a few
 // processes that watch the store. When one of the few is slow or lost, all of its
@@ -11,7 +12,7 @@
 // It also sends the scopes that it needs, so that changes that concern few followers
 // are not sent to all. A process that started to watch after the follower's revision
 // sends the names of all existing keys, and the values only of those that changed.
-package news
+package changefeed
 
 import (
 	"slices"
--- a/internal/policy/news/news_test.go
+++ b/internal/policy/changefeed/changefeed_test.go
@@ -1,4 +1,4 @@
-package news_test
+package changefeed_test
 
 import (
 	"fmt"
@@ -10,31 +10,31 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"siskinloom.example/siskinloom/internal/policy/news"
+	"siskinloom.example/siskinloom/internal/policy/changefeed"
 )
 
-func TestNews(t *testing.T) {
+func TestChangefeed(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "News")
+	RunSpecs(t, "Changefeed")
 }
 
 var start = time.Unix(1000, 0)
 
 // relay holds the topics of one process, with a single topic "p/".
 type relay struct {
-	*news.Topics[string]
-	topic *news.Topic[string]
+	*changefeed.Topics[string]
+	topic *changefeed.Topic[string]
 }
 
 func newRelay(boot int64) *relay {
-	s := &relay{Topics: news.NewTopics[string](boot)}
+	s := &relay{Topics: changefeed.NewTopics[string](boot)}
 	s.Add("p/", time.Second)
 	s.topic = s.Get("p/")
 	return s
 }
 
 func (s *relay) put(key string, revision int64, deleted bool, scope string) {
-	s.topic.Put(news.Change[string]{Key: key, Revision: revision, Deleted: deleted, Scope: scope, Payload: fmt.Sprintf("%s@%d", key, revision)})
+	s.topic.Put(changefeed.Change[string]{Key: key, Revision: revision, Deleted: deleted, Scope: scope, Payload: fmt.Sprintf("%s@%d", key, revision)})
 }
 
 var _ = Describe("Topic", func() {
@@ -49,14 +49,14 @@
 			}
 			s.topic.MarkListed(3000)
 		}
-		whole := first.topic.Since(news.Position{}, &news.Interest{Prefix: "p/"})
+		whole := first.topic.Since(changefeed.Position{}, &changefeed.Interest{Prefix: "p/"})
 		Expect(whole.Full).To(BeTrue())
 		Expect(whole.Changes).To(HaveLen(3000))
 		at := first.Position()
 		second.put("p/0007", 3001, false, "llm")
 		second.put("p/0008", 3002, true, "llm")
 		second.topic.MarkSynced(start, 3002)
-		moved := second.topic.Since(at, &news.Interest{Prefix: "p/", AsOf: whole.AsOf})
+		moved := second.topic.Since(at, &changefeed.Interest{Prefix: "p/", AsOf: whole.AsOf})
 		Expect(moved.Full).To(BeFalse())
 		Expect(moved.Changes).To(Equal([]string{"p/0007@3001", "p/0008@3002"}))
 		Expect(moved.AsOf).To(Equal(int64(3002)))
@@ -68,11 +68,11 @@
 		s := newRelay(1)
 		s.put("p/b", 5, false, "")
 		s.topic.MarkListed(9)
-		got := s.topic.Since(news.Position{Boot: 7, Seq: 100}, &news.Interest{Prefix: "p/", AsOf: 8})
+		got := s.topic.Since(changefeed.Position{Boot: 7, Seq: 100}, &changefeed.Interest{Prefix: "p/", AsOf: 8})
 		Expect(got.Full).To(BeTrue())
 		Expect(got.Stands).To(Equal([]string{"p/b"}), "the follower has it already")
 		Expect(got.Changes).To(BeEmpty())
-		got = s.topic.Since(news.Position{Boot: 7, Seq: 100}, &news.Interest{Prefix: "p/", AsOf: 4})
+		got = s.topic.Since(changefeed.Position{Boot: 7, Seq: 100}, &changefeed.Interest{Prefix: "p/", AsOf: 4})
 		Expect(got.Full).To(BeTrue())
 		Expect(got.Changes).To(Equal([]string{"p/b@5"}))
 		Expect(got.Stands).To(BeEmpty())
@@ -80,13 +80,13 @@
 
 	It("may not be served before a listing or after the TTL since the store's last answer", func() {
 		s := newRelay(1)
-		interests := []news.Interest{{Prefix: "p/"}}
+		interests := []changefeed.Interest{{Prefix: "p/"}}
 		s.topic.MarkSynced(start, 3)
 		Expect(s.RemainingTTL(start, interests)).To(BeZero())
 		s.topic.MarkListed(3)
 		Expect(s.RemainingTTL(start.Add(300*time.Millisecond), interests)).To(Equal(700 * time.Millisecond))
 		Expect(s.RemainingTTL(start.Add(2*time.Second), interests)).To(BeNumerically("<", 0))
-		Expect(s.RemainingTTL(start, []news.Interest{{Prefix: "q/"}})).To(BeZero(), "a topic that the process does not have")
+		Expect(s.RemainingTTL(start, []changefeed.Interest{{Prefix: "q/"}})).To(BeZero(), "a topic that the process does not have")
 	})
 
 	It("sends a change only to followers of the key's current or previous scope", func() {
@@ -95,15 +95,15 @@
 		s.put("p/2", 2, false, "app")
 		s.put("p/3", 3, false, "") // unreadable, so its scope is unknown
 		s.topic.MarkListed(3)
-		app := &news.Interest{Prefix: "p/", Scopes: []string{"app"}}
-		Expect(s.topic.Since(news.Position{}, app).Changes).To(Equal([]string{"p/2@2", "p/3@3"}))
+		app := &changefeed.Interest{Prefix: "p/", Scopes: []string{"app"}}
+		Expect(s.topic.Since(changefeed.Position{}, app).Changes).To(Equal([]string{"p/2@2", "p/3@3"}))
 		at := s.Position()
 		app.AsOf = 3
 		s.put("p/1", 4, false, "llm")
 		s.put("p/2", 5, false, "llm") // the endpoint now serves another service
 		s.put("p/3", 6, true, "")
 		Expect(s.topic.Since(at, app).Changes).To(Equal([]string{"p/2@5", "p/3@6"}))
-		Expect(s.topic.Since(at, &news.Interest{Prefix: "p/", Only: "p/1", AsOf: 3}).Changes).To(Equal([]string{"p/1@4"}))
+		Expect(s.topic.Since(at, &changefeed.Interest{Prefix: "p/", Only: "p/1", AsOf: 3}).Changes).To(Equal([]string{"p/1@4"}))
 	})
 
 	It("remembers a limited number of deleted keys", func() {
@@ -114,13 +114,13 @@
 			s.put(fmt.Sprint("p/", i), 2*i+2, false, "")
 			s.put(fmt.Sprint("p/", i), 2*i+3, true, "")
 		}
-		got := s.topic.Since(news.Position{}, &news.Interest{Prefix: "p/", AsOf: 1})
+		got := s.topic.Since(changefeed.Position{}, &changefeed.Interest{Prefix: "p/", AsOf: 1})
 		Expect(got.Full).To(BeTrue(), "some tombstones were dropped")
 		Expect(got.Changes).To(BeEmpty())
-		late := s.topic.Since(news.Position{}, &news.Interest{Prefix: "p/", AsOf: 2*keys - 20})
+		late := s.topic.Since(changefeed.Position{}, &changefeed.Interest{Prefix: "p/", AsOf: 2*keys - 20})
 		Expect(late.Full).To(BeFalse())
 		Expect(late.Changes).To(HaveLen(11))
-		Expect(s.topic.Since(news.Position{Boot: 1, Seq: 5}, &news.Interest{Prefix: "p/", AsOf: 4}).Full).To(BeTrue(), "a follower that missed them all")
+		Expect(s.topic.Since(changefeed.Position{Boot: 1, Seq: 5}, &changefeed.Interest{Prefix: "p/", AsOf: 4}).Full).To(BeTrue(), "a follower that missed them all")
 	})
 
 	It("converges followers that switch between processes to the content of the store", func() {
@@ -129,7 +129,7 @@
 		random := rand.New(rand.NewPCG(3, 9))
 		for range 50 {
 			store := map[string]string{}
-			var history []news.Change[string]
+			var history []changefeed.Change[string]
 			relays := []*relay{newRelay(1), newRelay(2), newRelay(3)}
 			learned := make([]int, len(relays))
 			learn := func(i, n int) {
@@ -155,8 +155,8 @@
 			learn(0, 0)
 			learn(1, 0)
 			known, revisions := map[string]string{}, map[string]int64{}
-			var at news.Position
-			interest := &news.Interest{Prefix: "p/"}
+			var at changefeed.Position
+			interest := &changefeed.Interest{Prefix: "p/"}
 			ask := func(i int) {
 				got := relays[i].topic.Since(at, interest)
 				listed := map[string]bool{}
@@ -197,7 +197,7 @@
 				if deleted {
 					delete(store, key)
 				}
-				history = append(history, news.Change[string]{Key: key, Revision: revision, Deleted: deleted, Payload: payload})
+				history = append(history, changefeed.Change[string]{Key: key, Revision: revision, Deleted: deleted, Payload: payload})
 				serving := len(relays) // the last process starts later, from a listing
 				if revision < 60 {
 					serving--
@@ -229,7 +229,7 @@
 		s.topic.MarkListed(3000)
 		at := s.Position()
 		s.put("p/5", 3001, false, "")
-		got := s.topic.Since(at, &news.Interest{Prefix: "p/", AsOf: 3000})
+		got := s.topic.Since(at, &changefeed.Interest{Prefix: "p/", AsOf: 3000})
 		Expect(slices.Equal(got.Changes, []string{"p/5@3001"})).To(BeTrue())
 	})
 })
