--- a/internal/confstate/state.go
+++ b/internal/confstate/state.go
@@ -177,7 +177,7 @@
 			continue
 		}
 		h.mu.Lock()
-		need := h.follower.Heard(time.Now(), config.PeerStatus{
+		need := h.follower.StatusReceived(time.Now(), config.PeerStatus{
 			From: from, Revision: r.Revision, ConfirmedAgo: r.ConfirmedAgo,
 			QuorumFor: r.QuorumFor, Boot: r.Boot, Clock: r.Clock, SentAt: sentAt,
 		})
--- a/internal/dutyrun/keeper.go
+++ b/internal/dutyrun/keeper.go
@@ -194,7 +194,7 @@
 func (k *Keeper) Heard(holders []wire.Holder) {
 	k.update(func(now time.Time) {
 		for _, h := range holders {
-			k.policy.Heard(now, duties.KnownHolder{Duty: h.Duty, Address: h.Address, Epoch: h.Epoch})
+			k.policy.HolderReported(now, duties.KnownHolder{Duty: h.Duty, Address: h.Address, Epoch: h.Epoch})
 		}
 	})
 }
--- a/internal/lab/config/fleet.go
+++ b/internal/lab/config/fleet.go
@@ -279,12 +279,12 @@
 	sentAt := n.fleet.Now()
 	status := n.follower.Status(sentAt) // SentAt is zero: the receiver does not know it
 	n.send(to, func() {
-		to.satisfy(to.follower.Heard(n.fleet.Now(), status))
+		to.satisfy(to.follower.StatusReceived(n.fleet.Now(), status))
 		reply := to.follower.Status(n.fleet.Now())
 		reply.SentAt = sentAt
 		to.send(n, func() {
 			if to.isEntry {
-				n.satisfy(n.follower.Heard(n.fleet.Now(), reply))
+				n.satisfy(n.follower.StatusReceived(n.fleet.Now(), reply))
 			}
 			if current, _ := n.follower.Revision(n.fleet.Now()); current > reply.Revision && !to.isEntry {
 				n.send(to, func() { to.apply(current) })
--- a/internal/lab/config/schedule.go
+++ b/internal/lab/config/schedule.go
@@ -318,7 +318,7 @@
 		sentAt, incarnation := p.schedule.Now(), p.incarnation
 		status := p.follower.Status(sentAt) // SentAt is zero: the receiver does not know it
 		p.send(peer, func() {
-			peer.satisfy(peer.follower.Heard(p.schedule.Now(), status))
+			peer.satisfy(peer.follower.StatusReceived(p.schedule.Now(), status))
 			reply := peer.follower.Status(p.schedule.Now())
 			reply.SentAt = sentAt
 			peer.send(p, func() {
@@ -334,7 +334,7 @@
 // that has an older revision.
 func (p *process) handleReply(peer *process, reply config.PeerStatus) {
 	if peer.isEntry {
-		p.satisfy(p.follower.Heard(p.schedule.Now(), reply))
+		p.satisfy(p.follower.StatusReceived(p.schedule.Now(), reply))
 	}
 	if reply.Revision < p.revision {
 		revision, content := p.revision, p.content
--- a/internal/policy/config/config_test.go
+++ b/internal/policy/config/config_test.go
@@ -195,7 +195,7 @@
 	entries := []config.Peer{{ID: "e1", Domain: "a"}, {ID: "e2", Domain: "b"}, {ID: "e3", Domain: "c"}, {ID: "e4", Domain: "c"}}
 
 	receive := func(peer config.Peer, revision int64, ago time.Duration) config.Need {
-		return f.Heard(now, config.PeerStatus{From: peer, Revision: revision, ConfirmedAgo: ago, SentAt: now})
+		return f.StatusReceived(now, config.PeerStatus{From: peer, Revision: revision, ConfirmedAgo: ago, SentAt: now})
 	}
 
 	BeforeEach(func() {
@@ -319,8 +319,8 @@
 		requested := now
 		now = now.Add(bound + time.Millisecond)
 		for _, peer := range entries[1:] {
-			f.Heard(now, config.PeerStatus{From: peer, Revision: 7, ConfirmedAgo: 0, SentAt: requested})
-			f.Heard(now, config.PeerStatus{From: peer, Revision: 7, ConfirmedAgo: 0}) // a request, sent at an unknown time
+			f.StatusReceived(now, config.PeerStatus{From: peer, Revision: 7, ConfirmedAgo: 0, SentAt: requested})
+			f.StatusReceived(now, config.PeerStatus{From: peer, Revision: 7, ConfirmedAgo: 0}) // a request, sent at an unknown time
 		}
 		Expect(f.Ready(now)).To(BeFalse())
 		Expect(f.MayAccept(now)).To(BeFalse())
@@ -348,7 +348,7 @@
 	// heartbeat delivers, at the time now, a heartbeat that the entry e1 sent at the given
 	// time.
 	heartbeat := func(boot uint64, sent time.Time, revision int64, ago, quorum time.Duration) {
-		f.Heard(now, config.PeerStatus{
+		f.StatusReceived(now, config.PeerStatus{
 			From: config.Peer{ID: "e1", Domain: "a"}, Revision: revision, ConfirmedAgo: ago, QuorumFor: quorum,
 			Boot: boot, Clock: sent.Sub(began),
 		})
--- a/internal/policy/config/follower.go
+++ b/internal/policy/config/follower.go
@@ -161,12 +161,12 @@
 	return f.watcher
 }
 
-// Heard processes the status of a peer and returns what to do about it.
+// StatusReceived processes the status of a peer and returns what to do about it.
 //
 // The caller sets SentAt of an answer to the time of the request, since the answer
 // cannot have been sent before. For any other heartbeat the time is estimated from
 // the clock of the sender.
-func (f *Follower) Heard(now time.Time, s PeerStatus) Need {
+func (f *Follower) StatusReceived(now time.Time, s PeerStatus) Need {
 	if s.SentAt.IsZero() {
 		s.SentAt = f.transit.sentAt(now, s)
 	}
--- a/internal/policy/config/readturn_test.go
+++ b/internal/policy/config/readturn_test.go
@@ -32,7 +32,7 @@
 			for i := range 10 * seconds {
 				now := begin.Add(time.Duration(i) * 100 * time.Millisecond)
 				if i%10 == 0 { // other entries report that they have read
-					f.Heard(now, config.PeerStatus{From: entries[i%7], Revision: 1, SentAt: now})
+					f.StatusReceived(now, config.PeerStatus{From: entries[i%7], Revision: 1, SentAt: now})
 				}
 				if f.Tick(now, rnd).Kind == config.NeedRead {
 					reads++
--- a/internal/policy/duties/duties_test.go
+++ b/internal/policy/duties/duties_test.go
@@ -232,7 +232,7 @@
 		now = now.Add(config.TTL)
 		a.Tick(now, rnd)
 		Expect(a.Changes()).To(Equal([]duties.Change{{Duty: name, Epoch: 1, LeaseState: duties.Lapsed}}))
-		a.Heard(now, duties.KnownHolder{Duty: name, Address: "127.0.0.1:9", Epoch: 5})
+		a.HolderReported(now, duties.KnownHolder{Duty: name, Address: "127.0.0.1:9", Epoch: 5})
 		Expect(a.Changes()).To(Equal([]duties.Change{{Duty: name, Epoch: 5, LeaseState: duties.NotHolder}}))
 	})
 })
--- a/internal/policy/duties/keeper.go
+++ b/internal/policy/duties/keeper.go
@@ -227,10 +227,10 @@
 	return holder
 }
 
-// Heard records a holder reported by a peer. The report is only a hint: it never
-// extends a lease and doesn't start a takeover by itself. It ends this process's
+// HolderReported records a holder reported by a peer. The report is only a hint: it
+// never extends a lease and doesn't start a takeover by itself. It ends this process's
 // lease if it names a successor, and makes a candidate read the record at once.
-func (k *Keeper) Heard(now time.Time, reported KnownHolder) {
+func (k *Keeper) HolderReported(now time.Time, reported KnownHolder) {
 	d := k.duties[reported.Duty]
 	if d == nil || reported.Epoch < d.lastRecord.Epoch {
 		return
