--- a/internal/policy/batch/job.go
+++ b/internal/policy/batch/job.go
@@ -151,7 +151,7 @@
 	RunFailed                            // the engine reported a failure
 	RunImpossible                        // the engine reported that the item can never be generated
 	RunVersionMismatch                   // the engine's weight version cannot continue the text so far
-	RunCancelledToMove                   // this process cancelled the run, as other engines are faster
+	RunCancelledToMove                   // this process cancelled the run, as another engine is faster or has fewer requests
 )
 
 // RunEnded records that an item's run at an engine ended. The item is then scored,
