--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -28,7 +28,8 @@
 // connection's state, the connection stays silent forever while new ones work.
 const redialThreshold = 2
 
-// ranks holds the priority of each use in the call budget; 0 is the highest.
+// ranks holds the priority of each use in the call budget; rank 0 is the most
+// important.
 var ranks = map[Use]platform.Rank{
 	UseLease:      0,
 	UseClaim:      1,
@@ -39,13 +40,14 @@
 	UseStatus:     6,
 }
 
-const lowestRank = platform.Rank(6)
+// maxRank is the least important rank. A use that is not in ranks has it too.
+const maxRank = platform.Rank(6)
 
 // Options configures a Client. Zero durations are replaced by their defaults.
 type Options struct {
-	Address          string // ip:port of the platform
-	Writer           string // instance ID, stored with each value written
-	CallsPerSec      float64
+	Address          string        // ip:port of the platform
+	Writer           string        // instance ID, stored with each value written
+	CallsPerSec      float64       // limit of calls per second, shared by all uses
 	CallTimeout      time.Duration // timeout of one call
 	MaxWatchDuration time.Duration // Watch returns after this; its caller opens it again
 	Metrics          metrics.Registry
@@ -82,7 +84,7 @@
 	}
 	c := &Client{
 		options: o,
-		budget:  platform.NewBudget(o.CallsPerSec, max(1, int(o.CallsPerSec)), lowestRank),
+		budget:  platform.NewBudget(o.CallsPerSec, max(1, int(o.CallsPerSec)), maxRank),
 		breaker: platform.NewBreaker(platform.DefaultConfig()),
 		rnd:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
@@ -139,11 +141,12 @@
 }
 
 // admit blocks until the budget allows the call or ctx ends, and returns the
-// connection to use. It never waits for the service to recover.
+// connection to use. While the breaker rejects the call, admit fails at once: it
+// never waits for the service to recover.
 func (c *Client) admit(ctx context.Context, use Use) (*grpc.ClientConn, error) {
 	rank, known := ranks[use]
 	if !known {
-		rank = lowestRank
+		rank = maxRank
 	}
 	for {
 		conn, wait, err := c.tryAdmit(rank)
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// MaxValueBytes is the size limit of a value in the service.
+// MaxValueBytes is the size limit of a value in the service, its envelope included.
 const MaxValueBytes = 1 << 20
 
 var (
--- a/internal/kv/settle.go
+++ b/internal/kv/settle.go
@@ -49,7 +49,7 @@
 	return c.settle(ctx, use, request)
 }
 
-// swap sends one compare-and-swap.
+// swap sends one compare-and-swap and does not settle its outcome.
 func (c *Client) swap(ctx context.Context, use Use, request *platformpb.CompareAndSwapRequest) (response *platformpb.CompareAndSwapResponse, err error) {
 	err = c.call(ctx, use, func(ctx context.Context, kv platformpb.KeyValueClient) error {
 		response, err = kv.CompareAndSwap(ctx, request)
--- a/internal/kv/transactional.go
+++ b/internal/kv/transactional.go
@@ -34,7 +34,7 @@
 type Transaction struct {
 	Expect []Expectation
 	Puts   []Put
-	Remove []string
+	Remove []string // keys to delete
 }
 
 // Committed is the result of a transaction.
@@ -81,8 +81,13 @@
 	// Commit executes a transaction. It returns ErrLeaseNotFound, and writes
 	// nothing, if a put names a lease that has ended.
 	Commit(ctx context.Context, t Transaction) (Committed, error)
+	// GrantLease creates a lease and returns its ID and the TTL that the service
+	// granted, which may be shorter than ttl. The keys attached to the lease are
+	// deleted when it expires.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
+	// KeepLease renews a lease for its full TTL.
 	KeepLease(ctx context.Context, id LeaseID) error
+	// RevokeLease ends a lease and deletes its keys.
 	RevokeLease(ctx context.Context, id LeaseID) error
 }
 
