--- a/internal/operator/inspect.go
+++ b/internal/operator/inspect.go
@@ -19,7 +19,7 @@
 
 const (
 	watchPollInterval = 200 * time.Millisecond
-	fingerprintDigits = 16
+	fingerprintDigits = 16 // hexadecimal digits of a 64-bit fingerprint
 	hexBase           = 16
 )
 
@@ -198,7 +198,7 @@
 			Fingerprint:   formatFingerprint(q.Fingerprint),
 			Service:       q.Service,
 			Endpoints:     int32(q.Endpoints),
-			ExpiresUnixMs: q.ExpiresUnix,
+			ExpiresUnixMs: q.ExpiresUnix, // in milliseconds too
 		})
 	}
 	return response, nil
--- a/internal/operator/ratelimit.go
+++ b/internal/operator/ratelimit.go
@@ -15,10 +15,10 @@
 // operator has a rate limit, and all callers without a known key share one, so that
 // nobody can delay the changes of others.
 const (
-	operatorRate    = 5 // changes per second
-	operatorBurst   = 50
-	unknownKeyRate  = 2 // changes per second
-	unknownKeyBurst = 10
+	operatorRate    = 5  // changes per second
+	operatorBurst   = 50 // changes
+	unknownKeyRate  = 2  // changes per second
+	unknownKeyBurst = 10 // changes
 	// maxOperators limits the number of rate limiters in memory. Above it they are
 	// all dropped and start with a full burst.
 	maxOperators = 1000
--- a/internal/operator/refused_test.go
+++ b/internal/operator/refused_test.go
@@ -125,9 +125,9 @@
 		Expect(response.String()).NotTo(Or(ContainSubstring(demoKey), ContainSubstring("stolen-key")))
 	})
 
-	// A script calls repeatedly with a wrong key. Each call used to read the
-	// key-value service, which used up the entry's call budget, and an operator's
-	// change waited or failed.
+	// A script calls repeatedly with a wrong key. Without a rate limit each call reads
+	// the key-value service, the calls use up the entry's call budget, and an
+	// operator's change has to wait or fails.
 	It("keeps calls with wrong keys from using up the call budget and delaying a change", func() {
 		const tries = 300
 		before := platformCalls()
