--- a/internal/decl/parse.go
+++ b/internal/decl/parse.go
@@ -25,7 +25,7 @@
 	maxCount         = 1 << 20
 	maxRateLimit     = 1e6
 	maxPriority      = 100
-	minPositive      = 1e-6
+	minPositive      = 1e-6 // lowest value of numbers that must be positive
 )
 
 // Defaults of optional values.
--- a/internal/decl/types.go
+++ b/internal/decl/types.go
@@ -62,25 +62,26 @@
 // Business is an independent customer of a deployment.
 type Business struct {
 	Name        string  `json:"name"`
-	Weight      float64 `json:"weight"`
+	Weight      float64 `json:"weight"`       // share of the capacity, relative to the other businesses
 	RetryBudget float64 `json:"retry_budget"` // limit of retries as a share of the business's requests
 }
 
-// Agency is a member of a business that is entitled to the share that it declares.
+// Agency is a member of a business. It is entitled to a share of the capacity that the
+// business gets.
 type Agency struct {
 	Name     string  `json:"name"`
 	Business string  `json:"business"`
-	Weight   float64 `json:"weight"`
+	Weight   float64 `json:"weight"` // share, relative to the other agencies of the business
 }
 
 // Caller is a client system that authenticates with a key.
 type Caller struct {
 	Name      string  `json:"name"`
 	Agency    string  `json:"agency"`
-	Weight    float64 `json:"weight"`
+	Weight    float64 `json:"weight"`     // share, relative to the other callers of the agency
 	KeySHA256 string  `json:"key_sha256"` // hex digest of the caller's key
 	RateLimit float64 `json:"rate_limit"` // requests per second; 0: no limit
-	Burst     int     `json:"burst"`
+	Burst     int     `json:"burst"`      // requests that may come at once in spite of the rate limit
 }
 
 // Operator is a person or pipeline that may change the configuration.
@@ -95,17 +96,17 @@
 	Service         string        `json:"service"`
 	Business        string        `json:"business"`
 	Model           string        `json:"model"`
-	Scorer          string        `json:"scorer"`         // service that scores samples; empty: none
-	TrainerSHA256   string        `json:"trainer_sha256"` // hex digest of the trainer's key
-	StalenessBound  int           `json:"staleness_bound"`
-	StalenessTime   time.Duration `json:"staleness_time"` // 0: no time bound
-	GroupSize       int           `json:"group_size"`
+	Scorer          string        `json:"scorer"`          // service that scores samples; empty: none
+	TrainerSHA256   string        `json:"trainer_sha256"`  // hex digest of the trainer's key
+	StalenessBound  int           `json:"staleness_bound"` // limit of a sample's staleness, in weight versions
+	StalenessTime   time.Duration `json:"staleness_time"`  // limit of the time since a sample's first token; 0: none
+	GroupSize       int           `json:"group_size"`      // samples of a group that are handed over
 	GroupsPerStep   int           `json:"groups_per_step"`
-	LotSize         int           `json:"lot_size"` // limit of samples handed over at once
-	MaxTokens       int           `json:"max_tokens"`
-	WeightIdle      float64       `json:"weight_idle"`
-	WeightStaleness float64       `json:"weight_staleness"`
-	SpareSamples    int           `json:"spare_samples"`
-	Share           float64       `json:"share"`   // this feed's share of the service's rollout capacity
-	Prompts         []string      `json:"prompts"` // prompt templates; {step}, {group} and {index} are replaced
+	LotSize         int           `json:"lot_size"`         // limit of samples handed over at once
+	MaxTokens       int           `json:"max_tokens"`       // limit of tokens of a sample
+	WeightIdle      float64       `json:"weight_idle"`      // cost of trainer idle time: per second idle for each second of training
+	WeightStaleness float64       `json:"weight_staleness"` // cost of staleness: per version that samples are behind on average
+	SpareSamples    int           `json:"spare_samples"`    // samples generated per group in addition to GroupSize
+	Share           float64       `json:"share"`            // this feed's share of the service's rollout capacity
+	Prompts         []string      `json:"prompts"`          // prompt templates; {step}, {group} and {index} are replaced
 }
