--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -22,8 +22,8 @@
 	FailureDomain string
 	Region        string
 	LogLevel      string
-	DataDir       string // empty: the instance stores nothing on disk
-	StopTimeout   time.Duration
+	DataDir       string        // empty: the instance stores nothing on disk
+	StopTimeout   time.Duration // limit of the time that a stop waits for running requests
 
 	InnerAddress    string // address of the inner protocol between entries and agents
 	HTTPAddress     string // address for callers; entries only
