--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -92,7 +92,7 @@
 	Service         string
 	Address         string // ip:port
 	Domain          string // failure domain
-	Slots           int
+	Slots           int    // limit of concurrent requests
 	Leaving         bool
 	StartedAtMillis int64            // start time in Unix milliseconds; distinguishes incarnations of an ID
 	Versions        map[string]int64 // weight version by model
