--- a/internal/engineapi/engineapi.go
+++ b/internal/engineapi/engineapi.go
@@ -67,7 +67,7 @@
 type Load struct {
 	Running       int     `json:"running"`
 	Waiting       int     `json:"waiting"`
-	KVUsed        float64 `json:"kv_used"`
+	KVUsed        float64 `json:"kv_used"` // share of the KV cache that is in use, 0..1
 	WeightVersion int64   `json:"weight_version"`
 	AgeMilli      int64   `json:"age_ms"` // age of the report
 
@@ -77,7 +77,7 @@
 
 // Order is an instruction to an engine.
 type Order struct {
-	Kind      string `json:"kind"`
+	Kind      string `json:"kind"` // a wire.OrderKind
 	Model     string `json:"model"`
 	Version   int64  `json:"version"`
 	Adapter   string `json:"adapter,omitempty"`
@@ -110,6 +110,6 @@
 // cache.
 type CacheEvent struct {
 	Sequence int64  `json:"sequence"` // gaps mean that events were lost
-	Prefix   uint64 `json:"prefix"`
-	Stored   bool   `json:"stored"`
+	Prefix   uint64 `json:"prefix"`   // hash of the beginning of the prompt
+	Stored   bool   `json:"stored"`   // false: it was removed
 }
