--- a/internal/wire/trainer.go
+++ b/internal/wire/trainer.go
@@ -27,12 +27,12 @@
 type PullRequest struct {
 	Deployment    string
 	Feed          string
-	Cursor        int64
-	WeightVersion int64
-	Token         string
-	Wait          time.Duration
-	Unrecorded    []LotRecord
-	Restarted     bool
+	Cursor        int64         // number of lots that the trainer holds
+	WeightVersion int64         // the trainer's current version
+	Token         string        // pull token of the latest reply; empty before the first
+	Wait          time.Duration // how long the owner may wait for a full lot before it returns the samples that are ready
+	Unrecorded    []LotRecord   // lots that the trainer holds and that no reply has reported as recorded
+	Restarted     bool          // the trainer has restarted and has had no reply since
 }
 
 // Sample is one scored sample of a rollout.
@@ -50,11 +50,11 @@
 
 // PullReply is the reply to a pull. If the pull was refused, only Refusal is set.
 type PullReply struct {
-	Cursor         int64
-	Token          string
-	Samples        []Sample
-	RecordedCursor int64
-	Step           int64
-	StepComplete   bool
-	Refusal        string
+	Cursor         int64    // the trainer's cursor once it holds the samples
+	Token          string   // pull token to send with the next pull
+	Samples        []Sample // empty if none is ready
+	RecordedCursor int64    // lots up to this cursor are recorded durably
+	Step           int64    // step of the samples
+	StepComplete   bool     // the samples complete the step
+	Refusal        string   // a handover.Refusal; empty if the pull was not refused
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -32,7 +32,7 @@
 	Unknown Outcome = iota
 	Answered
 	NotRun
-	Running
+	Running // the request still runs, or the engine is not ready yet; only in replies to a SettleRequest or an Order
 )
 
 // String returns the outcome in the form that callers see.
@@ -310,8 +310,8 @@
 	Fingerprint uint64
 	Service     string
 	Endpoints   int
-	ExpiresUnix int64 // milliseconds
-	Released    bool
+	ExpiresUnix int64 // Unix milliseconds
+	Released    bool  // an operator released the request, so it may run again
 }
 
 // PoisonExchange exchanges what two entries know about requests that crash their
