--- a/internal/rpcpool/rpcpool.go
+++ b/internal/rpcpool/rpcpool.go
@@ -40,7 +40,7 @@
 
 	mu      sync.Mutex
 	clients map[string]*rpc.Client
-	order   []string // addresses of clients, the least recently added first
+	order   []string // addresses of clients in the order in which they were added
 }
 
 // New returns an empty pool. If dial is nil the pool uses plain TCP.
@@ -51,8 +51,9 @@
 	return &Pool{dial: dial, clients: map[string]*rpc.Client{}}
 }
 
-// NewBounded returns a pool that keeps at most maxConnections. When it opens
-// another one it closes the oldest, even if calls are in flight on it.
+// NewBounded returns a pool that keeps at most maxConnections. When it opens another
+// one, it closes the connection to the address that was added first, even if calls
+// are in flight on it.
 func NewBounded(dial DialFunc, maxConnections int) *Pool {
 	p := New(dial)
 	p.maxConnections = maxConnections
@@ -97,8 +98,8 @@
 // lost. If no response arrived in time, the connection may stay silent forever
 // while a new one works, so no other call may wait on it. A call that its caller
 // cancelled says nothing about the connection. Closing the connection in that case
-// would interrupt the other calls on it: each reader that disconnected used to
-// interrupt a process's watches and the reads of all others.
+// would interrupt the other calls on it: each reader of results that disconnects
+// would interrupt its process's watches and the reads of all other readers.
 func isConnectionLost(err error) bool {
 	return err != nil && !rpcconn.IsServerError(err) && !errors.Is(err, context.Canceled)
 }
--- a/internal/rpcpool/rpcpool_test.go
+++ b/internal/rpcpool/rpcpool_test.go
@@ -71,9 +71,9 @@
 	}
 
 	It("stays open when one of the callers cancels", func() {
-		// A process reads results from a job's owner for several callers. When one of
-		// them disconnected, the connection to the owner was closed, which interrupted
-		// the reads of all other callers and the process's watches.
+		// A process reads results from a job's owner for several callers, and one of them
+		// disconnects. If the connection to the owner were closed, the reads of all other
+		// callers and the process's watches would be interrupted.
 		stays := start(context.Background())
 		ctx, leave := context.WithCancel(context.Background())
 		leaves := start(ctx)
