--- a/internal/policy/routes/admit.go
+++ b/internal/policy/routes/admit.go
@@ -35,8 +35,9 @@
 }
 
 // AdmitJobCall decides whether a call on a batch job is served. The job was submitted
-// at the host, and no route matches the path of the call. The call needs no key if all
-// rollout routes of the host are public, since a job can then be submitted without one.
+// at the host, and no route matches the path of the call. The call needs no key if no
+// job of the host needed one to be submitted, that is, if all rollout routes of the
+// host are public.
 func (t *Table) AdmitJobCall(host, key string) Admission {
 	rollouts, public := 0, 0
 	for _, r := range t.byHost[normalizeHost(host)] {
