--- a/internal/policy/platform/breaker.go
+++ b/internal/policy/platform/breaker.go
@@ -48,7 +48,9 @@
 	MaxBackoff        time.Duration // longest delay between probes
 }
 
-// DefaultConfig returns the parameters that siskinloomd uses.
+// DefaultConfig returns the parameters that siskinloomd uses. ShedRank is the rank of
+// kv.UseWeights: while the service is slow, calls for weights, the quarantine and
+// status fail fast.
 func DefaultConfig() Config {
 	return Config{
 		FailuresToOpen:    3,
