--- a/internal/agentless/dispatch/dispatch.go
+++ b/internal/agentless/dispatch/dispatch.go
@@ -37,7 +37,7 @@
 	NotRun   bool   // the endpoint states that it did not run the request
 	Replaced bool   // another instance has the address now, or other weights are loaded
 	Signed   bool   // the answer carries the endpoint's signature
-	Seal     string // the signature; empty: none
+	Seal     string // the signature itself; empty if Signed is false
 	Version  int64  // weight version at the start of the answer; 0: not declared
 	// VersionField is the name of the event field that announces a change of the weight version.
 	VersionField string
