--- a/internal/agentless/gate/execution.go
+++ b/internal/agentless/gate/execution.go
@@ -153,8 +153,9 @@
 	return true
 }
 
-// hedgeDelay returns the delay after which the first hedged attempt is sent. It is defaultTimeout
-// if the route is not repeatable or has no objective.
+// hedgeDelay returns the delay after which the first hedged attempt is sent. If the route is not
+// repeatable or has no objective, it is defaultTimeout, which only a request with a longer
+// timeout reaches.
 func (e *execution) hedgeDelay() time.Duration {
 	if !e.route.Repeatable() || e.route.Objective <= 0 {
 		return defaultTimeout
--- a/internal/agentless/gate/gate.go
+++ b/internal/agentless/gate/gate.go
@@ -45,8 +45,8 @@
 	// one retry per five requests. The rate is small compared to what one endpoint serves.
 	retriesPerSecond = 0.5
 	// minRetryAfter and retryAfterJitter give the delay after which a refused caller
-	// should retry. The jitter keeps callers that were refused together from retrying
-	// together. By then another process, or an endpoint that was full, can serve it.
+	// should retry. By then another process, or an endpoint that was full, can serve the
+	// request. The jitter keeps callers that were refused together from retrying together.
 	minRetryAfter    = 50 * time.Millisecond
 	retryAfterJitter = 100 * time.Millisecond
 	// notReadyRetryAfter is the delay while this process has no declaration from the store,
@@ -133,6 +133,8 @@
 	return g
 }
 
+// endNames are the names of the ends in metrics and logs. The published names of Cancelled
+// and Interrupted are "left" and "broken-off".
 var endNames = [...]string{"answered", "no-route", "not-ready", "unauthorized", "refused", "unknown", "timed-out", "left", "broken-off"}
 
 // Table returns the routes of the declaration in force, or nil while this process knows
--- a/internal/agentless/gate/gate_test.go
+++ b/internal/agentless/gate/gate_test.go
@@ -164,7 +164,8 @@
 
 	It("is retried only within the retry budget", func() {
 		// Every answer is lost. If each request were retried, an overloaded service would
-		// get two or three times its load.
+		// get two or three times its load. The limit of the attempts is one for each request,
+		// retryRatio for the retries and the burst of the retry budget.
 		s := &scriptedSender{replies: []reply{lost}}
 		g := newGate(s, 4)
 		for range 100 {
