--- a/internal/agentless/modelrun/modelrun.go
+++ b/internal/agentless/modelrun/modelrun.go
@@ -24,7 +24,8 @@
 	// planInterval is the interval of planning loads. A load takes about a second, and each
 	// round with orders makes a call to the store to confirm the term.
 	planInterval = 200 * time.Millisecond
-	// orderTimeout is the timeout of sending one order to an engine.
+	// orderTimeout is the timeout of one order to an engine, which includes reading the
+	// engine's count of accepted orders where it is not known.
 	orderTimeout = time.Second
 )
 
@@ -81,8 +82,8 @@
 // engineKey identifies an incarnation of an engine. Its count of accepted orders starts at 0
 // with each incarnation.
 type engineKey struct {
-	id   string
-	born int64
+	id              string
+	startedAtMillis int64 // as in deployment.Endpoint
 }
 
 // SetNewestVersion records that a trainer announced a version.
