--- a/internal/operator/inspect.go
+++ b/internal/operator/inspect.go
@@ -198,7 +198,7 @@
 			Fingerprint:   formatFingerprint(q.Fingerprint),
 			Service:       q.Service,
 			Endpoints:     int32(q.Endpoints),
-			ExpiresUnixMs: q.ExpiresUnix, // in milliseconds too
+			ExpiresUnixMs: q.ExpiresUnix, // in milliseconds as well, in spite of its name
 		})
 	}
 	return response, nil
