--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -87,7 +87,7 @@
 	if req.ListedLeaving {
 		a.listedLeavingAt.Store(int64(a.uptime()))
 	}
-	a.conf.Heard(context.Background(), config.Peer{ID: req.From, Domain: req.Domain}, req.Revisions, time.Time{})
+	a.conf.StatusReceived(context.Background(), config.Peer{ID: req.From, Domain: req.Domain}, req.Revisions, time.Time{})
 	reply.Revisions = a.conf.Revisions()
 	a.queue.SetAgentCount(req.Peers)
 	reply.From = a.settings.ID
--- a/internal/confstate/confstate_test.go
+++ b/internal/confstate/confstate_test.go
@@ -99,10 +99,10 @@
 				continue
 			}
 			sentAt := time.Now()
-			h.Heard(ctx, f.entries[i], f.states[i].Revisions(), sentAt)
+			h.StatusReceived(ctx, f.entries[i], f.states[i].Revisions(), sentAt)
 			theirs := h.Revisions()
 			if j < 3 {
-				f.states[i].Heard(ctx, f.entries[j], theirs, sentAt)
+				f.states[i].StatusReceived(ctx, f.entries[j], theirs, sentAt)
 			}
 			if reply, lacking := f.states[i].UpdateFor(theirs); lacking {
 				_ = h.ApplyReply(reply)
--- a/internal/confstate/state.go
+++ b/internal/confstate/state.go
@@ -166,12 +166,12 @@
 	}}
 }
 
-// Heard processes the configuration status in an entry's heartbeat. sentAt is a
-// time of this process's clock that is not later than when the peer sent it:
-// for a reply, the time when the request was sent; zero for a request, whose
-// time of sending is unknown. Heard starts to fetch a missing configuration
-// without waiting for it.
-func (h *State) Heard(ctx context.Context, from config.Peer, revisions []wire.Revision, sentAt time.Time) {
+// StatusReceived processes the configuration status in an entry's heartbeat.
+// sentAt is a time of this process's clock that is not later than when the peer
+// sent it: for a reply, the time when the request was sent; zero for a request,
+// whose time of sending is unknown. StatusReceived starts to fetch a missing
+// configuration without waiting for it.
+func (h *State) StatusReceived(ctx context.Context, from config.Peer, revisions []wire.Revision, sentAt time.Time) {
 	for _, r := range revisions {
 		if r.Deployment != h.options.Deployment {
 			continue
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -245,7 +245,7 @@
 	if err != nil || reply.From != peer.ID {
 		return
 	}
-	p.conf.Heard(ctx, config.Peer{ID: reply.From, Domain: reply.Domain}, reply.Revisions, sentAt)
+	p.conf.StatusReceived(ctx, config.Peer{ID: reply.From, Domain: reply.Domain}, reply.Revisions, sentAt)
 	p.duties.Heard(reply.Holders)
 	p.reportQuarantine(reply.From, reply.Quarantine)
 }
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -36,7 +36,7 @@
 	// the request's revision and the contact itself count. Proof comes with
 	// replies.
 	var sentAt time.Time
-	p.conf.Heard(context.Background(), config.Peer{ID: request.From, Domain: request.Domain}, request.Revisions, sentAt)
+	p.conf.StatusReceived(context.Background(), config.Peer{ID: request.From, Domain: request.Domain}, request.Revisions, sentAt)
 	p.reportQuarantine(request.From, request.Quarantine)
 	reply.From = p.options.ID
 	reply.Domain = p.options.Domain
