--- a/internal/dutyrun/keeper.go
+++ b/internal/dutyrun/keeper.go
@@ -190,8 +190,8 @@
 	return all
 }
 
-// Heard merges the holders that another entry reports.
-func (k *Keeper) Heard(holders []wire.Holder) {
+// HoldersReported merges the holders that another entry reports.
+func (k *Keeper) HoldersReported(holders []wire.Holder) {
 	k.update(func(now time.Time) {
 		for _, h := range holders {
 			k.policy.HolderReported(now, duties.KnownHolder{Duty: h.Duty, Address: h.Address, Epoch: h.Epoch})
--- a/internal/dutyrun/offer.go
+++ b/internal/dutyrun/offer.go
@@ -48,7 +48,7 @@
 	for _, m := range o.To {
 		holder, err := k.options.Offer(ctx, m.Address, wire.DutyOffer{Duty: o.Duty, Epoch: o.Epoch})
 		if err == nil {
-			k.Heard([]wire.Holder{holder})
+			k.HoldersReported([]wire.Holder{holder})
 			return
 		}
 	}
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -199,7 +199,7 @@
 		return wire.Answer{}, false
 	}
 	if !reply.Owner && reply.Holder.Address != "" {
-		r.claims.options.Duties.Heard([]wire.Holder{reply.Holder})
+		r.claims.options.Duties.HoldersReported([]wire.Holder{reply.Holder})
 	}
 	return reply.Answer, reply.Owner
 }
--- a/internal/entry/claims_fakes_test.go
+++ b/internal/entry/claims_fakes_test.go
@@ -142,7 +142,7 @@
 	return !d.refusePromises && held == epoch && !until.After(end)
 }
 
-func (d *fakeDuties) Heard([]wire.Holder) {}
+func (d *fakeDuties) HoldersReported([]wire.Holder) {}
 
 // set changes the view and notifies the claims.
 func (d *fakeDuties) set(address string, epoch int64, mine bool, lease time.Duration) {
--- a/internal/entry/claims_handover.go
+++ b/internal/entry/claims_handover.go
@@ -172,7 +172,7 @@
 		return false
 	}
 	if !reply.Taken && reply.Holder.Address != "" {
-		p.options.Duties.Heard([]wire.Holder{reply.Holder})
+		p.options.Duties.HoldersReported([]wire.Holder{reply.Holder})
 	}
 	return reply.Taken
 }
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -42,6 +42,7 @@
 	// process can hold it before until. If so, the duty is not released before
 	// then.
 	Promise(name string, epoch int64, until time.Time) bool
-	// Heard updates the known holders with those that another entry knows.
-	Heard(holders []wire.Holder)
+	// HoldersReported updates the known holders with those that another entry
+	// reports.
+	HoldersReported(holders []wire.Holder)
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -246,7 +246,7 @@
 		return
 	}
 	p.conf.StatusReceived(ctx, config.Peer{ID: reply.From, Domain: reply.Domain}, reply.Revisions, sentAt)
-	p.duties.Heard(reply.Holders)
+	p.duties.HoldersReported(reply.Holders)
 	p.reportQuarantine(reply.From, reply.Quarantine)
 }
 
