--- a/internal/confstate/change.go
+++ b/internal/confstate/change.go
@@ -17,29 +17,29 @@
 
 // Change applies an operator's change to the stored record within the lifetime
 // of ctx. The verdict Failed means that the change was certainly not accepted.
-func (h *State) Change(ctx context.Context, request config.Request) (config.Result, error) {
-	if !h.MayAccept() {
+func (st *State) Change(ctx context.Context, request config.Request) (config.Result, error) {
+	if !st.MayAccept() {
 		return config.Result{Verdict: config.Failed}, errors.New("this entry hears too few failure domains to accept a change")
 	}
-	runner := &attemptRunner{store: h.options.Store, startedAt: time.Now()}
+	runner := &attemptRunner{store: st.options.Store, startedAt: time.Now()}
 	attempt, step := config.NewAttempt(request)
 	for step.Kind != config.StepDone {
 		step = runner.runStep(ctx, attempt, step)
 	}
 	result := step.Result
 	if result.Record.Revision > 0 {
-		h.ApplyRecord(result.Record, runner.startedAt)
+		st.ApplyRecord(result.Record, runner.startedAt)
 	}
 	if runner.archived && result.Verdict == config.Accepted {
-		h.trimArchives(ctx)
+		st.trimArchives(ctx)
 	}
 	return result, runner.err
 }
 
 // Latest reads the declarations and their revision from the key-value service.
-func (h *State) Latest(ctx context.Context) (decl.Deployment, int64, error) {
+func (st *State) Latest(ctx context.Context) (decl.Deployment, int64, error) {
 	sentAt := time.Now()
-	found, err := h.options.Store.Get(ctx, kv.UseConfig, config.Key(h.options.Deployment))
+	found, err := st.options.Store.Get(ctx, kv.UseConfig, config.Key(st.options.Deployment))
 	if err != nil {
 		return decl.Deployment{}, 0, err
 	}
@@ -47,7 +47,7 @@
 	if err != nil {
 		return decl.Deployment{}, 0, err
 	}
-	h.ApplyRecord(record, sentAt)
+	st.ApplyRecord(record, sentAt)
 	return record.Deployment, record.Revision, nil
 }
 
@@ -114,22 +114,22 @@
 
 // trimArchives limits the size of the audit trail. If a delete fails, the next
 // change that archives entries retries it.
-func (h *State) trimArchives(ctx context.Context) {
-	keys, err := h.options.Store.List(ctx, kv.UseStatus, config.ArchivePrefix(h.options.Deployment))
+func (st *State) trimArchives(ctx context.Context) {
+	keys, err := st.options.Store.List(ctx, kv.UseStatus, config.ArchivePrefix(st.options.Deployment))
 	if err != nil {
 		return
 	}
 	for len(keys) > config.MaxArchives {
 		oldest := keys[0]
 		keys = keys[1:]
-		_, _, _ = h.options.Store.CompareAndSwap(ctx, kv.UseStatus, kv.Write{Key: oldest.Key, ExpectedRevision: oldest.Revision, Delete: true})
+		_, _, _ = st.options.Store.CompareAndSwap(ctx, kv.UseStatus, kv.Write{Key: oldest.Key, ExpectedRevision: oldest.Revision, Delete: true})
 	}
 }
 
 // Audit returns the accepted changes after a revision, oldest first. If limit
 // is not 0, it returns at most the newest limit changes.
-func (h *State) Audit(ctx context.Context, since int64, limit int) ([]config.Audit, error) {
-	found, err := h.options.Store.Get(ctx, kv.UseStatus, config.Key(h.options.Deployment))
+func (st *State) Audit(ctx context.Context, since int64, limit int) ([]config.Audit, error) {
+	found, err := st.options.Store.Get(ctx, kv.UseStatus, config.Key(st.options.Deployment))
 	if err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 	}
 	entries := record.Trail
 	if len(entries) > 0 && entries[0].Revision > since+1 && (limit == 0 || len(entries) < limit) {
-		older, err := h.archivedEntries(ctx, entries[0].Revision)
+		older, err := st.archivedEntries(ctx, entries[0].Revision)
 		if err != nil {
 			return nil, err
 		}
@@ -151,8 +151,8 @@
 // archivedEntries returns the archived audit entries before a revision. The
 // archive of a change that was not accepted contains entries that are still in
 // the record.
-func (h *State) archivedEntries(ctx context.Context, before int64) ([]config.Audit, error) {
-	keys, err := h.options.Store.List(ctx, kv.UseStatus, config.ArchivePrefix(h.options.Deployment))
+func (st *State) archivedEntries(ctx context.Context, before int64) ([]config.Audit, error) {
+	keys, err := st.options.Store.List(ctx, kv.UseStatus, config.ArchivePrefix(st.options.Deployment))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/confstate/confstate_test.go
+++ b/internal/confstate/confstate_test.go
@@ -55,8 +55,8 @@
 	for i := range 4 {
 		f.states = append(f.states, f.newState(i, address))
 	}
-	for i, h := range f.states {
-		running.Go(func() { _ = h.Run(ctx) })
+	for i, st := range f.states {
+		running.Go(func() { _ = st.Run(ctx) })
 		if i < 3 {
 			running.Go(func() { f.exchangeHeartbeats(ctx, i) })
 		}
@@ -85,27 +85,27 @@
 		}
 		return wire.ConfigReply{}, errors.New("not reached")
 	}
-	h := confstate.New(o)
-	h.SetEntries(f.entries)
-	return h
+	st := confstate.New(o)
+	st.SetEntries(f.entries)
+	return st
 }
 
 // exchangeHeartbeats exchanges entry i's heartbeats until ctx is done.
 func (f *fleet) exchangeHeartbeats(ctx context.Context, i int) {
 	for ctx.Err() == nil {
 		time.Sleep(50 * time.Millisecond)
-		for j, h := range f.states {
+		for j, st := range f.states {
 			if i == j || f.cutOff[i].Load() || f.cutOff[j].Load() {
 				continue
 			}
 			sentAt := time.Now()
-			h.StatusReceived(ctx, f.entries[i], f.states[i].Revisions(), sentAt)
-			theirs := h.Revisions()
+			st.StatusReceived(ctx, f.entries[i], f.states[i].Revisions(), sentAt)
+			theirs := st.Revisions()
 			if j < 3 {
 				f.states[i].StatusReceived(ctx, f.entries[j], theirs, sentAt)
 			}
 			if reply, lacking := f.states[i].UpdateFor(theirs); lacking {
-				_ = h.ApplyReply(reply)
+				_ = st.ApplyReply(reply)
 			}
 		}
 	}
@@ -126,16 +126,16 @@
 
 func (f *fleet) revisions() []int64 {
 	var all []int64
-	for _, h := range f.states {
-		all = append(all, h.Revision())
+	for _, st := range f.states {
+		all = append(all, st.Revision())
 	}
 	return all
 }
 
 func (f *fleet) ready() []bool {
 	var all []bool
-	for _, h := range f.states {
-		all = append(all, h.Ready())
+	for _, st := range f.states {
+		all = append(all, st.Ready())
 	}
 	return all
 }
--- a/internal/confstate/missed.go
+++ b/internal/confstate/missed.go
@@ -23,17 +23,17 @@
 // missedChanges returns the deltas that a peer lacks if they are kept and at
 // most half as large as a snapshot. A peer that could not apply deltas requests
 // a snapshot.
-func (h *State) missedChanges(s *Snapshot, request wire.ConfigRequest) (wire.ConfigReply, bool) {
+func (st *State) missedChanges(s *Snapshot, request wire.ConfigRequest) (wire.ConfigReply, bool) {
 	if request.Whole || request.Have == 0 {
 		return wire.ConfigReply{}, false
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	// If a newer configuration came into force meanwhile, another reply sends it.
-	if s != h.current.Load() {
+	if s != st.current.Load() {
 		return wire.ConfigReply{}, false
 	}
-	deltas, worth := h.history.Since(request.Have, len(s.encoded))
+	deltas, worth := st.history.Since(request.Have, len(s.encoded))
 	if !worth {
 		return wire.ConfigReply{}, false
 	}
@@ -49,8 +49,8 @@
 // configuration in force under this revision, would otherwise put a mixture in
 // force that nobody ever accepted. If the digest differs, a full snapshot is
 // requested next.
-func (h *State) applyMissed(reply wire.ConfigReply) error {
-	s := h.current.Load()
+func (st *State) applyMissed(reply wire.ConfigReply) error {
+	s := st.current.Load()
 	if s == nil || s.Revision != reply.Missed[0].From {
 		return nil // another reply was first; the next heartbeat requests what is still missing
 	}
@@ -61,14 +61,14 @@
 	encoded, fits := config.ApplyDeltas(deltas, s.Revision, reply.Revision, s.encoded)
 	digest := sha256.Sum256(encoded)
 	if !fits || !bytes.Equal(digest[:], reply.Digest) {
-		h.needsSnapshot.Store(true)
+		st.needsSnapshot.Store(true)
 		return errors.Errorf("confstate: changes from revision %d to %d do not apply to the current configuration", s.Revision, reply.Revision)
 	}
 	next := &Snapshot{Revision: reply.Revision}
 	if err := json.Unmarshal(encoded, &next.Deployment); err != nil {
-		h.needsSnapshot.Store(true)
+		st.needsSnapshot.Store(true)
 		return errors.Wrap(err, "confstate: missed changes")
 	}
-	h.apply(next)
+	st.apply(next)
 	return nil
 }
--- a/internal/confstate/missed_test.go
+++ b/internal/confstate/missed_test.go
@@ -28,8 +28,8 @@
 		Expect(err).NotTo(HaveOccurred())
 		return wire.ConfigReply{Revision: revision, Snapshot: encoded}
 	}
-	apply := func(h *confstate.State, revision int64, weight float64) {
-		Expect(h.ApplyReply(snapshot(revision, weight))).To(Succeed())
+	apply := func(st *confstate.State, revision int64, weight float64) {
+		Expect(st.ApplyReply(snapshot(revision, weight))).To(Succeed())
 	}
 	update := func() wire.ConfigReply {
 		reply, lacking := server.UpdateFor(follower.Revisions())
--- a/internal/confstate/refused.go
+++ b/internal/confstate/refused.go
@@ -16,17 +16,17 @@
 
 // RecordRefused adds a change that was not accepted, or whose outcome is
 // unknown, to the audit trail. It doesn't wait for the key-value service.
-func (h *State) RecordRefused(r config.RefusedChanges) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.refusedLog.Append(time.Now(), r)
+func (st *State) RecordRefused(r config.RefusedChanges) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.refusedLog.Append(time.Now(), r)
 }
 
 // Refused returns the changes that were refused or whose outcome is unknown, as
 // far as they have been written to the key-value service, and the number of
 // further ones that are not listed.
-func (h *State) Refused(ctx context.Context) ([]config.RefusedChanges, int64, error) {
-	found, err := h.options.Store.List(ctx, kv.UseStatus, config.RefusedPrefix(h.options.Deployment))
+func (st *State) Refused(ctx context.Context) ([]config.RefusedChanges, int64, error) {
+	found, err := st.options.Store.List(ctx, kv.UseStatus, config.RefusedPrefix(st.options.Deployment))
 	if err != nil {
 		return nil, 0, err
 	}
@@ -45,48 +45,48 @@
 
 // writeRefused writes the refused changes that are due. Its calls have the
 // lowest priority, so that a flood of refused changes delays nothing else.
-func (h *State) writeRefused(ctx context.Context) {
-	h.mu.Lock()
-	step := h.refusedLog.Tick(time.Now())
-	h.mu.Unlock()
+func (st *State) writeRefused(ctx context.Context) {
+	st.mu.Lock()
+	step := st.refusedLog.Tick(time.Now())
+	st.mu.Unlock()
 	if step.Kind != config.StepDone {
-		go h.runRefusedSteps(ctx, step)
+		go st.runRefusedSteps(ctx, step)
 	}
 }
 
 // flushRefused writes the pending refused changes before the process ends.
-func (h *State) flushRefused(ctx context.Context) {
+func (st *State) flushRefused(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), flushTimeout)
 	defer cancel()
-	h.mu.Lock()
-	step := h.refusedLog.Flush(time.Now())
-	h.mu.Unlock()
-	h.runRefusedSteps(ctx, step)
+	st.mu.Lock()
+	step := st.refusedLog.Flush(time.Now())
+	st.mu.Unlock()
+	st.runRefusedSteps(ctx, step)
 }
 
-func (h *State) runRefusedSteps(ctx context.Context, step config.Step) {
+func (st *State) runRefusedSteps(ctx context.Context, step config.Step) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for step.Kind != config.StepDone {
-		step = h.runRefusedStep(ctx, step)
+		step = st.runRefusedStep(ctx, step)
 	}
 }
 
-func (h *State) runRefusedStep(ctx context.Context, step config.Step) config.Step {
+func (st *State) runRefusedStep(ctx context.Context, step config.Step) config.Step {
 	if step.Kind == config.StepRead {
-		found, err := h.options.Store.Get(ctx, kv.UseStatus, step.Key)
+		found, err := st.options.Store.Get(ctx, kv.UseStatus, step.Key)
 		var record config.RefusedRecord
 		if err == nil {
 			record, err = config.DecodeRefused(found.Value)
 		}
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		return h.refusedLog.ReadDone(record, found.Revision, err == nil)
+		st.mu.Lock()
+		defer st.mu.Unlock()
+		return st.refusedLog.ReadDone(record, found.Revision, err == nil)
 	}
-	swapped, _, err := h.options.Store.CompareAndSwap(ctx, kv.UseStatus, kv.Write{Key: step.Key, ExpectedRevision: step.Expected, Value: step.Value})
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.refusedLog.WriteDone(time.Now(), writeOutcome(swapped, err), h.rnd)
+	swapped, _, err := st.options.Store.CompareAndSwap(ctx, kv.UseStatus, kv.Write{Key: step.Key, ExpectedRevision: step.Expected, Value: step.Value})
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.refusedLog.WriteDone(time.Now(), writeOutcome(swapped, err), st.rnd)
 }
 
 func writeOutcome(swapped bool, err error) config.WriteOutcome {
--- a/internal/confstate/state.go
+++ b/internal/confstate/state.go
@@ -86,83 +86,83 @@
 }
 
 // Run keeps the configuration current until ctx is done.
-func (h *State) Run(ctx context.Context) error {
+func (st *State) Run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			h.flushRefused(ctx)
+			st.flushRefused(ctx)
 			return nil
 		case now := <-ticker.C:
-			h.mu.Lock()
-			need := h.follower.Tick(now, h.rnd)
-			h.mu.Unlock()
-			h.handleNeed(ctx, need)
-			h.writeRefused(ctx)
+			st.mu.Lock()
+			need := st.follower.Tick(now, st.rnd)
+			st.mu.Unlock()
+			st.handleNeed(ctx, need)
+			st.writeRefused(ctx)
 		}
 	}
 }
 
 // Current returns the declarations in force, or nil. The result must not be
 // modified.
-func (h *State) Current() *decl.Deployment {
-	if s := h.current.Load(); s != nil {
+func (st *State) Current() *decl.Deployment {
+	if s := st.current.Load(); s != nil {
 		return &s.Deployment
 	}
 	return nil
 }
 
 // Revision returns the revision in force, or 0.
-func (h *State) Revision() int64 {
-	if s := h.current.Load(); s != nil {
+func (st *State) Revision() int64 {
+	if s := st.current.Load(); s != nil {
 		return s.Revision
 	}
 	return 0
 }
 
 // Ready reports whether the process may accept new work.
-func (h *State) Ready() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.follower.Ready(time.Now())
+func (st *State) Ready() bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.follower.Ready(time.Now())
 }
 
 // MayAccept reports whether this entry may accept an operator's change.
-func (h *State) MayAccept() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.follower.MayAccept(time.Now())
+func (st *State) MayAccept() bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.follower.MayAccept(time.Now())
 }
 
 // OnApply subscribes fn to the configurations that come into force. It calls fn
 // in order and never concurrently, the first time immediately if a
 // configuration is in force. fn must not block.
-func (h *State) OnApply(fn func(*decl.Deployment, int64)) {
-	h.applyMu.Lock()
-	defer h.applyMu.Unlock()
-	h.subscribers = append(h.subscribers, fn)
-	if s := h.current.Load(); s != nil {
+func (st *State) OnApply(fn func(*decl.Deployment, int64)) {
+	st.applyMu.Lock()
+	defer st.applyMu.Unlock()
+	st.subscribers = append(st.subscribers, fn)
+	if s := st.current.Load(); s != nil {
 		fn(&s.Deployment, s.Revision)
 	}
 }
 
 // SetEntries sets the entries that the platform lists.
-func (h *State) SetEntries(entries []config.Peer) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.follower.SetEntries(time.Now(), h.options.Deployment, entries)
+func (st *State) SetEntries(entries []config.Peer) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.follower.SetEntries(time.Now(), st.options.Deployment, entries)
 }
 
 // Revisions returns what a heartbeat reports about this process's
 // configuration.
-func (h *State) Revisions() []wire.Revision {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	n := h.follower.Status(time.Now())
+func (st *State) Revisions() []wire.Revision {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	n := st.follower.Status(time.Now())
 	return []wire.Revision{{
-		Deployment: h.options.Deployment, Revision: n.Revision, ConfirmedAgo: n.ConfirmedAgo,
-		QuorumFor: n.QuorumFor, Boot: n.Boot, Clock: n.Clock, Whole: h.needsSnapshot.Load(),
+		Deployment: st.options.Deployment, Revision: n.Revision, ConfirmedAgo: n.ConfirmedAgo,
+		QuorumFor: n.QuorumFor, Boot: n.Boot, Clock: n.Clock, Whole: st.needsSnapshot.Load(),
 	}}
 }
 
@@ -171,39 +171,39 @@
 // sent it: for a reply, the time when the request was sent; zero for a request,
 // whose time of sending is unknown. StatusReceived starts to fetch a missing
 // configuration without waiting for it.
-func (h *State) StatusReceived(ctx context.Context, from config.Peer, revisions []wire.Revision, sentAt time.Time) {
+func (st *State) StatusReceived(ctx context.Context, from config.Peer, revisions []wire.Revision, sentAt time.Time) {
 	for _, r := range revisions {
-		if r.Deployment != h.options.Deployment {
+		if r.Deployment != st.options.Deployment {
 			continue
 		}
-		h.mu.Lock()
-		need := h.follower.StatusReceived(time.Now(), config.PeerStatus{
+		st.mu.Lock()
+		need := st.follower.StatusReceived(time.Now(), config.PeerStatus{
 			From: from, Revision: r.Revision, ConfirmedAgo: r.ConfirmedAgo,
 			QuorumFor: r.QuorumFor, Boot: r.Boot, Clock: r.Clock, SentAt: sentAt,
 		})
-		h.mu.Unlock()
-		h.handleNeed(ctx, need)
+		st.mu.Unlock()
+		st.handleNeed(ctx, need)
 	}
 }
 
 // UpdateFor returns the configuration for a peer whose heartbeat shows an older
 // one, and false if the peer's is not older.
-func (h *State) UpdateFor(revisions []wire.Revision) (wire.ConfigReply, bool) {
+func (st *State) UpdateFor(revisions []wire.Revision) (wire.ConfigReply, bool) {
 	for _, r := range revisions {
-		if r.Deployment == h.options.Deployment && r.Revision < h.Revision() {
-			return h.Serve(wire.ConfigRequest{Deployment: r.Deployment, Have: r.Revision, Whole: r.Whole}), true
+		if r.Deployment == st.options.Deployment && r.Revision < st.Revision() {
+			return st.Serve(wire.ConfigRequest{Deployment: r.Deployment, Have: r.Revision, Whole: r.Whole}), true
 		}
 	}
 	return wire.ConfigReply{}, false
 }
 
 // Serve answers a peer that requests a newer configuration than it has.
-func (h *State) Serve(request wire.ConfigRequest) wire.ConfigReply {
-	s := h.current.Load()
-	if s == nil || request.Deployment != h.options.Deployment || s.Revision <= request.Have {
+func (st *State) Serve(request wire.ConfigRequest) wire.ConfigReply {
+	s := st.current.Load()
+	if s == nil || request.Deployment != st.options.Deployment || s.Revision <= request.Have {
 		return wire.ConfigReply{}
 	}
-	if reply, few := h.missedChanges(s, request); few {
+	if reply, few := st.missedChanges(s, request); few {
 		return reply
 	}
 	encoded, err := json.Marshal(s)
@@ -214,9 +214,9 @@
 }
 
 // ApplyReply applies a configuration that a peer sent.
-func (h *State) ApplyReply(reply wire.ConfigReply) error {
+func (st *State) ApplyReply(reply wire.ConfigReply) error {
 	if len(reply.Missed) > 0 {
-		return h.applyMissed(reply)
+		return st.applyMissed(reply)
 	}
 	if len(reply.Snapshot) == 0 {
 		return nil
@@ -225,89 +225,89 @@
 	if err := json.Unmarshal(reply.Snapshot, &s); err != nil {
 		return errors.Wrap(err, "confstate: snapshot")
 	}
-	if s.Revision != reply.Revision || s.Deployment.Name != h.options.Deployment {
+	if s.Revision != reply.Revision || s.Deployment.Name != st.options.Deployment {
 		return errors.Errorf("confstate: snapshot of %q at revision %d was received where %q at revision %d was expected",
-			s.Deployment.Name, s.Revision, h.options.Deployment, reply.Revision)
+			s.Deployment.Name, s.Revision, st.options.Deployment, reply.Revision)
 	}
-	h.apply(&s)
+	st.apply(&s)
 	return nil
 }
 
 // ApplyRecord applies a record of the key-value service, which this process
 // read or wrote in a call sent at sentAt.
-func (h *State) ApplyRecord(record config.Record, sentAt time.Time) {
+func (st *State) ApplyRecord(record config.Record, sentAt time.Time) {
 	if record.Revision > 0 {
-		h.apply(&Snapshot{Revision: record.Revision, Deployment: record.Deployment})
+		st.apply(&Snapshot{Revision: record.Revision, Deployment: record.Deployment})
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.follower.Stored(time.Now(), sentAt, record.Revision)
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.follower.Stored(time.Now(), sentAt, record.Revision)
 }
 
 // apply puts a snapshot in force if it is newer than the current one. Messages
 // can overtake each other, and an older snapshot that arrives late must not
 // replace a newer one.
-func (h *State) apply(s *Snapshot) {
-	h.applyMu.Lock()
-	defer h.applyMu.Unlock()
-	if s.Revision <= h.Revision() {
+func (st *State) apply(s *Snapshot) {
+	st.applyMu.Lock()
+	defer st.applyMu.Unlock()
+	if s.Revision <= st.Revision() {
 		return
 	}
 	s.encoded = encodeDeployment(&s.Deployment)
 	s.digest = sha256.Sum256(s.encoded)
-	before := h.current.Load()
-	h.mu.Lock()
+	before := st.current.Load()
+	st.mu.Lock()
 	if before != nil {
-		h.history.Add(config.NewDelta(before.Revision, s.Revision, before.encoded, s.encoded))
+		st.history.Add(config.NewDelta(before.Revision, s.Revision, before.encoded, s.encoded))
 	}
-	h.current.Store(s)
-	h.needsSnapshot.Store(false)
-	h.follower.Applied(time.Now(), s.Revision)
-	h.mu.Unlock()
-	events.ConfigInForce.Log(h.options.Log, logrus.Fields{"deployment": s.Deployment.Name, "revision": s.Revision})
-	for _, fn := range h.subscribers {
+	st.current.Store(s)
+	st.needsSnapshot.Store(false)
+	st.follower.Applied(time.Now(), s.Revision)
+	st.mu.Unlock()
+	events.ConfigInForce.Log(st.options.Log, logrus.Fields{"deployment": s.Deployment.Name, "revision": s.Revision})
+	for _, fn := range st.subscribers {
 		fn(&s.Deployment, s.Revision)
 	}
 }
 
 // handleNeed starts the read or fetch that the policy needs.
-func (h *State) handleNeed(ctx context.Context, need config.Need) {
+func (st *State) handleNeed(ctx context.Context, need config.Need) {
 	switch need.Kind {
 	case config.NeedRead:
-		go h.read(ctx)
+		go st.read(ctx)
 	case config.NeedFetch:
-		go h.fetch(ctx, need.Peer)
+		go st.fetch(ctx, need.Peer)
 	}
 }
 
-func (h *State) read(ctx context.Context) {
+func (st *State) read(ctx context.Context) {
 	sentAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	found, err := h.options.Store.Get(ctx, kv.UseConfig, config.Key(h.options.Deployment))
+	found, err := st.options.Store.Get(ctx, kv.UseConfig, config.Key(st.options.Deployment))
 	if err != nil {
 		return // the policy retries and tracks how long the configuration is unconfirmed
 	}
 	record, err := config.DecodeRecord(found.Value)
 	if err != nil {
-		events.ConfigUnreadable.Log(h.options.Log, logrus.Fields{"error": err.Error()})
+		events.ConfigUnreadable.Log(st.options.Log, logrus.Fields{"error": err.Error()})
 		return
 	}
-	h.ApplyRecord(record, sentAt)
+	st.ApplyRecord(record, sentAt)
 }
 
-func (h *State) fetch(ctx context.Context, peer string) {
+func (st *State) fetch(ctx context.Context, peer string) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := h.options.Fetch(callCtx, peer, wire.ConfigRequest{Deployment: h.options.Deployment, Have: h.Revision(), Whole: h.needsSnapshot.Load()})
+	reply, err := st.options.Fetch(callCtx, peer, wire.ConfigRequest{Deployment: st.options.Deployment, Have: st.Revision(), Whole: st.needsSnapshot.Load()})
 	if err == nil {
-		err = h.ApplyReply(reply)
+		err = st.ApplyReply(reply)
 	}
 	if err == nil {
 		return
 	}
-	h.mu.Lock()
-	need := h.follower.FetchFailed(time.Now(), peer)
-	h.mu.Unlock()
-	h.handleNeed(ctx, need)
+	st.mu.Lock()
+	need := st.follower.FetchFailed(time.Now(), peer)
+	st.mu.Unlock()
+	st.handleNeed(ctx, need)
 }
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -41,20 +41,20 @@
 // entryProcess holds the components of an entry.
 type entryProcess struct {
 	*process
-	ctx     context.Context // context of the background work; ends after the server for callers has stopped
-	store   *kv.Client
-	lister  *kv.Lister
-	holder  *confstate.State
-	keeper  *dutyrun.Keeper
-	pool    *pool.Pool
-	peers   *peers.Peers
-	claims  *entry.Claims
-	poison  *entry.PoisonQuarantine
-	weights *entry.Weights
-	feeds   *feedrun.Feeds
-	retries *entry.RetryPolicy
-	server  *entry.Server
-	reports *agentReports
+	ctx         context.Context // context of the background work; ends after the server for callers has stopped
+	store       *kv.Client
+	lister      *kv.Lister
+	configState *confstate.State
+	keeper      *dutyrun.Keeper
+	pool        *pool.Pool
+	peers       *peers.Peers
+	claims      *entry.Claims
+	poison      *entry.PoisonQuarantine
+	weights     *entry.Weights
+	feeds       *feedrun.Feeds
+	retries     *entry.RetryPolicy
+	server      *entry.Server
+	reports     *agentReports
 
 	mu        sync.Mutex
 	readiness endpointReadiness
@@ -143,8 +143,8 @@
 	}
 }
 
-// newEntry creates the components of an entry. Background ends after the server for
-// callers has stopped.
+// newEntry creates the components of an entry. The context background ends after the
+// server for callers has stopped.
 func (p *process) newEntry(background context.Context) (*entryProcess, error) {
 	e := &entryProcess{process: p, ctx: background, retries: entry.NewRetryPolicy(), reports: &agentReports{all: map[string]agentReport{}}, pushing: map[string]bool{}}
 	var err error
@@ -163,7 +163,7 @@
 		OnQuarantine:  func(_ string, q []wire.QuarantineEntry) { e.poison.ApplyHeartbeat(nil, q) },
 	})
 	e.poison = entry.NewPoisonQuarantine(p.settings.ID, e.peers, p.log)
-	e.holder = confstate.New(confstate.Options{
+	e.configState = confstate.New(confstate.Options{
 		Deployment: p.settings.Deployment,
 		Self:       config.Peer{ID: p.settings.ID, Domain: p.settings.FailureDomain},
 		Entry:      true,
@@ -183,7 +183,7 @@
 		Offer:      e.peers.Offer,
 		Probe:      e.peers.Probe,
 	})
-	e.peers.Attach(e.holder, e.keeper)
+	e.peers.Attach(e.configState, e.keeper)
 	e.pool = pool.New(pool.Options{
 		Metrics: e.metrics,
 		ID:      p.settings.ID, Deployment: p.settings.Deployment, Domain: p.settings.FailureDomain,
@@ -193,7 +193,7 @@
 	})
 	e.readiness.hasEngine = func(service string) bool { return len(e.pool.Engines(service)) > 0 }
 	e.newServer()
-	e.holder.OnApply(e.apply)
+	e.configState.OnApply(e.apply)
 	return e, nil
 }
 
@@ -242,7 +242,7 @@
 		Store:     e.store,
 		Duties:    e.keeper,
 		Peers:     e.peers,
-		Config:    e.holder,
+		Config:    e.configState,
 		Generator: e.server,
 		Scorer:    e.server,
 		Caches:    e.server,
@@ -256,10 +256,10 @@
 // Current implements entry.Config. It returns nil while this process cannot prove
 // that its configuration is current.
 func (e *entryProcess) Current() *decl.Deployment {
-	if !e.holder.Ready() {
+	if !e.configState.Ready() {
 		return nil
 	}
-	return e.holder.Current()
+	return e.configState.Current()
 }
 
 // ready reports whether the entry can serve callers: its configuration is proven to
@@ -284,7 +284,7 @@
 // eachPlainAgent calls fn for each agent of a plain service. Only plain services
 // run claimed requests.
 func (e *entryProcess) eachPlainAgent(fn func(entry.Endpoint)) {
-	d := e.holder.Current()
+	d := e.configState.Current()
 	if d == nil {
 		return
 	}
@@ -302,7 +302,7 @@
 // dutyNames returns the names of the duties that exist in the current configuration.
 func (e *entryProcess) dutyNames() []string {
 	names := entry.ClaimDuties()
-	d := e.holder.Current()
+	d := e.configState.Current()
 	if d == nil {
 		return names
 	}
@@ -323,7 +323,7 @@
 	group.Go(func() error { return e.peers.Serve(ctx, l.inner, services) })
 	group.Go(func() error { return e.serveGRPC(ctx, l.grpc) })
 	group.Go(func() error { return e.peers.Run(ctx) })
-	group.Go(func() error { return e.holder.Run(ctx) })
+	group.Go(func() error { return e.configState.Run(ctx) })
 	group.Go(func() error { return e.keeper.Run(ctx) })
 	group.Go(func() error { return e.weights.Run(ctx) })
 	group.Go(func() error { return e.pool.Run(ctx) })
--- a/internal/daemon/grpc.go
+++ b/internal/daemon/grpc.go
@@ -22,7 +22,7 @@
 func (e *entryProcess) serveGRPC(ctx context.Context, listener net.Listener) error {
 	server := grpc.NewServer()
 	operatorpb.RegisterOperatorServer(server, operator.New(e.settings.Deployment, operator.Sources{
-		Config:    e.holder,
+		Config:    e.configState,
 		Instances: e.instances,
 		Holders:   e.keeper.Holders,
 		Platform:  e.store.State,
--- a/internal/daemon/heartbeats.go
+++ b/internal/daemon/heartbeats.go
@@ -15,7 +15,7 @@
 // fillAgentRequest fills in a heartbeat request to an agent. The epochs of the
 // duties allow the agent to reject orders of a holder that was replaced.
 func (e *entryProcess) fillAgentRequest(req *wire.HeartbeatRequest) {
-	req.Revisions = e.holder.Revisions()
+	req.Revisions = e.configState.Revisions()
 	req.Leaving = e.server.Leaving()
 	req.Quarantine = e.poison.List()
 	for _, h := range e.keeper.Holders() {
@@ -28,7 +28,7 @@
 func (e *entryProcess) handleAgentReply(reply wire.HeartbeatReply) {
 	e.reports.record(reply)
 	e.poison.ApplyHeartbeat(reply.Suspects, reply.Quarantine)
-	missing, ok := e.holder.UpdateFor(reply.Revisions)
+	missing, ok := e.configState.UpdateFor(reply.Revisions)
 	if !ok || !e.beginPush(reply.From) {
 		return
 	}
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -35,20 +35,20 @@
 	role       string // role of the engine
 }
 
-func (h *agentReports) record(reply wire.HeartbeatReply) {
+func (a *agentReports) record(reply wire.HeartbeatReply) {
 	report := agentReport{receivedAt: time.Now(), version: reply.Load.WeightVersion, role: reply.EngineRole}
 	for _, r := range reply.Revisions {
 		report.revision = r.Revision
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.all[reply.From] = report
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.all[reply.From] = report
 }
 
-func (h *agentReports) get(id string) (agentReport, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	report, ok := h.all[id]
+func (a *agentReports) get(id string) (agentReport, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	report, ok := a.all[id]
 	return report, ok
 }
 
@@ -56,7 +56,7 @@
 func (e *entryProcess) localInstances() []operator.Instance {
 	all := []operator.Instance{{
 		ID: e.settings.ID, Role: string(e.settings.Role), Domain: e.settings.FailureDomain,
-		State: stateLive, Revision: e.holder.Revision(),
+		State: stateLive, Revision: e.configState.Revision(),
 	}}
 	for _, a := range e.pool.Snapshot() {
 		in := operator.Instance{ID: a.ID, Role: "agent", Service: a.Service, Domain: a.Domain, State: a.State, HeardAgo: -1}
--- a/internal/lab/changefeed/changefeed.go
+++ b/internal/lab/changefeed/changefeed.go
@@ -125,9 +125,9 @@
 }
 
 // fetch gets an update from a relay and returns its size in bytes.
-func (p *follower) fetch(s *changefeed.Topics[kv.Change]) (float64, error) {
-	update := s.Get(prefix).Since(p.position, &p.interest)
-	p.position, p.interest.AsOf = s.Position(), update.AsOf
+func (f *follower) fetch(s *changefeed.Topics[kv.Change]) (float64, error) {
+	update := s.Get(prefix).Since(f.position, &f.interest)
+	f.position, f.interest.AsOf = s.Position(), update.AsOf
 	var b bytes.Buffer
 	err := gob.NewEncoder(&b).Encode(cluster.TopicNews(update))
 	return float64(b.Len()), err
--- a/internal/logout/logout_test.go
+++ b/internal/logout/logout_test.go
@@ -19,16 +19,16 @@
 	b  bytes.Buffer
 }
 
-func (k *syncBuffer) Write(p []byte) (int, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.b.Write(p)
+func (s *syncBuffer) Write(p []byte) (int, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.b.Write(p)
 }
 
-func (k *syncBuffer) String() string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.b.String()
+func (s *syncBuffer) String() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.b.String()
 }
 
 var _ = Describe("the log writer", func() {
--- a/internal/peers/list.go
+++ b/internal/peers/list.go
@@ -28,11 +28,11 @@
 }
 
 // Instances reads the list and passes it on.
-func (t *listerWrapper) Instances(ctx context.Context, deployment string) ([]kv.Instance, error) {
-	list, err := t.lister.Instances(ctx, deployment)
+func (w *listerWrapper) Instances(ctx context.Context, deployment string) ([]kv.Instance, error) {
+	list, err := w.lister.Instances(ctx, deployment)
 	if err == nil {
-		t.peers.ApplyList(list)
-		t.peers.setInstances(list)
+		w.peers.ApplyList(list)
+		w.peers.setInstances(list)
 	}
 	return list, err
 }
--- a/internal/tlsconf/files.go
+++ b/internal/tlsconf/files.go
@@ -28,22 +28,22 @@
 	size     int64
 }
 
-func (w *reloader[T]) load() error {
-	versions, err := w.stat()
+func (r *reloader[T]) load() error {
+	versions, err := r.stat()
 	if err != nil {
 		return err
 	}
-	value, err := w.read()
+	value, err := r.read()
 	if err != nil {
 		return err
 	}
-	w.versions, w.value = versions, value
+	r.versions, r.value = versions, value
 	return nil
 }
 
-func (w *reloader[T]) stat() ([]fileVersion, error) {
-	versions := make([]fileVersion, len(w.files))
-	for i, name := range w.files {
+func (r *reloader[T]) stat() ([]fileVersion, error) {
+	versions := make([]fileVersion, len(r.files))
+	for i, name := range r.files {
 		info, err := os.Stat(name)
 		if err != nil {
 			return nil, errors.Wrap(err, "tlsconf")
@@ -54,22 +54,22 @@
 }
 
 // current returns the value after reloading it if a file has changed.
-func (w *reloader[T]) current() (T, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.changed() {
-		_ = w.load() // on failure the old value stays; the next connection tries again
+func (r *reloader[T]) current() (T, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.changed() {
+		_ = r.load() // on failure the old value stays; the next connection tries again
 	}
-	return w.value, nil
+	return r.value, nil
 }
 
-func (w *reloader[T]) changed() bool {
-	versions, err := w.stat()
+func (r *reloader[T]) changed() bool {
+	versions, err := r.stat()
 	if err != nil {
 		return false
 	}
 	for i := range versions {
-		if versions[i] != w.versions[i] {
+		if versions[i] != r.versions[i] {
 			return true
 		}
 	}
