--- a/internal/agentless/batchrun/owner.go
+++ b/internal/agentless/batchrun/owner.go
@@ -31,12 +31,12 @@
 	// completes its group later than that, as a straggler's does, is written at once. Readers
 	// poll twice a second, and at this interval a job costs at most four writes a second.
 	minWriteInterval = 250 * time.Millisecond
-	// AssignmentsWait is the long-poll timeout of a watch of the assignments. Processes that
-	// accept, end or move a job notify its owner by a call; the watch covers calls that failed,
-	// as those from an entry that is partitioned from all workers. The watch reports changes at
-	// once, but those that a store withheld from it are found only by its next call: items of a
-	// job whose end was acknowledged have three seconds to stop.
-	AssignmentsWait = 2 * time.Second
+	// AssignmentsWatchTimeout is the long-poll timeout of a watch of the assignments.
+	// Processes that accept, end or move a job notify its owner by a call; the watch covers
+	// calls that failed, as those from an entry that is partitioned from all workers. The watch
+	// reports changes at once, but those that a store withheld from it are found only by its
+	// next call: items of a job whose end was acknowledged have three seconds to stop.
+	AssignmentsWatchTimeout = 2 * time.Second
 	// writeRetryDelay is the delay before a failed write is retried.
 	writeRetryDelay = 200 * time.Millisecond
 )
--- a/internal/agentless/node/topics.go
+++ b/internal/agentless/node/topics.go
@@ -115,7 +115,7 @@
 	v := &topicSync{node: n, needed: []*cluster.Topic{operator, endpoints, members, assignments}}
 	if n.relay != nil {
 		all := &cluster.Topic{Prefix: batchrun.AssignmentsPrefix, SubTopic: assignments}
-		v.relayed = []followedTopic{{operator, 0, 0}, {endpoints, 0, listCoalesceDelay}, {members, membersWatchTimeout, listCoalesceDelay}, {all, batchrun.AssignmentsWait, assignmentCoalesceDelay}}
+		v.relayed = []followedTopic{{operator, 0, 0}, {endpoints, 0, listCoalesceDelay}, {members, membersWatchTimeout, listCoalesceDelay}, {all, batchrun.AssignmentsWatchTimeout, assignmentCoalesceDelay}}
 		n.addToRelay(v.relayed)
 	} else {
 		endpoints.Scopes = n.requiredServices
