--- a/internal/feedrun/generation.go
+++ b/internal/feedrun/generation.go
@@ -12,9 +12,9 @@
 
 const (
 	planInterval = 50 * time.Millisecond
-	// maxSwapWait limits how long a feed waits for engines that have not
+	// swapTimeout limits how long a feed waits for engines that have not
 	// swapped yet.
-	maxSwapWait = 5 * time.Second
+	swapTimeout = 5 * time.Second
 )
 
 // Assumed pace and costs of engines until their pace has been measured.
@@ -54,7 +54,7 @@
 		service:   service,
 		ctx:       ctx,
 		wake:      make(chan struct{}, 1),
-		scheduler: rollout.New(rollout.Options{Pace: defaultPace, RecomputeCost: defaultRecomputeCost, MaxSwapWait: maxSwapWait}),
+		scheduler: rollout.New(rollout.Options{Pace: defaultPace, RecomputeCost: defaultRecomputeCost, SwapTimeout: swapTimeout}),
 		owners:    map[string]*owner{},
 		demands:   map[string]demandVersion{},
 		runs:      map[runKey]*run{},
--- a/internal/lab/rollout/pipeline.go
+++ b/internal/lab/rollout/pipeline.go
@@ -103,7 +103,7 @@
 
 // newScheduler returns a scheduler for a scenario under the given weights.
 func newScheduler(s scenario, idleWeight, stalenessWeight float64) *policy.Scheduler {
-	scheduler := policy.New(policy.Options{Pace: s.pace, RecomputeCost: s.recomputeCost, TransferCost: s.transferCost, MaxSwapWait: 5 * time.Second})
+	scheduler := policy.New(policy.Options{Pace: s.pace, RecomputeCost: s.recomputeCost, TransferCost: s.transferCost, SwapTimeout: 5 * time.Second})
 	scheduler.SetFeed(policy.Feed{
 		Name:            feedName,
 		Shape:           s.shape,
--- a/internal/policy/rollout/place.go
+++ b/internal/policy/rollout/place.go
@@ -235,7 +235,7 @@
 
 // swapExpected reports whether an engine is expected to swap to the trainer's version.
 func (s *Scheduler) swapExpected(now time.Time, f *feed, e *engine) bool {
-	return e.Version < f.demand.Version && now.Sub(f.versionSince) < s.options.MaxSwapWait
+	return e.Version < f.demand.Version && now.Sub(f.versionSince) < s.options.SwapTimeout
 }
 
 // worthWaiting reports whether waiting costs the feed less than being a version behind,
--- a/internal/policy/rollout/rollout_test.go
+++ b/internal/policy/rollout/rollout_test.go
@@ -55,7 +55,7 @@
 		s = rollout.New(rollout.Options{
 			Pace:          rollout.Pace{Base: 10 * time.Millisecond, PerSample: 10 * time.Millisecond},
 			RecomputeCost: rollout.MoveCost{Fixed: 100 * time.Millisecond},
-			MaxSwapWait:   5 * time.Second,
+			SwapTimeout:   5 * time.Second,
 		})
 		s.SetFeed(feed)
 	})
--- a/internal/policy/rollout/scheduler.go
+++ b/internal/policy/rollout/scheduler.go
@@ -55,9 +55,9 @@
 	// TransferCost is the cost of transferring the KV cache from engine to engine; the zero
 	// value means that caches cannot be transferred.
 	TransferCost MoveCost
-	// MaxSwapWait is the longest time that a feed waits for engines to swap to its trainer's
+	// SwapTimeout is the longest time that a feed waits for engines to swap to its trainer's
 	// version, so that a failed swap does not leave the feed idle.
-	MaxSwapWait time.Duration
+	SwapTimeout time.Duration
 }
 
 // Action is a decision of the scheduler that the caller must carry out.
