--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -11,9 +11,9 @@
 	// maxClaimsPerQuery limits how many claims of one query are looked up; the
 	// rest is ignored.
 	maxClaimsPerQuery = 4096
-	// maxClaimWait limits how long a query waits for requests that are still
-	// running.
-	maxClaimWait = 2 * time.Second
+	// maxClaimQueryTimeout limits how long a query waits for requests that are
+	// still running.
+	maxClaimQueryTimeout = 2 * time.Second
 )
 
 // claimTable finds the record of a request by its claim. It serves an owner
@@ -76,7 +76,7 @@
 // proves nothing.
 func (s *rpcServer) Claims(query wire.ClaimsAsked, reply *wire.ClaimsTold) error {
 	reply.Duty = query.Duty
-	end := time.Now().Add(min(query.Wait, maxClaimWait))
+	end := time.Now().Add(min(query.Wait, maxClaimQueryTimeout))
 	for ref, r := range s.a.claims.find(query.Refs) {
 		answer, done := r.waitDone(max(0, time.Until(end)))
 		if !done || answer.Outcome != wire.Answered {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -12,7 +12,9 @@
 )
 
 const (
-	maxReadWait = 10 * time.Second
+	// maxReadTimeout limits how long a read waits for tokens, and how long it
+	// collects further ones.
+	maxReadTimeout = 10 * time.Second
 	// suspicionTTL is how long a crash is reported on heartbeats.
 	suspicionTTL = time.Minute
 )
@@ -55,7 +57,7 @@
 	if r == nil {
 		*reply = wire.ReadReply{Done: true, End: wire.Answer{ID: req.ID, Outcome: wire.Unknown, Reason: wire.ReasonConnection, Detail: "the agent does not know this stream"}}
 	} else {
-		*reply = r.read(req.Offset, min(req.Wait, maxReadWait), min(req.Gather, maxReadWait))
+		*reply = r.read(req.Offset, min(req.Wait, maxReadTimeout), min(req.Gather, maxReadTimeout))
 	}
 	reply.ID = req.ID
 	reply.End.Load = s.a.load()
--- a/internal/agentless/cluster/follow.go
+++ b/internal/agentless/cluster/follow.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// minWatchWait is the shortest wait of one watch call. If the store drops history
+	// minWatchTimeout is the minimum timeout of a watch call. If the store drops history
 	// that a waiting watch has not received, it reports that only at the next change,
 	// and a declaration would be missed until then. A new call detects it. A relay that
 	// is cut off from the store also serves outdated data for as long as a call waits.
-	// Declarations and leaving endpoints must take effect within two seconds; longer
-	// waits would save calls but exceed that.
-	minWatchWait = time.Second
+	// Declarations and leaving endpoints must take effect within two seconds; a longer
+	// timeout would save calls but exceed that.
+	minWatchTimeout = time.Second
 	// initialBackoff and maxBackoff bound the delay after a failed call. A store that
 	// has recovered must be noticed within the second that remains for new
 	// declarations, and a store that is down should not get more calls than that
@@ -43,8 +43,8 @@
 type Follower struct {
 	Store kv.TransactionalStore
 	Topic *Topic
-	// Wait is how long one watch call waits. Values below minWatchWait are raised to
-	// it.
+	// Wait is how long a watch call waits for changes. Values below minWatchTimeout are
+	// raised to it.
 	Wait time.Duration
 	// CoalesceDelay is the pause before the next watch call after one returned changes,
 	// so that many changes in a row need few calls.
@@ -69,7 +69,7 @@
 	for ctx.Err() == nil {
 		next, changed, err := f.step(ctx, asOf, wait)
 		if err == nil {
-			wait = max(f.Wait, minWatchWait)
+			wait = max(f.Wait, minWatchTimeout)
 			asOf = next
 			backoff = initialBackoff
 			f.succeeded(asOf)
--- a/internal/agentless/cluster/relay.go
+++ b/internal/agentless/cluster/relay.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// ttlMargin is how much longer than its watch waits a topic may be served without
-	// an answer of the store. Declarations must be in force within two seconds, which
+	// ttlMargin is how much longer than the timeout of its watch a topic may be served
+	// without an answer of the store. Declarations must be in force within two seconds, which
 	// leaves a process that lost the store no more time.
 	ttlMargin = 300 * time.Millisecond
-	// maxUpdateWait is the longest wait of a call for updates. The failure of a relay
-	// that does not answer is detected maxUpdateWait plus updateCallMargin after its
-	// last answer.
-	maxUpdateWait = time.Second
+	// maxUpdateTimeout is the maximum long-poll timeout of a call for updates. The
+	// failure of a relay that does not answer is detected maxUpdateTimeout plus
+	// updateCallMargin after its last answer.
+	maxUpdateTimeout = time.Second
 )
 
 // Relay serves the changes that this process receives from the store to other
@@ -45,14 +45,14 @@
 	return &Relay{topics: changefeed.NewTopics[kv.Change](boot), scopes: map[string]func(kv.Record) string{}, wake: make(chan struct{})}
 }
 
-// AddTopic adds a topic. wait is the wait of the topic's watch calls, and values below
-// minWatchWait are raised to it; coalesceDelay is the pause between two of them after
-// changes. scope returns the scope that a record belongs to; nil means that the topic
-// has no scopes.
-func (r *Relay) AddTopic(prefix string, wait, coalesceDelay time.Duration, scope func(kv.Record) string) {
+// AddTopic adds a topic. watchTimeout is the timeout of the topic's watch calls, and
+// values below minWatchTimeout are raised to it; coalesceDelay is the delay between two
+// of them after changes. scope returns the scope that a record belongs to; nil means
+// that the topic has no scopes.
+func (r *Relay) AddTopic(prefix string, watchTimeout, coalesceDelay time.Duration, scope func(kv.Record) string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.topics.Add(prefix, coalesceDelay+max(wait, minWatchWait)+ttlMargin)
+	r.topics.Add(prefix, coalesceDelay+max(watchTimeout, minWatchTimeout)+ttlMargin)
 	r.scopes[prefix] = scope
 }
 
@@ -129,7 +129,7 @@
 // await returns an answer as soon as there are changes, the data becomes stale or the
 // wait of the call ends.
 func (r *Relay) await(args NewsArgs) NewsReply {
-	deadline := time.Now().Add(min(args.Wait, maxUpdateWait))
+	deadline := time.Now().Add(min(args.Wait, maxUpdateTimeout))
 	for {
 		r.mu.Lock()
 		ttl := r.topics.RemainingTTL(time.Now(), args.Interests)
--- a/internal/agentless/cluster/subscribe.go
+++ b/internal/agentless/cluster/subscribe.go
@@ -147,7 +147,7 @@
 		sleep(ctx, relayRetryInterval)
 		return
 	}
-	if s.callTopics(ctx, minWatchWait, func(*Topic) bool { return true }) && s.SyncedFromStore != nil {
+	if s.callTopics(ctx, minWatchTimeout, func(*Topic) bool { return true }) && s.SyncedFromStore != nil {
 		s.SyncedFromStore()
 	}
 }
@@ -244,7 +244,7 @@
 			s.SyncedFromRelay()
 		}
 		s.InitialSyncDone = s.InitialSyncDone || len(asked) == len(s.Topics)
-		wait = maxUpdateWait
+		wait = maxUpdateTimeout
 		if current, listed := s.Members.Get(relay.Name); !listed || current.Leaving {
 			return errors.New("cluster: the relay is leaving")
 		}
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -20,9 +20,9 @@
 
 	// maxAttempts limits the number of endpoints that one request is sent to.
 	maxAttempts = 4
-	// settleWait is how long the agent holds one Settle call while the request
-	// still runs.
-	settleWait = time.Second
+	// settlePollTimeout is how long the agent holds one Settle call while the
+	// request still runs.
+	settlePollTimeout = time.Second
 	// settleBackoff is the delay after a failed Settle or Read call.
 	settleBackoff = 100 * time.Millisecond
 	// answerMargin is subtracted from the time that an endpoint gets, so that its
@@ -114,7 +114,7 @@
 func (e *Server) settle(ctx context.Context, ep Endpoint, req wire.Request, cause error) wire.Answer {
 	for ctx.Err() == nil {
 		var answer wire.Answer
-		request := wire.SettleRequest{ID: req.ID, Target: req.Target, Wait: settleWait}
+		request := wire.SettleRequest{ID: req.ID, Target: req.Target, Wait: settlePollTimeout}
 		err := ep.CallFresh(ctx, methodSettle, request, &answer)
 		if err == nil && answer.Outcome != wire.Running {
 			return answer
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// readWait is how long an agent holds a read while there are no tokens.
-	readWait = 2 * time.Second
+	// readPollTimeout is how long an agent holds a read while there are no tokens.
+	readPollTimeout = 2 * time.Second
 	// rolloutCoalesceDelay is how long an agent collects a rollout's tokens before it
 	// answers a read. Nobody waits for single tokens, and one read per token would be
 	// most of a token's cost. Tokens that are lost with an agent meanwhile are
@@ -129,7 +129,7 @@
 // on a new connection neither loses nor repeats a token.
 func (s *streamRun) readAll(ctx context.Context, ep Endpoint, req wire.Request) wire.Answer {
 	for offset, lost := 0, 0; ; {
-		request := wire.ReadRequest{ID: req.ID, Offset: offset, Wait: readWait}
+		request := wire.ReadRequest{ID: req.ID, Offset: offset, Wait: readPollTimeout}
 		if req.Rollout {
 			request.Gather = rolloutCoalesceDelay
 		}
--- a/internal/feedrun/feeds.go
+++ b/internal/feedrun/feeds.go
@@ -26,8 +26,8 @@
 const (
 	dutyPrefix = "feed/"
 	methodPull = wire.FeedService + ".Pull"
-	// maxPullWait limits how long a pull waits for samples.
-	maxPullWait = 10 * time.Second
+	// maxPullTimeout limits how long a pull waits for samples.
+	maxPullTimeout = 10 * time.Second
 	// forwardMargin is added to the wait of a forwarded pull for the network
 	// round trip.
 	forwardMargin      = 2 * time.Second
@@ -232,7 +232,7 @@
 // is unreachable, it looks the owner up again and retries until the pull's wait
 // is over.
 func (f *Feeds) Pull(ctx context.Context, req wire.PullRequest) wire.PullReply {
-	req.Wait = min(max(req.Wait, 0), maxPullWait)
+	req.Wait = min(max(req.Wait, 0), maxPullTimeout)
 	ctx, cancel := context.WithTimeout(ctx, req.Wait+forwardMargin)
 	defer cancel()
 	newConn := false
@@ -291,9 +291,9 @@
 		reply.Refusal = string(handover.NotOwner)
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), maxPullWait+forwardMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), maxPullTimeout+forwardMargin)
 	defer cancel()
-	req.Wait = min(max(req.Wait, 0), maxPullWait)
+	req.Wait = min(max(req.Wait, 0), maxPullTimeout)
 	*reply = o.pull(ctx, req)
 	return nil
 }
--- a/internal/standin/trainer.go
+++ b/internal/standin/trainer.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	pullWaitTime = 500 * time.Millisecond
-	callTimeout  = 3 * time.Second
-	retryDelay   = 50 * time.Millisecond
+	pullTimeout = 500 * time.Millisecond
+	callTimeout = 3 * time.Second
+	retryDelay  = 50 * time.Millisecond
 )
 
 // TrainerOptions configures a trainer of one feed.
@@ -141,7 +141,7 @@
 		Cursor:        pull.Cursor,
 		WeightVersion: pull.Version,
 		PullToken:     pull.Token,
-		WaitMs:        int32(pullWaitTime.Milliseconds()),
+		WaitMs:        int32(pullTimeout.Milliseconds()),
 		Restarted:     pull.Restarted,
 	}
 	for _, held := range pull.Unrecorded {
