--- a/internal/agentless/batchrun/fakes_test.go
+++ b/internal/agentless/batchrun/fakes_test.go
@@ -253,7 +253,7 @@
 	Expect(p.frontend.Register(p.server)).To(Succeed())
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	assignments := &cluster.Follower{Store: p.store, Topic: p.owner.Assignments(), Wait: batchrun.AssignmentsWatchTimeout}
+	assignments := &cluster.Follower{Store: p.store, Topic: p.owner.Assignments(), WatchTimeout: batchrun.AssignmentsWatchTimeout}
 	members := &cluster.Follower{Store: p.store, Topic: p.register.Topic()}
 	for _, part := range []func(context.Context) error{p.owner.Run, p.register.Run, members.Run, assignments.Run} {
 		done.Go(func() {
--- a/internal/agentless/cluster/follow.go
+++ b/internal/agentless/cluster/follow.go
@@ -43,10 +43,10 @@
 type Follower struct {
 	Store kv.TransactionalStore
 	Topic *Topic
-	// Wait is how long a watch call waits for changes. Values below minWatchTimeout are
-	// raised to it.
-	Wait time.Duration
-	// CoalesceDelay is the pause before the next watch call after one returned changes,
+	// WatchTimeout is how long a watch call waits for changes. Values below
+	// minWatchTimeout are raised to it.
+	WatchTimeout time.Duration
+	// CoalesceDelay is the delay before the next watch call after one returned changes,
 	// so that many changes in a row need few calls.
 	CoalesceDelay time.Duration
 	// Synced is called after each successful call, before CoalesceDelay, with the
@@ -69,7 +69,7 @@
 	for ctx.Err() == nil {
 		next, changed, err := f.step(ctx, asOf, wait)
 		if err == nil {
-			wait = max(f.Wait, minWatchTimeout)
+			wait = max(f.WatchTimeout, minWatchTimeout)
 			asOf = next
 			backoff = initialBackoff
 			f.succeeded(asOf)
--- a/internal/agentless/node/topics.go
+++ b/internal/agentless/node/topics.go
@@ -271,7 +271,7 @@
 	var group errgroup.Group
 	for _, t := range v.relayed {
 		f := &cluster.Follower{
-			Store: n.adapter.Store, Topic: t.topic, Wait: t.watchTimeout, CoalesceDelay: t.coalesceDelay, Failed: n.storeFailed, Recovered: n.storeRecovered,
+			Store: n.adapter.Store, Topic: t.topic, WatchTimeout: t.watchTimeout, CoalesceDelay: t.coalesceDelay, Failed: n.storeFailed, Recovered: n.storeRecovered,
 			Synced: func(asOf int64) { n.topicSynced(t.topic, asOf) },
 		}
 		group.Go(func() error { return f.Run(ctx) })
