--- a/internal/confstate/missed.go
+++ b/internal/confstate/missed.go
@@ -20,9 +20,9 @@
 	return encoded
 }
 
-// missedChanges returns the deltas that a peer lacks if they are kept and at
-// most half as large as a snapshot. A peer that could not apply deltas requests
-// a snapshot.
+// missedChanges returns the deltas that a peer lacks, or false if they are not
+// kept or are larger than half a snapshot. A peer that could not apply deltas
+// requests a snapshot.
 func (st *State) missedChanges(s *Snapshot, request wire.ConfigRequest) (wire.ConfigReply, bool) {
 	if request.Whole || request.Have == 0 {
 		return wire.ConfigReply{}, false
@@ -33,8 +33,8 @@
 	if s != st.current.Load() {
 		return wire.ConfigReply{}, false
 	}
-	deltas, worth := st.history.Since(request.Have, len(s.encoded))
-	if !worth {
+	deltas, ok := st.history.Since(request.Have, len(s.encoded))
+	if !ok {
 		return wire.ConfigReply{}, false
 	}
 	reply := wire.ConfigReply{Revision: s.Revision, Digest: s.digest[:]}
--- a/internal/confstate/state.go
+++ b/internal/confstate/state.go
@@ -43,7 +43,7 @@
 type Options struct {
 	Deployment string
 	Self       config.Peer
-	Entry      bool
+	Entry      bool     // the process is an entry, not an agent
 	Store      kv.Store // entries only
 	Fetch      Fetch    // entries only
 	Log        *logrus.Logger
@@ -203,7 +203,7 @@
 	if s == nil || request.Deployment != st.options.Deployment || s.Revision <= request.Have {
 		return wire.ConfigReply{}
 	}
-	if reply, few := st.missedChanges(s, request); few {
+	if reply, ok := st.missedChanges(s, request); ok {
 		return reply
 	}
 	encoded, err := json.Marshal(s)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -30,7 +30,7 @@
 	settings      settings.Settings
 	log           *logrus.Logger
 	metrics       metrics.Registry
-	inner         *tlsconf.Inner                   // makes connections between entries and agents
+	inner         *tlsconf.Inner                   // makes connections among entries and agents
 	platformCreds credentials.TransportCredentials // for connections to the platform
 	traffic       *traffic.Meter
 }
--- a/internal/daemon/endpointreadiness.go
+++ b/internal/daemon/endpointreadiness.go
@@ -13,7 +13,7 @@
 
 // endpointReadiness determines whether a starting entry has a usable endpoint of every
 // declared service. An entry that listened before its first heartbeats were
-// answered would tell callers that there is no endpoint, although every other
+// answered would refuse requests for lack of an endpoint, although every other
 // entry could serve them. A caller whose connection is not accepted tries another
 // entry. Once true, the result stays true: if a service is lost later, the entry
 // answers each request for it with an error.
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -122,7 +122,7 @@
 	return e.server.ServeHTTP(ctx, listener)
 }
 
-// listen opens the listeners of an entry but for callers.
+// listen opens the listeners of an entry, except the one for callers.
 func (p *process) listen() (l listeners, err error) {
 	if l.inner, err = p.inner.Listen(p.settings.InnerAddress); err != nil {
 		return l, errors.Wrap(err, "daemon: inner")
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -29,14 +29,14 @@
 
 // agentReport is an agent's last heartbeat reply.
 type agentReport struct {
-	receivedAt time.Time
-	revision   int64
-	version    int64
-	role       string // role of the engine
+	receivedAt    time.Time
+	revision      int64
+	weightVersion int64
+	role          string // role of the engine
 }
 
 func (a *agentReports) record(reply wire.HeartbeatReply) {
-	report := agentReport{receivedAt: time.Now(), version: reply.Load.WeightVersion, role: reply.EngineRole}
+	report := agentReport{receivedAt: time.Now(), weightVersion: reply.Load.WeightVersion, role: reply.EngineRole}
 	for _, r := range reply.Revisions {
 		report.revision = r.Revision
 	}
@@ -62,7 +62,7 @@
 		in := operator.Instance{ID: a.ID, Role: "agent", Service: a.Service, Domain: a.Domain, State: a.State, HeardAgo: -1}
 		if report, ok := e.reports.get(a.ID); ok {
 			in.Revision = report.revision
-			in.WeightVersion = report.version
+			in.WeightVersion = report.weightVersion
 			in.EngineRole = report.role
 			in.HeardAgo = time.Since(report.receivedAt)
 		}
