--- a/internal/dutyrun/keeper.go
+++ b/internal/dutyrun/keeper.go
@@ -184,8 +184,8 @@
 	defer k.mu.Unlock()
 	holders := k.policy.KnownHolders()
 	all := make([]wire.Holder, 0, len(holders))
-	for _, o := range holders {
-		all = append(all, wire.Holder{Duty: o.Duty, Address: o.Address, Epoch: o.Epoch})
+	for _, h := range holders {
+		all = append(all, wire.Holder{Duty: h.Duty, Address: h.Address, Epoch: h.Epoch})
 	}
 	return all
 }
--- a/internal/dutyrun/offer.go
+++ b/internal/dutyrun/offer.go
@@ -12,7 +12,8 @@
 
 const (
 	// offerTimeout limits how long to wait for the entry that accepted an
-	// offer. After it, the other entries are no worse off than without offers.
+	// offer. After it, the other entries notice the release at their next poll,
+	// as without offers.
 	offerTimeout      = time.Second
 	offerPollInterval = 5 * time.Millisecond
 )
@@ -40,8 +41,8 @@
 }
 
 // sendOffer offers the duty to one member after the other until one accepts it.
-// It records the holder that this member returns, so that this entry can tell
-// callers that still ask it for the duty.
+// It records the holder that this member returns, so that this entry can name it
+// to callers that still address this entry as the holder.
 func (k *Keeper) sendOffer(ctx context.Context, o duties.Offer) {
 	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
--- a/internal/peers/list.go
+++ b/internal/peers/list.go
@@ -52,11 +52,11 @@
 type cachedLister struct{ peers *Peers }
 
 // Instances returns the last list, or an error if there is none yet.
-func (s cachedLister) Instances(context.Context, string) ([]kv.Instance, error) {
-	s.peers.mu.Lock()
-	defer s.peers.mu.Unlock()
-	if s.peers.instances == nil {
+func (c cachedLister) Instances(context.Context, string) ([]kv.Instance, error) {
+	c.peers.mu.Lock()
+	defer c.peers.mu.Unlock()
+	if c.peers.instances == nil {
 		return nil, errNoList
 	}
-	return s.peers.instances, nil
+	return c.peers.instances, nil
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -59,8 +59,8 @@
 	Deployment        string
 	HeartbeatInterval time.Duration // between rounds of heartbeats
 	Dial              Dial          // nil: plain TCP
-	// ExtendRequest and ExtendReply add what this entry knows to the heartbeats
-	// that it sends and answers. OnQuarantine receives the quarantine lists of
+	// ExtendRequest and ExtendReply add data to the heartbeat requests that this
+	// entry sends and to its replies. OnQuarantine receives the quarantine lists of
 	// the others' heartbeats.
 	ExtendRequest func(*wire.HeartbeatRequest)
 	ExtendReply   func(*wire.HeartbeatReply)
@@ -80,7 +80,7 @@
 	instances       []kv.Instance // as WrapLister's lister read it last; never modified
 	entries         []kv.Instance // entries of the list, including this one
 	leaving         bool
-	leavingPeers    map[string]bool // peers that said that they leave
+	leavingPeers    map[string]bool // peers that announced that they leave
 	failureDetector *gossip.FailureDetector
 	partners        *gossip.Partners
 	lastContact     map[string]time.Time // of listed peers
@@ -241,7 +241,7 @@
 		p.recordContact(peer.ID)
 	}
 	p.mu.Unlock()
-	// A reply of another instance at the same address says nothing about this peer.
+	// A reply of another instance at the same address doesn't count as this peer's.
 	if err != nil || reply.From != peer.ID {
 		return
 	}
@@ -314,8 +314,8 @@
 // holdersHash returns a hash that is equal for equal holders in the same order.
 func holdersHash(holders []wire.Holder) uint64 {
 	h := fnv.New64a()
-	for _, o := range holders {
-		_, _ = h.Write([]byte(o.Duty + "\x00" + o.Address + "\x00" + strconv.FormatInt(o.Epoch, 10) + "\x00"))
+	for _, holder := range holders {
+		_, _ = h.Write([]byte(holder.Duty + "\x00" + holder.Address + "\x00" + strconv.FormatInt(holder.Epoch, 10) + "\x00"))
 	}
 	return h.Sum64()
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -136,8 +136,8 @@
 		for _, n := range nodes {
 			Eventually(n.conf.Ready).WithTimeout(timeout).Should(BeTrue())
 			Eventually(func() string {
-				owner, _, _ := n.duty.KnownHolder("feed/a")
-				return owner
+				address, _, _ := n.duty.KnownHolder("feed/a")
+				return address
 			}).WithTimeout(timeout).ShouldNot(BeEmpty())
 		}
 	})
--- a/internal/policy/duties/record.go
+++ b/internal/policy/duties/record.go
@@ -30,7 +30,7 @@
 	ID      string
 	Address string // ip:port for the internal protocol
 	Domain  string // failure domain
-	Alive   bool   // it was heard from recently; being listed doesn't prove that it is alive
+	Alive   bool   // a recent contact proves that it is alive; being listed doesn't
 }
 
 // LeaseState is the state of this process's lease on a duty.
--- a/internal/policy/duties/steps.go
+++ b/internal/policy/duties/steps.go
@@ -54,8 +54,9 @@
 
 // shouldHandBack reports whether to release the duty to its preferred holder. An
 // entry hands duties back only if it holds more than its share, and only to an entry
-// that was heard from recently. The list may still name a dead entry; a duty handed
-// to it would have no holder until a candidate takes it over, and this would repeat.
+// that a recent contact proves to be alive. The list may still name a dead entry; a
+// duty handed to it would have no holder until a candidate takes it over, and this
+// would repeat.
 func (k *Keeper) shouldHandBack(now time.Time, d *duty) bool {
 	if d.misplacedSince.IsZero() || now.Sub(d.misplacedSince) <= k.config.HandBackAfter || !now.Before(d.leaseUntil) || !d.preferred.Alive {
 		return false
--- a/internal/policy/gossip/gossip.go
+++ b/internal/policy/gossip/gossip.go
@@ -61,7 +61,8 @@
 	return &FailureDetector{timeout: timeout, failing: map[string]time.Time{}}
 }
 
-// RecordContact records that a peer was heard from.
+// RecordContact records a contact with a peer: a heartbeat received from it or its
+// reply to one.
 func (d *FailureDetector) RecordContact(id string) {
 	delete(d.failing, id)
 }
