--- a/internal/observe/text.go
+++ b/internal/observe/text.go
@@ -25,7 +25,7 @@
 	})
 	sort.Strings(lines)
 	for _, line := range lines {
-		_, _ = io.WriteString(out, line) // the reader is gone; it may request the metrics again
+		_, _ = io.WriteString(out, line) // on an error the reader is gone; it may request the metrics again
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,7 +25,7 @@
 	DataDir       string // empty: the instance stores nothing on disk
 	StopTimeout   time.Duration
 
-	InnerAddress    string // address of the inner protocol between entries and agents
+	InnerAddress    string // address of the inner protocol among entries and agents
 	HTTPAddress     string // address for callers; entries only
 	GRPCAddress     string // address for operators and trainers; entries only
 	MetricsAddress  string // address of metrics, health and readiness
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -1,5 +1,5 @@
 // Package tlsconf creates TLS configurations from the settings: TLS for callers,
-// operators and the platform, and mutual TLS between entries and agents. There is no
+// operators and the platform, and mutual TLS among entries and agents. There is no
 // fallback to plain text: if certificates are configured, a connection to a peer
 // without a certificate signed by the deployment's authority fails. Files are read
 // again when they change, so keys can be rotated without a restart.
@@ -14,7 +14,7 @@
 	"siskinloom.example/siskinloom/internal/settings"
 )
 
-// Inner makes the connections between entries and agents.
+// Inner makes the connections among entries and agents.
 type Inner struct {
 	keyPair   *keyPair   // nil: TLS is off
 	authority *authority // nil: TLS is off
