--- a/internal/agentless/node/topics.go
+++ b/internal/agentless/node/topics.go
@@ -115,7 +115,7 @@
 	v := &topicSync{node: n, needed: []*cluster.Topic{operator, endpoints, members, assignments}}
 	if n.relay != nil {
 		all := &cluster.Topic{Prefix: batchrun.AssignmentsPrefix, SubTopic: assignments}
-		v.relayed = []followedTopic{{operator, 0, 0}, {endpoints, 0, listCoalesceDelay}, {members, membersWatchTimeout, listCoalesceDelay}, {all, batchrun.AssignmentsWait, assignmentCoalesceDelay}}
+		v.relayed = []followedTopic{{operator, 0, 0}, {endpoints, 0, listCoalesceDelay}, {members, membersWatchTimeout, listCoalesceDelay}, {all, batchrun.AssignmentsWatchTimeout, assignmentCoalesceDelay}}
 		n.addToRelay(v.relayed)
 	} else {
 		endpoints.Scopes = n.requiredServices
@@ -271,7 +271,7 @@
 	var group errgroup.Group
 	for _, t := range v.relayed {
 		f := &cluster.Follower{
-			Store: n.adapter.Store, Topic: t.topic, Wait: t.watchTimeout, CoalesceDelay: t.coalesceDelay, Failed: n.storeFailed, Recovered: n.storeRecovered,
+			Store: n.adapter.Store, Topic: t.topic, WatchTimeout: t.watchTimeout, CoalesceDelay: t.coalesceDelay, Failed: n.storeFailed, Recovered: n.storeRecovered,
 			Synced: func(asOf int64) { n.topicSynced(t.topic, asOf) },
 		}
 		group.Go(func() error { return f.Run(ctx) })
--- a/internal/dutyrun/keeper.go
+++ b/internal/dutyrun/keeper.go
@@ -184,14 +184,14 @@
 	defer k.mu.Unlock()
 	holders := k.policy.KnownHolders()
 	all := make([]wire.Holder, 0, len(holders))
-	for _, o := range holders {
-		all = append(all, wire.Holder{Duty: o.Duty, Address: o.Address, Epoch: o.Epoch})
+	for _, h := range holders {
+		all = append(all, wire.Holder{Duty: h.Duty, Address: h.Address, Epoch: h.Epoch})
 	}
 	return all
 }
 
-// Heard merges the holders that another entry reports.
-func (k *Keeper) Heard(holders []wire.Holder) {
+// HoldersReported merges the holders that another entry reports.
+func (k *Keeper) HoldersReported(holders []wire.Holder) {
 	k.update(func(now time.Time) {
 		for _, h := range holders {
 			k.policy.HolderReported(now, duties.KnownHolder{Duty: h.Duty, Address: h.Address, Epoch: h.Epoch})
