--- a/internal/agentless/batchrun/mover_test.go
+++ b/internal/agentless/batchrun/mover_test.go
@@ -21,6 +21,17 @@
 
 	ownerOf := func(id string) (owner, other *process) { return ownerAndOther(a, b, id) }
 
+	// submitToOwner submits a job to the process that becomes its owner. Another process
+	// notifies the owner over the network, and moves the job if the owner is killed before it
+	// has answered.
+	submitToOwner := func(id string, items int) (owner, other *process) {
+		Eventually(func() int { return len(b.members.Live()) }).WithTimeout(eventuallyTimeout).Should(Equal(2))
+		Expect(b.frontend.Submit(context.Background(), spec(id, items))).To(Succeed())
+		owner, other = ownerOf(id)
+		Expect(owner).To(BeIdenticalTo(b))
+		return owner, other
+	}
+
 	BeforeEach(func() { store, llm, a, b = startPair() })
 
 	It("is replaced by another process when it is gone, without changing results that were read", func() {
@@ -49,8 +60,7 @@
 		// arrives seconds later; if it took effect, a position would hold another result
 		// than the one that the new process writes there.
 		llm.hold = make(chan struct{})
-		Expect(a.frontend.Submit(context.Background(), spec("j", 2))).To(Succeed())
-		owner, other := ownerOf("j")
+		owner, other := submitToOwner("j", 2)
 		assignment, err := store.Read(context.Background(), "todo/"+owner.name+"/j")
 		Expect(err).NotTo(HaveOccurred())
 		owner.stop()
@@ -71,8 +81,7 @@
 		// yet. The process lists its assignments, writes them anew and adopts its jobs. If it
 		// waited for the watch, the jobs' steps would be delayed by half a second.
 		llm.hold = make(chan struct{})
-		Expect(a.frontend.Submit(context.Background(), spec("j", 2))).To(Succeed())
-		owner, _ := ownerOf("j")
+		owner, _ := submitToOwner("j", 2)
 		owner.stop()
 		again := newProcess(owner.name, &unwatchedStore{TransactionalStore: store}, llm).run()
 		Eventually(again.owner.Jobs).WithTimeout(eventuallyTimeout).Should(HaveKey("j"))
