--- a/internal/lab/callers/claims_agent.go
+++ b/internal/lab/callers/claims_agent.go
@@ -23,7 +23,7 @@
 	world             *claimWorld
 	incarnation       int
 	up                bool
-	fenced            bool
+	fenced            bool // false for an endpoint without fencing whose agent has restarted
 	epoch             int64
 	runs              map[int64]*run // by dispatch
 	refusedDispatches map[int64]bool
@@ -148,7 +148,7 @@
 	w.runCount++
 	r := &run{key: d.key, body: d.body, submissionID: d.submissionID}
 	r.answer = fmt.Sprintf("%s/%s/run-%d", d.key, d.body, w.runCount)
-	if w.runCount%7 == 0 {
+	if w.runCount%7 == 0 { // every seventh answer is too long to be stored
 		r.answer += longAnswerSuffix
 	}
 	w.recorder.recordRun(r)
--- a/internal/lab/callers/claims_crash.go
+++ b/internal/lab/callers/claims_crash.go
@@ -11,8 +11,8 @@
 
 const (
 	crashCount    = 40
-	minCrashDelay = 3 * time.Second
-	crashJitter   = time.Second
+	minCrashDelay = 3 * time.Second // from the start of the simulation to the crash
+	crashJitter   = time.Second     // largest random addition to minCrashDelay
 	// takeoverDelay is the time after which a successor takes over the duty of a
 	// crashed owner: the lease with its margins.
 	takeoverDelay = 6 * time.Second
@@ -48,7 +48,7 @@
 	}
 	l.clock.runUntil(l.clock.now.Add(time.Second))
 	for _, id := range unanswered {
-		l.submit(id, -id)
+		l.submit(id, -id) // the retry's waiter number must differ from the first call's
 	}
 	l.clock.runUntil(l.clock.now.Add(2 * loadDeadline))
 	t.inFlight += len(unanswered)
@@ -63,7 +63,7 @@
 // predecessor.
 func (t *crashTotals) addSuccessor(l *claimLoad, predecessor *loadPartition, i int, queryAgents bool, lostAgents int) *loadPartition {
 	name := fmt.Sprintf("claims/%d", i)
-	p := &loadPartition{load: l, partition: claims.New(claims.DefaultConfig(name, name, "successor")), kv: predecessor.kv}
+	p := &loadPartition{load: l, partition: claims.New(claims.DefaultConfig(name, name, "successor")), store: predecessor.store}
 	p.onQueryAgents = func(a claims.QueryAgents) {
 		if !queryAgents {
 			return
--- a/internal/lab/callers/claims_entry.go
+++ b/internal/lab/callers/claims_entry.go
@@ -104,9 +104,9 @@
 func (e *claimEntry) maintainLease() {
 	sentAt := e.world.clock.now
 	var current dutyRecord
-	op := func() { current = e.world.kv.renewOrAcquire(e.identity()) }
+	op := func() { current = e.world.store.renewOrAcquire(e.identity()) }
 	onDuty := e.bind(func() { e.handleDuty(sentAt, current) })
-	e.world.kv.call(op, func(ok bool) {
+	e.world.store.call(op, func(ok bool) {
 		if ok {
 			onDuty()
 		}
@@ -146,7 +146,7 @@
 	}
 	delay := max(e.releaseNotBefore.Sub(e.world.clock.now), 0)
 	e.world.clock.after(delay, e.bind(func() {
-		e.world.kv.call(func() { e.world.kv.release(e.identity()) }, func(bool) {})
+		e.world.store.call(func() { e.world.store.release(e.identity()) }, func(bool) {})
 	}))
 }
 
@@ -176,7 +176,7 @@
 	case claims.Write:
 		e.write(a)
 	case claims.Delete:
-		delete(e.world.kv.records, a.Key)
+		delete(e.world.store.records, a.Key)
 	case claims.Run:
 		e.dispatchClaimed(a)
 	case claims.Reply:
@@ -207,8 +207,8 @@
 
 func (e *claimEntry) read(r claims.Read) {
 	var record claims.Record
-	op := func() { record = e.world.kv.get(r.Key) }
-	e.world.kv.call(op, func(ok bool) {
+	op := func() { record = e.world.store.get(r.Key) }
+	e.world.store.call(op, func(ok bool) {
 		done := claims.ReadDone{Record: record, Failed: !ok}
 		done.Record.Key = r.Key
 		e.bind(func() { e.step(done) })()
@@ -218,12 +218,12 @@
 func (e *claimEntry) write(w claims.Write) {
 	var swapped bool
 	var current claims.Record
-	op := func() { swapped, current = e.world.kv.swap(w) }
+	op := func() { swapped, current = e.world.store.swap(w) }
 	result := func(ok bool) claims.WriteDone {
 		return claims.WriteDone{ID: w.ID, Swapped: swapped, Current: current, Failed: !ok}
 	}
 	incarnation := e.incarnation
-	e.world.kv.call(op, func(ok bool) {
+	e.world.store.call(op, func(ok bool) {
 		if e.incarnation == incarnation {
 			done := result(ok)
 			e.bind(func() { e.step(done) })()
--- a/internal/lab/callers/claims_load.go
+++ b/internal/lab/callers/claims_load.go
@@ -40,7 +40,7 @@
 type loadPartition struct {
 	load          *claimLoad
 	partition     *claims.Partition
-	kv            *fakeKV
+	store         *store
 	crashed       bool // the owner has crashed
 	onQueryAgents func(claims.QueryAgents)
 }
@@ -65,7 +65,7 @@
 		name := fmt.Sprintf("claims/%d", i)
 		config := claims.DefaultConfig(name, name, "owner")
 		config.CommitInterval = interval
-		p := &loadPartition{load: l, partition: claims.New(config), kv: newFakeKV(c)}
+		p := &loadPartition{load: l, partition: claims.New(config), store: newStore(c)}
 		l.partitions = append(l.partitions, p)
 		p.step(claims.Acquired{Epoch: 1, Until: c.now.Add(time.Hour)})
 	}
@@ -119,12 +119,12 @@
 	roundTrip := l.clock.between(2*time.Millisecond, 5*time.Millisecond)
 	switch a := action.(type) {
 	case claims.Read:
-		l.clock.after(roundTrip, func() { p.step(claims.ReadDone{Record: p.kv.get(a.Key)}) })
+		l.clock.after(roundTrip, func() { p.step(claims.ReadDone{Record: p.store.get(a.Key)}) })
 	case claims.Write:
 		l.writes++
 		l.bytes += len(a.Value)
 		l.clock.after(roundTrip, func() {
-			swapped, current := p.kv.swap(a)
+			swapped, current := p.store.swap(a)
 			p.step(claims.WriteDone{ID: a.ID, Swapped: swapped, Current: current})
 		})
 	case claims.Delete:
--- a/internal/lab/callers/claims_schedule.go
+++ b/internal/lab/callers/claims_schedule.go
@@ -33,7 +33,7 @@
 // with faults drawn from a seed.
 type claimWorld struct {
 	clock             *clock
-	kv                *fakeKV
+	store             *store
 	entries           []*claimEntry
 	agents            []*claimAgent
 	recorder          *runRecorder
@@ -47,8 +47,8 @@
 
 func newClaimWorld(seed uint64, disabled claimSafeguard) *claimWorld {
 	c := newClock(seed)
-	w := &claimWorld{clock: c, kv: newFakeKV(c), recorder: newRunRecorder(), disabled: disabled}
-	w.kv.noRevisionCheck = disabled == revisionCheck
+	w := &claimWorld{clock: c, store: newStore(c), recorder: newRunRecorder(), disabled: disabled}
+	w.store.noRevisionCheck = disabled == revisionCheck
 	for range scheduleAgents {
 		w.agents = append(w.agents, newClaimAgent(w))
 	}
@@ -126,14 +126,14 @@
 }
 
 func (w *claimWorld) ifOwnerRunning(fn func(*claimEntry)) {
-	if owner := w.entryByIdentity(w.kv.duty.holder); owner != nil && !owner.paused {
+	if owner := w.entryByIdentity(w.store.duty.holder); owner != nil && !owner.paused {
 		fn(owner)
 	}
 }
 
 func (w *claimWorld) outage(length time.Duration) {
-	w.kv.down = true
-	w.clock.after(length, func() { w.kv.down = false })
+	w.store.down = true
+	w.clock.after(length, func() { w.store.down = false })
 }
 
 // scheduleCaller adds a caller that submits a request with one key, sometimes twice at
--- a/internal/lab/callers/claims_kv.go
+++ b/internal/lab/callers/claims_store.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	kvTimeout          = 60 * time.Millisecond
+	storeTimeout       = 60 * time.Millisecond
 	leaseTTL           = 700 * time.Millisecond
 	leaseMargin        = 30 * time.Millisecond
 	leaseRenewInterval = 150 * time.Millisecond
-	maxLateKVDelay     = 400 * time.Millisecond
+	maxLateStoreDelay  = 400 * time.Millisecond
 )
 
 // dutyRecord is the record of the partition's duty with its lease.
@@ -21,9 +21,9 @@
 	expiresAt time.Time
 }
 
-// fakeKV simulates the key-value service. It loses requests and answers, executes some
+// store simulates the key-value service. It loses requests and answers, executes some
 // requests late, and has outages.
-type fakeKV struct {
+type store struct {
 	clock           *clock
 	records         map[string]claims.Record
 	revision        int64
@@ -33,14 +33,14 @@
 	noRevisionCheck bool // swaps succeed whatever the revision is
 }
 
-func newFakeKV(c *clock) *fakeKV {
-	return &fakeKV{clock: c, records: map[string]claims.Record{}}
+func newStore(c *clock) *store {
+	return &store{clock: c, records: map[string]claims.Record{}}
 }
 
 // call executes op over a network that may lose the request or the answer. It calls
 // onDone once: with true if the answer arrives in time, otherwise with false after the
 // timeout.
-func (k *fakeKV) call(op func(), onDone func(ok bool)) {
+func (k *store) call(op func(), onDone func(ok bool)) {
 	done := false
 	finish := func(ok bool) {
 		if !done {
@@ -48,13 +48,13 @@
 			onDone(ok)
 		}
 	}
-	k.clock.after(kvTimeout, func() { finish(false) })
+	k.clock.after(storeTimeout, func() { finish(false) })
 	requestDelay := k.clock.between(time.Millisecond, 4*time.Millisecond)
 	switch {
 	case k.clock.chance(0.03):
 		return
 	case k.clock.chance(0.03):
-		requestDelay = k.clock.between(kvTimeout, maxLateKVDelay)
+		requestDelay = k.clock.between(storeTimeout, maxLateStoreDelay)
 	}
 	answerArrives := !k.clock.chance(0.05)
 	k.clock.after(requestDelay, func() {
@@ -68,7 +68,7 @@
 	})
 }
 
-func (k *fakeKV) get(key string) claims.Record {
+func (k *store) get(key string) claims.Record {
 	r := k.records[key]
 	r.Key = key
 	return r
@@ -76,7 +76,7 @@
 
 // swap stores a value if the record has the expected revision. It reports whether it
 // did and returns the current record.
-func (k *fakeKV) swap(w claims.Write) (bool, claims.Record) {
+func (k *store) swap(w claims.Write) (bool, claims.Record) {
 	k.writes++
 	current := k.get(w.Key)
 	if current.Revision != w.Expected && !k.noRevisionCheck {
@@ -91,7 +91,7 @@
 
 // renewOrAcquire renews the duty for its holder, or acquires it for the process if the
 // lease has expired, and returns the current record.
-func (k *fakeKV) renewOrAcquire(process string) dutyRecord {
+func (k *store) renewOrAcquire(process string) dutyRecord {
 	now := k.clock.now
 	if k.duty.holder != process && now.Before(k.duty.expiresAt) {
 		return k.duty
@@ -104,7 +104,7 @@
 	return k.duty
 }
 
-func (k *fakeKV) release(process string) {
+func (k *store) release(process string) {
 	if k.duty.holder == process {
 		k.duty.expiresAt = k.clock.now
 	}
--- a/internal/lab/callers/claims_test.go
+++ b/internal/lab/callers/claims_test.go
@@ -46,7 +46,7 @@
 		for seed := range uint64(20) {
 			a, b := runClaimSchedule(seed, noClaimSafeguard), runClaimSchedule(seed, noClaimSafeguard)
 			Expect(a.recorder.outcomes).To(Equal(b.recorder.outcomes))
-			Expect(a.kv.writes).To(Equal(b.kv.writes))
+			Expect(a.store.writes).To(Equal(b.store.writes))
 		}
 	})
 })
