--- a/internal/lab/rollout/bounds.go
+++ b/internal/lab/rollout/bounds.go
@@ -85,8 +85,8 @@
 	noOutage, ownerSurvives, ownerCrashes *result
 }
 
-// outageSteps is the number of steps of outageRuns. A pipeline takes longer for them
-// than until the end of the outage.
+// outageSteps is the number of steps of outageRuns. It is large enough that the
+// pipelines still run when the outage ends.
 const outageSteps = 14
 
 func runDeployment(group *errgroup.Group, s, other scenario) *deploymentRuns {
--- a/internal/lab/rollout/outage.go
+++ b/internal/lab/rollout/outage.go
@@ -19,8 +19,8 @@
 
 // scheduleOutage schedules an outage of the key-value service.
 func (p *pipeline) scheduleOutage() {
-	p.clock.After(outageStart, func() { p.kv.outage = true })
-	p.clock.After(outageStart+outageDuration, func() { p.kv.outage = false })
+	p.clock.After(outageStart, func() { p.store.outage = true })
+	p.clock.After(outageStart+outageDuration, func() { p.store.outage = false })
 }
 
 // scheduleOwnerCrash schedules a crash of the owner during the outage. No process can
--- a/internal/lab/rollout/ownerprocess.go
+++ b/internal/lab/rollout/ownerprocess.go
@@ -58,9 +58,9 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case handover.Read:
-			o.world.kv.read(o)
+			o.world.store.read(o)
 		case handover.Write:
-			o.world.kv.write(o, a)
+			o.world.store.write(o, a)
 		case handover.Reply:
 			o.world.trainer.receiveAnswer(o.trainerCalls[a.Call], a.Answer)
 		case handover.Refuse:
--- a/internal/lab/rollout/pipeline.go
+++ b/internal/lab/rollout/pipeline.go
@@ -74,7 +74,7 @@
 	ownerAlive      bool
 	plannedChanges  uint64 // owner.ChangeCount at the last SetDemand
 	plannedTraining bool   // owner.Training at the last SetDemand
-	kv              struct {
+	store           struct {
 		value    []byte
 		revision int64
 		outage   bool
@@ -170,11 +170,11 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case handover.Read:
-			if p.kv.outage {
+			if p.store.outage {
 				deliverLater(handover.ReadFailed{})
 				continue
 			}
-			deliverLater(handover.ReadDone{Value: p.kv.value, Revision: p.kv.revision})
+			deliverLater(handover.ReadDone{Value: p.store.value, Revision: p.store.revision})
 		case handover.Write:
 			deliverLater(p.compareAndSwap(a))
 		case handover.Reply:
@@ -187,14 +187,14 @@
 
 func (p *pipeline) compareAndSwap(write handover.Write) handover.WriteDone {
 	switch {
-	case p.kv.outage:
+	case p.store.outage:
 		return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteIndeterminate}
-	case p.kv.revision != write.Expected:
-		return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteConflict, Value: p.kv.value, Revision: p.kv.revision}
+	case p.store.revision != write.Expected:
+		return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteConflict, Value: p.store.value, Revision: p.store.revision}
 	}
-	p.kv.value = write.Value
-	p.kv.revision++
-	return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteApplied, Revision: p.kv.revision}
+	p.store.value = write.Value
+	p.store.revision++
+	return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteApplied, Revision: p.store.revision}
 }
 
 // pull requests the next lot. It pulls again if no answer arrives, as after a crash of
--- a/internal/lab/rollout/schedule.go
+++ b/internal/lab/rollout/schedule.go
@@ -81,7 +81,7 @@
 	rng           *rand.Rand
 	clock         *timeline.Timeline
 	faultsActive  bool
-	kv            store
+	store         store
 	owners        []*ownerProcess // owners that have not crashed and were not deposed, newest last
 	epoch         int64
 	trainer       trainer
@@ -129,7 +129,7 @@
 			RecordInterval: 5 * time.Millisecond,
 		},
 	}
-	w.kv.world = w
+	w.store.world = w
 	w.trainer = newTrainer(w)
 	return w
 }
@@ -170,23 +170,23 @@
 
 func (w *world) endFaults() {
 	w.faultsActive = false
-	w.kv.outage = false
+	w.store.outage = false
 	w.startOwner()
 }
 
 func (w *world) startOutage() {
-	if w.kv.outage {
+	if w.store.outage {
 		return
 	}
 	w.faults.Outages++
-	w.kv.outage = true
-	w.clock.After(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { w.kv.outage = false })
+	w.store.outage = true
+	w.clock.After(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { w.store.outage = false })
 }
 
 // startOwner starts a process that takes the duty over. Earlier owners may keep running.
 // During an outage it does nothing, because the lease is in the key-value service.
 func (w *world) startOwner() {
-	if w.kv.outage {
+	if w.store.outage {
 		return
 	}
 	w.faults.Elections++
