--- a/internal/lab/config/bounds.go
+++ b/internal/lab/config/bounds.go
@@ -28,7 +28,7 @@
 }
 
 func measureSchedules() ([]bounds.Figure, error) {
-	results := runSchedules(1, scheduleCount, noneDisabled)
+	results := runSchedules(1, scheduleCount, noSafeguard)
 	return []bounds.Figure{
 		{Name: "config.schedules", Value: float64(results.schedules)},
 		{Name: "config.accepted", Value: float64(results.accepted)},
@@ -44,7 +44,7 @@
 }
 
 func measureDuties() ([]bounds.Figure, error) {
-	results := runDutySchedules(dutyScheduleCount, noDutySafeguardDisabled)
+	results := runDutySchedules(dutyScheduleCount, noDutySafeguard)
 	longest := time.Duration(0)
 	for seed := range crashScheduleCount {
 		longest = max(longest, gapAfterCrash(uint64(seed)))
@@ -61,7 +61,7 @@
 
 // runSchedules simulates the schedules of n consecutive seeds in parallel and adds up the
 // results, which do not depend on the order.
-func runSchedules(firstSeed uint64, n int, disabled disabledSafeguard) results {
+func runSchedules(firstSeed uint64, n int, disabled safeguard) results {
 	partialResults := make([]results, workerCount)
 	var group errgroup.Group
 	for i := range workerCount {
--- a/internal/lab/config/config_test.go
+++ b/internal/lab/config/config_test.go
@@ -19,7 +19,7 @@
 // follow.
 var _ = Describe("Schedules of faults", func() {
 	It("have no violations", func() {
-		results := runSchedules(1, 300, noneDisabled)
+		results := runSchedules(1, 300, noSafeguard)
 		Expect(results.schedules).To(Equal(300))
 		Expect(results.accepted).To(BeNumerically(">", 300))
 		Expect(results.reverts + results.torn + results.lostAccepts + results.falseRefusals + results.auditMissing).To(BeZero())
@@ -28,37 +28,37 @@
 	// Messages overtake each other, so an older snapshot arrives after a newer one. A
 	// process that applies whatever arrives returns to the older revision.
 	It("detect a revert if processes do not compare revisions", func() {
-		Expect(runSchedules(1, 300, noRevisionCheck).reverts).To(BeNumerically(">", 0))
+		Expect(runSchedules(1, 300, processRevisionCheck).reverts).To(BeNumerically(">", 0))
 	})
 
 	// Two operators make changes concurrently. A service that writes whatever the expected
 	// revision overwrites the change that the first was told is accepted.
 	It("detect a lost change if writes do not compare revisions", func() {
-		Expect(runSchedules(1, 300, noCompareAndSwap).lostAccepts).To(BeNumerically(">", 0))
+		Expect(runSchedules(1, 300, serviceRevisionCheck).lostAccepts).To(BeNumerically(">", 0))
 	})
 
 	// The write takes effect and its answer is lost. A process that treats the write as
 	// failed tells the operator that the change was not accepted.
 	It("detect a false refusal if an indeterminate write is treated as failed", func() {
-		Expect(runSchedules(1, 300, noIndeterminateWrites).falseRefusals).To(BeNumerically(">", 0))
+		Expect(runSchedules(1, 300, indeterminateWrites).falseRefusals).To(BeNumerically(">", 0))
 	})
 
 	// A request is not answered while its write is in transit. Its repeat at another entry
 	// fails before it sends a write. Then the first write arrives.
 	It("detect a false refusal if a failed repeat ends the change", func() {
-		Expect(runSchedules(1, 300, noUnknownAfterRepeat).falseRefusals).To(BeNumerically(">", 0))
+		Expect(runSchedules(1, 300, unknownAfterRepeat).falseRefusals).To(BeNumerically(">", 0))
 	})
 
 	// The write of a batch of refused changes takes effect and its answer is lost. An entry
 	// that does not look for the mark of the batch adds the changes again.
 	It("detect refused changes that are recorded twice if the mark of a batch is not checked", func() {
-		Expect(runSchedules(1, 300, noMarkCheck).auditMissing).To(BeNumerically(">", 0))
+		Expect(runSchedules(1, 300, markCheck).auditMissing).To(BeNumerically(">", 0))
 	})
 })
 
 var _ = Describe("Schedules of duties", func() {
 	It("have no violations", func() {
-		results := runDutySchedules(100, noDutySafeguardDisabled)
+		results := runDutySchedules(100, noDutySafeguard)
 		Expect(results.acts).To(BeNumerically(">", 10000))
 		Expect(results.twoEffective + results.overlaps + results.unheld).To(BeZero())
 	})
@@ -66,11 +66,11 @@
 	// A holder is paused between checking its lease and acting, so that its act arrives
 	// after its successor's. Only the comparison of epochs at the receiver prevents it.
 	It("detect a late act if receivers do not compare epochs", func() {
-		Expect(runDutySchedules(100, noFencing).twoEffective).To(BeNumerically(">", 0))
+		Expect(runDutySchedules(100, epochCheck).twoEffective).To(BeNumerically(">", 0))
 	})
 
 	It("detect overlapping leases if a lease starts after its write was sent", func() {
-		Expect(runDutySchedules(100, lateLeaseStart).overlaps).To(BeNumerically(">", 0))
+		Expect(runDutySchedules(100, leaseFromSend).overlaps).To(BeNumerically(">", 0))
 	})
 })
 
--- a/internal/lab/config/dutyschedule.go
+++ b/internal/lab/config/dutyschedule.go
@@ -20,14 +20,14 @@
 	lateOfferRate        = 0.1
 )
 
-// disabledDutySafeguard selects the safeguard that a schedule of duties runs without, to
-// show that the checks detect the violations that follow.
-type disabledDutySafeguard int
+// dutySafeguard is a safeguard that a schedule of duties can run without, to show that
+// the checks detect the violations that follow.
+type dutySafeguard int
 
 const (
-	noDutySafeguardDisabled disabledDutySafeguard = iota
-	noFencing                                     // receivers accept acts with any epoch
-	lateLeaseStart                                // a lease starts long after its write was sent instead of when it was sent
+	noDutySafeguard dutySafeguard = iota // every safeguard is enabled
+	epochCheck                           // receivers reject acts with an epoch lower than the highest they have accepted
+	leaseFromSend                        // a lease starts when its write is sent; without it, long afterwards
 )
 
 // dutyResults counts the violations and the acts of schedules of duties.
@@ -42,7 +42,7 @@
 // seed.
 type dutySchedule struct {
 	*world
-	disabled  disabledDutySafeguard
+	disabled  dutySafeguard
 	leases    *store[duties.Record]
 	members   []duties.Member
 	processes []*dutyProcess
@@ -63,7 +63,7 @@
 	noOffers       bool // sends no offers
 }
 
-func newDutySchedule(seed uint64, disabled disabledDutySafeguard) *dutySchedule {
+func newDutySchedule(seed uint64, disabled dutySafeguard) *dutySchedule {
 	w := newWorld(seed)
 	s := &dutySchedule{world: w, disabled: disabled, lastActs: map[string]duties.Record{}}
 	s.leases = newStore[duties.Record](w, storeFaults{lostRequest: 0.03, lostAnswer: 0.05, lateRequest: 0.03})
@@ -144,7 +144,7 @@
 		}
 		p.schedule.leases.compareAndSwap(a.Duty, a.Expected, a.Record, func(outcome storeOutcome, r duties.Record, revision int64) {
 			p.runIfAlive(incarnation, func() {
-				if p.schedule.disabled == lateLeaseStart {
+				if p.schedule.disabled == leaseFromSend {
 					a.Sent = p.now().Add(6 * time.Second)
 				}
 				p.keeper.WriteDone(p.now(), a, dutyOutcome(outcome), r, revision)
@@ -213,7 +213,7 @@
 // has accepted.
 func (s *dutySchedule) receive(name string, epoch int64, actor string) {
 	last := s.lastActs[name]
-	if epoch < last.Epoch && s.disabled != noFencing {
+	if epoch < last.Epoch && s.disabled != epochCheck {
 		return
 	}
 	s.results.acts++
@@ -269,7 +269,7 @@
 }
 
 // runDutySchedule simulates the schedule of a seed.
-func runDutySchedule(seed uint64, disabled disabledDutySafeguard) dutyResults {
+func runDutySchedule(seed uint64, disabled dutySafeguard) dutyResults {
 	s := newDutySchedule(seed, disabled)
 	for range 3 + s.rng.IntN(5) {
 		s.After(s.between(0, dutyFaultPeriod), s.injectFault)
@@ -284,7 +284,7 @@
 }
 
 // runDutySchedules simulates the schedules with the seeds 0 to n-1 and adds up the results.
-func runDutySchedules(n int, disabled disabledDutySafeguard) dutyResults {
+func runDutySchedules(n int, disabled dutySafeguard) dutyResults {
 	var sum dutyResults
 	for seed := range n {
 		results := runDutySchedule(uint64(seed), disabled)
@@ -299,7 +299,7 @@
 // gapAfterCrash returns how long a duty has no holder after its holder crashes at a random
 // time, without other faults.
 func gapAfterCrash(seed uint64) time.Duration {
-	s := newDutySchedule(seed, noDutySafeguardDisabled)
+	s := newDutySchedule(seed, noDutySafeguard)
 	s.leases.faults = storeFaults{}
 	s.Run(s.between(8*time.Second, 12*time.Second), never)
 	name := dutyNames()[0]
--- a/internal/lab/config/faults.go
+++ b/internal/lab/config/faults.go
@@ -9,7 +9,7 @@
 )
 
 // runSchedule simulates the schedule of a seed and checks the invariants.
-func runSchedule(seed uint64, disabled disabledSafeguard) results {
+func runSchedule(seed uint64, disabled safeguard) results {
 	s := newSchedule(seed, disabled)
 	for range 2 + s.rng.IntN(4) {
 		s.After(s.between(0, faultPeriod), s.injectFault)
@@ -128,7 +128,7 @@
 		if answered {
 			return
 		}
-		uncertain := repeats > 0 && s.disabled != noUnknownAfterRepeat
+		uncertain := repeats > 0 && s.disabled != unknownAfterRepeat
 		if result.Verdict == config.Unknown || result.Verdict == config.Failed && uncertain {
 			s.After(200*time.Millisecond, retry)
 			return
@@ -180,7 +180,7 @@
 	case notApplied:
 		return config.WriteNotApplied
 	default:
-		if s.disabled == noIndeterminateWrites {
+		if s.disabled == indeterminateWrites {
 			return config.WriteNotApplied
 		}
 		return config.WriteIndeterminate
--- a/internal/lab/config/handover.go
+++ b/internal/lab/config/handover.go
@@ -24,7 +24,7 @@
 // owner accepts no more calls until its successor serves. In the baseline, the owner first
 // waits for its running calls and sends no offer of the duty.
 func gapAfterStop(seed uint64, baseline bool) time.Duration {
-	s := newDutySchedule(seed, noDutySafeguardDisabled)
+	s := newDutySchedule(seed, noDutySafeguard)
 	s.leases.faults = storeFaults{}
 	for _, p := range s.processes {
 		p.tickAfterCalls = true
--- a/internal/lab/config/refusedlog.go
+++ b/internal/lab/config/refusedlog.go
@@ -63,7 +63,7 @@
 	case config.StepRead:
 		l.store.read(step.Key, func(value []byte, revision int64, ok bool) {
 			record, err := config.DecodeRefused(value)
-			if p.schedule.disabled == noMarkCheck {
+			if p.schedule.disabled == markCheck {
 				record.Marks = nil
 			}
 			p.runIfAlive(incarnation, func() { l.execute(p, log.ReadDone(record, revision, ok && err == nil)) })
--- a/internal/lab/config/schedule.go
+++ b/internal/lab/config/schedule.go
@@ -8,17 +8,17 @@
 	"siskinloom.example/siskinloom/internal/policy/config"
 )
 
-// disabledSafeguard selects the safeguard that a schedule runs without, to show that the
-// checks detect the violations that follow.
-type disabledSafeguard int
+// safeguard is a safeguard that a schedule can run without, to show that the checks
+// detect the violations that follow.
+type safeguard int
 
 const (
-	noneDisabled          disabledSafeguard = iota
-	noRevisionCheck                         // a process applies any configuration that arrives, even an older one
-	noCompareAndSwap                        // the service writes whatever the expected revision
-	noIndeterminateWrites                   // an indeterminate write is treated as not applied
-	noUnknownAfterRepeat                    // the operator's tool reports a failed repeat as the outcome of the change
-	noMarkCheck                             // a writer does not check whether its last batch is already in the record
+	noSafeguard          safeguard = iota // every safeguard is enabled
+	processRevisionCheck                  // a process applies only newer revisions; without it, any configuration that arrives
+	serviceRevisionCheck                  // the service writes only at the expected revision
+	indeterminateWrites                   // an indeterminate write may have taken effect; without it, it is treated as not applied
+	unknownAfterRepeat                    // a failed repeat leaves the outcome of a change unknown; without it, the operator's tool reports the change as failed
+	markCheck                             // a writer checks whether its last batch is already in the record
 )
 
 const (
@@ -68,7 +68,7 @@
 // schedule simulates a small deployment under the faults of a seed.
 type schedule struct {
 	*world
-	disabled       disabledSafeguard
+	disabled       safeguard
 	store          *store[[]byte]
 	processes      []*process
 	entries        []config.Peer
@@ -97,7 +97,7 @@
 	lastBlind   time.Time // when the process last could not learn of a newer revision
 }
 
-func newSchedule(seed uint64, disabled disabledSafeguard) *schedule {
+func newSchedule(seed uint64, disabled safeguard) *schedule {
 	w := newWorld(seed)
 	s := &schedule{
 		world: w, disabled: disabled, disconnected: map[[2]int]bool{}, contents: map[int64]string{},
@@ -105,7 +105,7 @@
 	}
 	s.refusedLogs = newRefusedLogs(s, seed)
 	s.store = newStore[[]byte](w, storeFaults{lostRequest: 0.08, lostAnswer: 0.12, lateRequest: 0.08})
-	s.store.ignoreRevision = disabled == noCompareAndSwap
+	s.store.ignoreRevision = disabled == serviceRevisionCheck
 	s.store.afterWrite = s.recordAccepted
 	for i := range scheduleEntries + scheduleAgents {
 		p := &process{schedule: s, index: i, self: config.Peer{ID: fmt.Sprint("p", i), Domain: fmt.Sprint(i % 3)}, isEntry: i < scheduleEntries}
@@ -219,7 +219,7 @@
 }
 
 func (p *process) apply(revision int64, content decl.Deployment) {
-	if revision <= p.revision && (p.schedule.disabled != noRevisionCheck || revision == p.revision || revision == 0) {
+	if revision <= p.revision && (p.schedule.disabled != processRevisionCheck || revision == p.revision || revision == 0) {
 		return
 	}
 	if revision < p.revision {
--- a/internal/lab/config/world.go
+++ b/internal/lab/config/world.go
@@ -61,7 +61,7 @@
 	world          *world
 	faults         storeFaults
 	outage         bool // the service is unavailable
-	ignoreRevision bool // writes succeed whatever the expected revision; a disabled safeguard
+	ignoreRevision bool // writes succeed whatever the expected revision; set if serviceRevisionCheck is disabled
 	values         map[string]T
 	revisions      map[string]int64
 	reads          int
