--- a/cmd/siskinlab/platform.go
+++ b/cmd/siskinlab/platform.go
@@ -4,7 +4,7 @@
 
 // Numbers and rates of the reference fleet.
 const (
-	feeds            = 14
+	referenceFeeds   = 14
 	stepSeconds      = 28 * 60 // duration of a feed's step
 	versionSeconds   = 11 * 60 // time between two weight versions of a feed
 	changesPerSecond = 6800.0 / (24 * 60 * 60)
@@ -20,8 +20,8 @@
 	if !all {
 		return nil
 	}
-	handover := feeds * measured["rollout.kv_writes_per_step"] / stepSeconds
-	weights := feeds * swapsPerVersion / float64(versionSeconds)
+	handover := referenceFeeds * measured["rollout.kv_writes_per_step"] / stepSeconds
+	weights := referenceFeeds * swapsPerVersion / float64(versionSeconds)
 	changes := changesPerSecond * swapsPerChange
 	writes := measured["claims.kv_writes_per_s"] + measured["duties.kv_writes_per_s"] + handover + weights + changes
 	// A compare-and-swap of a change, a version or a manifest is followed by at most
--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -1,6 +1,6 @@
 // Package capacity measures the cost of control traffic for a process of each role
-// in fleets of several sizes, and extrapolates it linearly to the fleet size that
-// the users expect.
+// in fleets of several sizes, and extrapolates it linearly to the reference
+// fleet.
 package capacity
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// The fleet size that the users expect within two years.
+// Size of the reference fleet, which the users expect within two years.
 const (
 	TargetEntries = 370
 	TargetAgents  = 1300
--- a/internal/lab/capacity/report.go
+++ b/internal/lab/capacity/report.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// Figures returns the extrapolated cost of a process at the expected size, each for
+// Figures returns the extrapolated cost of a process of the reference fleet, each for
 // the role with the higher cost. The bytes are those of the busiest process if it
 // exceeds the mean.
 func Figures(samples []Sample) []bounds.Figure {
@@ -137,7 +137,7 @@
 	}
 }
 
-// extrapolate returns the sample at the expected size. It fits a line to each figure
+// extrapolate returns the sample of the reference fleet. It fits a line to each figure
 // over the number of entries and agents. If the slope is negative, it uses the figure
 // of the last sample instead, which must be that of the largest size.
 func extrapolate(samples []Sample) Sample {
--- a/internal/lab/changefeed/changefeed.go
+++ b/internal/lab/changefeed/changefeed.go
@@ -1,6 +1,7 @@
-// Package changefeed measures, at the fleet size expected within two years, how many
-// bytes of fleet updates a process receives: in an ordinary minute, and when it
-// switches to another relay, which has either run for long or just restarted.
+// Package changefeed measures how many bytes of fleet updates a process of the reference
+// fleet receives: in an ordinary minute, and when it switches to another relay, which has
+// either run for long or just restarted. The reference fleet has the size that the users
+// expect within two years.
 //
 // The figures cover the topics of an answer, encoded as they are between processes.
 // They leave out packet headers and the calls themselves. The measurement and its
@@ -22,7 +23,7 @@
 	"siskinloom.example/siskinloom/internal/policy/changefeed"
 )
 
-// The expected fleet: endpoints of model services, and a few of plain services that
+// The reference fleet: endpoints of model services, and a few of plain services that
 // entries send requests to.
 const (
 	endpoints                = 1300
@@ -30,11 +31,11 @@
 	endpointsPerPlainService = 10
 	modelServices            = 14
 	// versionInterval is the time between new weights of a model. Loading them writes
-	// an engine's entry writesPerLoad times.
+	// an engine's record writesPerLoad times.
 	versionInterval = 11 * time.Minute
 	writesPerLoad   = 2
 	restartsPerDay  = 434
-	entryBytes      = 350 // size of the entry of one endpoint
+	recordBytes     = 350 // size of the record of one endpoint
 	minute          = 60 * time.Second
 	listSeed        = 17
 )
@@ -80,10 +81,10 @@
 	return t
 }
 
-// write changes the entry of an endpoint in every relay.
+// write changes the record of an endpoint in every relay.
 func (f *fleet) write(key string) {
 	f.revision++
-	value := make([]byte, entryBytes)
+	value := make([]byte, recordBytes)
 	for i := range value {
 		value[i] = byte(f.random.Uint32())
 	}
--- a/internal/lab/path/inflight.go
+++ b/internal/lab/path/inflight.go
@@ -51,7 +51,7 @@
 // Engines implements entry.EngineLister. It returns one engine with a slot for every
 // sample.
 func (s *stalledGenerator) Engines(string) []entry.EngineState {
-	return []entry.EngineState{{ID: "agent", Load: wire.Load{Slots: inFlightGroups * sampleSize, WeightVersion: 1}}}
+	return []entry.EngineState{{ID: "agent", Load: wire.Load{Slots: inFlightGroups * sampleGroupSize, WeightVersion: 1}}}
 }
 
 // InFlightBenchmark measures the memory, heap and stacks, that the owner of a feed
@@ -85,7 +85,7 @@
 	s := &site{deployment: deployment([]backend{{service: service, kind: decl.KindModel}})}
 	s.declareFeed()
 	feed := &s.deployment.Feeds[0]
-	feed.GroupsPerStep, feed.LotSize, feed.MaxTokens = inFlightGroups, inFlightGroups*sampleSize, 2*tokens
+	feed.GroupsPerStep, feed.LotSize, feed.MaxTokens = inFlightGroups, inFlightGroups*sampleGroupSize, 2*tokens
 	before := memoryInUse()
 	feeds := feedrun.New(feedrun.Options{
 		Instance: "entry", Store: store, Duties: permanentHolder{}, Config: fixedConfig{s.deployment},
@@ -94,7 +94,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), inFlightTimeout)
 	defer cancel()
 	go func() { _ = feeds.Run(ctx) }()
-	const samples = inFlightGroups * sampleSize
+	const samples = inFlightGroups * sampleGroupSize
 	for generator.inFlight.Load() < samples {
 		if ctx.Err() != nil {
 			return 0, errors.Errorf("%d of %d samples in flight within %s", generator.inFlight.Load(), samples, inFlightTimeout)
--- a/internal/lab/path/samples.go
+++ b/internal/lab/path/samples.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	sampleFeed    = "drafts"
-	scorer        = "scorer"
-	sampleTokens  = 150
-	sampleGroups  = 16
-	sampleSize    = 8
-	sampleSteps   = 4 // measured steps, after one to warm up
-	sampleTimeout = 2 * time.Minute
+	sampleFeed      = "drafts"
+	scorer          = "scorer"
+	sampleTokens    = 150
+	sampleGroups    = 16
+	sampleGroupSize = 8
+	sampleSteps     = 4 // measured steps, after one to warm up
+	sampleTimeout   = 2 * time.Minute
 	// unlimitedStaleness keeps every sample although the engine stays at one version
 	// while the trainer's version advances.
 	unlimitedStaleness = 1 << 20
@@ -155,7 +155,7 @@
 	s.deployment.Feeds = []decl.Feed{{
 		Name: sampleFeed, Service: service, Business: "b", Model: service, Scorer: scorer,
 		TrainerSHA256: hex.EncodeToString(digest[:]), StalenessBound: unlimitedStaleness,
-		GroupSize: sampleSize, GroupsPerStep: sampleGroups, LotSize: sampleSize * sampleGroups, MaxTokens: sampleTokens,
+		GroupSize: sampleGroupSize, GroupsPerStep: sampleGroups, LotSize: sampleGroupSize * sampleGroups, MaxTokens: sampleTokens,
 		WeightIdle: 1, Share: 1, Prompts: []string{"remind {step} {group} {index}"},
 	}}
 }
--- a/internal/lab/path/streams.go
+++ b/internal/lab/path/streams.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// An engine of the expected size generates 1,308 tokens a second; this number of
+	// An engine of the reference fleet generates 1,308 tokens a second; this number of
 	// streams with a step of 20 ms generates 1,600.
 	streams              = clients
 	engineStep           = 20 * time.Millisecond
 	streamTokens         = 150
 	streamTimeout        = time.Minute
-	fleetTokensPerSecond = 1.7e6 // of all engines at the expected fleet size
+	fleetTokensPerSecond = 1.7e6 // of all engines of the reference fleet
 	completionPath       = "/v1/completions"
 )
 
--- a/internal/lab/routing/control.go
+++ b/internal/lab/routing/control.go
@@ -33,20 +33,20 @@
 	// grpcOverhead is the bytes of a call of the key-value service without its two
 	// messages: frames, headers and trailers once they are indexed, and the headers
 	// of four packets.
-	grpcOverhead   = 130 + 4*52
-	expectedDuties = 64
-	restartsPerDay = 420 // instances restarted per day; each holds a share of the duties
-	secondsPerDay  = 24 * 60 * 60
+	grpcOverhead            = 130 + 4*52
+	referenceDuties         = 64
+	referenceRestartsPerDay = 420 // instances restarted per day; each holds a share of the duties
+	secondsPerDay           = 24 * 60 * 60
 	// dutyChangeRate is the number of changes of duty holders per second, over all
 	// duties.
-	dutyChangeRate = float64(restartsPerDay) * expectedDuties / fleetEntries / secondsPerDay
+	dutyChangeRate = float64(referenceRestartsPerDay) * referenceDuties / referenceEntries / secondsPerDay
 	// spreadRounds is the number of gossip rounds until a change of a duty's holder has
 	// reached the whole fleet. Until then heartbeats carry the whole list.
-	spreadRounds  = 5
-	trailLength   = config.MaxTrailEntries
-	expectedFeeds = 14
-	// assumedCallers is an assumption; the users gave no number.
-	assumedCallers = 600
+	spreadRounds   = 5
+	trailLength    = config.MaxTrailEntries
+	referenceFeeds = 14
+	// referenceCallers is an assumption; the users gave no number.
+	referenceCallers = 600
 )
 
 // gossipLoad is the heartbeats and new connections of an entry per round, in both
@@ -55,8 +55,8 @@
 	heartbeats, connects float64
 }
 
-// controlParts measures what an entry sends and receives by use, at the expected
-// fleet size. The totals also need rates from other measurements and are calculated
+// controlParts measures what an entry sends and receives by use in the
+// reference fleet. The totals also need rates from other measurements and are calculated
 // where all of them are known.
 func controlParts() ([]bounds.Figure, error) {
 	h, err := measureHeartbeats()
@@ -114,10 +114,10 @@
 	h.pair = pair
 	for i, load := range gossipLoads() {
 		own := load.heartbeats*(pair+dutyChangeRate*spreadRounds*holders) + load.connects*(opening+connectBytes)
-		own /= heartbeat.Seconds()
+		own /= heartbeatInterval.Seconds()
 		h.byEntry[i] += own
 		h.maxBetweenEntries = max(h.maxBetweenEntries, own)
-		h.maxConnects = max(h.maxConnects, load.connects/heartbeat.Seconds())
+		h.maxConnects = max(h.maxConnects, load.connects/heartbeatInterval.Seconds())
 	}
 	return h, nil
 }
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rates := make([]float64, fleetEntries)
+	rates := make([]float64, referenceEntries)
 	for i, connections := range connectionsByEntry() {
 		for _, k := range connections {
 			rates[i] += pair / k.Interval.Seconds()
@@ -139,10 +139,10 @@
 
 // connectionsByEntry returns the connections that each entry keeps to agents.
 func connectionsByEntry() [][]membership.Connection {
-	entries, agents := expectedFleet()
+	entries, agents := referenceFleet()
 	all := make([][]membership.Connection, len(entries))
 	for i, e := range entries {
-		all[i] = membership.SelectConnections(e, entries, agents, membership.DefaultFanout(), heartbeat)
+		all[i] = membership.SelectConnections(e, entries, agents, membership.DefaultFanout(), heartbeatInterval)
 	}
 	return all
 }
@@ -150,25 +150,25 @@
 // listBytesPerSecond returns the bytes per second of an entry's reads of the
 // platform's list.
 func listBytesPerSecond() float64 {
-	return (fleetEntries + fleetAgents) * listBytesPerInstance / membership.PollInterval(fleetEntries+fleetAgents).Seconds()
+	return (referenceEntries + referenceAgents) * listBytesPerInstance / membership.PollInterval(referenceEntries+referenceAgents).Seconds()
 }
 
 // gossipLoads simulates gossip rounds of all entries and returns the mean load of each
 // entry per round.
 func gossipLoads() []gossipLoad {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	gossipPeers := make([]gossip.Peer, fleetEntries)
-	partners := make([]*gossip.Partners, fleetEntries)
-	open := make([][]string, fleetEntries)
+	gossipPeers := make([]gossip.Peer, referenceEntries)
+	partners := make([]*gossip.Partners, referenceEntries)
+	open := make([][]string, referenceEntries)
 	index := map[string]int{}
-	for i := range fleetEntries {
-		gossipPeers[i] = gossip.Peer{ID: fmt.Sprint("entry-", i), Domain: fmt.Sprint(i % fleetDomains)}
+	for i := range referenceEntries {
+		gossipPeers[i] = gossip.Peer{ID: fmt.Sprint("entry-", i), Domain: fmt.Sprint(i % referenceDomains)}
 		partners[i] = gossip.NewPartners(gossipPeers[i].Domain)
 		index[gossipPeers[i].ID] = i
 	}
-	loads := make([]gossipLoad, fleetEntries)
+	loads := make([]gossipLoad, referenceEntries)
 	for range gossipRounds {
-		for i := range fleetEntries {
+		for i := range referenceEntries {
 			others := append(append([]gossip.Peer(nil), gossipPeers[:i]...), gossipPeers[i+1:]...)
 			for _, p := range partners[i].Choose(rnd, others, peers.Fanout) {
 				to := &loads[index[p.ID]]
@@ -246,7 +246,7 @@
 // holdersSize returns the bytes of the list of the holders of all duties.
 func holdersSize() (float64, error) {
 	var reply wire.HeartbeatReply
-	for i := range expectedDuties {
+	for i := range referenceDuties {
 		reply.Holders = append(reply.Holders, wire.Holder{Duty: fmt.Sprint("feed/kartli-maritime/exam-marking-", i), Address: "10.3.117.200:7400", Epoch: 300})
 	}
 	with, err := steadySize(struct{}{}, reply)
@@ -289,7 +289,7 @@
 // fencesSize returns the bytes of a heartbeat with the epochs of all duties.
 func fencesSize() (float64, error) {
 	var req wire.HeartbeatRequest
-	for i := range expectedDuties {
+	for i := range referenceDuties {
 		req.Fences = append(req.Fences, wire.Fence{Duty: fmt.Sprint("feed/kartli-maritime/exam-marking-", i), Epoch: 300})
 	}
 	size, err := steadySize(struct{}{}, req)
@@ -301,15 +301,15 @@
 func configReadSize() int {
 	digest := fmt.Sprintf("%064x", 1)
 	d := decl.Deployment{Name: "kartli-maritime"}
-	for i := range fleetServices {
+	for i := range referenceServices {
 		name := fmt.Sprint("examiner-model-", i)
 		d.Services = append(d.Services, decl.Service{Name: name, Kind: decl.KindModel, Slots: 16, QueueLimit: 1000, CapacityFloor: 0.75, MaxBodyBytes: 1 << 20})
 		d.Classes = append(d.Classes, decl.Class{Name: name + "-lookup", Service: name, Match: []string{"GET /status/*"}, Idempotent: true, Deadline: time.Second, Priority: 3})
 	}
-	for i := range expectedFeeds {
+	for i := range referenceFeeds {
 		d.Feeds = append(d.Feeds, decl.Feed{Name: fmt.Sprint("exam-marking-", i), Service: "examiner-model-1", Model: "examiner", Scorer: "scorer", TrainerSHA256: digest, GroupSize: 8, GroupsPerStep: 512})
 	}
-	for i := range assumedCallers {
+	for i := range referenceCallers {
 		d.Callers = append(d.Callers, decl.Caller{Name: fmt.Sprint("kiosk-", i), Agency: "batumi-crewing", Weight: 1, KeySHA256: digest, RateLimit: 20, Burst: 40})
 	}
 	r := config.Record{Revision: 1 << 20, Deployment: d}
--- a/internal/lab/routing/drain.go
+++ b/internal/lab/routing/drain.go
@@ -98,14 +98,14 @@
 }
 
 // listReadDelay measures the longest time from a change of the list until the first
-// entry reads it, at the expected fleet size and for changes at various times.
+// entry reads it, in the reference fleet and for changes at various times.
 func listReadDelay() ([]bounds.Figure, error) {
 	worst := time.Duration(0)
 	for step := range 40 {
 		changed := epoch.Add(time.Duration(step) * 1370 * time.Millisecond)
-		worst = max(worst, firstListReadOf(changed, fleetEntries, fleetEntries+fleetAgents))
+		worst = max(worst, firstListReadOf(changed, referenceEntries, referenceEntries+referenceAgents))
 	}
-	baseline := membership.PollInterval(fleetEntries + fleetAgents)
+	baseline := membership.PollInterval(referenceEntries + referenceAgents)
 	return []bounds.Figure{
 		{Name: "membership.list_noticed_s", Value: worst.Seconds()},
 		{Name: "membership.list_noticed_s.baseline", Value: baseline.Seconds()},
--- a/internal/lab/routing/fleet.go
+++ b/internal/lab/routing/fleet.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	seed          = 20261202
-	engines       = 6
-	slots         = 4
-	entries       = 3
-	queueLimit    = 400
-	meanService   = 0.05 // seconds
-	serviceSpread = 0.4  // sigma of the logarithm of service times
-	heartbeat     = settings.DefaultHeartbeatInterval
+	seed              = 20261202
+	engines           = 6
+	slots             = 4
+	entries           = 3
+	queueLimit        = 400
+	meanService       = 0.05 // seconds
+	serviceSpread     = 0.4  // sigma of the logarithm of service times
+	heartbeatInterval = settings.DefaultHeartbeatInterval
 )
 
 // capacity is the number of requests per second that the fleet can serve.
@@ -74,10 +74,10 @@
 		e.candidates = append(e.candidates, &choose.Candidate{ID: id, Key: rendezvous.Key(id), Ready: true})
 	}
 	// The entries send their heartbeats at different times.
-	first := heartbeat * time.Duration(i) / entries
+	first := heartbeatInterval * time.Duration(i) / entries
 	f.clock.after(first, func() {
 		e.sendHeartbeats()
-		f.clock.every(heartbeat, e.sendHeartbeats)
+		f.clock.every(heartbeatInterval, e.sendHeartbeats)
 	})
 	return e
 }
--- a/internal/lab/routing/membership.go
+++ b/internal/lab/routing/membership.go
@@ -15,11 +15,13 @@
 	"siskinloom.example/siskinloom/internal/wire"
 )
 
+// The reference fleet has the long-term target size of a deployment, which the users
+// expect within two years.
 const (
-	fleetEntries  = 370
-	fleetAgents   = 1300
-	fleetServices = 8
-	fleetDomains  = 8
+	referenceEntries  = 370
+	referenceAgents   = 1300
+	referenceServices = 8
+	referenceDomains  = 8
 	// packetBytes is the bytes of the headers of the packets that carry a heartbeat,
 	// its reply and the acknowledgement: IPv4 and TCP with time stamps.
 	packetBytes = 3 * 52
@@ -27,16 +29,16 @@
 	listBytesPerInstance = 96
 )
 
-// expectedFleet returns the entries and agents of a fleet of the expected size.
-func expectedFleet() (entries []string, agents []membership.Instance) {
-	for i := range fleetEntries {
+// referenceFleet returns the entries and agents of the reference fleet.
+func referenceFleet() (entries []string, agents []membership.Instance) {
+	for i := range referenceEntries {
 		entries = append(entries, fmt.Sprintf("entry-%03d.batumi-port", i))
 	}
-	for i := range fleetAgents {
+	for i := range referenceAgents {
 		agents = append(agents, membership.Instance{
 			ID:      fmt.Sprintf("agent-%04d.kobuleti", i),
 			Address: fmt.Sprintf("10.3.%d.%d:7400", i/250, i%250+1),
-			Domain:  fmt.Sprint("domain-", i%fleetDomains),
+			Domain:  fmt.Sprint("domain-", i%referenceDomains),
 			Service: fmt.Sprint("service-", serviceOf(i)),
 		})
 	}
@@ -46,18 +48,18 @@
 // serviceOf returns the service of an agent. Half of the agents belong to the first
 // service, half of the rest to the second, and so on; the last two services are small.
 func serviceOf(i int) int {
-	rest := fleetAgents
-	for s := range fleetServices - 1 {
+	rest := referenceAgents
+	for s := range referenceServices - 1 {
 		if i < rest/2 {
 			return s
 		}
 		i -= rest / 2
 		rest -= rest / 2
 	}
-	return fleetServices - 1
+	return referenceServices - 1
 }
 
-// fanout measures, at the expected fleet size, which agents the entries connect to,
+// fanout measures, in the reference fleet, which agents the entries connect to,
 // and the heartbeat traffic of the busiest entry and of the busiest agent from the
 // encoded size of real messages. The baseline also includes the list reads.
 func fanout() ([]bounds.Figure, error) {
@@ -65,10 +67,10 @@
 	if err != nil {
 		return nil, err
 	}
-	entries, agents := expectedFleet()
+	entries, agents := referenceFleet()
 	c := newConnectionStats(agents)
 	for _, e := range entries {
-		c.add(membership.SelectConnections(e, entries, agents, membership.DefaultFanout(), heartbeat), pair)
+		c.add(membership.SelectConnections(e, entries, agents, membership.DefaultFanout(), heartbeatInterval), pair)
 	}
 	minWatchers, maxKeepers, maxAgentBytes := math.MaxInt, 0, 0.0
 	for _, a := range agents {
@@ -86,7 +88,7 @@
 		{Name: "control.heartbeat_pair_bytes", Value: pair},
 		{Name: "control.bytes_per_s.agents", Value: c.entryBytes},
 		{Name: "control.bytes_per_s_agent", Value: maxAgentBytes},
-		{Name: "control.bytes_per_s.baseline", Value: fleetAgents*pair/heartbeat.Seconds() + listBytesPerSecond()},
+		{Name: "control.bytes_per_s.baseline", Value: referenceAgents*pair/heartbeatInterval.Seconds() + listBytesPerSecond()},
 	}, nil
 }
 
--- a/internal/lab/routing/nodes.go
+++ b/internal/lab/routing/nodes.go
@@ -32,7 +32,7 @@
 	}
 	var all []Node
 	for salt := range assignmentCount {
-		nodes := make([]Node, fleetEntries)
+		nodes := make([]Node, referenceEntries)
 		for i := range nodes {
 			nodes[i].Heartbeats = h.byEntry[i]
 		}
@@ -44,8 +44,8 @@
 
 // assign adds each duty to the counts of its holder and its standby entries.
 func assign(nodes []Node, salt int) {
-	hashes := make([]uint64, fleetEntries)
-	entries, agents := expectedFleet()
+	hashes := make([]uint64, referenceEntries)
+	entries, agents := referenceFleet()
 	for i, e := range entries {
 		hashes[i] = rendezvous.Key(e)
 	}
@@ -53,9 +53,9 @@
 	for _, a := range agents {
 		engines[a.Service]++
 	}
-	for d := range expectedDuties {
+	for d := range referenceDuties {
 		name := wire.ClaimDuty(d)
-		if d < fleetServices {
+		if d < referenceServices {
 			name = "weights/service-" + fmt.Sprint(d)
 		}
 		for rank, i := range candidates(hashes, fmt.Sprint(name, "/", salt)) {
@@ -64,7 +64,7 @@
 				continue
 			}
 			nodes[i].HeldDuties++
-			if d < fleetServices {
+			if d < referenceServices {
 				nodes[i].Engines += engines[fmt.Sprint("service-", d)]
 			}
 		}
@@ -77,8 +77,8 @@
 	var chosen []int
 	domains := map[int]bool{}
 	for _, i := range rendezvous.Ranked(rendezvous.Key(duty), hashes, rankedEntries) {
-		if !domains[i%fleetDomains] {
-			domains[i%fleetDomains] = true
+		if !domains[i%referenceDomains] {
+			domains[i%referenceDomains] = true
 			chosen = append(chosen, i)
 		}
 	}
--- a/internal/lab/routing/storm.go
+++ b/internal/lab/routing/storm.go
@@ -20,13 +20,13 @@
 	stormTimeout  = 2 * time.Minute
 )
 
-// storm measures the sudden return of a failure domain of the expected fleet after an
+// storm measures the sudden return of a failure domain of the reference fleet after an
 // outage: the time until every entry has resumed every agent there, and the highest
 // number of connection attempts at an agent in a tenth of a second. The return causes
 // no call to the platform: the list is read at its usual interval.
 func storm() ([]bounds.Figure, error) {
 	s := &stormRun{now: epoch, up: true, attempts: map[string]int{}}
-	recovered := s.run(conn.DefaultConfig(heartbeat))
+	recovered := s.run(conn.DefaultConfig(heartbeatInterval))
 	return []bounds.Figure{
 		{Name: "recovery.storm_s", Value: recovered.Seconds()},
 		{Name: "recovery.connects_peak", Value: float64(s.peakAttempts)},
@@ -70,7 +70,7 @@
 // connectAll adds a monitor for every connection of an entry to an agent of the failure
 // domain.
 func (s *stormRun) connectAll(cfg conn.Config) {
-	entries, agents := expectedFleet()
+	entries, agents := referenceFleet()
 	domain := map[string]bool{}
 	for _, a := range agents {
 		domain[a.ID] = a.Domain == "domain-0"
@@ -80,7 +80,7 @@
 			if !domain[k.ID] {
 				continue
 			}
-			rng := rand.New(rand.NewPCG(seed, uint64(i*fleetAgents+len(s.peers))))
+			rng := rand.New(rand.NewPCG(seed, uint64(i*referenceAgents+len(s.peers))))
 			s.peers = append(s.peers, &stormPeer{monitor: conn.New(cfg, rng, s.now), agent: k.ID})
 		}
 	}
