--- a/internal/lab/demo/site_test.go
+++ b/internal/lab/demo/site_test.go
@@ -33,8 +33,11 @@
 	// declared capacity floor of 0.6. With three engines none could load until the failed
 	// one has recovered or is no longer listed.
 	siteEngines = 5
-	portCount   = 18000
-	firstPort   = 10000
+	// The ports of a site start at an offset below portCount from firstPort, derived
+	// from the process ID, so that test processes that run at the same time rarely use
+	// the same ports.
+	portCount = 18000
+	firstPort = 10000
 )
 
 var binaryDirs string
--- a/internal/lab/demo/tls_test.go
+++ b/internal/lab/demo/tls_test.go
@@ -138,7 +138,7 @@
 	})
 })
 
-// sendPlainHeartbeat sends a heartbeat in plain text.
+// sendPlaintextHeartbeat sends a heartbeat in plain text.
 func sendPlaintextHeartbeat(conn net.Conn) error {
 	Expect(conn.SetDeadline(time.Now().Add(startTimeout))).To(Succeed())
 	var reply wire.HeartbeatReply
--- a/internal/lab/seeds/seeds.go
+++ b/internal/lab/seeds/seeds.go
@@ -8,7 +8,7 @@
 
 // Each calls run once for each seed from 1 to n, several at a time, and returns when
 // all calls have returned. What callers accumulate must not depend on the order of
-// the calls, so that a verdict is the same on every machine.
+// the calls, so that the result is the same on every machine.
 func Each(n int, run func(seed uint64)) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2))
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -35,7 +35,7 @@
 	CacheEventLag          time.Duration // age of the cache events
 	CacheEventDropInterval int           // every n-th cache event is lost; 0 for none
 	CachePrefixes          int           // largest number of cached prompt prefixes; 0 means 64
-	Fencing                bool          // refuse orders with an old fencing number
+	Fencing                bool          // refuse orders whose fencing token is lower than the highest one received for their duty
 	LoadTime               time.Duration // time that loading a version takes
 	FailLoads              int           // number of loads that fail before one succeeds
 	KVBytes                int           // size of the KV cache for each byte of context; 0 means 1
--- a/internal/standin/transactional_store.go
+++ b/internal/standin/transactional_store.go
@@ -258,7 +258,7 @@
 	if _, found := s.leases[id]; !found {
 		return kv.ErrLeaseNotFound
 	}
-	s.leases[id] = time.Now().Add(time.Hour)
+	s.leases[id] = time.Now().Add(time.Hour) // the store does not record the TTL; an hour outlasts any test
 	return nil
 }
 
