--- a/internal/lab/config/config_test.go
+++ b/internal/lab/config/config_test.go
@@ -32,7 +32,7 @@
 	})
 
 	// Two operators make changes concurrently. A service that writes whatever the expected
-	// revision overwrites the change that the first was told is accepted.
+	// revision overwrites a change that was reported to the first operator as accepted.
 	It("detect a lost change if writes do not compare revisions", func() {
 		Expect(runSchedules(1, 300, serviceRevisionCheck).lostAccepts).To(BeNumerically(">", 0))
 	})
--- a/internal/lab/config/dutyschedule.go
+++ b/internal/lab/config/dutyschedule.go
@@ -41,7 +41,7 @@
 // dutySchedule simulates the entries that compete for a few duties, under the faults of a
 // seed.
 type dutySchedule struct {
-	*world
+	*clock
 	disabled  dutySafeguard
 	leases    *store[duties.Record]
 	members   []duties.Member
@@ -64,12 +64,12 @@
 }
 
 func newDutySchedule(seed uint64, disabled dutySafeguard) *dutySchedule {
-	w := newWorld(seed)
-	s := &dutySchedule{world: w, disabled: disabled, lastActs: map[string]duties.Record{}}
-	s.leases = newStore[duties.Record](w, storeFaults{lostRequest: 0.03, lostAnswer: 0.05, lateRequest: 0.03})
+	c := newClock(seed)
+	s := &dutySchedule{clock: c, disabled: disabled, lastActs: map[string]duties.Record{}}
+	s.leases = newStore[duties.Record](c, storeFaults{lostRequest: 0.03, lostAnswer: 0.05, lateRequest: 0.03})
 	for i := range dutyEntries {
 		s.members = append(s.members, duties.Member{ID: fmt.Sprint("e", i), Address: fmt.Sprint(i), Domain: fmt.Sprint(i), Alive: true})
-		s.processes = append(s.processes, &dutyProcess{schedule: s, index: i, clockRate: 1 + maxClockDrift*(2*w.rng.Float64()-1)})
+		s.processes = append(s.processes, &dutyProcess{schedule: s, index: i, clockRate: 1 + maxClockDrift*(2*c.rng.Float64()-1)})
 	}
 	for _, p := range s.processes {
 		p.start()
--- a/internal/lab/config/fleet.go
+++ b/internal/lab/config/fleet.go
@@ -28,7 +28,7 @@
 // fleet simulates a large deployment: the configuration followers of all processes and the
 // duty keepers of the entries.
 type fleet struct {
-	*world
+	*clock
 	configStore *store[int64] // stores only the revision
 	leaseStore  *store[duties.Record]
 	nodes       []*fleetNode
@@ -65,8 +65,8 @@
 }
 
 func newFleetWithDomains(seed uint64, entries, agents, domains int) *fleet {
-	w := newWorld(seed)
-	f := &fleet{world: w, configStore: newStore[int64](w, storeFaults{}), leaseStore: newStore[duties.Record](w, storeFaults{}), byID: map[string]*fleetNode{}, agentHeartbeatInterval: fleetHeartbeatInterval}
+	c := newClock(seed)
+	f := &fleet{clock: c, configStore: newStore[int64](c, storeFaults{}), leaseStore: newStore[duties.Record](c, storeFaults{}), byID: map[string]*fleetNode{}, agentHeartbeatInterval: fleetHeartbeatInterval}
 	for i := range referenceDuties {
 		f.dutyNames = append(f.dutyNames, fmt.Sprint("duty-", i))
 	}
--- a/internal/lab/config/flood.go
+++ b/internal/lab/config/flood.go
@@ -20,31 +20,31 @@
 // measureFlood measures the calls to the key-value service that a flood of refused changes
 // causes, and checks that the refused change of an operator during the flood is recorded.
 func measureFlood() ([]bounds.Figure, error) {
-	w := newWorld(7)
-	s := &schedule{world: w}
+	c := newClock(7)
+	s := &schedule{clock: c}
 	logs := newRefusedLogs(s, 7)
-	s.store = newStore[[]byte](w, storeFaults{})
+	s.store = newStore[[]byte](c, storeFaults{})
 	logs.store.faults = storeFaults{}
 	entry := &process{schedule: s, self: config.Peer{ID: "e"}, up: true, refusedLog: config.NewRefusedLog(config.DefaultRefusedLogConfig(), deploymentName, "e/1")}
 	var refuse, tick func()
 	refuse = func() {
-		host := fmt.Sprint(w.rng.IntN(floodHostCount))
-		entry.refusedLog.Append(w.Now(), config.RefusedChanges{Host: host, Action: config.ActionApply, Outcome: config.OutcomeRefused})
+		host := fmt.Sprint(c.rng.IntN(floodHostCount))
+		entry.refusedLog.Append(c.Now(), config.RefusedChanges{Host: host, Action: config.ActionApply, Outcome: config.OutcomeRefused})
 		logs.appended++
-		w.After(floodInterval, refuse)
+		c.After(floodInterval, refuse)
 	}
 	tick = func() {
-		logs.execute(entry, entry.refusedLog.Tick(w.Now()))
-		w.After(refusedLogTickInterval, tick)
+		logs.execute(entry, entry.refusedLog.Tick(c.Now()))
+		c.After(refusedLogTickInterval, tick)
 	}
 	refuse()
 	tick()
-	w.After(floodDuration/2, func() {
+	c.After(floodDuration/2, func() {
 		logs.appendOutcome(entry, config.Request{Operator: "ana", Action: config.ActionApply}, config.Conflict)
 	})
-	w.After(floodDuration/2, func() { s.store.outage = true })
-	w.After(floodDuration/2+floodOutageDuration, func() { s.store.outage = false })
-	w.Run(floodDuration, never)
+	c.After(floodDuration/2, func() { s.store.outage = true })
+	c.After(floodDuration/2+floodOutageDuration, func() { s.store.outage = false })
+	c.Run(floodDuration, never)
 	return logs.floodFigures(entry.refusedLog)
 }
 
--- a/internal/lab/config/handover.go
+++ b/internal/lab/config/handover.go
@@ -76,7 +76,7 @@
 
 // recoverPartition runs until a new owner serves a partition that has no sealed claims.
 func (s *dutySchedule) recoverPartition() {
-	records := newStore[[]byte](s.world, storeFaults{})
+	records := newStore[[]byte](s.clock, storeFaults{})
 	machine := claims.New(claims.DefaultConfig("claims/0", "claims/0", "next"))
 	var step func(claims.Event)
 	step = func(e claims.Event) {
--- a/internal/lab/config/refusedlog.go
+++ b/internal/lab/config/refusedlog.go
@@ -16,15 +16,15 @@
 // refusedLogs holds the logs of the refused and unknown changes of a schedule. It has its
 // own source of random numbers, so that it does not influence the rest of the schedule.
 type refusedLogs struct {
-	*world
+	*clock
 	store    *store[[]byte]
 	logs     []*config.RefusedLog // one for each incarnation of an entry
 	appended int64                // changes appended to the logs
 }
 
 func newRefusedLogs(s *schedule, seed uint64) *refusedLogs {
-	w := &world{Timeline: s.Timeline, rng: rand.New(rand.NewPCG(seed, 0x10e7))}
-	return &refusedLogs{world: w, store: newStore[[]byte](w, storeFaults{lostRequest: 0.08, lostAnswer: 0.12, lateRequest: 0.08})}
+	c := &clock{Timeline: s.Timeline, rng: rand.New(rand.NewPCG(seed, 0x10e7))}
+	return &refusedLogs{clock: c, store: newStore[[]byte](c, storeFaults{lostRequest: 0.08, lostAnswer: 0.12, lateRequest: 0.08})}
 }
 
 // start gives an entry that starts a new log and writes the log periodically.
--- a/internal/lab/config/schedule.go
+++ b/internal/lab/config/schedule.go
@@ -67,7 +67,7 @@
 
 // schedule simulates a small deployment under the faults of a seed.
 type schedule struct {
-	*world
+	*clock
 	disabled       safeguard
 	store          *store[[]byte]
 	processes      []*process
@@ -98,13 +98,13 @@
 }
 
 func newSchedule(seed uint64, disabled safeguard) *schedule {
-	w := newWorld(seed)
+	c := newClock(seed)
 	s := &schedule{
-		world: w, disabled: disabled, disconnected: map[[2]int]bool{}, contents: map[int64]string{},
+		clock: c, disabled: disabled, disconnected: map[[2]int]bool{}, contents: map[int64]string{},
 		acceptedAt: map[int64]time.Time{}, lastVerdicts: map[string]config.Verdict{},
 	}
 	s.refusedLogs = newRefusedLogs(s, seed)
-	s.store = newStore[[]byte](w, storeFaults{lostRequest: 0.08, lostAnswer: 0.12, lateRequest: 0.08})
+	s.store = newStore[[]byte](c, storeFaults{lostRequest: 0.08, lostAnswer: 0.12, lateRequest: 0.08})
 	s.store.ignoreRevision = disabled == serviceRevisionCheck
 	s.store.afterWrite = s.recordAccepted
 	for i := range scheduleEntries + scheduleAgents {
--- a/internal/lab/config/world.go
+++ b/internal/lab/config/simulation.go
@@ -10,24 +10,25 @@
 	"siskinloom.example/siskinloom/internal/lab/timeline"
 )
 
-// world is a simulation's virtual time and source of random numbers.
-type world struct {
+// clock is a simulation's virtual time and source of random numbers. The processes of a
+// dutySchedule derive their own clocks from it (see dutyProcess.now).
+type clock struct {
 	*timeline.Timeline
 	rng *rand.Rand
 }
 
-func newWorld(seed uint64) *world {
-	return &world{Timeline: timeline.New(), rng: rand.New(rand.NewPCG(seed, 0x5eed))}
+func newClock(seed uint64) *clock {
+	return &clock{Timeline: timeline.New(), rng: rand.New(rand.NewPCG(seed, 0x5eed))}
 }
 
 // chance reports true with probability p.
-func (w *world) chance(p float64) bool {
-	return w.rng.Float64() < p
+func (c *clock) chance(p float64) bool {
+	return c.rng.Float64() < p
 }
 
 // between returns a random duration in [minimum, maximum].
-func (w *world) between(minimum, maximum time.Duration) time.Duration {
-	return minimum + time.Duration(w.rng.Int64N(int64(maximum-minimum)+1))
+func (c *clock) between(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(c.rng.Int64N(int64(maximum-minimum)+1))
 }
 
 // never is the done function of a run that ends only when its time is over.
@@ -58,7 +59,7 @@
 
 // store models the key-value service with values of one type.
 type store[T any] struct {
-	world          *world
+	clock          *clock
 	faults         storeFaults
 	outage         bool // the service is unavailable
 	ignoreRevision bool // writes succeed whatever the expected revision; set if serviceRevisionCheck is disabled
@@ -70,16 +71,16 @@
 	afterWrite     func(key string, value T) // called after each write that took effect; may be nil
 }
 
-func newStore[T any](w *world, faults storeFaults) *store[T] {
-	return &store[T]{world: w, faults: faults, values: map[string]T{}, revisions: map[string]int64{}, callsPerSecond: map[int64]int{}}
+func newStore[T any](c *clock, faults storeFaults) *store[T] {
+	return &store[T]{clock: c, faults: faults, values: map[string]T{}, revisions: map[string]int64{}, callsPerSecond: map[int64]int{}}
 }
 
 func (s *store[T]) latency() time.Duration {
-	return s.world.between(time.Millisecond, 10*time.Millisecond)
+	return s.clock.between(time.Millisecond, 10*time.Millisecond)
 }
 
 func (s *store[T]) countCall() {
-	s.callsPerSecond[s.world.Now().Unix()]++
+	s.callsPerSecond[s.clock.Now().Unix()]++
 }
 
 // read reads a key and calls done with its value. In an outage it calls done after the
@@ -88,15 +89,15 @@
 	s.reads++
 	s.countCall()
 	if s.outage {
-		s.world.After(storeTimeout, func() {
+		s.clock.After(storeTimeout, func() {
 			var zero T
 			done(zero, 0, false)
 		})
 		return
 	}
-	s.world.After(s.latency(), func() {
+	s.clock.After(s.latency(), func() {
 		value, revision := s.values[key], s.revisions[key]
-		s.world.After(s.latency(), func() { done(value, revision, true) })
+		s.clock.After(s.latency(), func() { done(value, revision, true) })
 	})
 }
 
@@ -106,16 +107,16 @@
 	s.writes++
 	s.countCall()
 	var zero T
-	replyIndeterminate := func() { s.world.After(storeTimeout, func() { done(indeterminate, zero, 0) }) }
+	replyIndeterminate := func() { s.clock.After(storeTimeout, func() { done(indeterminate, zero, 0) }) }
 	switch {
-	case s.outage, s.world.chance(s.faults.lostRequest):
+	case s.outage, s.clock.chance(s.faults.lostRequest):
 		replyIndeterminate()
-	case s.world.chance(s.faults.lateRequest):
-		s.world.After(storeTimeout+s.world.between(0, maxRequestDelay), func() { s.applyWrite(key, expected, value) })
+	case s.clock.chance(s.faults.lateRequest):
+		s.clock.After(storeTimeout+s.clock.between(0, maxRequestDelay), func() { s.applyWrite(key, expected, value) })
 		replyIndeterminate()
 	default:
-		lost := s.world.chance(s.faults.lostAnswer)
-		s.world.After(s.latency(), func() {
+		lost := s.clock.chance(s.faults.lostAnswer)
+		s.clock.After(s.latency(), func() {
 			applied := s.applyWrite(key, expected, value)
 			if lost {
 				replyIndeterminate()
@@ -126,7 +127,7 @@
 			if applied {
 				outcome = swapped
 			}
-			s.world.After(s.latency(), func() { done(outcome, current, revision) })
+			s.clock.After(s.latency(), func() { done(outcome, current, revision) })
 		})
 	}
 }
