--- a/internal/lab/rollout/moves.go
+++ b/internal/lab/rollout/moves.go
@@ -118,9 +118,9 @@
 			bounds.Figure{Name: prefix + ".idle_s.stay", Value: r.stay.idle.Seconds()},
 			bounds.Figure{Name: prefix + ".idle_s.recompute", Value: r.recompute.idle.Seconds()},
 			bounds.Figure{Name: prefix + ".idle_s", Value: r.withCache.idle.Seconds()},
-			bounds.Figure{Name: prefix + ".staleness_mean.stay", Value: r.stay.meanLag()},
-			bounds.Figure{Name: prefix + ".staleness_mean.recompute", Value: r.recompute.meanLag()},
-			bounds.Figure{Name: prefix + ".staleness_mean", Value: r.withCache.meanLag()},
+			bounds.Figure{Name: prefix + ".staleness_mean.stay", Value: r.stay.meanStaleness()},
+			bounds.Figure{Name: prefix + ".staleness_mean.recompute", Value: r.recompute.meanStaleness()},
+			bounds.Figure{Name: prefix + ".staleness_mean", Value: r.withCache.meanStaleness()},
 			bounds.Figure{Name: prefix + ".idle_vs_stay", Value: r.withCache.idle.Seconds() / r.stay.idle.Seconds()},
 		)
 	}
--- a/internal/lab/rollout/pipeline.go
+++ b/internal/lab/rollout/pipeline.go
@@ -23,15 +23,15 @@
 
 // result is the result of a pipeline. It doesn't include the warm-up.
 type result struct {
-	idle        time.Duration // time during which the trainer waited for samples
-	elapsed     time.Duration
-	makespans   []time.Duration // of each step, from the start of its demand to its last sample
-	lowerBounds []time.Duration // lower bounds of the makespans of the same steps
-	samples     int
-	lagSum      int64 // sum of the samples' staleness in versions at hand-over
-	lagMax      int64
-	ageSum      time.Duration // sum of the samples' times from first token to hand-over
-	ageMax      time.Duration
+	idle         time.Duration // time during which the trainer waited for samples
+	elapsed      time.Duration
+	makespans    []time.Duration // of each step, from the start of its demand to its last sample
+	lowerBounds  []time.Duration // lower bounds of the makespans of the same steps
+	samples      int
+	stalenessSum int64 // sum of the samples' staleness in versions at hand-over
+	stalenessMax int64
+	ageSum       time.Duration // sum of the samples' times from first token to hand-over
+	ageMax       time.Duration
 }
 
 // idlePerTraining returns the trainer's idle time per second of training.
@@ -42,11 +42,11 @@
 // weightedCost returns the cost that the scheduler minimizes: the trainer's idle time and
 // the mean staleness, multiplied by the feed's weights.
 func (r *result) weightedCost(s scenario) float64 {
-	return s.idleWeight*r.idlePerTraining() + s.stalenessWeight*r.meanLag()
+	return s.idleWeight*r.idlePerTraining() + s.stalenessWeight*r.meanStaleness()
 }
 
-func (r *result) meanLag() float64 { return float64(r.lagSum) / float64(r.samples) }
-func (r *result) meanAge() float64 { return r.ageSum.Seconds() / float64(r.samples) }
+func (r *result) meanStaleness() float64 { return float64(r.stalenessSum) / float64(r.samples) }
+func (r *result) meanAge() float64       { return r.ageSum.Seconds() / float64(r.samples) }
 
 // lowerBoundRatio returns the ratio of the sum of the makespans to the sum of their lower
 // bounds.
@@ -236,11 +236,11 @@
 	if !p.warmedUp() {
 		return
 	}
-	lag := p.trainerVersion - s.OldestVersion()
+	staleness := p.trainerVersion - s.OldestVersion()
 	age := p.clock.Now().Sub(s.FirstTokenAt)
 	p.result.samples++
-	p.result.lagSum += lag
-	p.result.lagMax = max(p.result.lagMax, lag)
+	p.result.stalenessSum += staleness
+	p.result.stalenessMax = max(p.result.stalenessMax, staleness)
 	p.result.ageSum += age
 	p.result.ageMax = max(p.result.ageMax, age)
 }
--- a/internal/lab/rollout/tradeoff.go
+++ b/internal/lab/rollout/tradeoff.go
@@ -34,7 +34,7 @@
 				points[i] = Point{
 					StalenessWeight: weight,
 					IdlePerTraining: r.idlePerTraining(),
-					MeanLag:         r.meanLag(),
+					MeanLag:         r.meanStaleness(),
 					Declared:        weight == s.stalenessWeight/s.idleWeight,
 				}
 				return nil
