--- a/cmd/siskinlab/plot.go
+++ b/cmd/siskinlab/plot.go
@@ -59,7 +59,7 @@
 			}
 			row := []string{
 				curve.Deployment, strconv.FormatFloat(point.StalenessWeight, 'g', 3, 64),
-				fmt.Sprintf("%.3f", point.IdlePerTraining), fmt.Sprintf("%.3f", point.MeanLag), own,
+				fmt.Sprintf("%.3f", point.IdlePerTraining), fmt.Sprintf("%.3f", point.MeanStaleness), own,
 			}
 			if err := table.Append(row); err != nil {
 				return errors.Wrap(err, "plot")
@@ -77,7 +77,7 @@
 func addCurve(p *plot.Plot, curve rollout.Curve, c color.Color) error {
 	var all, own plotter.XYs
 	for _, point := range curve.Points {
-		xy := plotter.XY{X: point.MeanLag, Y: point.IdlePerTraining}
+		xy := plotter.XY{X: point.MeanStaleness, Y: point.IdlePerTraining}
 		all = append(all, xy)
 		if point.Declared {
 			own = append(own, xy)
--- a/internal/lab/rollout/tradeoff.go
+++ b/internal/lab/rollout/tradeoff.go
@@ -10,7 +10,7 @@
 type Point struct {
 	StalenessWeight float64 // weight of staleness if the weight of idle time is 1
 	IdlePerTraining float64 // seconds that the trainer waits per second of training
-	MeanLag         float64 // mean number of versions that samples are behind at hand-over
+	MeanStaleness   float64 // mean staleness of the samples at hand-over, in versions
 	Declared        bool    // this is the ratio of weights that the deployment declares
 }
 
@@ -34,7 +34,7 @@
 				points[i] = Point{
 					StalenessWeight: weight,
 					IdlePerTraining: r.idlePerTraining(),
-					MeanLag:         r.meanStaleness(),
+					MeanStaleness:   r.meanStaleness(),
 					Declared:        weight == s.stalenessWeight/s.idleWeight,
 				}
 				return nil
