--- a/internal/lab/demo/load.go
+++ b/internal/lab/demo/load.go
@@ -55,10 +55,10 @@
 	Late    int
 	NotRun  int
 	Unknown int
-	Resent  int // sends whose connection was lost; all but the last one of a request are resent
-	Wrong   int // answers that belong to another request, are truncated or mislabelled
-	latency *hdrhistogram.Histogram
-	notRun  []string // operations whose last answer was "not run"
+	Resent  int                     // sends whose connection was lost; all but the last one of a request are resent
+	Wrong   int                     // answers that belong to another request, are truncated or mislabelled
+	latency *hdrhistogram.Histogram // in microseconds
+	notRun  []string                // operations whose last answer was "not run"
 	reasons map[string]int
 	mu      sync.Mutex
 }
