--- a/internal/lab/routing/membership.go
+++ b/internal/lab/routing/membership.go
@@ -72,15 +72,15 @@
 	for _, e := range entries {
 		c.add(membership.SelectConnections(e, entries, agents, membership.DefaultFanout(), heartbeatInterval), pair)
 	}
-	minWatchers, maxKeepers, maxAgentBytes := math.MaxInt, 0, 0.0
+	minWatchers, maxConnectedEntries, maxAgentBytes := math.MaxInt, 0, 0.0
 	for _, a := range agents {
 		minWatchers = min(minWatchers, c.watchers[a.ID])
-		maxKeepers = max(maxKeepers, c.keepers[a.ID])
+		maxConnectedEntries = max(maxConnectedEntries, c.connectedEntries[a.ID])
 		maxAgentBytes = max(maxAgentBytes, c.agentBytes[a.ID])
 	}
 	return []bounds.Figure{
 		{Name: "membership.coverage", Value: float64(minWatchers)},
-		{Name: "membership.keepers_most", Value: float64(maxKeepers)},
+		{Name: "membership.keepers_most", Value: float64(maxConnectedEntries)},
 		{Name: "membership.kept_most", Value: float64(c.maxConnections)},
 		{Name: "membership.services_reached", Value: float64(c.minServices)},
 		{Name: "membership.domains_reached", Value: float64(c.minDomains)},
@@ -94,25 +94,25 @@
 
 // connectionStats accumulates statistics on the connections of all entries.
 type connectionStats struct {
-	agents         map[string]membership.Instance
-	watchers       map[string]int     // entries that watch an agent, by agent
-	keepers        map[string]int     // entries connected to an agent, by agent
-	agentBytes     map[string]float64 // per second, by agent
-	entryBytes     float64            // per second, of the busiest entry
-	maxConnections int
-	minServices    int // fewest that any entry is connected to
-	minDomains     int // fewest of a service that any entry is connected to
-	maxInterval    time.Duration
+	agents           map[string]membership.Instance
+	watchers         map[string]int     // entries that watch an agent, by agent
+	connectedEntries map[string]int     // entries connected to an agent, by agent
+	agentBytes       map[string]float64 // per second, by agent
+	entryBytes       float64            // per second, of the busiest entry
+	maxConnections   int
+	minServices      int // fewest that any entry is connected to
+	minDomains       int // fewest of a service that any entry is connected to
+	maxInterval      time.Duration
 }
 
 func newConnectionStats(agents []membership.Instance) *connectionStats {
 	c := &connectionStats{
-		agents:      map[string]membership.Instance{},
-		watchers:    map[string]int{},
-		keepers:     map[string]int{},
-		agentBytes:  map[string]float64{},
-		minServices: math.MaxInt,
-		minDomains:  math.MaxInt,
+		agents:           map[string]membership.Instance{},
+		watchers:         map[string]int{},
+		connectedEntries: map[string]int{},
+		agentBytes:       map[string]float64{},
+		minServices:      math.MaxInt,
+		minDomains:       math.MaxInt,
 	}
 	for _, a := range agents {
 		c.agents[a.ID] = a
@@ -120,10 +120,10 @@
 	return c
 }
 
-func (c *connectionStats) add(kept []membership.Connection, pair float64) {
+func (c *connectionStats) add(connections []membership.Connection, pair float64) {
 	domains := map[string]map[string]bool{}
 	total := 0.0
-	for _, k := range kept {
+	for _, k := range connections {
 		a := c.agents[k.ID]
 		if domains[a.Service] == nil {
 			domains[a.Service] = map[string]bool{}
@@ -132,14 +132,14 @@
 		rate := pair / k.Interval.Seconds()
 		total += rate
 		c.agentBytes[k.ID] += rate
-		c.keepers[k.ID]++
+		c.connectedEntries[k.ID]++
 		if k.Watched {
 			c.watchers[k.ID]++
 		}
 		c.maxInterval = max(c.maxInterval, k.Interval)
 	}
 	c.entryBytes = max(c.entryBytes, total)
-	c.maxConnections = max(c.maxConnections, len(kept))
+	c.maxConnections = max(c.maxConnections, len(connections))
 	c.minServices = min(c.minServices, len(domains))
 	for _, d := range domains {
 		c.minDomains = min(c.minDomains, len(d))
--- a/internal/lab/routing/storm.go
+++ b/internal/lab/routing/storm.go
@@ -51,14 +51,14 @@
 
 func (s *stormRun) run(cfg conn.Config) time.Duration {
 	s.connectAll(cfg)
-	away := epoch.Add(outageStart)
-	s.returnsAt = away.Add(outageDuration)
+	downAt := epoch.Add(outageStart)
+	s.returnsAt = downAt.Add(outageDuration)
 	for s.now.Before(epoch.Add(stormTimeout)) {
 		s.now = s.now.Add(stormTickInterval)
 		if s.now.Sub(epoch)%attemptWindow == 0 {
 			clear(s.attempts)
 		}
-		s.up = s.now.Before(away) || !s.now.Before(s.returnsAt)
+		s.up = s.now.Before(downAt) || !s.now.Before(s.returnsAt)
 		s.step()
 		if s.now.After(s.returnsAt) && s.suspended == 0 {
 			return s.now.Sub(s.returnsAt)
