--- a/internal/lab/config/fleet.go
+++ b/internal/lab/config/fleet.go
@@ -29,7 +29,7 @@
 // duty keepers of the entries.
 type fleet struct {
 	*clock
-	configStore *store[int64] // stores only the revision
+	configStore *store[int64] // holds only the revision, under the key "c"
 	leaseStore  *store[duties.Record]
 	nodes       []*fleetNode
 	entries     []*fleetNode
--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -70,7 +70,7 @@
 	hintSigma = 0.5
 	// longShare of the texts are longFactor times as long as the others.
 	longShare, longFactor = 0.08, 5.0
-	lengthSigma           = 0.84
+	lengthSigma           = 0.84 // standard deviation of the logarithm of the lengths
 	tokensPerEvent        = 49
 	model                 = "m"
 	// Every moveCheckEvents events, a run may move to an engine with a gain of at least
--- a/internal/lab/weights/engine.go
+++ b/internal/lab/weights/engine.go
@@ -257,7 +257,7 @@
 			loading++
 		}
 	}
-	keep := int(math.Ceil(w.floor*float64(len(w.engines)) - 1e-9))
+	keep := int(math.Ceil(w.floor*float64(len(w.engines)) - 1e-9)) // 1e-9 absorbs rounding errors of the product
 	if len(w.engines)-loading < keep {
 		w.violations.FloorBreaks++
 	}
--- a/internal/standin/transactional_store.go
+++ b/internal/standin/transactional_store.go
@@ -50,7 +50,7 @@
 	s.answersToLose = n
 }
 
-// StallWatches sets whether waiting watches get no changes.
+// StallWatches stops the delivery of changes to watches that wait, or resumes it.
 func (s *TransactionalStore) StallWatches(watchesStalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
