--- a/internal/lab/config/regions.go
+++ b/internal/lab/config/regions.go
@@ -14,7 +14,7 @@
 	domainsPerRegion  = 2
 	cutDuration       = 2 * time.Minute
 	cutChangeInterval = 30 * time.Second
-	settleTime        = 15 * time.Second // after the cut; by then proofs and leases have expired
+	settleTime        = 15 * time.Second // from the start of the cut; by then the proofs and leases of the region have expired
 	rejoinTimeout     = time.Minute
 )
 
