--- a/internal/lab/config/handover.go
+++ b/internal/lab/config/handover.go
@@ -24,7 +24,7 @@
 // owner accepts no more calls until its successor serves. In the baseline, the owner first
 // waits for its running calls and sends no offer of the duty.
 func gapAfterStop(seed uint64, baseline bool) time.Duration {
-	s := newDutySchedule(seed, noDutySafeguardDisabled)
+	s := newDutySchedule(seed, noDutySafeguard)
 	s.leases.faults = storeFaults{}
 	for _, p := range s.processes {
 		p.tickAfterCalls = true
@@ -76,7 +76,7 @@
 
 // recoverPartition runs until a new owner serves a partition that has no sealed claims.
 func (s *dutySchedule) recoverPartition() {
-	records := newStore[[]byte](s.world, storeFaults{})
+	records := newStore[[]byte](s.clock, storeFaults{})
 	machine := claims.New(claims.DefaultConfig("claims/0", "claims/0", "next"))
 	var step func(claims.Event)
 	step = func(e claims.Event) {
--- a/internal/lab/rollout/bounds.go
+++ b/internal/lab/rollout/bounds.go
@@ -85,8 +85,8 @@
 	noOutage, ownerSurvives, ownerCrashes *result
 }
 
-// outageSteps is the number of steps of outageRuns. A pipeline takes longer for them
-// than until the end of the outage.
+// outageSteps is the number of steps of outageRuns. It is large enough that the
+// pipelines still run when the outage ends.
 const outageSteps = 14
 
 func runDeployment(group *errgroup.Group, s, other scenario) *deploymentRuns {
@@ -161,9 +161,9 @@
 		{Name: "rollout.idle_vs_baseline." + s.name, Value: d.own.idle.Seconds() / d.baseline.idle.Seconds()},
 		{Name: "rollout.idle_s." + s.name, Value: d.own.idle.Seconds()},
 		{Name: "rollout.idle_s." + s.name + ".baseline", Value: d.baseline.idle.Seconds()},
-		{Name: "rollout.staleness_mean." + s.name, Value: d.own.meanLag()},
-		{Name: "rollout.staleness_mean." + s.name + ".baseline", Value: d.baseline.meanLag()},
-		{Name: "rollout.staleness_max." + s.name, Value: float64(d.own.lagMax)},
+		{Name: "rollout.staleness_mean." + s.name, Value: d.own.meanStaleness()},
+		{Name: "rollout.staleness_mean." + s.name + ".baseline", Value: d.baseline.meanStaleness()},
+		{Name: "rollout.staleness_max." + s.name, Value: float64(d.own.stalenessMax)},
 		{Name: "rollout.staleness_mean_s." + s.name, Value: d.own.meanAge()},
 		{Name: "rollout.staleness_max_s." + s.name, Value: d.own.ageMax.Round(time.Millisecond).Seconds()},
 		{Name: "rollout.tradeoff." + s.name, Value: d.tradeoff(s)},
--- a/internal/lab/rollout/pipeline.go
+++ b/internal/lab/rollout/pipeline.go
@@ -23,15 +23,15 @@
 
 // result is the result of a pipeline. It doesn't include the warm-up.
 type result struct {
-	idle        time.Duration // time during which the trainer waited for samples
-	elapsed     time.Duration
-	makespans   []time.Duration // of each step, from the start of its demand to its last sample
-	lowerBounds []time.Duration // lower bounds of the makespans of the same steps
-	samples     int
-	lagSum      int64 // sum of the samples' staleness in versions at hand-over
-	lagMax      int64
-	ageSum      time.Duration // sum of the samples' times from first token to hand-over
-	ageMax      time.Duration
+	idle         time.Duration // time during which the trainer waited for samples
+	elapsed      time.Duration
+	makespans    []time.Duration // of each step, from the start of its demand to its last sample
+	lowerBounds  []time.Duration // lower bounds of the makespans of the same steps
+	samples      int
+	stalenessSum int64 // sum of the samples' staleness in versions at hand-over
+	stalenessMax int64
+	ageSum       time.Duration // sum of the samples' times from first token to hand-over
+	ageMax       time.Duration
 }
 
 // idlePerTraining returns the trainer's idle time per second of training.
@@ -42,11 +42,11 @@
 // weightedCost returns the cost that the scheduler minimizes: the trainer's idle time and
 // the mean staleness, multiplied by the feed's weights.
 func (r *result) weightedCost(s scenario) float64 {
-	return s.idleWeight*r.idlePerTraining() + s.stalenessWeight*r.meanLag()
+	return s.idleWeight*r.idlePerTraining() + s.stalenessWeight*r.meanStaleness()
 }
 
-func (r *result) meanLag() float64 { return float64(r.lagSum) / float64(r.samples) }
-func (r *result) meanAge() float64 { return r.ageSum.Seconds() / float64(r.samples) }
+func (r *result) meanStaleness() float64 { return float64(r.stalenessSum) / float64(r.samples) }
+func (r *result) meanAge() float64       { return r.ageSum.Seconds() / float64(r.samples) }
 
 // lowerBoundRatio returns the ratio of the sum of the makespans to the sum of their lower
 // bounds.
@@ -74,7 +74,7 @@
 	ownerAlive      bool
 	plannedChanges  uint64 // owner.ChangeCount at the last SetDemand
 	plannedTraining bool   // owner.Training at the last SetDemand
-	kv              struct {
+	store           struct {
 		value    []byte
 		revision int64
 		outage   bool
@@ -170,11 +170,11 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case handover.Read:
-			if p.kv.outage {
+			if p.store.outage {
 				deliverLater(handover.ReadFailed{})
 				continue
 			}
-			deliverLater(handover.ReadDone{Value: p.kv.value, Revision: p.kv.revision})
+			deliverLater(handover.ReadDone{Value: p.store.value, Revision: p.store.revision})
 		case handover.Write:
 			deliverLater(p.compareAndSwap(a))
 		case handover.Reply:
@@ -187,14 +187,14 @@
 
 func (p *pipeline) compareAndSwap(write handover.Write) handover.WriteDone {
 	switch {
-	case p.kv.outage:
+	case p.store.outage:
 		return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteIndeterminate}
-	case p.kv.revision != write.Expected:
-		return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteConflict, Value: p.kv.value, Revision: p.kv.revision}
+	case p.store.revision != write.Expected:
+		return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteConflict, Value: p.store.value, Revision: p.store.revision}
 	}
-	p.kv.value = write.Value
-	p.kv.revision++
-	return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteApplied, Revision: p.kv.revision}
+	p.store.value = write.Value
+	p.store.revision++
+	return handover.WriteDone{Nonce: write.Nonce, Result: handover.WriteApplied, Revision: p.store.revision}
 }
 
 // pull requests the next lot. It pulls again if no answer arrives, as after a crash of
@@ -236,11 +236,11 @@
 	if !p.warmedUp() {
 		return
 	}
-	lag := p.trainerVersion - s.OldestVersion()
+	staleness := p.trainerVersion - s.OldestVersion()
 	age := p.clock.Now().Sub(s.FirstTokenAt)
 	p.result.samples++
-	p.result.lagSum += lag
-	p.result.lagMax = max(p.result.lagMax, lag)
+	p.result.stalenessSum += staleness
+	p.result.stalenessMax = max(p.result.stalenessMax, staleness)
 	p.result.ageSum += age
 	p.result.ageMax = max(p.result.ageMax, age)
 }
--- a/internal/standin/transactional_store.go
+++ b/internal/standin/transactional_store.go
@@ -50,7 +50,7 @@
 	s.answersToLose = n
 }
 
-// StallWatches sets whether waiting watches get no changes.
+// StallWatches stops the delivery of changes to watches that wait, or resumes it.
 func (s *TransactionalStore) StallWatches(watchesStalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,7 +258,7 @@
 	if _, found := s.leases[id]; !found {
 		return kv.ErrLeaseNotFound
 	}
-	s.leases[id] = time.Now().Add(time.Hour)
+	s.leases[id] = time.Now().Add(time.Hour) // the store does not record the TTL; an hour outlasts any test
 	return nil
 }
 
